--- a/saltcourse/benchlink.py
+++ b/saltcourse/benchlink.py
@@ -15,7 +15,7 @@
 
 from saltcourse import interface as lg
 from saltcourse.policy import Balancer
-from saltcourse.settings import Malformed, field, number, read_settings, word
+from saltcourse.settings import Malformed, field, number, read_settings, texts, word
 from saltcourse.wire.lines import REPORT_FIELDS
 
 # The wire's words beside ours. Event and action names, and their fields, stand in the functions
@@ -42,12 +42,13 @@
     __slots__ = ("balancer", "fields")
 
     def __init__(self, seed: int, env: dict[str, Any]) -> None:
-        fields = field(field(env, "report", dict, {}), "fields", list, [])
-        self.fields = [REPORT_FIELDS.get(name, "") for name in fields]
         try:
-            self.balancer = Balancer(read_settings(env), seed)
-        except ValueError as wrong:
+            settings = read_settings(env)
+        except Malformed as wrong:
             raise Malformed(f"env: {wrong}") from None
+        fields = texts(field(env, "report", dict, {}), "fields")
+        self.fields = [REPORT_FIELDS.get(name, "") for name in fields]
+        self.balancer = Balancer(settings, seed)
 
     def report(self, message: dict[str, Any]) -> lg.LoadReport | None:
         row = message.get("server_stats")
--- a/saltcourse/config/__init__.py
+++ b/saltcourse/config/__init__.py
@@ -17,7 +17,7 @@
 import orjson
 
 from saltcourse import interface as lg
-from saltcourse.settings import Malformed, read_settings
+from saltcourse.settings import Malformed, is_finite_number, read_settings
 from saltcourse.wire.members import Address, BadList, Listing, read_address, read_list
 
 DEFAULT_LISTEN = "127.0.0.1:8081"
@@ -81,9 +81,9 @@
 
 def _number(values: dict[str, Any], key: str, default: float, least: float) -> float:
     value = values.get(key, default)
-    if isinstance(value, bool) or not isinstance(value, (int, float)) or not value >= least:
+    if not (is_finite_number(value) and value >= least):
         raise ConfigError(f"'limits.{key}': must be a number of at least {least:g}, not {value!r}")
-    return value
+    return float(value)
 
 
 def allowed_sockets(wanted: int) -> int:
@@ -101,7 +101,7 @@
 def _seed(value: Any) -> int:
     try:
         return int(value, 16) if isinstance(value, str) else int(value)
-    except (ValueError, TypeError):
+    except (ValueError, TypeError, OverflowError):
         raise ConfigError(f"'seed': must be hexadecimal digits, not {value!r}") from None
 
 
@@ -118,7 +118,7 @@
         raise ConfigError("'settings': missing")
     try:
         read = read_settings(settings)
-    except (Malformed, ValueError, TypeError, AttributeError) as wrong:
+    except Malformed as wrong:
         raise ConfigError(f"'settings': {wrong}") from None
     try:
         known = read_list(values.get("known", {"version": 0, "full": True, "servers": []}))
--- a/saltcourse/settings.py
+++ b/saltcourse/settings.py
@@ -31,10 +31,49 @@
 
 
 def number(message: dict[str, Any], key: str, default: float | None = None) -> float:
-    value = float(field(message, key, (int, float), default))
-    if not math.isfinite(value):
+    """The field's value as a finite number."""
+    value = field(message, key, (int, float), default)
+    if not is_finite_number(value):
         raise Malformed(f"{message.get('msg', 'message')}: '{key}' is not a finite number")
-    return value
+    return float(value)
+
+
+def is_finite_number(value: object) -> bool:
+    """Whether the value is a number, and one that a float can hold."""
+    if isinstance(value, bool) or not isinstance(value, (int, float)):
+        return False
+    try:
+        return math.isfinite(value)
+    except OverflowError:
+        return False
+
+
+def objects(message: dict[str, Any], key: str, default: list[Any] | None = None) -> list[dict[str, Any]]:
+    """A list whose elements are all objects."""
+    values: list[dict[str, Any]] = field(message, key, list, default)
+    for index, value in enumerate(values):
+        if not isinstance(value, dict):
+            raise Malformed(f"'{key}[{index}]' is not an object: {value!r}")
+    return values
+
+
+def texts(message: dict[str, Any], key: str) -> tuple[str, ...]:
+    """A list whose elements are all texts; empty where the field is absent."""
+    values = field(message, key, list, [])
+    for index, value in enumerate(values):
+        if not isinstance(value, str):
+            raise Malformed(f"'{key}[{index}]' is not a text: {value!r}")
+    return tuple(values)
+
+
+def optional_amounts(message: dict[str, Any], key: str, count: int) -> list[float]:
+    """A list of numbers of 0 or more, as ``count`` values; 0 where it is shorter, or says null."""
+    values = field(message, key, list, [])
+    for index, value in enumerate(values):
+        if value is not None and not (is_finite_number(value) and value >= 0):
+            raise Malformed(f"'{key}[{index}]' is not a finite number of 0 or more: {value!r}")
+    amounts = [0.0 if value is None else value for value in values[:count]]
+    return amounts + [0.0] * (count - len(amounts))
 
 
 def word(message: dict[str, Any], key: str, table: dict[Any, Any]) -> Any:
@@ -46,6 +85,7 @@
 
 
 def choice(kind: Any, value: str, name: str) -> Any:
+    """The member of an enumeration whose value the text is."""
     try:
         return kind(value)
     except ValueError:
@@ -53,30 +93,41 @@
 
 
 def read_settings(env: dict[str, Any]) -> lg.Settings:
-    """The instance's settings; keys that this page does not know are skipped."""
+    """The instance's settings; keys that this page does not know are skipped.
+
+    Raises ``Malformed`` for whatever is wrong in them.
+    """
+    try:
+        return _read_settings(env)
+    except ValueError as wrong:  # a value that the settings' own types refuse
+        raise Malformed(str(wrong)) from None
+
+
+def _read_settings(env: dict[str, Any]) -> lg.Settings:
     limits, rules = field(env, "limits", dict), field(env, "obligations", dict)
     extra, prices = field(env, "extra", dict, {}), field(env, "charges", dict, {})
     report = field(env, "report", dict, {})
-    aims = field(extra, "message_aim", list, [])
-    quotas = field(extra, "tenant_quota_connections", list, [])
+    class_entries, tenant_entries = objects(env, "classes"), objects(env, "parties", [])
+    message_aims = optional_amounts(extra, "message_aim", len(class_entries))
+    quotas = optional_amounts(extra, "tenant_quota_connections", len(tenant_entries))
     classes = tuple(
         lg.RequestClass(
             name=field(c, "name", str), aim=number(c, "aim"), deadline=number(c, "give_up"),
             worth=number(c, "worth", 1.0),
             effect=choice(lg.Effect, field(c, "repeat", str, "safe"), "repeat"),
             scope=choice(lg.Scope, field(c, "dedup_scope", str, "all"), "dedup_scope"),
-            window=number(c, "window", 0.0), message_aim=aims[i] if i < len(aims) else 0.0,
+            window=number(c, "window", 0.0), message_aim=message_aim,
         )
-        for i, c in enumerate(field(env, "classes", list))
+        for c, message_aim in zip(class_entries, message_aims, strict=True)
     )
     tenants = tuple(
-        lg.Tenant(field(t, "name", str), number(t, "share", 0.0), quotas[i] if i < len(quotas) else 0.0)
-        for i, t in enumerate(field(env, "parties", list, []))
+        lg.Tenant(field(t, "name", str), number(t, "share", 0.0), quota)
+        for t, quota in zip(tenant_entries, quotas, strict=True)
     )
     return lg.Settings(
         classes=classes, tenants=tenants, balancers=field(env, "balancers", int, 1),
         index=field(env, "self_index", int, 0), zone=field(env, "zone", str, ""),
-        zones=tuple(field(env, "failure_domains", list, [])),
+        zones=texts(env, "failure_domains"),
         over_share_worth=number(env, "over_share_worth", 1.0),
         discovery=word(env, "discovery", DISCOVERY), ask_within=number(rules, "ask_within", 10.0),
         weights=choice(lg.Weights, field(env, "weights", str, "silent"), "weights"),
@@ -91,7 +142,7 @@
         tick=number(env, "step", 0.001), drain_grace=number(rules, "drain_grace", 1.0),
         warm_up=number(rules, "warm_after", 0.0), start_share=number(rules, "start_capacity", 1.0),
         push_multiple=number(rules, "overload_factor", 2.0), push_for=number(rules, "overload_for", 1.0),
-        reports_load="x0" in field(report, "fields", list, []) and report.get("how") != "silent",
+        reports_load="x0" in texts(report, "fields") and report.get("how") != "silent",
         groups=field(extra, "groups", bool, False), worth_by_work=env.get("value_by") == "work",
         price_crossing=number(prices, "cross_zone", 0.0), price_probe=number(prices, "probe", 0.0),
         price_move=number(prices, "moves", 0.0), price_peer=number(prices, "peer", 0.0),
