--- a/benchmarks/admin.py
+++ b/benchmarks/admin.py
@@ -64,16 +64,26 @@
     count, slow, idle = (50, 40, 200) if quick else (300, 64, 1000)
     config = json.loads((ROOT / "example" / "config.json").read_text())
     admin, clients = free_port(), free_port()
-    config.update(listen=f"127.0.0.1:{clients}", admin=f"127.0.0.1:{admin}", discovery="127.0.0.1:9",
-                  known={"version": 1, "full": True, "servers": [
-                      {"id": "s1", "state": "SERVING", "addr": "127.0.0.1:9"}]})
+    config.update(
+        listen=f"127.0.0.1:{clients}",
+        admin=f"127.0.0.1:{admin}",
+        discovery="127.0.0.1:9",
+        known={
+            "version": 1,
+            "full": True,
+            "servers": [{"id": "s1", "state": "SERVING", "addr": "127.0.0.1:9"}],
+        },
+    )
     config["limits"]["sockets"] = 4096
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "config.json"
         path.write_text(json.dumps(config))
-        process = subprocess.Popen([sys.executable, "-m", "saltcourse", "serve", "--config", str(path)],
-                                   cwd=ROOT, env=os.environ | {"PYTHONPATH": str(ROOT)},
-                                   stderr=subprocess.DEVNULL)
+        process = subprocess.Popen(
+            [sys.executable, "-m", "saltcourse", "serve", "--config", str(path)],
+            cwd=ROOT,
+            env=os.environ | {"PYTHONPATH": str(ROOT)},
+            stderr=subprocess.DEVNULL,
+        )
         try:
             for _ in range(100):
                 try:
@@ -90,7 +100,9 @@
             process.terminate()
             process.wait(timeout=10)
     figures = {
-        "calls": len(beside), "slow_callers": slow, "idle_clients": idle,
+        "calls": len(beside),
+        "slow_callers": slow,
+        "idle_clients": idle,
         "alone_p50_ms": round(1000 * statistics.median(alone), 2),
         "beside_p50_ms": round(1000 * statistics.median(beside), 2),
         "beside_p99_ms": round(1000 * sorted(beside)[int(0.99 * len(beside))], 2),
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -49,8 +49,14 @@
         self.net = Network(size, hosts, Link((0.0017, 0.028), 0.05), self.got, None)
         self.held: list[dict[str, Held]] = [{s: Held() for s in self.servers} for _ in range(size)]
         self.pairs: list[dict[tuple[str, str], int]] = [{} for _ in range(size)]
-        told = partial(Settings, (RequestClass("c", 0.5, 3.0),), balancers=size, peers=True, groups=True,
-                       fleet=FleetTerms(counts=counts))
+        told = partial(
+            Settings,
+            (RequestClass("c", 0.5, 3.0),),
+            balancers=size,
+            peers=True,
+            groups=True,
+            fleet=FleetTerms(counts=counts),
+        )
         self.cores = [Fleet(told(index=i), self.random.getrandbits(12), self.held[i]) for i in range(size)]
         self.sent = self.bytes = self.taken = 0
         self.cpu = 0.0
@@ -104,9 +110,12 @@
 
     def wrong(self) -> int:
         """Copies that differ from what their owner has told or is about to tell."""
-        return sum(1 for i, core in enumerate(self.cores) for j, other in enumerate(self.cores)
-                   if i != j and (j not in core.peers
-                                  or core.peers[j].replica.entries != other.table.announced))
+        return sum(
+            1
+            for i, core in enumerate(self.cores)
+            for j, other in enumerate(self.cores)
+            if i != j and (j not in core.peers or core.peers[j].replica.entries != other.table.announced)
+        )
 
 
 def measure(size: int, seconds: float, counts: bool) -> dict[str, float]:
@@ -122,7 +131,8 @@
     found = {
         "bytes_a_second_sent": site.bytes / seconds / size,
         "messages_a_second_sent": site.sent / seconds / size,
-        "take_us": 1e6 * site.cpu / site.taken, "take_cpu_ratio": site.cpu / site.taken / control,
+        "take_us": 1e6 * site.cpu / site.taken,
+        "take_cpu_ratio": site.cpu / site.taken / control,
         "cpu_share_of_a_core": site.cpu / seconds / size,
         "entries": sum(len(p.replica.entries) for p in site.cores[0].peers.values()),
     }
@@ -155,8 +165,11 @@
             name = f"n{size}_counts" if counts else f"n{size}"
             out |= {f"{name}_{key}": round(value, 3) for key, value in found.items()}
             if not only:
-                print(f"{size:4d} proxies, counts {'on ' if counts else 'off'}: " + ", ".join(
-                    f"{key} {value:.3g}" for key, value in found.items()), flush=True)
+                print(
+                    f"{size:4d} proxies, counts {'on ' if counts else 'off'}: "
+                    + ", ".join(f"{key} {value:.3g}" for key, value in found.items()),
+                    flush=True,
+                )
     print(json.dumps(out))
 
 
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -57,8 +57,9 @@
     key, members = os.urandom(32), []
     for number, seat in enumerate(seats):
         others = {n: p for n, p in where.items() if n != seat.name}
-        member = Counted(seats, Seal(seat.name, time.time_ns() // 1000 + number, [key], others), Timing(),
-                         number, None)
+        member = Counted(
+            seats, Seal(seat.name, time.time_ns() // 1000 + number, [key], others), Timing(), number, None
+        )
         await member.start(where[seat.name])
         members.append(member)
     await asyncio.sleep(SETTLE)
@@ -119,18 +120,26 @@
     try:
         for count in SIZES:
             cpu, sent = asyncio.run(at_rest(count, seconds))
-            result |= {f"members_{count}_cpu_share_each": round(cpu, 5),
-                       f"members_{count}_sent_bytes_a_second_each": round(sent)}
+            result |= {
+                f"members_{count}_cpu_share_each": round(cpu, 5),
+                f"members_{count}_sent_bytes_a_second_each": round(sent),
+            }
             if not only_json:
                 click.echo(f"{count:3} members: {cpu:.3%} of a core and {sent:.0f} bytes a second each")
         ours, control, still = asyncio.run(junk_ratio(seconds))
     except KeyboardInterrupt:
         sys.exit(130)
-    result |= {"junk_10000_a_second_cpu_share": round(ours, 4), "junk_control_cpu_share": round(control, 4),
-               "junk_cpu_ratio": round(ours / control, 2), "junk_still_holding": still}
+    result |= {
+        "junk_10000_a_second_cpu_share": round(ours, 4),
+        "junk_control_cpu_share": round(control, 4),
+        "junk_cpu_ratio": round(ours / control, 2),
+        "junk_still_holding": still,
+    }
     if not only_json:
-        click.echo(f"10,000 junk datagrams a second: {ours:.1%} of a core (control {control:.1%}), "
-                   f"{'still holding' if still else 'lost the address'}")
+        click.echo(
+            f"10,000 junk datagrams a second: {ours:.1%} of a core (control {control:.1%}), "
+            f"{'still holding' if still else 'lost the address'}"
+        )
     click.echo(json.dumps(result))
 
 
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -99,10 +99,25 @@
             if self.stopped.is_set():
                 raise Unplayable("stopped")
             process = subprocess.Popen(
-                [str(self.program), *words, "--cpus", lane, "--no-build", "--json", str(folder / "report"),
-                 "--logs", str(folder / "logs"), "--why", self.why],
-                cwd=self.repo, stdout=subprocess.PIPE, stderr=subprocess.STDOUT, text=True,
-                start_new_session=True)
+                [
+                    str(self.program),
+                    *words,
+                    "--cpus",
+                    lane,
+                    "--no-build",
+                    "--json",
+                    str(folder / "report"),
+                    "--logs",
+                    str(folder / "logs"),
+                    "--why",
+                    self.why,
+                ],
+                cwd=self.repo,
+                stdout=subprocess.PIPE,
+                stderr=subprocess.STDOUT,
+                text=True,
+                start_new_session=True,
+            )
             self.out.add(process)
             try:
                 said, _ = process.communicate(timeout=RUN_LIMIT)
@@ -128,8 +143,10 @@
 def tell(day: str, runs: list[Run]) -> None:
     scores = sorted(run.score for run in runs)
     worst, best = min(runs, key=lambda r: r.score), max(runs, key=lambda r: r.score)
-    click.echo(f"\n{day}: {len(runs)} runs  min {scores[0]:.3f}  median {statistics.median(scores):.3f}"
-               f"  max {scores[-1]:.3f}  all {' '.join(f'{s:.2f}' for s in scores)}")
+    click.echo(
+        f"\n{day}: {len(runs)} runs  min {scores[0]:.3f}  median {statistics.median(scores):.3f}"
+        f"  max {scores[-1]:.3f}  all {' '.join(f'{s:.2f}' for s in scores)}"
+    )
     for run in runs:
         if run.broken:
             click.echo(f"  broken: {run.broken}")
@@ -153,12 +170,28 @@
 @click.option("--json", "only_json", is_flag=True, help="Print the JSON object only.")
 @click.option("--lanes", type=click.IntRange(1, 8), default=None, help="Runs at once, three cores each.")
 @click.option("--kit", type=click.Path(path_type=Path), default=None, help="The operators' kit.")
-@click.option("--repo", type=click.Path(path_type=Path, file_okay=False, exists=True), default=None,
-              help="A built checkout to measure; this one if not given.")
-@click.option("--why", default="Spread of one build over repeated runs", show_default=True,
-              help="The note that the journal keeps.")
-def main(days: tuple[str, ...], runs: int, quick: bool, only_json: bool, lanes: int | None, kit: Path | None,
-         repo: Path | None, why: str) -> None:
+@click.option(
+    "--repo",
+    type=click.Path(path_type=Path, file_okay=False, exists=True),
+    default=None,
+    help="A built checkout to measure; this one if not given.",
+)
+@click.option(
+    "--why",
+    default="Spread of one build over repeated runs",
+    show_default=True,
+    help="The note that the journal keeps.",
+)
+def main(
+    days: tuple[str, ...],
+    runs: int,
+    quick: bool,
+    only_json: bool,
+    lanes: int | None,
+    kit: Path | None,
+    repo: Path | None,
+    why: str,
+) -> None:
     """Play DAYS (KIND:SEED, or a recorded day's name) several times and print how far they spread."""
     here = Path(__file__).resolve().parents[1]
     kit = (kit or here.parent / "given" / "kit").resolve()
@@ -175,8 +208,10 @@
     if lanes and lanes > most:
         click.echo(f"--lanes: {lanes} of {CORES_A_LANE} cores each do not fit on {len(cores)}", err=True)
         sys.exit(2)
-    blocks = [",".join(str(c) for c in cores[i * CORES_A_LANE:(i + 1) * CORES_A_LANE])
-              for i in range(lanes or most)]
+    blocks = [
+        ",".join(str(c) for c in cores[i * CORES_A_LANE : (i + 1) * CORES_A_LANE])
+        for i in range(lanes or most)
+    ]
     chosen = list(days or (QUICK_DAYS if quick else DAYS))
     bench = Bench(program, site, (repo or here).resolve(), why, blocks)
     began = time.monotonic()
@@ -184,8 +219,10 @@
     failed = 0
     plan = [day for _ in range(QUICK_RUNS if quick else runs) for day in chosen]
     try:
-        with ThreadPoolExecutor(len(blocks)) as pool, click.progressbar(
-                length=len(plan), label="days", file=sys.stderr) as bar:
+        with (
+            ThreadPoolExecutor(len(blocks)) as pool,
+            click.progressbar(length=len(plan), label="days", file=sys.stderr) as bar,
+        ):
             try:
                 for day, future in [(day, pool.submit(bench.play, day)) for day in plan]:
                     try:
@@ -207,10 +244,13 @@
             tell(day, played)
         name = re.sub(r"\W+", "_", day.partition(":")[0])
         scores = [run.score for run in played]
-        result |= {f"{name}_runs": len(played), f"{name}_min_score": round(min(scores), 3),
-                   f"{name}_median_score": round(statistics.median(scores), 3),
-                   f"{name}_max_score": round(max(scores), 3),
-                   f"{name}_rules_broken_runs": sum(bool(run.broken) for run in played)}
+        result |= {
+            f"{name}_runs": len(played),
+            f"{name}_min_score": round(min(scores), 3),
+            f"{name}_median_score": round(statistics.median(scores), 3),
+            f"{name}_max_score": round(max(scores), 3),
+            f"{name}_rules_broken_runs": sum(bool(run.broken) for run in played),
+        }
     click.echo(json.dumps(result | {"unplayed_runs": failed, "took_s": round(time.monotonic() - began, 1)}))
     sys.exit(1 if failed else 0)
 
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -52,19 +52,26 @@
         kinds = {"a": socket.SOCK_DGRAM, "b": socket.SOCK_DGRAM, "w": socket.SOCK_DGRAM}
         places = {name: self._free(kind) for name, kind in kinds.items()}
         roles = {"a": "priority: 2", "b": "priority: 1", "w": "witness: true"}
-        members = "".join(f'  member {{ name: "{n}" address: "127.0.0.1:{p}" {roles[n]} }}\n'
-                          for n, p in places.items())
+        members = "".join(
+            f'  member {{ name: "{n}" address: "127.0.0.1:{p}" {roles[n]} }}\n' for n, p in places.items()
+        )
         config = json.loads((ROOT / "example" / "config.json").read_text())
         config["settings"]["limits"]["peers"] = True
         config["discovery"] = f"127.0.0.1:{discovery}"
         for number, name in enumerate("abw", 1):
             routers = " ".join(f'route_server: "127.0.0.1:{s.port}"' for s in self.servers)
-            bgp = "" if name == "w" else (
-                f'  bgp {{ asn: 64512 peer_asn: 64512 identifier: "10.0.0.{number}"'
-                f' next_hop: "10.0.0.{number}" {routers} }}\n')
+            bgp = (
+                ""
+                if name == "w"
+                else (
+                    f'  bgp {{ asn: 64512 peer_asn: 64512 identifier: "10.0.0.{number}"'
+                    f' next_hop: "10.0.0.{number}" {routers} }}\n'
+                )
+            )
             (self.folder / f"{name}.txtpb").write_text(
                 f'membership {{\n  me: "{name}"\n  service_address: "{ADDRESS}"\n{members}  key_file: "key"\n'
-                f'  store_file: "{name}.vote"\n{bgp}}}\n')
+                f'  store_file: "{name}.vote"\n{bgp}}}\n'
+            )
             config |= {"name": name, "listen": f"127.0.0.1:{self._free(socket.SOCK_STREAM)}"}
             (self.folder / f"{name}.json").write_text(json.dumps(config))
             await self.start_one(name)
@@ -78,8 +85,16 @@
     async def start_one(self, name: str) -> None:
         words = ["witness"] if name == "w" else ["serve", "--config", str(self.folder / f"{name}.json")]
         self.processes[name] = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "saltcourse", *words, "--operator", str(self.folder / f"{name}.txtpb"),
-            cwd=self.folder, env=self.env, stderr=self.log)
+            sys.executable,
+            "-m",
+            "saltcourse",
+            *words,
+            "--operator",
+            str(self.folder / f"{name}.txtpb"),
+            cwd=self.folder,
+            env=self.env,
+            stderr=self.log,
+        )
 
     def holder(self) -> str:
         """Whose route is the best at both; empty where they differ or there is none."""
@@ -156,8 +171,9 @@
 
 
 @click.command()
-@click.option("--trials", type=click.IntRange(1, 10_000), default=200, show_default=True,
-              help="Of each failure.")
+@click.option(
+    "--trials", type=click.IntRange(1, 10_000), default=200, show_default=True, help="Of each failure."
+)
 @click.option("--quick", is_flag=True, help="Four trials of each failure, under 40 s.")
 @click.option("--failure", type=click.Choice(FAILURES), multiple=True, help="Only these.")
 @click.option("--json", "only_json", is_flag=True, help="Print the JSON object only.")
@@ -172,8 +188,10 @@
         what = "gap" if name == "sigterm" else "takeover"
         row = {"p50": statistics.median(values), "p99": share(values, 0.99), "max": max(values)}
         if not only_json:
-            click.echo(f"{name:8} {what:8} {len(values):4} trials  " + "  ".join(
-                f"{k} {v * 1000:7.1f} ms" for k, v in row.items()))
+            click.echo(
+                f"{name:8} {what:8} {len(values):4} trials  "
+                + "  ".join(f"{k} {v * 1000:7.1f} ms" for k, v in row.items())
+            )
         result |= {f"{what}_{name}_{k}_s": round(v, 4) for k, v in row.items()}
         result[f"{what}_{name}_trials"] = len(values)
     click.echo(json.dumps(result | {"took_s": round(time.monotonic() - began, 1)}))
--- a/example/demo.py
+++ b/example/demo.py
@@ -76,8 +76,15 @@
         file.write_text(json.dumps(config))
         with open(Path(folder) / "log", "w") as log:
             proxy = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "saltcourse", "serve", "--config", str(file),
-                cwd=HERE.parent, stderr=log)
+                sys.executable,
+                "-m",
+                "saltcourse",
+                "serve",
+                "--config",
+                str(file),
+                cwd=HERE.parent,
+                stderr=log,
+            )
         try:
             return await show(platform, proxy, port)
         finally:
@@ -122,9 +129,11 @@
     code = await proxy.wait()
     await asyncio.wait(tasks, timeout=2)
     say(f"it has left with exit code {code}; {seen['MOVE'] - moved} readers were told MOVE")
-    say(f"summary: {seen['UP']} served, {seen['BUSY']} refused, {seen['ERR']} failed, {seen['MOVE']} moved, "
+    say(
+        f"summary: {seen['UP']} served, {seen['BUSY']} refused, {seen['ERR']} failed, {seen['MOVE']} moved, "
         f"{seen['left by themselves']} left by themselves, {seen['HEADLINE']} headlines, "
-        f"{late} sent to the drained server, {seen['CUT']} cut off")
+        f"{late} sent to the drained server, {seen['CUT']} cut off"
+    )
     return 1 if code or late or seen["CUT"] or seen["ERR"] else 0
 
 
--- a/example/toy.py
+++ b/example/toy.py
@@ -77,9 +77,19 @@
                 await asyncio.wait_for(self._changed.wait(), int(watch[2]) / 1000)
         servers: list[dict[str, Any]] = []
         if watch is None or int(watch[1]) < self.version:
-            servers = [{"id": name, "addr": f"{HOST}:{port}", "zone": "", "kind": "toy", "cell": 0,
-                        "state": self.states[name], "weight": 1.0, "started_ms": 0}
-                       for name, port in self.ports.items()]
+            servers = [
+                {
+                    "id": name,
+                    "addr": f"{HOST}:{port}",
+                    "zone": "",
+                    "kind": "toy",
+                    "cell": 0,
+                    "state": self.states[name],
+                    "weight": 1.0,
+                    "started_ms": 0,
+                }
+                for name, port in self.ports.items()
+            ]
         body = json.dumps({"version": self.version, "full": bool(servers), "servers": servers}).encode()
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
         writer.close()
--- a/saltcourse/admin/calls.py
+++ b/saltcourse/admin/calls.py
@@ -102,8 +102,15 @@
     return ask
 
 
-REASONS = {200: b"OK", 400: b"Bad Request", 404: b"Not Found", 405: b"Method Not Allowed",
-           409: b"Conflict", 413: b"Content Too Large", 503: b"Service Unavailable"}
+REASONS = {
+    200: b"OK",
+    400: b"Bad Request",
+    404: b"Not Found",
+    405: b"Method Not Allowed",
+    409: b"Conflict",
+    413: b"Content Too Large",
+    503: b"Service Unavailable",
+}
 
 
 def answer_bytes(answer: Answer) -> bytes:
@@ -112,11 +119,15 @@
     # The writer must have seen a call before it writes an answer; this one stands for whatever came.
     writer.receive_data(b"GET / HTTP/1.1\r\nhost: admin\r\n\r\n")
     writer.next_event()
-    headers = [(b"content-type", answer.content_type),
-               (b"content-length", str(len(answer.body)).encode()), (b"connection", b"close")]
+    headers = [
+        (b"content-type", answer.content_type),
+        (b"content-length", str(len(answer.body)).encode()),
+        (b"connection", b"close"),
+    ]
     if answer.allow:
         headers.append((b"allow", answer.allow))
-    head = writer.send(h11.Response(status_code=answer.status, headers=headers,
-                                    reason=REASONS.get(answer.status, b"")))
+    head = writer.send(
+        h11.Response(status_code=answer.status, headers=headers, reason=REASONS.get(answer.status, b""))
+    )
     body = writer.send(h11.Data(data=answer.body)) or b""
     return (head or b"") + body + (writer.send(h11.EndOfMessage()) or b"")
--- a/saltcourse/benchlink.py
+++ b/saltcourse/benchlink.py
@@ -21,14 +21,24 @@
 # The wire's words beside ours. Event and action names, and their fields, stand in the functions
 # below, one function a message.
 STATUSES = {
-    0: lg.Status.OK, 13: lg.Status.ERROR, 8: lg.Status.FULL, 4: lg.Status.TIMEOUT,
-    14: lg.Status.CONNECT_FAILED, 10: lg.Status.RESET, 1: lg.Status.CANCELLED, 9: lg.Status.NOT_SENT,
+    0: lg.Status.OK,
+    13: lg.Status.ERROR,
+    8: lg.Status.FULL,
+    4: lg.Status.TIMEOUT,
+    14: lg.Status.CONNECT_FAILED,
+    10: lg.Status.RESET,
+    1: lg.Status.CANCELLED,
+    9: lg.Status.NOT_SENT,
 }
 STATES = {
-    "healthy": lg.ServerState.READY, "cordoned": lg.ServerState.DRAINING, "deregistered": lg.ServerState.GONE,
+    "healthy": lg.ServerState.READY,
+    "cordoned": lg.ServerState.DRAINING,
+    "deregistered": lg.ServerState.GONE,
 }
 LIST_KINDS = {
-    "update": lg.ListKind.CHANGED, "replace": lg.ListKind.WHOLE, "restored": lg.ListKind.RESTORED,
+    "update": lg.ListKind.CHANGED,
+    "replace": lg.ListKind.WHOLE,
+    "restored": lg.ListKind.RESTORED,
     "unavailable": lg.ListKind.UNAVAILABLE,
 }
 NOTE_LOAD, NOTE_DELAY = 1, 2
@@ -81,29 +91,45 @@
 def _accept(message: dict[str, Any], _: Instance) -> lg.Event:
     get = message.get
     return lg.NewRequest(
-        field(message, "job", str), field(message, "profile", str), number(message, "patience_left"),
-        get("tenant") or "", get("hint") or 0.0, get("subject") or "", get("channel") or "",
-        bool(get("repeat")), bool(get("mid_flow")), bool(get("came_back")),
+        field(message, "job", str),
+        field(message, "profile", str),
+        number(message, "patience_left"),
+        get("tenant") or "",
+        get("hint") or 0.0,
+        get("subject") or "",
+        get("channel") or "",
+        bool(get("repeat")),
+        bool(get("mid_flow")),
+        bool(get("came_back")),
     )
 
 
 def _resumed(message: dict[str, Any], _: Instance) -> lg.Event:
     get = message.get
     return lg.ConnectionResumed(
-        field(message, "job", str), field(message, "profile", str), field(message, "host", str),
-        get("tenant") or "", get("hint") or 0.0, get("channel") or "",
+        field(message, "job", str),
+        field(message, "profile", str),
+        field(message, "host", str),
+        get("tenant") or "",
+        get("hint") or 0.0,
+        get("channel") or "",
     )
 
 
 def _first(message: dict[str, Any], _: Instance) -> lg.Event:
     return lg.Established(
-        field(message, "job", str), field(message, "seq_no", int), number(message, "lag", 0.0))
+        field(message, "job", str), field(message, "seq_no", int), number(message, "lag", 0.0)
+    )
 
 
 def _answer(message: dict[str, Any], instance: Instance) -> lg.Event:
     return lg.Outcome(
-        field(message, "job", str), field(message, "seq_no", int), word(message, "result", STATUSES),
-        number(message, "lag", 0.0), bool(message.get("finished")), instance.report(message),
+        field(message, "job", str),
+        field(message, "seq_no", int),
+        word(message, "result", STATUSES),
+        number(message, "lag", 0.0),
+        bool(message.get("finished")),
+        instance.report(message),
     )
 
 
@@ -126,7 +152,9 @@
 
 def _probe_done(message: dict[str, Any], instance: Instance) -> lg.Event:
     return lg.ProbeResult(
-        field(message, "host", str), word(message, "result", STATUSES), number(message, "lag", 0.0),
+        field(message, "host", str),
+        word(message, "result", STATUSES),
+        number(message, "lag", 0.0),
         instance.report(message),
     )
 
@@ -136,14 +164,26 @@
 
 
 READERS: dict[str, Callable[[dict[str, Any], Instance], lg.Event | None]] = {
-    "backends_changed": _members, "accept": _accept, "resumed": _resumed, "first": _first,
-    "answer": _answer, "aborted": _aborted, "change": _change, "ring": _ring,
-    "probe_done": _probe_done, "from_peer": _from_peer,
+    "backends_changed": _members,
+    "accept": _accept,
+    "resumed": _resumed,
+    "first": _first,
+    "answer": _answer,
+    "aborted": _aborted,
+    "change": _change,
+    "ring": _ring,
+    "probe_done": _probe_done,
+    "from_peer": _from_peer,
 }
 
 WRITERS: dict[type, Callable[[Any, int], dict[str, Any]]] = {
     lg.Send: lambda a, n: {
-        "msg": "place", "node": n, "job": a.request, "host": a.server, "try_for": a.timeout},
+        "msg": "place",
+        "node": n,
+        "job": a.request,
+        "host": a.server,
+        "try_for": a.timeout,
+    },
     lg.Refuse: lambda a, n: {"msg": "decline", "node": n, "job": a.request, "come_back": a.retry_after},
     lg.Fail: lambda a, n: {"msg": "report_failure", "node": n, "job": a.request},
     lg.Cancel: lambda a, n: {"msg": "retract", "node": n, "job": a.request, "seq_no": a.attempt},
@@ -151,7 +191,11 @@
     lg.SetTimer: lambda a, n: {"msg": "wake_me", "node": n, "after": a.delay, "handle": a.token},
     lg.Probe: lambda a, n: {"msg": "check", "node": n, "host": a.server},
     lg.TellPeers: lambda a, n: {
-        "msg": "say", "node": n, "peer": "all" if a.peer is None else a.peer, "data": a.data},
+        "msg": "say",
+        "node": n,
+        "peer": "all" if a.peer is None else a.peer,
+        "data": a.data,
+    },
     lg.Watch: lambda a, n: {"msg": "subscribe", "node": n, "want": True},
     lg.FetchList: lambda a, n: {"msg": "get_list", "node": n},
     lg.Log: lambda a, n: {"msg": "trace", "node": n, "text": a.text},
--- a/saltcourse/cli.py
+++ b/saltcourse/cli.py
@@ -47,8 +47,10 @@
     settings = load_operator(operator, config.name)
     for section in NEEDS_PEERS:
         if settings is not None and getattr(settings, section) is not None and not config.settings.peers:
-            refuse(f"{section}: the deployment's settings say that proxies may not talk to each other "
-                   "('settings.limits.peers')")
+            refuse(
+                f"{section}: the deployment's settings say that proxies may not talk to each other "
+                "('settings.limits.peers')"
+            )
     return _with_terms(config, settings), settings
 
 
@@ -141,20 +143,26 @@
 def check_config(path: str | None, operator: str | None) -> None:
     """Read the configuration, say what is in it, and exit."""
     config, settings = _load_both(path, operator)
-    click.echo(f"{config.name}: listens on {config.listen[0]}:{config.listen[1]}, asks discovery at "
-               f"{config.discovery[0]}:{config.discovery[1]}; {len(config.settings.classes)} classes, "
-               f"{len(config.known.members)} known providers, {config.limits.sockets} sockets")
+    click.echo(
+        f"{config.name}: listens on {config.listen[0]}:{config.listen[1]}, asks discovery at "
+        f"{config.discovery[0]}:{config.discovery[1]}; {len(config.settings.classes)} classes, "
+        f"{len(config.known.members)} known providers, {config.limits.sockets} sockets"
+    )
     if settings is not None and settings.membership is not None:
         told = settings.membership
         by = "bgp" if told.bgp else "command" if told.command else "nobody (witness)"
-        click.echo(f"membership: {told.me} of {len(told.seats)}, service address {told.service_address}, "
-                   f"announced by {by}, vote kept in {told.store_file or 'memory only'}, "
-                   f"{len(told.keys)} keys")
+        click.echo(
+            f"membership: {told.me} of {len(told.seats)}, service address {told.service_address}, "
+            f"announced by {by}, vote kept in {told.store_file or 'memory only'}, "
+            f"{len(told.keys)} keys"
+        )
     if settings is not None and settings.gossip is not None:
         gossip = settings.gossip
-        click.echo(f"gossip: {gossip.me} in zone {gossip.zone} of {gossip.region}, listens on "
-                   f"{gossip.listen[0]}:{gossip.listen[1]}, {len(gossip.seeds)} seeds, "
-                   f"{len(gossip.voters)} voters, {gossip.bytes_per_s:g} bytes/s")
+        click.echo(
+            f"gossip: {gossip.me} in zone {gossip.zone} of {gossip.region}, listens on "
+            f"{gossip.listen[0]}:{gossip.listen[1]}, {len(gossip.seeds)} seeds, "
+            f"{len(gossip.voters)} voters, {gossip.bytes_per_s:g} bytes/s"
+        )
 
 
 @main.command()
--- a/saltcourse/config/__init__.py
+++ b/saltcourse/config/__init__.py
@@ -94,8 +94,11 @@
 
 def _limits(values: dict[str, Any]) -> Limits:
     sockets = int(_number(values, "sockets", DEFAULT_SOCKETS, FEWEST_SOCKETS))
-    return Limits(_number(values, "cores", DEFAULT_CORES, 0.01),
-                  _number(values, "memory_mb", DEFAULT_MEMORY_MB, 16), allowed_sockets(sockets))
+    return Limits(
+        _number(values, "cores", DEFAULT_CORES, 0.01),
+        _number(values, "memory_mb", DEFAULT_MEMORY_MB, 16),
+        allowed_sockets(sockets),
+    )
 
 
 def _seed(value: Any) -> int:
@@ -109,8 +112,10 @@
     """Check a configuration as parsed from JSON; ``again`` when the program runs already."""
     if not isinstance(values, dict):
         raise ConfigError("the configuration must be a JSON object")
-    told = {key: environment.get(f"EDGE_{key.upper()}") or values.get(key)
-            for key in ("name", "listen", "discovery", "admin")}
+    told = {
+        key: environment.get(f"EDGE_{key.upper()}") or values.get(key)
+        for key in ("name", "listen", "discovery", "admin")
+    }
     if again:
         told["discovery"] = values.get("discovery") or told["discovery"]
     settings = _object(values.get("settings"), "settings")
@@ -126,9 +131,13 @@
         raise ConfigError(f"'known': {wrong}") from None
     extra = _object(settings.get("extra"), "settings.extra")
     return Config(
-        name=str(told["name"] or "proxy"), listen=_address(told["listen"] or DEFAULT_LISTEN, "listen"),
-        discovery=_address(told["discovery"], "discovery"), seed=_seed(values.get("seed", "0")),
-        limits=_limits(_object(values.get("limits"), "limits")), known=known, settings=read,
+        name=str(told["name"] or "proxy"),
+        listen=_address(told["listen"] or DEFAULT_LISTEN, "listen"),
+        discovery=_address(told["discovery"], "discovery"),
+        seed=_seed(values.get("seed", "0")),
+        limits=_limits(_object(values.get("limits"), "limits")),
+        known=known,
+        settings=read,
         tells_delay=bool(extra.get("tells_delay", False)),
         admin=None if told["admin"] is None else _address(told["admin"], "admin"),
         peers=_peers(values, read),
@@ -142,16 +151,21 @@
         return None
     each = values.get("peers")
     if not isinstance(each, list) or len(each) != settings.balancers:
-        raise ConfigError(f"'peers': must be a list of {settings.balancers} addresses, one for each of "
-                          "'settings.balancers'")
+        raise ConfigError(
+            f"'peers': must be a list of {settings.balancers} addresses, one for each of 'settings.balancers'"
+        )
     if settings.index >= settings.balancers:
         raise ConfigError(f"'settings.self_index': must be under {settings.balancers}, 'settings.balancers'")
     found = tuple(_address(str(value), f"peers[{i}]") for i, value in enumerate(each))
     if len(set(found)) < len(found):
         raise ConfigError("'peers': an address stands twice")
     everyone = values.get("peers_all")
-    return PeerAddresses(_address(values["peer_listen"], "peer_listen"), found,
-                         None if everyone is None else _address(everyone, "peers_all"), settings.index)
+    return PeerAddresses(
+        _address(values["peer_listen"], "peer_listen"),
+        found,
+        None if everyone is None else _address(everyone, "peers_all"),
+        settings.index,
+    )
 
 
 def _descriptor(value: str | None) -> int | None:
--- a/saltcourse/delay.py
+++ b/saltcourse/delay.py
@@ -84,8 +84,12 @@
             if provider is not None and self.heard.get(provider, 0.0) < asked <= since:
                 waiting.setdefault(provider, []).append((asked, request))
         held = Counter(self.provider.values())
-        return [(request, now - asked) for provider, lines in waiting.items()
-                for asked, request in [min(lines)] if len(lines) >= min(HUNG_LINES, held[provider])]
+        return [
+            (request, now - asked)
+            for provider, lines in waiting.items()
+            for asked, request in [min(lines)]
+            if len(lines) >= min(HUNG_LINES, held[provider])
+        ]
 
     def notes(self, now: float) -> list[tuple[str, float]]:
         """Once a second: a connection and the delay for each provider on which there is something to say."""
--- a/saltcourse/emulator/election.py
+++ b/saltcourse/emulator/election.py
@@ -16,8 +16,22 @@
 from saltcourse.emulator.simnet import Host, Link, Network
 from saltcourse.membership.election import Election
 from saltcourse.membership.words import (
-    MOST_MEMBERS, Action, Announcer, Claim, HandOver, Hold, Leave, Received, Seat, SetTimer, Store, Tell,
-    Tick, Timing, Vote, Withdraw,
+    MOST_MEMBERS,
+    Action,
+    Announcer,
+    Claim,
+    HandOver,
+    Hold,
+    Leave,
+    Received,
+    Seat,
+    SetTimer,
+    Store,
+    Tell,
+    Tick,
+    Timing,
+    Vote,
+    Withdraw,
 )
 
 HELD_WITHIN = 2.0  # s
@@ -31,12 +45,23 @@
 class World:
     """Members, their announcements, and the judge. ``core`` is the class under test, or a broken one."""
 
-    def __init__(self, seed: int, seats: tuple[Seat, ...], link: Link, drift: float = 0.0,
-                 core: type[Election] = Election, timing: Timing | None = None) -> None:
+    def __init__(
+        self,
+        seed: int,
+        seats: tuple[Seat, ...],
+        link: Link,
+        drift: float = 0.0,
+        core: type[Election] = Election,
+        timing: Timing | None = None,
+    ) -> None:
         self.random = random.Random(seed)
         self.seats, self.core, self.timing = seats, core, timing or Timing()
-        hosts = [Host(s.name, rate=1.0 + self.random.choice((-1, 0, 1)) * drift,
-                      offset=self.random.uniform(0, 1e4)) for s in seats]
+        hosts = [
+            Host(
+                s.name, rate=1.0 + self.random.choice((-1, 0, 1)) * drift, offset=self.random.uniform(0, 1e4)
+            )
+            for s in seats
+        ]
         self.net = Network(seed, hosts, link, self._deliver, Tick())
         self.cores: dict[str, Election] = {}
         self.ends: dict[str, float] = {}  # holder -> true time at which its lease is over
@@ -50,8 +75,16 @@
         host = self.net.hosts[name]
         host.alive, host.stopped = True, False
         floor = 0 if isinstance(host.disk, Vote) else int((self.net.now + 1) * FLOORS_A_SECOND)
-        core = self.core(self.seats, name, self.timing, self.random.getrandbits(32), host.clock(self.net.now),
-                         host.disk, fresh, floor)
+        core = self.core(
+            self.seats,
+            name,
+            self.timing,
+            self.random.getrandbits(32),
+            host.clock(self.net.now),
+            host.disk,
+            fresh,
+            floor,
+        )
         self.cores[name] = core
         self._carry_out(host, core.start(host.clock(self.net.now)))
 
@@ -126,8 +159,11 @@
     draw = random.Random(seed)
     count = draw.choice((3, 3, 3, 4, 5))
     seats = seats_of(count, draw.choice((0, 1)))
-    link = Link(delay=draw.choice(((0.0002, 0.004), (0.001, 0.05), (0.0, 0.15))),
-                loss=draw.choice((0.0, 0.02, 0.2)), double=draw.choice((0.0, 0.1)))
+    link = Link(
+        delay=draw.choice(((0.0002, 0.004), (0.001, 0.05), (0.0, 0.15))),
+        loss=draw.choice((0.0, 0.02, 0.2)),
+        double=draw.choice((0.0, 0.1)),
+    )
     world = World(seed, seats, link, drift=draw.choice((0.0, 0.01)), core=core)
     disks = draw.random() < 0.5  # whether a disk survives on this site
     for seat in seats:
--- a/saltcourse/emulator/simnet.py
+++ b/saltcourse/emulator/simnet.py
@@ -49,8 +49,9 @@
 class Network:
     """``deliver(host, event)`` is called for each event that reaches a live process."""
 
-    def __init__(self, seed: int, hosts: list[Host], link: Link, deliver: Callable[[Host, Any], None],
-                 tick: Any) -> None:
+    def __init__(
+        self, seed: int, hosts: list[Host], link: Link, deliver: Callable[[Host, Any], None], tick: Any
+    ) -> None:
         self.random = random.Random(seed)
         self.hosts = {h.name: h for h in hosts}
         self.link, self._deliver, self._tick = link, deliver, tick
@@ -84,8 +85,10 @@
         copies = 2 if self.random.random() < self.link.double else 1
         for _ in range(copies):
             if self.random.random() >= self.link.loss:
-                self.at(self.now + self.random.uniform(*self.link.delay),
-                        lambda: self._arrive(sender, receiver, event))
+                self.at(
+                    self.now + self.random.uniform(*self.link.delay),
+                    lambda: self._arrive(sender, receiver, event),
+                )
 
     def _arrive(self, sender: str, receiver: str, event: Any) -> None:
         """A cut that began while the message was under way loses it too."""
--- a/saltcourse/figures.py
+++ b/saltcourse/figures.py
@@ -31,8 +31,11 @@
         self.dispatches += 1
 
     def text(self) -> bytes:
-        lines = [f"svc.replies.{klass}.{outcome}:{count}|c"
-                 for klass, counts in self.replies.items() for outcome, count in counts.items()]
+        lines = [
+            f"svc.replies.{klass}.{outcome}:{count}|c"
+            for klass, counts in self.replies.items()
+            for outcome, count in counts.items()
+        ]
         lines.append(f"svc.dispatches:{self.dispatches}|c")
         lines += [f"svc.{name}:{value}|g" for name, value in self.gauges().items()]
         return ("\n".join(lines) + "\n").encode()
--- a/saltcourse/fleet/codec.py
+++ b/saltcourse/fleet/codec.py
@@ -16,8 +16,19 @@
 from typing import Any
 
 from saltcourse.fleet.messages import (
-    ClockReading, Connections, EjectionNotice, LeaseGrant, LeaseRequest, Message, PairHeld, PairReleased,
-    Record, ResendRequest, Reset, Scale, SnapshotRequest,
+    ClockReading,
+    Connections,
+    EjectionNotice,
+    LeaseGrant,
+    LeaseRequest,
+    Message,
+    PairHeld,
+    PairReleased,
+    Record,
+    ResendRequest,
+    Reset,
+    Scale,
+    SnapshotRequest,
 )
 
 MAX_BYTES = 256  # of a datagram; a longer one voids a run
@@ -63,6 +74,7 @@
 
 # ---- records ---------------------------------------------------------------------------------------
 
+
 @dataclass(frozen=True, slots=True)
 class RecordFormat:
     """How one type of record is written."""
@@ -77,7 +89,7 @@
     # Written out, for these are most of all records: one for each server with each heartbeat.
     values = VALUE_OF_DIGIT
     count = values[text[-3]] << 12 | values[text[-2]] << 6 | values[text[-1]]
-    return Connections(text[1:1 + NAME_LENGTH], count)
+    return Connections(text[1 : 1 + NAME_LENGTH], count)
 
 
 def _encode_connections(record: Connections) -> str:
@@ -85,7 +97,7 @@
 
 
 def _decode_ejection(text: str) -> EjectionNotice:
-    return EjectionNotice(text[1:1 + NAME_LENGTH], decode_number(text[1 + NAME_LENGTH:]))
+    return EjectionNotice(text[1 : 1 + NAME_LENGTH], decode_number(text[1 + NAME_LENGTH :]))
 
 
 def _encode_ejection(record: EjectionNotice) -> str:
@@ -94,22 +106,42 @@
 
 FORMATS: dict[type[Record], RecordFormat] = {
     PairHeld: RecordFormat("+", PAIR_LENGTH, lambda record: record.pair, lambda text: PairHeld(text[1:])),
-    PairReleased: RecordFormat("-", PAIR_LENGTH, lambda record: record.pair,
-                               lambda text: PairReleased(text[1:])),
+    PairReleased: RecordFormat(
+        "-", PAIR_LENGTH, lambda record: record.pair, lambda text: PairReleased(text[1:])
+    ),
     Connections: RecordFormat("#", NAME_LENGTH + NUMBER_LENGTH, _encode_connections, _decode_connections),
     Reset: RecordFormat("!", 0, lambda record: "", lambda text: Reset()),
-    Scale: RecordFormat("=", NUMBER_LENGTH, lambda record: encode_count(round(SCALE_STEPS * record.slots)),
-                        lambda text: Scale(decode_number(text[1:]) / SCALE_STEPS)),
-    ResendRequest: RecordFormat("?", SEQUENCE_LENGTH,
-                                lambda record: encode_number(record.after, SEQUENCE_LENGTH),
-                                lambda text: ResendRequest(decode_number(text[1:]))),
+    Scale: RecordFormat(
+        "=",
+        NUMBER_LENGTH,
+        lambda record: encode_count(round(SCALE_STEPS * record.slots)),
+        lambda text: Scale(decode_number(text[1:]) / SCALE_STEPS),
+    ),
+    ResendRequest: RecordFormat(
+        "?",
+        SEQUENCE_LENGTH,
+        lambda record: encode_number(record.after, SEQUENCE_LENGTH),
+        lambda text: ResendRequest(decode_number(text[1:])),
+    ),
     SnapshotRequest: RecordFormat("*", 0, lambda record: "", lambda text: SnapshotRequest()),
-    LeaseRequest: RecordFormat("w", NUMBER_LENGTH, lambda record: encode_number(record.number, NUMBER_LENGTH),
-                               lambda text: LeaseRequest(decode_number(text[1:]))),
-    LeaseGrant: RecordFormat("g", NUMBER_LENGTH, lambda record: encode_number(record.number, NUMBER_LENGTH),
-                             lambda text: LeaseGrant(decode_number(text[1:]))),
-    ClockReading: RecordFormat("c", CLOCK_LENGTH, lambda record: encode_number(record.time, CLOCK_LENGTH),
-                               lambda text: ClockReading(decode_number(text[1:]))),
+    LeaseRequest: RecordFormat(
+        "w",
+        NUMBER_LENGTH,
+        lambda record: encode_number(record.number, NUMBER_LENGTH),
+        lambda text: LeaseRequest(decode_number(text[1:])),
+    ),
+    LeaseGrant: RecordFormat(
+        "g",
+        NUMBER_LENGTH,
+        lambda record: encode_number(record.number, NUMBER_LENGTH),
+        lambda text: LeaseGrant(decode_number(text[1:])),
+    ),
+    ClockReading: RecordFormat(
+        "c",
+        CLOCK_LENGTH,
+        lambda record: encode_number(record.time, CLOCK_LENGTH),
+        lambda text: ClockReading(decode_number(text[1:])),
+    ),
     EjectionNotice: RecordFormat("v", NAME_LENGTH + CLOCK_LENGTH, _encode_ejection, _decode_ejection),
 }
 DECODERS = {form.kind: form.decode for form in FORMATS.values()}
@@ -125,11 +157,17 @@
 
 # ---- messages --------------------------------------------------------------------------------------
 
+
 def encode(message: Message) -> str:
-    return "".join((VERSION, encode_number(message.incarnation, INCARNATION_LENGTH),
-                    encode_number(message.sequence, SEQUENCE_LENGTH),
-                    encode_number(message.digest, DIGEST_LENGTH),
-                    *[encode_record(record) for record in message.records]))
+    return "".join(
+        (
+            VERSION,
+            encode_number(message.incarnation, INCARNATION_LENGTH),
+            encode_number(message.sequence, SEQUENCE_LENGTH),
+            encode_number(message.digest, DIGEST_LENGTH),
+            *[encode_record(record) for record in message.records],
+        )
+    )
 
 
 def decode(text: str) -> Message:
@@ -140,7 +178,7 @@
         raise BadMessage("another version")
     if MESSAGE.fullmatch(text) is None:
         raise BadMessage("a character that is no digit, an unknown record, or a part of one")
-    header = decode_number(text[len(VERSION):HEADER_LENGTH])  # three numbers as if they were one
+    header = decode_number(text[len(VERSION) : HEADER_LENGTH])  # three numbers as if they were one
     rest, digest = divmod(header, DIGESTS)
     incarnation, sequence = divmod(rest, SEQUENCES)
     records = [DECODERS[record[0]](record) for record in RECORDS.findall(text, HEADER_LENGTH)]
--- a/saltcourse/fleet/core.py
+++ b/saltcourse/fleet/core.py
@@ -14,8 +14,19 @@
 from saltcourse.fleet.codec import BadMessage, decode
 from saltcourse.fleet.ejections import Ejections
 from saltcourse.fleet.messages import (
-    TABLE_RECORDS, ClockReading, EjectionNotice, EntryKey, LeaseGrant, LeaseRequest, Message, OtherRecord,
-    Record, ResendRequest, Scale, SnapshotRequest, TableRecord,
+    TABLE_RECORDS,
+    ClockReading,
+    EjectionNotice,
+    EntryKey,
+    LeaseGrant,
+    LeaseRequest,
+    Message,
+    OtherRecord,
+    Record,
+    ResendRequest,
+    Scale,
+    SnapshotRequest,
+    TableRecord,
 )
 from saltcourse.fleet.names import ShortNames
 from saltcourse.fleet.outbox import Outbox, Outgoing
@@ -112,8 +123,10 @@
     def connections(self, now: float, server: str) -> float:
         """Those of the whole fleet, as far as is known; what lost peers held fades."""
         key = self.names.of(server)
-        known = [self.table.entries.get(key, 0), *[
-            peer.replica.entries.get(key, 0) for peer in self.peers.values()]]
+        known = [
+            self.table.entries.get(key, 0),
+            *[peer.replica.entries.get(key, 0) for peer in self.peers.values()],
+        ]
         total, mean = float(sum(known)), sum(known) / len(known)
         for peer in self.lost.values():
             total += peer.remaining(now, key, mean)
--- a/saltcourse/fleet/ejections.py
+++ b/saltcourse/fleet/ejections.py
@@ -76,8 +76,10 @@
     def active(self, now: float) -> set[EntryKey]:
         """Servers that a peer has ejected."""
         self.of_peers = {
-            key: ejection for key, ejection in self.of_peers.items()
-            if now < ejection.latest_end and self._remaining(now, key[1], ejection.end) > 0}
+            key: ejection
+            for key, ejection in self.of_peers.items()
+            if now < ejection.latest_end and self._remaining(now, key[1], ejection.end) > 0
+        }
         return {server for server, _ in self.of_peers}
 
     def forget(self, sender: int) -> None:
--- a/saltcourse/fleet/outbox.py
+++ b/saltcourse/fleet/outbox.py
@@ -38,14 +38,22 @@
         messages = []
         for message in self._messages(records, digest):
             messages.append(Outgoing(None, encode(message)))
-            self._history.extend([(message.sequence, record) for record in message.records
-                                  if isinstance(record, PairHeld | PairReleased | Connections)])
+            self._history.extend(
+                [
+                    (message.sequence, record)
+                    for record in message.records
+                    if isinstance(record, PairHeld | PairReleased | Connections)
+                ]
+            )
         return messages
 
     def pop_replies(self, digest: int) -> list[Outgoing]:
         replies, self.replies = self.replies, {}
-        return [Outgoing(peer, encode(message)) for peer, records in sorted(replies.items())
-                for message in self._messages(records, digest)]
+        return [
+            Outgoing(peer, encode(message))
+            for peer, records in sorted(replies.items())
+            for message in self._messages(records, digest)
+        ]
 
     def _messages(self, records: Sequence[Record], digest: int) -> Iterator[Message]:
         for part in split_to_fit(records):
--- a/saltcourse/fleet/peer.py
+++ b/saltcourse/fleet/peer.py
@@ -47,8 +47,11 @@
     def repair(self, now: float) -> ResendRequest | SnapshotRequest | None:
         """What to ask it for when its digest has differed for a while: first for what followed the last
         agreement."""
-        if self.agrees() or self.replica.is_full() or now <= max(
-                self.retry_at, self.matched_at + MISMATCH_GRACE):
+        if (
+            self.agrees()
+            or self.replica.is_full()
+            or now <= max(self.retry_at, self.matched_at + MISMATCH_GRACE)
+        ):
             return None
         first, self.retry_at = self.retry_at == 0.0, now + RETRY_INTERVAL
         if first and self.matched_sequence is not None:
--- a/saltcourse/fleet/table.py
+++ b/saltcourse/fleet/table.py
@@ -14,7 +14,13 @@
 
 from saltcourse.fleet.codec import DIGESTS, NAME_LENGTH, NUMBERS, encode_count
 from saltcourse.fleet.messages import (
-    Connections, EntryKey, EntryRecord, PairHeld, PairReleased, Reset, TableRecord,
+    Connections,
+    EntryKey,
+    EntryRecord,
+    PairHeld,
+    PairReleased,
+    Reset,
+    TableRecord,
 )
 
 MAX_ENTRIES = 4096  # of one table: what comes from a peer cannot grow this program without bound
--- a/saltcourse/interface.py
+++ b/saltcourse/interface.py
@@ -183,8 +183,17 @@
         for name in ("ask_within", "connect_timeout", "tick", "push_multiple", "push_for"):
             value = getattr(self, name)
             _require(_number(value) and value > 0, name, "a number above 0")
-        for name in ("max_retry_after", "answer_slack", "drain_grace", "warm_up", "over_share_worth",
-                     "price_crossing", "price_probe", "price_move", "price_peer"):
+        for name in (
+            "max_retry_after",
+            "answer_slack",
+            "drain_grace",
+            "warm_up",
+            "over_share_worth",
+            "price_crossing",
+            "price_probe",
+            "price_move",
+            "price_peer",
+        ):
             value = getattr(self, name)
             _require(_number(value) and value >= 0, name, "0 or more")
         _require(_number(self.start_share) and 0 < self.start_share <= 1, "start_share", "above 0, at most 1")
@@ -323,8 +332,17 @@
 
 
 Event = (
-    MembersChanged | NewRequest | ConnectionResumed | Established | Outcome | ClientGone | LoadNote
-    | DelayNote | TimerFired | ProbeResult | PeerMessage
+    MembersChanged
+    | NewRequest
+    | ConnectionResumed
+    | Established
+    | Outcome
+    | ClientGone
+    | LoadNote
+    | DelayNote
+    | TimerFired
+    | ProbeResult
+    | PeerMessage
 )
 
 
@@ -402,6 +420,4 @@
     text: str
 
 
-Action = (
-    Send | Refuse | Fail | Cancel | Move | SetTimer | Probe | TellPeers | Watch | FetchList | Log
-)
+Action = Send | Refuse | Fail | Cancel | Move | SetTimer | Probe | TellPeers | Watch | FetchList | Log
--- a/saltcourse/membership/announce.py
+++ b/saltcourse/membership/announce.py
@@ -41,8 +41,15 @@
 class Session:
     """One speaker's socket and timer; everything that it does is told by the speaker."""
 
-    def __init__(self, host: str, port: int, peering: Peering, seed: int, changed: Callable[[], None],
-                 source: str | None = None) -> None:
+    def __init__(
+        self,
+        host: str,
+        port: int,
+        peering: Peering,
+        seed: int,
+        changed: Callable[[], None],
+        source: str | None = None,
+    ) -> None:
         self.speaker, self.name = Speaker(peering, seed), f"{host}:{port}"
         self.able = False
         self._host, self._port, self._source, self._changed = host, port, source, changed
@@ -111,12 +118,21 @@
 class BgpAnnouncer:
     """Announces at every route server; able while a session to any of them stands."""
 
-    def __init__(self, address: str, next_hop: str, peering: Peering, servers: Sequence[tuple[str, int]],
-                 seed: int, source: str | None = None) -> None:
+    def __init__(
+        self,
+        address: str,
+        next_hop: str,
+        peering: Peering,
+        servers: Sequence[tuple[str, int]],
+        seed: int,
+        source: str | None = None,
+    ) -> None:
         self.address, self.next_hop, self.peering = address, next_hop, peering
         self.able = False
-        self.sessions = [Session(host, port, peering, seed + i, self._look, source)
-                         for i, (host, port) in enumerate(servers)]
+        self.sessions = [
+            Session(host, port, peering, seed + i, self._look, source)
+            for i, (host, port) in enumerate(servers)
+        ]
         self._told: Callable[[bool], None] = lambda able: None
 
     def start(self, told: Callable[[bool], None]) -> None:
@@ -206,7 +222,8 @@
         said = dict(program=self.program[0], what=what, address=self.address, term=term)
         try:
             process = await asyncio.create_subprocess_exec(
-                *self.program, what, self.address, str(term), stdin=asyncio.subprocess.DEVNULL)
+                *self.program, what, self.address, str(term), stdin=asyncio.subprocess.DEVNULL
+            )
         except OSError as wrong:
             log.error("the announcing program can't be run", reason=wrong.strerror, **said)
             return False
--- a/saltcourse/membership/election.py
+++ b/saltcourse/membership/election.py
@@ -25,8 +25,30 @@
 from enum import Enum
 
 from saltcourse.membership.words import (
-    MOST_MEMBERS, Action, Announcer, Answer, Ask, Claim, Event, HandOver, Hold, Leave, Message, Note,
-    Received, Release, Renew, Renewed, Seat, SetTimer, Store, Tell, Tick, Timing, Vote, Withdraw,
+    MOST_MEMBERS,
+    Action,
+    Announcer,
+    Answer,
+    Ask,
+    Claim,
+    Event,
+    HandOver,
+    Hold,
+    Leave,
+    Message,
+    Note,
+    Received,
+    Release,
+    Renew,
+    Renewed,
+    Seat,
+    SetTimer,
+    Store,
+    Tell,
+    Tick,
+    Timing,
+    Vote,
+    Withdraw,
 )
 
 FOREVER = float("inf")
@@ -48,8 +70,17 @@
     it from the calendar), for members without a store.
     """
 
-    def __init__(self, seats: tuple[Seat, ...], me: str, timing: Timing, seed: int, now: float,
-                 stored: Vote | None = None, fresh: bool = False, floor: int = 0) -> None:
+    def __init__(
+        self,
+        seats: tuple[Seat, ...],
+        me: str,
+        timing: Timing,
+        seed: int,
+        now: float,
+        stored: Vote | None = None,
+        fresh: bool = False,
+        floor: int = 0,
+    ) -> None:
         names = [s.name for s in seats]
         if len(set(names)) != len(names):
             raise ValueError("members: a name stands twice")
@@ -329,7 +360,8 @@
             return  # rule 5: not a term of its own
         again = ask.term == self.vote.term and self.vote.voted == sender
         granted = self._may_promise(sender, 0 if ask.pre else ask.freed) and (
-            ask.term // MOST_MEMBERS > self.vote.term // MOST_MEMBERS or (again and not ask.pre))
+            ask.term // MOST_MEMBERS > self.vote.term // MOST_MEMBERS or (again and not ask.pre)
+        )
         if granted and not ask.pre:
             self._promise(sender, ask.term, Vote(ask.term, sender))
             self.freed = 0
--- a/saltcourse/membership/host.py
+++ b/saltcourse/membership/host.py
@@ -17,8 +17,23 @@
 from saltcourse.membership.seal import Drop, Seal
 from saltcourse.membership.store import StoreError, VoteStore
 from saltcourse.membership.words import (
-    MOST_MEMBERS, Action, Announcer, Claim, Event, Hold, Leave, Note, Received, Seat, SetTimer, Store, Tell,
-    Tick, Timing, Vote, Withdraw,
+    MOST_MEMBERS,
+    Action,
+    Announcer,
+    Claim,
+    Event,
+    Hold,
+    Leave,
+    Note,
+    Received,
+    Seat,
+    SetTimer,
+    Store,
+    Tell,
+    Tick,
+    Timing,
+    Vote,
+    Withdraw,
 )
 
 HELLO_EVERY = 0.05  # s between Hellos to one member, however many of its datagrams do not know this process
@@ -38,9 +53,16 @@
 class Member(asyncio.DatagramProtocol):
     """``seal`` knows the other members' addresses; ``store`` is None where no disk survives."""
 
-    def __init__(self, seats: tuple[Seat, ...], seal: Seal, timing: Timing, seed: int,
-                 announcer: Announcing | None, store: VoteStore | None = None,
-                 clock: Callable[[], float] = boot_clock) -> None:
+    def __init__(
+        self,
+        seats: tuple[Seat, ...],
+        seal: Seal,
+        timing: Timing,
+        seed: int,
+        announcer: Announcing | None,
+        store: VoteStore | None = None,
+        clock: Callable[[], float] = boot_clock,
+    ) -> None:
         self.seal, self.store, self.announcer, self.clock = seal, store, announcer, clock
         self.holds_until = 0.0
         self._loop = asyncio.get_running_loop()
@@ -107,8 +129,10 @@
                     self._send(name, self.seal.pack(name, None))
         if now - self._summed >= DROPS_EVERY:
             self._summed = now
-            log.info("dropped datagrams", **{d.value: n for d, n in sorted(
-                self.seal.dropped.items(), key=lambda item: item[0].value)})
+            log.info(
+                "dropped datagrams",
+                **{d.value: n for d, n in sorted(self.seal.dropped.items(), key=lambda item: item[0].value)},
+            )
 
     def _handle(self, event: Event) -> None:
         self._carry_out(self.core.handle(self.clock(), event))
--- a/saltcourse/membership/run.py
+++ b/saltcourse/membership/run.py
@@ -31,7 +31,8 @@
     if told.bgp is not None and not told.witness:
         peering = Peering(told.bgp.asn, told.bgp.peer_asn, told.bgp.identifier, told.bgp.hold)
         announcer = BgpAnnouncer(
-            told.service_address, told.bgp.next_hop, peering, told.bgp.route_servers, seed)
+            told.service_address, told.bgp.next_hop, peering, told.bgp.route_servers, seed
+        )
     elif told.command is not None and not told.witness:
         announcer = CommandAnnouncer(told.service_address, told.command.arguments, told.command.timeout)
     store = VoteStore(told.store_file, told.me) if told.store_file is not None else None
@@ -42,8 +43,9 @@
 class Beside:
     """The proxy's companion: starts when it serves, hands over before it drains."""
 
-    def __init__(self, told: MembershipSettings,
-                 reread: Callable[[], MembershipSettings | None] | None = None) -> None:
+    def __init__(
+        self, told: MembershipSettings, reread: Callable[[], MembershipSettings | None] | None = None
+    ) -> None:
         self.told, self._reread = told, reread
         self.member: Member | None = None
 
@@ -55,8 +57,9 @@
             raise SystemExit(f"saltcourse: membership.store_file: {wrong}") from None
         except OSError as wrong:
             host, port = self.told.places[self.told.me]
-            raise SystemExit(f"saltcourse: membership.member: cannot listen on {host}:{port}: "
-                             f"{wrong.strerror}") from None
+            raise SystemExit(
+                f"saltcourse: membership.member: cannot listen on {host}:{port}: {wrong.strerror}"
+            ) from None
 
     async def leave(self) -> None:
         if self.member is not None:
@@ -76,8 +79,11 @@
             return
         self.member.seal.change_keys(list(new.keys))
         log.info("reloaded", key=RELOADED, keys=len(new.keys))
-        later = [f"membership.{f.name}" for f in fields(new) if f.name not in ("keys", "key_file")
-                 and getattr(new, f.name) != getattr(self.told, f.name)]
+        later = [
+            f"membership.{f.name}"
+            for f in fields(new)
+            if f.name not in ("keys", "key_file") and getattr(new, f.name) != getattr(self.told, f.name)
+        ]
         if later:
             log.warning("changed keys that a restart will read", keys=",".join(later))
 
--- a/saltcourse/membership/seal.py
+++ b/saltcourse/membership/seal.py
@@ -20,7 +20,13 @@
 from google.protobuf.message import DecodeError
 
 from saltcourse.membership.words import (
-    Answer, Ask, HandOver, Message, Release, Renew, Renewed,
+    Answer,
+    Ask,
+    HandOver,
+    Message,
+    Release,
+    Renew,
+    Renewed,
 )
 from saltcourse.schema import membership_pb2 as pb
 
@@ -84,8 +90,14 @@
     def pack(self, receiver: str, message: Message | None) -> bytes:
         """A sealed datagram; None is a Hello."""
         self._sequence += 1
-        told = pb.Datagram(version=VERSION, sender=self.me, receiver=receiver, boot=self.boot,
-                           to_boot=self.peers[receiver].boot, sequence=self._sequence)
+        told = pb.Datagram(
+            version=VERSION,
+            sender=self.me,
+            receiver=receiver,
+            boot=self.boot,
+            to_boot=self.peers[receiver].boot,
+            sequence=self._sequence,
+        )
         match message:
             case None:
                 told.hello.SetInParent()
@@ -115,11 +127,11 @@
     def _open(self, data: bytes, source: tuple[str, int]) -> tuple[str, Message | None] | Drop:
         if not HEAD < len(data) <= LONGEST or not data.startswith(MAGIC):
             return Drop.FORM
-        key = self._keys.get(data[len(MAGIC):len(MAGIC) + KEY_ID])
+        key = self._keys.get(data[len(MAGIC) : len(MAGIC) + KEY_ID])
         if key is None:
             return Drop.KEY
         body = data[HEAD:]
-        if not hmac.compare_digest(hmac.digest(key, body, "sha256"), data[len(MAGIC) + KEY_ID:HEAD]):
+        if not hmac.compare_digest(hmac.digest(key, body, "sha256"), data[len(MAGIC) + KEY_ID : HEAD]):
             return Drop.FORGED
         try:
             told = pb.Datagram.FromString(body)
--- a/saltcourse/membership/speaker.py
+++ b/saltcourse/membership/speaker.py
@@ -113,9 +113,18 @@
             self.state, self._buffer = State.OPEN_SENT, bgp.Buffer()
             self._expires = now + CONNECT_TIME
             families = frozenset({(bgp.AFI_IPV4, bgp.SAFI_UNICAST), (bgp.AFI_IPV6, bgp.SAFI_UNICAST)})
-            self.out.append(Write(bgp.open_message(bgp.Open(
-                self.peering.asn, self.peering.hold, ipaddress.IPv4Address(self.peering.identifier),
-                families))))
+            self.out.append(
+                Write(
+                    bgp.open_message(
+                        bgp.Open(
+                            self.peering.asn,
+                            self.peering.hold,
+                            ipaddress.IPv4Address(self.peering.identifier),
+                            families,
+                        )
+                    )
+                )
+            )
         return self._done()
 
     def closed(self, now: float, reason: str = "the connection ended") -> list[Action]:
--- a/saltcourse/membership/store.py
+++ b/saltcourse/membership/store.py
@@ -42,10 +42,13 @@
                 self._db.execute(
                     "CREATE TABLE vote (one INTEGER PRIMARY KEY CHECK (one = 1), member TEXT NOT NULL,"
                     " term INTEGER NOT NULL, voted TEXT NOT NULL, promised TEXT NOT NULL,"
-                    " digest TEXT NOT NULL) STRICT")
+                    " digest TEXT NOT NULL) STRICT"
+                )
             self._db.execute("COMMIT")
-            application, version, checked = (self._db.execute(f"PRAGMA {name}").fetchone()[0] for name in (
-                "application_id", "user_version", "quick_check"))
+            application, version, checked = (
+                self._db.execute(f"PRAGMA {name}").fetchone()[0]
+                for name in ("application_id", "user_version", "quick_check")
+            )
         except (OSError, sqlite3.Error) as wrong:
             raise StoreError(f"{file}: {wrong}") from None
         if application != APPLICATION:
@@ -72,8 +75,10 @@
     def save(self, vote: Vote) -> None:
         """Returns when it is on the disk."""
         try:
-            self._db.execute("INSERT OR REPLACE INTO vote VALUES (1, ?, ?, ?, ?, ?)",
-                             (self.me, vote.term, vote.voted, vote.promised, _digest(self.me, vote)))
+            self._db.execute(
+                "INSERT OR REPLACE INTO vote VALUES (1, ?, ?, ?, ?, ?)",
+                (self.me, vote.term, vote.voted, vote.promised, _digest(self.me, vote)),
+            )
         except sqlite3.Error as wrong:
             raise StoreError(f"{self.file}: {wrong}") from None
 
--- a/saltcourse/net/consumer.py
+++ b/saltcourse/net/consumer.py
@@ -19,13 +19,34 @@
 from saltcourse.net.clock import Clock
 from saltcourse.net.invoker import InvokerCall
 from saltcourse.net.messages import (
-    Arrived, CallEnded, CallUp, ClientEnded, Forfeit, Left, LineBack, LineSent, Place, Resumed, Retract,
-    ToDecider, ToInvocation,
+    Arrived,
+    CallEnded,
+    CallUp,
+    ClientEnded,
+    Forfeit,
+    Left,
+    LineBack,
+    LineSent,
+    Place,
+    Resumed,
+    Retract,
+    ToDecider,
+    ToInvocation,
 )
 from saltcourse.net.doorstep import Doorstep
 from saltcourse.net.stream import Peer, PeerReset, dismiss, part, write_within
 from saltcourse.wire.lines import (
-    MICRO, FAIL_LINE, MOVE_LINE, PING, PONG_LINE, BadLine, OpenLine, busy_line, load_of, read_open, word_of,
+    MICRO,
+    FAIL_LINE,
+    MOVE_LINE,
+    PING,
+    PONG_LINE,
+    BadLine,
+    OpenLine,
+    busy_line,
+    load_of,
+    read_open,
+    word_of,
 )
 from saltcourse.wire.members import Address
 
@@ -56,9 +77,17 @@
 class Host:
     """What every consumer needs of the program."""
 
-    def __init__(self, settings: lg.Settings, clock: Clock, tell_decider: Callable[[ToDecider], None],
-                 address_of: Callable[[str], Address | None], may_answer_ping: Callable[[], bool],
-                 short: Callable[[], bool], doorstep: Doorstep, figures: Figures) -> None:
+    def __init__(
+        self,
+        settings: lg.Settings,
+        clock: Clock,
+        tell_decider: Callable[[ToDecider], None],
+        address_of: Callable[[str], Address | None],
+        may_answer_ping: Callable[[], bool],
+        short: Callable[[], bool],
+        doorstep: Doorstep,
+        figures: Figures,
+    ) -> None:
         self.settings, self.clock, self.figures = settings, clock, figures
         self.tell_decider, self.address_of = tell_decider, address_of
         self.may_answer_ping, self.short, self.doorstep = may_answer_ping, short, doorstep
@@ -274,8 +303,17 @@
     @staticmethod
     def _event(opened: OpenLine, patience: float) -> lg.NewRequest:
         return lg.NewRequest(
-            opened.request, opened.klass, patience, opened.tenant, opened.load_hint, opened.key,
-            opened.group, opened.repeat, False, opened.came_back)
+            opened.request,
+            opened.klass,
+            patience,
+            opened.tenant,
+            opened.load_hint,
+            opened.key,
+            opened.group,
+            opened.repeat,
+            False,
+            opened.came_back,
+        )
 
     async def _read_client(self) -> None:
         """Read the client for as long as it is there; its lines go on once the connection stands."""
@@ -351,9 +389,16 @@
         timeout = min(place.timeout, left) if place.timeout > 0 else left
         self._owed = place
         self.call = InvokerCall(
-            self, self.host.clock, place.attempt, place.server, place.address,
-            self.opened.with_wait(timeout), max(0.0, timeout), self.host.settings.connect_timeout,
-            self._line_passed)
+            self,
+            self.host.clock,
+            place.attempt,
+            place.server,
+            place.address,
+            self.opened.with_wait(timeout),
+            max(0.0, timeout),
+            self.host.settings.connect_timeout,
+            self._line_passed,
+        )
         self.call.start()
 
     def wanted(self) -> bool:
@@ -379,9 +424,19 @@
         with contextlib.suppress(PeerReset):  # the reader tells of it
             await self.peer.write(line)
         if self.opened is not None and self.opened.at:
-            self.host.tell_decider(Resumed(self, lg.ConnectionResumed(
-                self.request, self.opened.klass, self.opened.at, self.opened.tenant, self.opened.load_hint,
-                self.opened.group)))
+            self.host.tell_decider(
+                Resumed(
+                    self,
+                    lg.ConnectionResumed(
+                        self.request,
+                        self.opened.klass,
+                        self.opened.at,
+                        self.opened.tenant,
+                        self.opened.load_hint,
+                        self.opened.group,
+                    ),
+                )
+            )
         elif self._owed is not None:
             took = self.host.clock.now() - call.began
             self.host.tell_decider(lg.Established(self.request, self._owed.attempt, took))
--- a/saltcourse/net/decider.py
+++ b/saltcourse/net/decider.py
@@ -19,7 +19,17 @@
 from saltcourse.net.clock import Clock
 from saltcourse.net.invoker import ProbeCall
 from saltcourse.net.messages import (
-    Arrived, Invocation, Left, LineBack, LineSent, Listed, MoveAll, Place, Resumed, Retract, ToDecider,
+    Arrived,
+    Invocation,
+    Left,
+    LineBack,
+    LineSent,
+    Listed,
+    MoveAll,
+    Place,
+    Resumed,
+    Retract,
+    ToDecider,
 )
 from saltcourse.policy import Balancer, Health
 from saltcourse.wire.lines import MICRO
@@ -41,9 +51,16 @@
 
 
 class Decider(Actor[ToDecider | Rung]):
-    def __init__(self, settings: lg.Settings, seed: int, clock: Clock, known: Listing,
-                 ask_directory: Callable[[lg.Watch | lg.FetchList], None], tells_delay: bool,
-                 say: Callable[[lg.TellPeers], None]) -> None:
+    def __init__(
+        self,
+        settings: lg.Settings,
+        seed: int,
+        clock: Clock,
+        known: Listing,
+        ask_directory: Callable[[lg.Watch | lg.FetchList], None],
+        tells_delay: bool,
+        say: Callable[[lg.TellPeers], None],
+    ) -> None:
         super().__init__("decider")
         self.settings, self.clock = settings, clock
         self.addresses: dict[str, Address] = {}
@@ -131,23 +148,34 @@
         """Providers in the list, and those of them that the module avoids now (draining, resting, tried)."""
         listed = [m.server for m in self.members.values() if m.state is not lg.ServerState.GONE]
         servers = self._balancer.servers
-        avoided = sum(1 for name in listed if (server := servers.get(name)) is not None and (
-            server.state is not lg.ServerState.READY or server.health in (Health.RESTING, Health.TRIAL)))
+        avoided = sum(
+            1
+            for name in listed
+            if (server := servers.get(name)) is not None
+            and (server.state is not lg.ServerState.READY or server.health in (Health.RESTING, Health.TRIAL))
+        )
         return len(listed), avoided
 
     def fleet(self) -> dict[str, int]:
         """What this proxy knows of the others and may spend by it."""
         now, peers = self.clock.now(), self._balancer.peers
         known = [peers.connections(now, name) for name in self._balancer.servers]
-        return {"fleet.peers": len(peers.peers), "fleet.pace": round(1000 * peers.relative_share(now)),
-                "fleet.judged": len(peers.ejected(now)), "fleet.connections": round(sum(known)),
-                "fleet.unreadable": peers.undecodable}
+        return {
+            "fleet.peers": len(peers.peers),
+            "fleet.pace": round(1000 * peers.relative_share(now)),
+            "fleet.judged": len(peers.ejected(now)),
+            "fleet.connections": round(sum(known)),
+            "fleet.unreadable": peers.undecodable,
+        }
 
     def _established(self, event: lg.Established) -> None:
         arrived, sent = self._arrived.get(event.request), self._sends.get(event.request)
         if arrived is not None and sent is not None:
-            self._stands(lg.ConnectionResumed(
-                event.request, arrived.klass, sent[1], arrived.tenant, arrived.load_hint, arrived.group))
+            self._stands(
+                lg.ConnectionResumed(
+                    event.request, arrived.klass, sent[1], arrived.tenant, arrived.load_hint, arrived.group
+                )
+            )
         self._handle(event)
         if self._plan is not None:
             self._move(event.request)
@@ -170,8 +198,11 @@
             self._move(request)
         if not late:  # else lines that came meanwhile may not have been read yet
             for request, delay in self._meter.hung(now):
-                log.info("provider has stopped answering", id=self.standing[request].server,
-                         seconds=round(delay, 2))
+                log.info(
+                    "provider has stopped answering",
+                    id=self.standing[request].server,
+                    seconds=round(delay, 2),
+                )
                 self._handle(lg.DelayNote(request, delay))
         if now - self._noted >= NOTE_EVERY:
             self._noted = now
@@ -196,19 +227,36 @@
         occupancy over its ceiling, why nothing new goes there, and how attempts and connections ended."""
         held = Counter(c.server for c in self.standing.values())
         for server in self._balancer.servers.values():
-            why = [word for word, so in (
-                (server.state.value, server.state is not lg.ServerState.READY),
-                (server.health.name.lower(), server.health is not Health.USABLE),
-                ("unclean", server.unclean_until > now),
-                ("slow", server.slow_until > now), ("cold", server.next_send > now)) if so]
+            why = [
+                word
+                for word, so in (
+                    (server.state.value, server.state is not lg.ServerState.READY),
+                    (server.health.name.lower(), server.health is not Health.USABLE),
+                    ("unclean", server.unclean_until > now),
+                    ("slow", server.slow_until > now),
+                    ("cold", server.next_send > now),
+                )
+                if so
+            ]
             ended = {how: n for (name, how), n in sorted(self._ended_how.items()) if name == server.id}
             if server.state is lg.ServerState.GONE and not held[server.id] and not ended:
                 continue
-            log.info("provider", id=server.id, standing=held[server.id],
-                     occupancy=f"{server.load:.1f}/{server.ceiling:.1f}", limits=",".join(why), **ended)
+            log.info(
+                "provider",
+                id=server.id,
+                standing=held[server.id],
+                occupancy=f"{server.load:.1f}/{server.ceiling:.1f}",
+                limits=",".join(why),
+                **ended,
+            )
         said = {what: n for (name, what), n in sorted(self._ended_how.items()) if not name}
-        log.info("sum", invocations=len(self.invocations), standing=len(self.standing),
-                 storm=self._balancer.failed > self._balancer.stood, **said)
+        log.info(
+            "sum",
+            invocations=len(self.invocations),
+            standing=len(self.standing),
+            storm=self._balancer.failed > self._balancer.stood,
+            **said,
+        )
         self._ended_how.clear()
 
     # ---- the module -----------------------------------------------------------------------------
@@ -234,7 +282,8 @@
         now = self.clock.now()
         try:
             actions = self._balancer.handle(
-                now, lg.MembersChanged(lg.ListKind.RESTORED, tuple(self.members.values())))
+                now, lg.MembersChanged(lg.ListKind.RESTORED, tuple(self.members.values()))
+            )
             for connection in self.standing.values():
                 actions += self._balancer.handle(now, connection)
         except Exception:
@@ -260,8 +309,13 @@
                 case lg.SetTimer():
                     self._set_timer(action)
                 case lg.Probe():
-                    ProbeCall(action.server, self.addresses.get(action.server), self.settings.reports_load,
-                              self.clock, self.tell).start()
+                    ProbeCall(
+                        action.server,
+                        self.addresses.get(action.server),
+                        self.settings.reports_load,
+                        self.clock,
+                        self.tell,
+                    ).start()
                 case lg.Watch() | lg.FetchList():
                     self._ask(action)
                 case lg.Log():
--- a/saltcourse/net/invoker.py
+++ b/saltcourse/net/invoker.py
@@ -17,8 +17,12 @@
 from saltcourse.wire.members import Address
 
 PROBE_TIME = 0.3  # s for a probe and its answer
-STATUS_OF_ANSWER = {b"BUSY": lg.Status.FULL, b"ERR": lg.Status.ERROR, b"MOVE": lg.Status.CANCELLED,
-                    b"BYE": lg.Status.OK}
+STATUS_OF_ANSWER = {
+    b"BUSY": lg.Status.FULL,
+    b"ERR": lg.Status.ERROR,
+    b"MOVE": lg.Status.CANCELLED,
+    b"BYE": lg.Status.OK,
+}
 SHORT = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)  # of what a socket needs
 
 
@@ -60,9 +64,18 @@
     The end is told also after ``close``, so that the module hears one outcome for each send.
     """
 
-    def __init__(self, owner: CallOwner, clock: Clock, attempt: int, server: str, address: Address | None,
-                 line: bytes, timeout: float, connect_timeout: float,
-                 on_line: Callable[[memoryview], None]) -> None:
+    def __init__(
+        self,
+        owner: CallOwner,
+        clock: Clock,
+        attempt: int,
+        server: str,
+        address: Address | None,
+        line: bytes,
+        timeout: float,
+        connect_timeout: float,
+        on_line: Callable[[memoryview], None],
+    ) -> None:
         super().__init__(f"call to {server}")
         self.owner, self.clock, self.attempt, self.server = owner, clock, attempt, server
         self.began = clock.now()
@@ -173,8 +186,14 @@
 class ProbeCall(Actor[None]):
     """One PING or STATS on a connection of its own."""
 
-    def __init__(self, server: str, address: Address | None, stats: bool, clock: Clock,
-                 told: Callable[[lg.ProbeResult], None]) -> None:
+    def __init__(
+        self,
+        server: str,
+        address: Address | None,
+        stats: bool,
+        clock: Clock,
+        told: Callable[[lg.ProbeResult], None],
+    ) -> None:
         super().__init__(f"probe of {server}")
         self._server, self._address, self._stats = server, address, stats
         self._clock, self._told = clock, told
@@ -213,4 +232,3 @@
     def cleanup(self) -> None:
         if self._peer is not None:
             self._peer.close()
-
--- a/saltcourse/net/lifecycle.py
+++ b/saltcourse/net/lifecycle.py
@@ -85,8 +85,13 @@
     """``reread`` reads the configuration anew when SIGHUP asks for it; without it SIGHUP changes nothing.
     ``companions`` and ``gossip`` start when it serves, and leave before it drains, ``gossip`` first."""
 
-    def __init__(self, config: Config, reread: Callable[[], Config] | None = None,
-                 companions: Sequence[Companion] = (), gossip: FleetMember | None = None) -> None:
+    def __init__(
+        self,
+        config: Config,
+        reread: Callable[[], Config] | None = None,
+        companions: Sequence[Companion] = (),
+        gossip: FleetMember | None = None,
+    ) -> None:
         self.config, self._reread, self._gossip = config, reread, gossip
         self._companions = list(companions)
         if gossip is not None:
@@ -100,13 +105,28 @@
             from saltcourse.net.peers import PeerLink  # not imported where proxies share nothing
 
             self.peers = PeerLink(config.peers, lambda m: self.decider.tell(m))
-        self.decider = Decider(config.settings, config.seed, self.clock, config.known, self.directory.tell,
-                               config.tells_delay, self.peers.say if self.peers else lambda _: None)
+        self.decider = Decider(
+            config.settings,
+            config.seed,
+            self.clock,
+            config.known,
+            self.directory.tell,
+            config.tells_delay,
+            self.peers.say if self.peers else lambda _: None,
+        )
         self.doorstep = Doorstep(config.limits.sockets - OWN_SOCKETS)
         self.figures = Figures(c.name for c in config.settings.classes)
         self.figures.gauges = self._gauges
-        self.host = Host(config.settings, self.clock, self.decider.tell, self.decider.addresses.get,
-                         self._may_answer_ping, self._short, self.doorstep, self.figures)
+        self.host = Host(
+            config.settings,
+            self.clock,
+            self.decider.tell,
+            self.decider.addresses.get,
+            self._may_answer_ping,
+            self._short,
+            self.doorstep,
+            self.figures,
+        )
         self.admin: AdminServer | None = None
         self._lameduck: asyncio.TimerHandle | None = None  # until standing connections are moved
         self.consumers: set[Consumer] = set()
@@ -186,8 +206,13 @@
         targets, disabled = self.decider.targets()
         fleet = self.decider.fleet() if self.peers is not None else {}
         gossip = self._gossip.figures() if self._gossip is not None else {}
-        return {"concurrent": self.connections(), "targets": targets, "targets_disabled": disabled,
-                **fleet, **gossip}
+        return {
+            "concurrent": self.connections(),
+            "targets": targets,
+            "targets_disabled": disabled,
+            **fleet,
+            **gossip,
+        }
 
     def connections(self) -> int:
         """Connections that clients asked for and that have not ended; not those that only sit or PING."""
@@ -354,8 +379,12 @@
         return held + 1 + OWN_SOCKETS > self.config.limits.sockets
 
 
-def serve(config: Config, reread: Callable[[], Config] | None = None,
-          companions: Sequence[Companion] = (), gossip: FleetMember | None = None) -> None:
+def serve(
+    config: Config,
+    reread: Callable[[], Config] | None = None,
+    companions: Sequence[Companion] = (),
+    gossip: FleetMember | None = None,
+) -> None:
     """Run the program; CannotListen when it cannot listen."""
     asyncio.run(Lifecycle(config, reread, companions, gossip).run())
 
--- a/saltcourse/net/messages.py
+++ b/saltcourse/net/messages.py
@@ -62,9 +62,7 @@
     reset: bool
 
 
-ToInvocation = (
-    Place | Retract | Forfeit | ClientEnded | CallUp | CallEnded | lg.Refuse | lg.Fail | lg.Move
-)
+ToInvocation = Place | Retract | Forfeit | ClientEnded | CallUp | CallEnded | lg.Refuse | lg.Fail | lg.Move
 
 
 class Invocation(Protocol):
--- a/saltcourse/net/peers.py
+++ b/saltcourse/net/peers.py
@@ -30,7 +30,8 @@
     async def open(self) -> None:
         """Raises OSError when the address cannot be had."""
         await asyncio.get_running_loop().create_datagram_endpoint(
-            lambda: self, local_addr=self._addresses.listen)
+            lambda: self, local_addr=self._addresses.listen
+        )
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.DatagramTransport, transport)
@@ -55,7 +56,7 @@
     def _targets(self, peer: int | None) -> tuple[Address, ...]:
         each = self._addresses.each
         if peer is not None:
-            return each[peer:peer + 1]
+            return each[peer : peer + 1]
         if self._addresses.everyone is not None:
             return (self._addresses.everyone,)
         return tuple(a for i, a in enumerate(each) if i != self._addresses.own)
--- a/saltcourse/net/stream.py
+++ b/saltcourse/net/stream.py
@@ -88,8 +88,9 @@
 
     @staticmethod
     def _wrap(sock: socket.socket) -> _HalfStream:
-        return _HalfStream(sock, max_buffer_size=WRITE_LIMIT, read_chunk_size=LONGEST_LINE,
-                           max_write_buffer_size=WRITE_LIMIT)
+        return _HalfStream(
+            sock, max_buffer_size=WRITE_LIMIT, read_chunk_size=LONGEST_LINE, max_write_buffer_size=WRITE_LIMIT
+        )
 
     @property
     def closed(self) -> bool:
@@ -155,7 +156,7 @@
             if not stream.ended or self._closed:
                 raise PeerReset(str(wrong)) from None
             # The peer ended its side meanwhile, which took the stream but not the socket.
-            left = memoryview(data)[max(0, stream.sent - begin):]
+            left = memoryview(data)[max(0, stream.sent - begin) :]
             if len(left):
                 await self.write(left)
 
@@ -232,4 +233,3 @@
     except (PeerReset, TimeoutError):
         return False
     return True
-
--- a/saltcourse/policy.py
+++ b/saltcourse/policy.py
@@ -16,10 +16,39 @@
 
 from saltcourse.fleet.core import Fleet
 from saltcourse.interface import (
-    LONGEST_LIST_WAIT, NEVER_RAN, Action, ClientGone, ConnectionResumed, DelayNote, Discovery, Effect,
-    Established, Event, Fail, FetchList, ListKind, LoadNote, Member, MembersChanged, Move, NewRequest,
-    Outcome, PeerMessage, Probe, ProbeResult, Refuse, RequestClass, Scope, Send, ServerState, SetTimer,
-    Settings, Status, TellPeers, TimerFired, Watch,
+    LONGEST_LIST_WAIT,
+    NEVER_RAN,
+    Action,
+    ClientGone,
+    ConnectionResumed,
+    DelayNote,
+    Discovery,
+    Effect,
+    Established,
+    Event,
+    Fail,
+    FetchList,
+    ListKind,
+    LoadNote,
+    Member,
+    MembersChanged,
+    Move,
+    NewRequest,
+    Outcome,
+    PeerMessage,
+    Probe,
+    ProbeResult,
+    Refuse,
+    RequestClass,
+    Scope,
+    Send,
+    ServerState,
+    SetTimer,
+    Settings,
+    Status,
+    TellPeers,
+    TimerFired,
+    Watch,
 )
 
 TICK = 1.0  # s between refreshes of ceilings and health; short against a connection's life
@@ -131,11 +160,31 @@
 class Request:
     """A request from its arrival to its final answer, or a connection to its end."""
 
-    __slots__ = ("id", "klass", "deadline", "server", "attempts", "out", "begun", "answered", "load", "tried",
-                 "may_have_run", "ran_at", "asked", "looks", "began", "group", "flow", "sent_at", "suspect")
-
-    def __init__(self, request: str, klass: RequestClass, deadline: float, load: float, group: str,
-                 flow: str) -> None:
+    __slots__ = (
+        "id",
+        "klass",
+        "deadline",
+        "server",
+        "attempts",
+        "out",
+        "begun",
+        "answered",
+        "load",
+        "tried",
+        "may_have_run",
+        "ran_at",
+        "asked",
+        "looks",
+        "began",
+        "group",
+        "flow",
+        "sent_at",
+        "suspect",
+    )
+
+    def __init__(
+        self, request: str, klass: RequestClass, deadline: float, load: float, group: str, flow: str
+    ) -> None:
         self.id, self.klass, self.deadline, self.load = request, klass, deadline, load
         self.group, self.flow = group, flow  # the flow is the client's, the same with each of its tries
         self.suspect: tuple[Server, Status, float] | None = None  # who broke it off, how, when it was sent
@@ -176,10 +225,16 @@
         self.look = settings.reports_load and settings.may_probe
         self.peers = Fleet(settings, seed, self.servers)
         self.handlers = {
-            MembersChanged: self._on_members, NewRequest: self._on_request,
-            ConnectionResumed: self._on_resumed, Established: self._on_established,
-            Outcome: self._on_outcome, ClientGone: self._on_gone, LoadNote: self._on_load,
-            DelayNote: self._on_delay, TimerFired: self._on_timer, ProbeResult: self._on_probe,
+            MembersChanged: self._on_members,
+            NewRequest: self._on_request,
+            ConnectionResumed: self._on_resumed,
+            Established: self._on_established,
+            Outcome: self._on_outcome,
+            ClientGone: self._on_gone,
+            LoadNote: self._on_load,
+            DelayNote: self._on_delay,
+            TimerFired: self._on_timer,
+            ProbeResult: self._on_probe,
             PeerMessage: self._on_peer,
         }
 
@@ -197,7 +252,7 @@
             self._start()
         if event.kind is ListKind.UNAVAILABLE:  # asked again, later each time: wait and call within the term
             self.list_failures += 1
-            longest = min(self.settings.ask_within, LONGEST_LIST_WAIT, 2.0 ** self.list_failures * 0.5)
+            longest = min(self.settings.ask_within, LONGEST_LIST_WAIT, 2.0**self.list_failures * 0.5)
             wait = max(LIST_SPREAD, longest - (self.now - self.list_asked))  # less what the failed call took
             self.out.append(SetTimer(wait * (0.5 + self.random.random() / 2), LIST_TOKEN))
             return
@@ -228,7 +283,8 @@
                 # Many nodes hear of a cold server at once; each sends its first at its own moment.
                 server.next_send = self.now + self.random.random() * self._slow_start_gap(server)
             if server.state is ServerState.DRAINING or (
-                    event.kind is ListKind.CHANGED and server.state is ServerState.GONE):
+                event.kind is ListKind.CHANGED and server.state is ServerState.GONE
+            ):
                 self._move(list(server.held.values()))  # (a whole list that omits one does not prove it gone)
         if changed:  # weights alone are read at the next tick
             self._refresh()
@@ -332,9 +388,15 @@
         if not self.look:
             self._move(self._share(list(server.held.values()), share))
             return
-        held = sorted(server.held.values(), key=lambda r: (
-            self.peers.held_elsewhere(server.id, r.group), server.groups.get(r.group, 0), r.group))
-        first = {r.group for r in held[:int(share * len(held) + self.random.random())]}
+        held = sorted(
+            server.held.values(),
+            key=lambda r: (
+                self.peers.held_elsewhere(server.id, r.group),
+                server.groups.get(r.group, 0),
+                r.group,
+            ),
+        )
+        first = {r.group for r in held[: int(share * len(held) + self.random.random())]}
         self._move([r for r in held if r.group in first])
 
     def _homeward(self, tick: float) -> None:
@@ -357,8 +419,9 @@
         (few, group), (_, most) = counts[0], counts[-1]
         if over > 0 and len(well) == sum([s.state is ServerState.READY for s in self.servers.values()]):
             self._move([r for r in full.held.values() if r.group == most][:over])
-        elif few <= STRAGGLERS and any([s.groups.get(group, 0) > few and s.load < full.load - GROUP_SLOTS
-                                        for s in self.ready]):
+        elif few <= STRAGGLERS and any(
+            [s.groups.get(group, 0) > few and s.load < full.load - GROUP_SLOTS for s in self.ready]
+        ):
             self._move([r for r in full.held.values() if r.group == group])
 
     def _fair(self, servers: list[Server]) -> float:
@@ -384,8 +447,11 @@
         for server in listed:
             if server.health is Health.RESTING and server.down_until <= now:
                 self._sign(server, Sign.RESTED)
-        self.ready = [s for s in listed if s.health in (Health.USABLE, Health.DUE)
-                      and (not down or down.get(s.zone, 0.0) <= now)] or listed  # all down at once: a cut
+        self.ready = [
+            s
+            for s in listed
+            if s.health in (Health.USABLE, Health.DUE) and (not down or down.get(s.zone, 0.0) <= now)
+        ] or listed  # all down at once: a cut
         self.largest_room, self.scanned = 0.0, -1.0
         if not self.ready:
             return
@@ -461,8 +527,9 @@
         if request.group:
             # Where its group costs nothing more, unless that is much fuller; else where others would go.
             able = [s for s in self.ready if self._allowed(request, s)]
-            homes = [s for s in able if request.group in s.groups
-                     or self.peers.held_elsewhere(s.id, request.group)]
+            homes = [
+                s for s in able if request.group in s.groups or self.peers.held_elsewhere(s.id, request.group)
+            ]
             if self.look:
                 return self._gathered(request.group, homes, able)
             home = self._agreed(request.group, homes) or self._agreed(request.group, able)
@@ -483,8 +550,9 @@
         spreads its groups is full with half the connections: refused is better than spread."""
         roomy = [s for s in able if s.ceiling - s.load >= (FURTHER if homes else 0.0) * s.whole]
         if self.mean_report < EASE_LOAD:
-            found = (self._agreed(group, [s for s in homes if s.near == 1.0])
-                     or self._agreed(group, [s for s in roomy if s.near == 1.0]))
+            found = self._agreed(group, [s for s in homes if s.near == 1.0]) or self._agreed(
+                group, [s for s in roomy if s.near == 1.0]
+            )
             if found is not None:
                 return found
         return self._agreed(group, homes) or self._agreed(group, roomy)
@@ -495,8 +563,11 @@
         for _ in range(PICK_TRIES if largest > 0 and ready else 0):
             server = ready[int(draw() * len(ready))]
             room = (server.ceiling + over - server.load) * server.near
-            if draw() * largest < room and self._allowed(request, server) and not (
-                    over and not self._clean(server)):
+            if (
+                draw() * largest < room
+                and self._allowed(request, server)
+                and not (over and not self._clean(server))
+            ):
                 return server
         return None
 
@@ -529,12 +600,16 @@
             return True
         if klass.effect is Effect.UNSAFE or self.now >= request.ran_at + klass.window:
             return False
-        return klass.scope is Scope.ALL or server.zone == ran.zone and (
-            klass.scope is Scope.ZONE or server.cell == ran.cell)
+        return (
+            klass.scope is Scope.ALL
+            or server.zone == ran.zone
+            and (klass.scope is Scope.ZONE or server.cell == ran.cell)
+        )
 
     def _clean(self, server: Server) -> bool:
         return server.unclean_until <= self.now and (
-            server.report_load < TARGET or server.report_at < self.now - REPORT_STALE)
+            server.report_load < TARGET or server.report_at < self.now - REPORT_STALE
+        )
 
     # ---- the life of a request ------------------------------------------------------------------
 
@@ -548,8 +623,13 @@
 
     def _request(self, event: NewRequest | ConnectionResumed, deadline: float, flow: str) -> Request:
         request = self.requests[event.request] = Request(
-            event.request, self.classes[event.klass], deadline, self._slot(event.load_hint),
-            event.group if self.settings.groups else "", flow)
+            event.request,
+            self.classes[event.klass],
+            deadline,
+            self._slot(event.load_hint),
+            event.group if self.settings.groups else "",
+            flow,
+        )
         return request
 
     def _on_request(self, event: NewRequest) -> None:
@@ -624,8 +704,11 @@
     def _give_up(self, request: Request) -> None:
         """The final answer with no attempt left: a refusal where trying again is harmless, else a failure."""
         effect, ran = request.klass.effect, request.may_have_run
-        harmless = effect is Effect.SAFE or ran is None or (
-            effect is Effect.KEYED and request.klass.scope is Scope.ALL)
+        harmless = (
+            effect is Effect.SAFE
+            or ran is None
+            or (effect is Effect.KEYED and request.klass.scope is Scope.ALL)
+        )
         if harmless and not request.out:
             self.out.append(Refuse(request.id, self.settings.longest_refusal * self.random.uniform(0.5, 1)))
         else:
--- a/saltcourse/settings.py
+++ b/saltcourse/settings.py
@@ -112,11 +112,14 @@
     quotas = optional_amounts(extra, "tenant_quota_connections", len(tenant_entries))
     classes = tuple(
         lg.RequestClass(
-            name=field(c, "name", str), aim=number(c, "aim"), deadline=number(c, "give_up"),
+            name=field(c, "name", str),
+            aim=number(c, "aim"),
+            deadline=number(c, "give_up"),
             worth=number(c, "worth", 1.0),
             effect=choice(lg.Effect, field(c, "repeat", str, "safe"), "repeat"),
             scope=choice(lg.Scope, field(c, "dedup_scope", str, "all"), "dedup_scope"),
-            window=number(c, "window", 0.0), message_aim=message_aim,
+            window=number(c, "window", 0.0),
+            message_aim=message_aim,
         )
         for c, message_aim in zip(class_entries, message_aims, strict=True)
     )
@@ -125,25 +128,36 @@
         for t, quota in zip(tenant_entries, quotas, strict=True)
     )
     return lg.Settings(
-        classes=classes, tenants=tenants, balancers=field(env, "balancers", int, 1),
-        index=field(env, "self_index", int, 0), zone=field(env, "zone", str, ""),
+        classes=classes,
+        tenants=tenants,
+        balancers=field(env, "balancers", int, 1),
+        index=field(env, "self_index", int, 0),
+        zone=field(env, "zone", str, ""),
         zones=texts(env, "failure_domains"),
         over_share_worth=number(env, "over_share_worth", 1.0),
-        discovery=word(env, "discovery", DISCOVERY), ask_within=number(rules, "ask_within", 10.0),
+        discovery=word(env, "discovery", DISCOVERY),
+        ask_within=number(rules, "ask_within", 10.0),
         weights=choice(lg.Weights, field(env, "weights", str, "silent"), "weights"),
         may_probe=field(limits, "may_probe", bool, False),
         may_cancel=field(limits, "may_cancel", bool, False),
-        peers=field(limits, "peers", bool, False), max_attempts=field(limits, "send_cap", int, 3),
+        peers=field(limits, "peers", bool, False),
+        max_attempts=field(limits, "send_cap", int, 3),
         parallel_tries=field(limits, "parallel_tries", bool, False),
         retry_after=field(limits, "retry_after", bool, True),
         max_retry_after=number(limits, "max_retry_after", 1.0),
         connect_timeout=number(limits, "connect_timeout", 0.25),
         answer_slack=number(rules, "grace_to_answer", 0.0),
-        tick=number(env, "step", 0.001), drain_grace=number(rules, "drain_grace", 1.0),
-        warm_up=number(rules, "warm_after", 0.0), start_share=number(rules, "start_capacity", 1.0),
-        push_multiple=number(rules, "overload_factor", 2.0), push_for=number(rules, "overload_for", 1.0),
+        tick=number(env, "step", 0.001),
+        drain_grace=number(rules, "drain_grace", 1.0),
+        warm_up=number(rules, "warm_after", 0.0),
+        start_share=number(rules, "start_capacity", 1.0),
+        push_multiple=number(rules, "overload_factor", 2.0),
+        push_for=number(rules, "overload_for", 1.0),
         reports_load="x0" in texts(report, "fields") and report.get("how") != "silent",
-        groups=field(extra, "groups", bool, False), worth_by_work=env.get("value_by") == "work",
-        price_crossing=number(prices, "cross_zone", 0.0), price_probe=number(prices, "probe", 0.0),
-        price_move=number(prices, "moves", 0.0), price_peer=number(prices, "peer", 0.0),
+        groups=field(extra, "groups", bool, False),
+        worth_by_work=env.get("value_by") == "work",
+        price_crossing=number(prices, "cross_zone", 0.0),
+        price_probe=number(prices, "probe", 0.0),
+        price_move=number(prices, "moves", 0.0),
+        price_peer=number(prices, "peer", 0.0),
     )
--- a/saltcourse/wire/bgp.py
+++ b/saltcourse/wire/bgp.py
@@ -67,7 +67,7 @@
         """For people; RFC 9003 has the peer say why it shuts down."""
         said = ""
         if self.code == CEASE and self.subcode in (SHUTDOWN, 4) and self.data:
-            said = f" ({self.data[1:1 + self.data[0]].decode(errors='replace')})"
+            said = f" ({self.data[1 : 1 + self.data[0]].decode(errors='replace')})"
         return f"NOTIFICATION {self.code}/{self.subcode}{said}"
 
 
@@ -106,7 +106,7 @@
 
 
 def notification(code: int, subcode: int, data: bytes = b"") -> bytes:
-    return _framed(NOTIFICATION, bytes((code, subcode)) + data[:LONGEST - HEAD - 2])
+    return _framed(NOTIFICATION, bytes((code, subcode)) + data[: LONGEST - HEAD - 2])
 
 
 def shutdown(text: str) -> bytes:
@@ -115,8 +115,9 @@
 
 
 def open_message(told: Open) -> bytes:
-    caps = b"".join(struct.pack("!BBHBB", CAP_MULTIPROTOCOL, 4, afi, 0, safi)
-                    for afi, safi in sorted(told.families))
+    caps = b"".join(
+        struct.pack("!BBHBB", CAP_MULTIPROTOCOL, 4, afi, 0, safi) for afi, safi in sorted(told.families)
+    )
     if told.as4:
         caps += struct.pack("!BBI", CAP_AS4, 4, told.asn)
     parameter = struct.pack("!BB", 2, len(caps)) + caps if caps else b""
@@ -242,8 +243,8 @@
     while data:
         if len(data) < 2 or len(data) < 2 + data[1]:
             raise BgpError(OPEN_ERROR, BAD_PARAMETER, "a parameter that is cut short")
-        found.append((data[0], data[2:2 + data[1]]))
-        data = data[2 + data[1]:]
+        found.append((data[0], data[2 : 2 + data[1]]))
+        data = data[2 + data[1] :]
     return found
 
 
@@ -257,11 +258,11 @@
         if bits > whole or len(data) < 1 + count:
             raise BgpError(UPDATE_ERROR, BAD_NETWORK, "a prefix that is too long or cut short")
         if bits == whole:
-            packed = data[1:1 + count]
+            packed = data[1 : 1 + count]
             found.append(ipaddress.IPv4Address(packed) if version == 4 else ipaddress.IPv6Address(packed))
         else:
             others += 1
-        data = data[1 + count:]
+        data = data[1 + count :]
     return found, others
 
 
@@ -270,16 +271,16 @@
     length = struct.unpack_from("!H", body)[0]
     if len(body) < 4 + length:
         raise malformed
-    withdrawn, others = _prefixes(body[2:2 + length], 4)
-    rest = body[2 + length:]
+    withdrawn, others = _prefixes(body[2 : 2 + length], 4)
+    rest = body[2 + length :]
     length = struct.unpack_from("!H", rest)[0]
     if len(rest) < 2 + length:
         raise malformed
-    values = _read_attributes(rest[2:2 + length])
+    values = _read_attributes(rest[2 : 2 + length])
     path = _read_path(values.get(AS_PATH, b""), as4)
     med, pref = (_u32(values[k]) if k in values else None for k in (MED, LOCAL_PREF))
     announced: list[Route] = []
-    four, more = _prefixes(rest[2 + length:], 4)
+    four, more = _prefixes(rest[2 + length :], 4)
     others += more
     if four:
         hop = values.get(NEXT_HOP, b"")
@@ -294,7 +295,7 @@
             if value[3] not in (16, 32):
                 raise BgpError(UPDATE_ERROR, ATTRIBUTE_LENGTH, "a next hop of neither 16 nor 32 octets")
             hop6 = ipaddress.IPv6Address(value[4:20])
-            six, more = _prefixes(value[5 + value[3]:], 6)
+            six, more = _prefixes(value[5 + value[3] :], 6)
             others += more
             announced += [Route(a, hop6, path, pref, med) for a in six]
     if MP_UNREACH in values:
@@ -320,8 +321,8 @@
             raise BgpError(UPDATE_ERROR, ATTRIBUTE_LENGTH, "an attribute that is cut short")
         if data[1] in found:
             raise BgpError(UPDATE_ERROR, MALFORMED_ATTRIBUTES, f"attribute {data[1]} twice")
-        found[data[1]] = data[start:start + length]
-        data = data[start + length:]
+        found[data[1]] = data[start : start + length]
+        data = data[start + length :]
     return found
 
 
@@ -332,7 +333,7 @@
         if len(data) < 2 or len(data) < 2 + data[1] * size:
             raise BgpError(UPDATE_ERROR, MALFORMED_ATTRIBUTES, "an AS path that is cut short")
         found += struct.unpack_from(f"!{data[1]}{'I' if as4 else 'H'}", data, 2)
-        data = data[2 + data[1] * size:]
+        data = data[2 + data[1] * size :]
     return tuple(found)
 
 
--- a/saltcourse/wire/http.py
+++ b/saltcourse/wire/http.py
@@ -12,8 +12,9 @@
 
 
 def get(host: str, target: str) -> bytes:
-    return (f"GET {target} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n"
-            "Connection: close\r\n\r\n").encode()
+    return (
+        f"GET {target} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\nConnection: close\r\n\r\n"
+    ).encode()
 
 
 class Answer:
@@ -51,7 +52,7 @@
                 raise BadAnswer("a head that is too long")
             return
         lines = bytes(self._raw[:stop]).split(END)
-        del self._raw[:stop + 4]
+        del self._raw[: stop + 4]
         first = lines[0].split(b" ", 2)
         if len(first) < 2 or not first[0].startswith(b"HTTP/1.") or not first[1].isdigit():
             raise BadAnswer("not an HTTP/1.1 status line")
@@ -74,7 +75,7 @@
         self.body += self._raw
         self._raw.clear()
         if self._length is not None and len(self.body) >= self._length:
-            del self.body[self._length:]
+            del self.body[self._length :]
             self.done = True
 
     def _read_chunks(self) -> None:
@@ -90,6 +91,6 @@
                 raise BadAnswer("a chunk of negative size")
             if len(self._raw) < stop + 2 + size + 2:
                 return
-            self.body += self._raw[stop + 2:stop + 2 + size]
-            del self._raw[:stop + 2 + size + 2]
+            self.body += self._raw[stop + 2 : stop + 2 + size]
+            del self._raw[: stop + 2 + size + 2]
             self.done = size == 0
--- a/saltcourse/wire/lines.py
+++ b/saltcourse/wire/lines.py
@@ -17,8 +17,14 @@
 LONGEST_RESUME_MS = 86_400_000  # but on a connection from before the start, which may come at its leisure
 END = b"\r\n"
 REPORT_FIELDS = {  # the simulator's word for a field and the sockets' own, where they differ
-    "rif": "inflight", "inflight": "inflight", "q": "queue", "queue": "queue", "busy": "utilisation",
-    "util": "utilisation", "x0": "load", "x1": "backlog",
+    "rif": "inflight",
+    "inflight": "inflight",
+    "q": "queue",
+    "queue": "queue",
+    "busy": "utilisation",
+    "util": "utilisation",
+    "x0": "load",
+    "x1": "backlog",
 }
 PING, PONG, STATS, NO = b"PING", b"PONG", b"STATS", b"NO"
 MOVE_LINE, FAIL_LINE, PONG_LINE = b"MOVE\r\n", b"ERR\r\n", b"PONG\r\n"
@@ -42,9 +48,9 @@
         """Where the next bytes are to be read into; empty when the buffer is full."""
         if self._start:
             kept = self._end - self._start
-            self._bytes[:kept] = self._bytes[self._start:self._end]
+            self._bytes[:kept] = self._bytes[self._start : self._end]
             self._start, self._end, self._seen = 0, kept, max(0, self._seen - self._start)
-        return memoryview(self._bytes)[self._end:]
+        return memoryview(self._bytes)[self._end :]
 
     def filled(self, count: int) -> None:
         self._end += count
@@ -64,13 +70,13 @@
         stop = found + len(END)
         if stop - self._start > LONGEST_LINE:
             raise BadLine("a line over 4 KiB")
-        line = memoryview(self._bytes)[self._start:stop]
+        line = memoryview(self._bytes)[self._start : stop]
         self._start = self._seen = stop
         return line
 
     def rest(self) -> memoryview:
         """All that is left, a part of a line perhaps; taken out of the buffer."""
-        left = memoryview(self._bytes)[self._start:self._end]
+        left = memoryview(self._bytes)[self._start : self._end]
         self._start = self._seen = self._end
         return left
 
@@ -131,10 +137,18 @@
     start = listed if raw.startswith(b"d=", listed) else raw.index(b",d=", listed) + 1
     start += 2
     return OpenLine(
-        request=words[1], key=words[2], klass=values["c"], wait=int(wait) / 1000, tenant=values.get("t", ""),
-        group=values.get("g", ""), load_hint=hint, repeat=values.get("r") == "1",
-        came_back=values.get("again") == "1", at=values.get("at", ""),
-        head=raw[:start], tail=raw[start + len(wait):],
+        request=words[1],
+        key=words[2],
+        klass=values["c"],
+        wait=int(wait) / 1000,
+        tenant=values.get("t", ""),
+        group=values.get("g", ""),
+        load_hint=hint,
+        repeat=values.get("r") == "1",
+        came_back=values.get("again") == "1",
+        at=values.get("at", ""),
+        head=raw[:start],
+        tail=raw[start + len(wait) :],
     )
 
 
--- a/saltcourse/wire/members.py
+++ b/saltcourse/wire/members.py
@@ -10,7 +10,9 @@
 from saltcourse import interface as lg
 
 STATES = {
-    "SERVING": lg.ServerState.READY, "DRAINING": lg.ServerState.DRAINING, "DELETED": lg.ServerState.GONE,
+    "SERVING": lg.ServerState.READY,
+    "DRAINING": lg.ServerState.DRAINING,
+    "DELETED": lg.ServerState.GONE,
 }
 Address = tuple[str, int]
 
@@ -60,11 +62,17 @@
         name, state = _value(entry, "id", str, None), STATES.get(str(entry.get("state")))
         if state is None:
             raise BadList("servers: 'state' is missing or unknown")
-        members.append(lg.Member(
-            name, state, _value(entry, "zone", str, ""), _value(entry, "kind", str, ""),
-            _value(entry, "cell", int, 0), float(_value(entry, "weight", (int, float), 1.0)),
-            _value(entry, "started_ms", (int, float), 0) / 1000,
-        ))
+        members.append(
+            lg.Member(
+                name,
+                state,
+                _value(entry, "zone", str, ""),
+                _value(entry, "kind", str, ""),
+                _value(entry, "cell", int, 0),
+                float(_value(entry, "weight", (int, float), 1.0)),
+                _value(entry, "started_ms", (int, float), 0) / 1000,
+            )
+        )
         if "addr" in entry or state is not lg.ServerState.GONE:
             try:
                 addresses[name] = read_address(entry.get("addr"))
--- a/tests/node.py
+++ b/tests/node.py
@@ -12,8 +12,15 @@
 
 
 def settings(**changes: Any) -> lg.Settings:
-    base: dict[str, Any] = {"classes": (QUICK,), "warm_up": 10.0, "start_share": 0.25, "max_attempts": 4,
-                            "zone": "z0", "answer_slack": 0.01, "tick": 0.002}
+    base: dict[str, Any] = {
+        "classes": (QUICK,),
+        "warm_up": 10.0,
+        "start_share": 0.25,
+        "max_attempts": 4,
+        "zone": "z0",
+        "answer_slack": 0.01,
+        "tick": 0.002,
+    }
     return lg.Settings(**(base | changes))
 
 
--- a/tests/player.py
+++ b/tests/player.py
@@ -109,8 +109,16 @@
         for i in range(count, count + dead):
             servers.append(self.entry(i, 1))  # nothing listens there
         known = read_list({"version": 1, "full": True, "servers": servers})
-        self.config = Config("test", ("127.0.0.1", 0), self.discovery.getsockname(), 7,
-                             Limits(1.0, 192, sockets), known, self.settings(numbers), True)
+        self.config = Config(
+            "test",
+            ("127.0.0.1", 0),
+            self.discovery.getsockname(),
+            7,
+            Limits(1.0, 192, sockets),
+            known,
+            self.settings(numbers),
+            True,
+        )
         self.broken = False
         self.life = Lifecycle(self.config, self.reread)
 
@@ -123,8 +131,11 @@
     def settings(changes: dict[str, float]) -> Settings:
         changes = {"connect_timeout": 2.0, "max_attempts": 3} | changes
         asked = changes.pop("asked", 0)
-        return settings(classes=(QUICK,), discovery=Discovery.ASKED if asked else Discovery.PUSHED,
-                        **changes | {"max_attempts": int(changes["max_attempts"])})
+        return settings(
+            classes=(QUICK,),
+            discovery=Discovery.ASKED if asked else Discovery.PUSHED,
+            **changes | {"max_attempts": int(changes["max_attempts"])},
+        )
 
     @staticmethod
     def entry(number: int, port: int) -> dict[str, Any]:
--- a/tests/stand.py
+++ b/tests/stand.py
@@ -55,17 +55,40 @@
 
 
 class Stand:
-    def __init__(self, servers: int = 1, klass: RequestClass = QUICK, sockets: int = 512, asked: bool = False,
-                 **changes: Any) -> None:
+    def __init__(
+        self,
+        servers: int = 1,
+        klass: RequestClass = QUICK,
+        sockets: int = 512,
+        asked: bool = False,
+        **changes: Any,
+    ) -> None:
         self.files = len(os.listdir("/proc/self/fd"))
         self.doors = [listening() for _ in range(servers)]
         self.discovery = listening()
         known = read_list({"version": 1, "full": True, "servers": [self.entry(i) for i in range(servers)]})
-        told = settings(**{
-            "classes": (klass,), "connect_timeout": 2.0, "max_attempts": 3, "max_retry_after": 0.0,
-            "discovery": Discovery.ASKED if asked else Discovery.PUSHED} | changes)
-        self.life = Lifecycle(Config("test", ("127.0.0.1", 0), self.discovery.getsockname(), 7,
-                                     Limits(1.0, 192, sockets), known, told, True))
+        told = settings(
+            **{
+                "classes": (klass,),
+                "connect_timeout": 2.0,
+                "max_attempts": 3,
+                "max_retry_after": 0.0,
+                "discovery": Discovery.ASKED if asked else Discovery.PUSHED,
+            }
+            | changes
+        )
+        self.life = Lifecycle(
+            Config(
+                "test",
+                ("127.0.0.1", 0),
+                self.discovery.getsockname(),
+                7,
+                Limits(1.0, 192, sockets),
+                known,
+                told,
+                True,
+            )
+        )
         self.ends: list[End] = []
         self.logs: Any = None
 
@@ -81,8 +104,9 @@
         await until(lambda: self.life.phase is Phase.SERVING)
         return self
 
-    async def __aexit__(self, kind: type[BaseException] | None, wrong: BaseException | None,
-                        trace: TracebackType | None) -> None:
+    async def __aexit__(
+        self, kind: type[BaseException] | None, wrong: BaseException | None, trace: TracebackType | None
+    ) -> None:
         for end in self.ends:
             end.sock.close()
         self.life.leave.set()
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -26,30 +26,41 @@
 
 def values(**changes: Any) -> dict[str, Any]:
     config: dict[str, Any] = json.loads(EXAMPLE.read_text())
-    config.update(listen=f"127.0.0.1:{free_port()}", discovery="127.0.0.1:9",
-                  admin=f"127.0.0.1:{free_port()}",
-                  known={"version": 1, "full": True, "servers": [
-                      {"id": "s1", "state": "SERVING", "addr": "127.0.0.1:9"},
-                      {"id": "s2", "state": "DRAINING", "addr": "127.0.0.1:9"}]})
+    config.update(
+        listen=f"127.0.0.1:{free_port()}",
+        discovery="127.0.0.1:9",
+        admin=f"127.0.0.1:{free_port()}",
+        known={
+            "version": 1,
+            "full": True,
+            "servers": [
+                {"id": "s1", "state": "SERVING", "addr": "127.0.0.1:9"},
+                {"id": "s2", "state": "DRAINING", "addr": "127.0.0.1:9"},
+            ],
+        },
+    )
     return config | changes
 
 
-@pytest.mark.parametrize(("data", "asked"), [
-    (b"GET /_ready HTTP/1.1\r\nHost: a\r\n\r\n", Ask.READY),
-    (b"GET /_vars?x=1 HTTP/1.1\r\nHost: a\r\n\r\n", Ask.VARS),
-    (b"PUT /_lameduck/on HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n", Ask.LAMEDUCK_ON),
-    (b"PUT /_lameduck/off HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nno", Ask.LAMEDUCK_OFF),
-    (b"GET /nothing HTTP/1.1\r\nHost: a\r\n\r\n", 404),
-    (b"POST /_ready HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n", 405),
-    (b"GET /_lameduck/on HTTP/1.1\r\nHost: a\r\n\r\n", 405),
-    (b"BLAH\r\n\r\n", 400),
-    (b"GET /_ready HTTP/1.1\r\nHost: a\r\nX: " + b"y" * MOST_BYTES + b"\r\n\r\n", 400),
-    (b"PUT /_lameduck/on HTTP/1.1\r\nHost: a\r\nContent-Length: 99999\r\n\r\n" + b"z" * MOST_BYTES, 400),
-])
+@pytest.mark.parametrize(
+    ("data", "asked"),
+    [
+        (b"GET /_ready HTTP/1.1\r\nHost: a\r\n\r\n", Ask.READY),
+        (b"GET /_vars?x=1 HTTP/1.1\r\nHost: a\r\n\r\n", Ask.VARS),
+        (b"PUT /_lameduck/on HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n", Ask.LAMEDUCK_ON),
+        (b"PUT /_lameduck/off HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nno", Ask.LAMEDUCK_OFF),
+        (b"GET /nothing HTTP/1.1\r\nHost: a\r\n\r\n", 404),
+        (b"POST /_ready HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n", 405),
+        (b"GET /_lameduck/on HTTP/1.1\r\nHost: a\r\n\r\n", 405),
+        (b"BLAH\r\n\r\n", 400),
+        (b"GET /_ready HTTP/1.1\r\nHost: a\r\nX: " + b"y" * MOST_BYTES + b"\r\n\r\n", 400),
+        (b"PUT /_lameduck/on HTTP/1.1\r\nHost: a\r\nContent-Length: 99999\r\n\r\n" + b"z" * MOST_BYTES, 400),
+    ],
+)
 def test_each_call_is_read_whole_and_every_wrong_one_gets_its_status(data: bytes, asked: Ask | int) -> None:
     reader, got = Reader(), None
     for at in range(len(data)):  # cut at every byte: nothing is decided before the call is whole
-        got = reader.feed(data[at:at + 1])
+        got = reader.feed(data[at : at + 1])
         if got is not None:
             break
     if isinstance(asked, Ask):
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -12,16 +12,29 @@
 from saltcourse.benchlink import Link, Malformed, read_settings, serve
 
 ENV: dict[str, Any] = {
-    "balancers": 2, "self_index": 1, "zone": "a", "failure_domains": ["a", "b"], "discovery": "on_request",
+    "balancers": 2,
+    "self_index": 1,
+    "zone": "a",
+    "failure_domains": ["a", "b"],
+    "discovery": "on_request",
     "classes": [{"name": "c", "aim": 0.5, "give_up": 2.0, "repeat": "safe", "worth": 2.0, "novelty": 1}],
     "limits": {"send_cap": 3, "may_probe": True, "connect_timeout": 0.2, "max_retry_after": 1.5},
     "obligations": {"drain_grace": 2.0, "warm_after": 9.0, "start_capacity": 0.3, "grace_to_answer": 0.01},
-    "report": {"how": "pull", "fields": ["busy", "x0"]}, "extra": {"message_aim": [0.06]}, "weights": "live",
+    "report": {"how": "pull", "fields": ["busy", "x0"]},
+    "extra": {"message_aim": [0.06]},
+    "weights": "live",
     "something_new": {"a": 1},
 }
 HELLO = {"msg": "hello", "node": 3, "init_seed": 5, "env": ENV}
-MEMBERS = {"msg": "backends_changed", "node": 3, "mode": "restored", "revision": 1, "members": [
-    {"host": "h:1", "sku": "k", "block": 0, "nominal": 1, "lifecycle": "healthy", "az": "a", "later": 1}]}
+MEMBERS = {
+    "msg": "backends_changed",
+    "node": 3,
+    "mode": "restored",
+    "revision": 1,
+    "members": [
+        {"host": "h:1", "sku": "k", "block": 0, "nominal": 1, "lifecycle": "healthy", "az": "a", "later": 1}
+    ],
+}
 ACCEPT = {"msg": "accept", "node": 3, "job": "rq_1", "profile": "c", "patience_left": 2.0, "tenant": 0}
 
 
@@ -56,8 +69,16 @@
     first = {"msg": "first", "node": 3, "job": "rq_1", "seq_no": 0, "host": "h:1", "lag": 0.01}
     note = {"msg": "change", "node": 3, "job": "rq_1", "seq_no": 0, "host": "h:1", "topic": 1, "value": 5000}
     other = note | {"topic": 9}
-    answer = {"msg": "answer", "node": 3, "job": "rq_1", "seq_no": 0, "host": "h:1", "result": 0, "lag": 3.0,
-              "finished": True}
+    answer = {
+        "msg": "answer",
+        "node": 3,
+        "job": "rq_1",
+        "seq_no": 0,
+        "host": "h:1",
+        "result": 0,
+        "lag": 3.0,
+        "finished": True,
+    }
     assert actions(link.reply(batch(first, note, other, answer))) == []
 
 
@@ -65,8 +86,14 @@
     link = started()
     probes = [a for a in actions(link.reply(batch(ACCEPT))) if a["msg"] == "check"]
     assert probes == [{"msg": "check", "node": 3, "host": "h:1"}]
-    done = {"msg": "probe_done", "node": 3, "host": "h:1", "result": 0, "lag": 0.001,
-            "server_stats": [0.5, 0.4]}
+    done = {
+        "msg": "probe_done",
+        "node": 3,
+        "host": "h:1",
+        "result": 0,
+        "lag": 0.001,
+        "server_stats": [0.5, 0.4],
+    }
     assert [a["msg"] for a in actions(link.reply(batch(done)))] == ["place"]
 
 
@@ -78,23 +105,34 @@
     link.reply(batch(HELLO))
 
 
-@pytest.mark.parametrize(("line", "told"), [
-    (b"{", "not JSON"), (b"[]", "not an object"), (b'{"events":[]}', "at_time"),
-    (b'{"at_time":1}', "events"), (b'{"at_time":"1","events":[]}', "at_time"),
-    (batch(7), "not an object"), (batch({"msg": "accept"}), "node"),
-    (batch(ACCEPT | {"node": 9}), "instance 9"),
-    (batch({"msg": "sing", "node": 3}), "unknown message 'sing'"),
-    (batch({"msg": ["a"], "node": 3}), "unknown message"),
-    (batch({"msg": "accept", "node": 3}), "job"), (batch(ACCEPT | {"patience_left": "x"}), "patience_left"),
-    (batch(MEMBERS | {"mode": "guess"}), "mode"), (batch(MEMBERS | {"members": [3]}), "member"),
-    (batch({"msg": "answer", "node": 3, "job": "r", "seq_no": 0, "result": 99}), "result"),
-    (batch({"msg": "ring", "node": 3, "handle": 1.5}), "handle"),
-    (batch(HELLO | {"env": ENV | {"weights": "odd"}}), "weights"),
-    (batch(HELLO | {"env": ENV | {"balancers": 0}}), "balancers"),
-    (batch(HELLO | {"env": 3}), "env"),
-])
+@pytest.mark.parametrize(
+    ("line", "told"),
+    [
+        (b"{", "not JSON"),
+        (b"[]", "not an object"),
+        (b'{"events":[]}', "at_time"),
+        (b'{"at_time":1}', "events"),
+        (b'{"at_time":"1","events":[]}', "at_time"),
+        (batch(7), "not an object"),
+        (batch({"msg": "accept"}), "node"),
+        (batch(ACCEPT | {"node": 9}), "instance 9"),
+        (batch({"msg": "sing", "node": 3}), "unknown message 'sing'"),
+        (batch({"msg": ["a"], "node": 3}), "unknown message"),
+        (batch({"msg": "accept", "node": 3}), "job"),
+        (batch(ACCEPT | {"patience_left": "x"}), "patience_left"),
+        (batch(MEMBERS | {"mode": "guess"}), "mode"),
+        (batch(MEMBERS | {"members": [3]}), "member"),
+        (batch({"msg": "answer", "node": 3, "job": "r", "seq_no": 0, "result": 99}), "result"),
+        (batch({"msg": "ring", "node": 3, "handle": 1.5}), "handle"),
+        (batch(HELLO | {"env": ENV | {"weights": "odd"}}), "weights"),
+        (batch(HELLO | {"env": ENV | {"balancers": 0}}), "balancers"),
+        (batch(HELLO | {"env": 3}), "env"),
+    ],
+)
 def test_malformed_input_is_named_and_ends_the_program(
-    line: bytes, told: str, capsys: pytest.CaptureFixture[str],
+    line: bytes,
+    told: str,
+    capsys: pytest.CaptureFixture[str],
 ) -> None:
     sink = io.BytesIO()
     code = serve([batch(HELLO, MEMBERS), line, batch()], sink)
--- a/tests/test_bgp.py
+++ b/tests/test_bgp.py
@@ -32,12 +32,25 @@
 @pytest.mark.parametrize("route", [V4, V6])
 def test_routes_and_their_withdrawal_come_out_as_they_went_in(route: bgp.Route) -> None:
     assert cut(bgp.announce(route) + bgp.withdraw(route.address)) == [
-        bgp.Update(announced=(route,)), bgp.Update(withdrawn=(route.address,))]
+        bgp.Update(announced=(route,)),
+        bgp.Update(withdrawn=(route.address,)),
+    ]
 
 
 def test_an_update_has_the_bytes_that_the_rfc_says() -> None:
-    want = ("ff" * 16 + "0031" + "02" + "0000" + "0015" + "400101" + "00" + "400200" + "4003040a000001"
-            + "40050400000009" + "20c0000207")
+    want = (
+        "ff" * 16
+        + "0031"
+        + "02"
+        + "0000"
+        + "0015"
+        + "400101"
+        + "00"
+        + "400200"
+        + "4003040a000001"
+        + "40050400000009"
+        + "20c0000207"
+    )
     assert bgp.announce(V4).hex() == want
 
 
@@ -142,13 +155,18 @@
     assert bgp.Notification(bgp.HOLD_EXPIRED, 0) in s.said
 
 
-@pytest.mark.parametrize("data, code, subcode", [
-    (b"HTTP/1.1 400 Bad", 1, 1), (bgp.MARKER + b"\x00\x12\x04", 1, 2), (bgp.MARKER + b"\x00\x13\x09", 1, 3),
-    (bgp.open_message(bgp.Open(65000, 90, ipaddress.IPv4Address("10.0.0.9"))), 2, 2),
-    (bgp.open_message(bgp.Open(64512, 90, ipaddress.IPv4Address("10.0.0.1"))), 2, 3),
-    (bgp.open_message(bgp.Open(64512, 2, ipaddress.IPv4Address("10.0.0.9"))), 2, 6),
-    (bgp.announce(V4), 5, 0),
-])
+@pytest.mark.parametrize(
+    "data, code, subcode",
+    [
+        (b"HTTP/1.1 400 Bad", 1, 1),
+        (bgp.MARKER + b"\x00\x12\x04", 1, 2),
+        (bgp.MARKER + b"\x00\x13\x09", 1, 3),
+        (bgp.open_message(bgp.Open(65000, 90, ipaddress.IPv4Address("10.0.0.9"))), 2, 2),
+        (bgp.open_message(bgp.Open(64512, 90, ipaddress.IPv4Address("10.0.0.1"))), 2, 3),
+        (bgp.open_message(bgp.Open(64512, 2, ipaddress.IPv4Address("10.0.0.9"))), 2, 6),
+        (bgp.announce(V4), 5, 0),
+    ],
+)
 def test_a_peer_that_errs_is_told_how_and_left(data: bytes, code: int, subcode: int) -> None:
     s = Session()
     s.do("connected")
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -31,28 +31,43 @@
     assert config.settings.classes[0].message_aim == 0.05 and config.tells_delay
 
 
-@pytest.mark.parametrize(("changes", "named"), [
-    ({"listen": "nowhere"}, "'listen'"), ({"listen": "h:70000"}, "'listen'"),
-    ({"discovery": None}, "'discovery'"), ({"seed": "xyz"}, "'seed'"),
-    ({"limits": {"sockets": 3}}, "'limits.sockets'"),
-    ({"limits": {"memory_mb": "much"}}, "'limits.memory_mb'"),
-    ({"limits": []}, "'limits'"), ({"known": {"version": 1}}, "'known'"), ({"settings": None}, "'settings'"),
-    ({"settings": {"limits": {}}}, "'obligations'"),
-    ({"settings": {"limits": {}, "obligations": {}, "classes": [3]}}, "'settings'"),
-    ({"settings": {"limits": {}, "obligations": {}, "discovery": "x", "classes": []}}, "'discovery'"),
-])
+@pytest.mark.parametrize(
+    ("changes", "named"),
+    [
+        ({"listen": "nowhere"}, "'listen'"),
+        ({"listen": "h:70000"}, "'listen'"),
+        ({"discovery": None}, "'discovery'"),
+        ({"seed": "xyz"}, "'seed'"),
+        ({"limits": {"sockets": 3}}, "'limits.sockets'"),
+        ({"limits": {"memory_mb": "much"}}, "'limits.memory_mb'"),
+        ({"limits": []}, "'limits'"),
+        ({"known": {"version": 1}}, "'known'"),
+        ({"settings": None}, "'settings'"),
+        ({"settings": {"limits": {}}}, "'obligations'"),
+        ({"settings": {"limits": {}, "obligations": {}, "classes": [3]}}, "'settings'"),
+        ({"settings": {"limits": {}, "obligations": {}, "discovery": "x", "classes": []}}, "'discovery'"),
+    ],
+)
 def test_errors_name_the_key(changes: dict[str, Any], named: str) -> None:
     with pytest.raises(ConfigError, match=named):
         read_config(example(**changes), {})
 
 
-@pytest.mark.parametrize(("changes", "named"), [
-    ({}, ""), ({"peers": None}, "'peers'"), ({"peers": ["h:1"]}, "'peers'"),
-    ({"peers": ["h:1", "h:2", 3]}, r"'peers\[2\]'"), ({"peers": ["h:1", "h:2", "h:1"]}, "'peers'"),
-    ({"peers_all": "h"}, "'peers_all'"), ({"peer_listen": "h:0"}, "'peer_listen'"),
-])
+@pytest.mark.parametrize(
+    ("changes", "named"),
+    [
+        ({}, ""),
+        ({"peers": None}, "'peers'"),
+        ({"peers": ["h:1"]}, "'peers'"),
+        ({"peers": ["h:1", "h:2", 3]}, r"'peers\[2\]'"),
+        ({"peers": ["h:1", "h:2", "h:1"]}, "'peers'"),
+        ({"peers_all": "h"}, "'peers_all'"),
+        ({"peer_listen": "h:0"}, "'peer_listen'"),
+    ],
+)
 def test_peers_are_read_where_proxies_may_talk_and_errors_name_the_key(
-        changes: dict[str, Any], named: str) -> None:
+    changes: dict[str, Any], named: str
+) -> None:
     values = example(peer_listen="h:9", peers=["h:1", "h:2", "h:3"], peers_all="h:8") | changes
     values["settings"] = values["settings"] | {"balancers": 3, "self_index": 1}
     assert read_config(values, {}).peers is None  # its settings say that proxies share nothing
@@ -68,8 +83,10 @@
         read_config(values, {})
 
 
-@pytest.mark.parametrize(("balancers", "read"), [
-    (0, None), (-3, None), (2.5, None), ("2", None), (True, None), (40, 40), (None, 1)])
+@pytest.mark.parametrize(
+    ("balancers", "read"),
+    [(0, None), (-3, None), (2.5, None), ("2", None), (True, None), (40, 40), (None, 1)],
+)
 def test_a_number_of_proxies_that_makes_no_sense_is_named(balancers: Any, read: int | None) -> None:
     values = example()
     values["settings"] |= {"balancers": balancers}
@@ -98,21 +115,30 @@
     assert missing.exit_code == 2 and "--config /no/such.json" in missing.stderr
 
 
-@pytest.mark.parametrize(("environment", "named", "code"), [
-    ({"EDGE_ADMIN": "nowhere"}, "'admin': must be host:port", 2),
-    ({"EDGE_LISTEN_FD": "three"}, "EDGE_LISTEN_FD: must be a descriptor's number", 2),
-    ({"EDGE_LISTEN_FD": "987"}, "'EDGE_LISTEN_FD': cannot listen on descriptor 987", 3),
-    ({"EDGE_ADMIN": "TAKEN"}, "'admin': cannot listen on 127.0.0.1:", 3),
-])
+@pytest.mark.parametrize(
+    ("environment", "named", "code"),
+    [
+        ({"EDGE_ADMIN": "nowhere"}, "'admin': must be host:port", 2),
+        ({"EDGE_LISTEN_FD": "three"}, "EDGE_LISTEN_FD: must be a descriptor's number", 2),
+        ({"EDGE_LISTEN_FD": "987"}, "'EDGE_LISTEN_FD': cannot listen on descriptor 987", 3),
+        ({"EDGE_ADMIN": "TAKEN"}, "'admin': cannot listen on 127.0.0.1:", 3),
+    ],
+)
 def test_a_second_address_or_descriptor_that_cannot_be_had_is_named(
-        environment: dict[str, str], named: str, code: int, tmp_path: Path) -> None:
+    environment: dict[str, str], named: str, code: int, tmp_path: Path
+) -> None:
     taken = socket.create_server(("127.0.0.1", 0))
     values = example(listen=f"127.0.0.1:{free_port()}")
     path = tmp_path / "config.json"
     path.write_text(json.dumps(values))
     where = f"127.0.0.1:{taken.getsockname()[1]}"
     told = {key: value.replace("TAKEN", where) for key, value in environment.items()}
-    ran = subprocess.run([sys.executable, "-m", "saltcourse", "serve", "--config", str(path)],
-                         capture_output=True, env=os.environ | told, timeout=20, cwd=EXAMPLE.parent.parent)
+    ran = subprocess.run(
+        [sys.executable, "-m", "saltcourse", "serve", "--config", str(path)],
+        capture_output=True,
+        env=os.environ | told,
+        timeout=20,
+        cwd=EXAMPLE.parent.parent,
+    )
     taken.close()
     assert ran.returncode == code and named in ran.stderr.decode() and b"Traceback" not in ran.stderr
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -132,18 +132,21 @@
     asyncio.run(play())
 
 
-@pytest.mark.parametrize(("effect", "scope", "window", "again"), [
-    (lg.Effect.SAFE, lg.Scope.ALL, 0.0, True),
-    (lg.Effect.KEYED, lg.Scope.ALL, 60.0, True),
-    (lg.Effect.KEYED, lg.Scope.ALL, 0.1, False),
-    (lg.Effect.KEYED, lg.Scope.ZONE, 60.0, True),
-    (lg.Effect.KEYED, lg.Scope.ZONE, 0.1, False),
-    (lg.Effect.KEYED, lg.Scope.CELL, 60.0, False),
-    (lg.Effect.UNSAFE, lg.Scope.ALL, 60.0, False),
-])
+@pytest.mark.parametrize(
+    ("effect", "scope", "window", "again"),
+    [
+        (lg.Effect.SAFE, lg.Scope.ALL, 0.0, True),
+        (lg.Effect.KEYED, lg.Scope.ALL, 60.0, True),
+        (lg.Effect.KEYED, lg.Scope.ALL, 0.1, False),
+        (lg.Effect.KEYED, lg.Scope.ZONE, 60.0, True),
+        (lg.Effect.KEYED, lg.Scope.ZONE, 0.1, False),
+        (lg.Effect.KEYED, lg.Scope.CELL, 60.0, False),
+        (lg.Effect.UNSAFE, lg.Scope.ALL, 60.0, False),
+    ],
+)
 def test_what_may_have_run_is_sent_again_only_where_that_is_harmless(
-        monkeypatch: pytest.MonkeyPatch, effect: lg.Effect, scope: lg.Scope, window: float,
-        again: bool) -> None:
+    monkeypatch: pytest.MonkeyPatch, effect: lg.Effect, scope: lg.Scope, window: float, again: bool
+) -> None:
     klass = replace(QUICK, effect=effect, scope=scope, window=window, aim=0.2, deadline=0.6)
     seconds = 0.65 if effect is lg.Effect.UNSAFE else 0.25  # its attempt has all the time that there is
 
@@ -164,7 +167,8 @@
 
 @pytest.mark.parametrize("before_its_end", [b"", b"more than one line"])
 def test_a_client_that_left_while_its_request_was_decided_is_not_sent_on(
-        monkeypatch: pytest.MonkeyPatch, before_its_end: bytes) -> None:
+    monkeypatch: pytest.MonkeyPatch, before_its_end: bytes
+) -> None:
     async def play() -> None:
         gate = hold_reader(monkeypatch)
         async with Stand() as stand:
@@ -204,7 +208,8 @@
 
 
 def test_a_line_is_not_written_when_the_client_left_while_the_call_connected(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async def play() -> None:
         gate = hold_reader(monkeypatch)
         up, connect = asyncio.Event(), Peer.connect
@@ -247,6 +252,7 @@
 
 def test_a_burst_of_clients_that_leave_sends_nothing_on(monkeypatch: pytest.MonkeyPatch) -> None:
     """Some with a flood behind their line: they are gone, and leave nothing behind in the program."""
+
     async def play() -> None:
         gate = hold_reader(monkeypatch)
         async with Stand(sockets=400) as stand:
@@ -276,6 +282,7 @@
 
 def crossing(monkeypatch: pytest.MonkeyPatch, ends: list[End], text: bytes) -> None:
     """The client's bytes come right after the program has ended its side, or closed the connection."""
+
     def crossed(act: Callable[[Peer], None]) -> Callable[[Peer], None]:
         def acted(self: Peer) -> None:
             act(self)
@@ -312,7 +319,8 @@
 
 @pytest.mark.parametrize("how", ["drain", "first line", "ping", "shed"])
 def test_a_request_that_crosses_the_programs_end_is_not_sent_on_and_not_reset(
-        monkeypatch: pytest.MonkeyPatch, how: str) -> None:
+    monkeypatch: pytest.MonkeyPatch, how: str
+) -> None:
     short_times(monkeypatch, how)
 
     async def play() -> None:
@@ -334,7 +342,8 @@
 
 @pytest.mark.parametrize("how", ["drain", "first line", "ping"])
 def test_a_request_that_came_before_the_programs_end_is_answered(
-        monkeypatch: pytest.MonkeyPatch, how: str) -> None:
+    monkeypatch: pytest.MonkeyPatch, how: str
+) -> None:
     """Its bytes are with the kernel, and the coroutine that reads has not had its turn."""
     up = Consumer._time_is_up
     ends: list[End] = []
@@ -364,7 +373,8 @@
 
 
 def test_a_request_that_is_read_but_not_heard_yet_is_answered_though_its_time_is_up(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """The time is up between the read and the turn of the coroutine that waits for it."""
     read = _HalfStream.read_from_fd
     actors: list[Consumer] = []
@@ -393,7 +403,8 @@
 
 @pytest.mark.parametrize("stage", ["new", "resting", "half", "half and its rest", "waiting", "standing"])
 def test_every_stage_of_a_connection_ends_as_it_should_when_the_program_leaves(
-        monkeypatch: pytest.MonkeyPatch, stage: str) -> None:
+    monkeypatch: pytest.MonkeyPatch, stage: str
+) -> None:
     ended: list[Phase] = []
     finish = Peer.finish
 
@@ -457,8 +468,11 @@
     """The program stands at the opening of its configuration: a pipe that nobody has written to."""
     pipe = tmp_path / "config.json"
     os.mkfifo(pipe)
-    process = subprocess.Popen([sys.executable, "-m", "saltcourse"], stderr=subprocess.PIPE,
-                               env=os.environ | {"EDGE_CONFIG": str(pipe)})
+    process = subprocess.Popen(
+        [sys.executable, "-m", "saltcourse"],
+        stderr=subprocess.PIPE,
+        env=os.environ | {"EDGE_CONFIG": str(pipe)},
+    )
     status, mask = Path(f"/proc/{process.pid}/status"), 1 << (signal.SIGHUP - 1)
 
     def caught() -> bool:
@@ -472,8 +486,10 @@
     return process, pipe
 
 
-@pytest.mark.parametrize("sent", [(signal.SIGTERM,), (signal.SIGHUP, signal.SIGTERM),
-                                  (signal.SIGTERM, signal.SIGTERM, signal.SIGHUP)])
+@pytest.mark.parametrize(
+    "sent",
+    [(signal.SIGTERM,), (signal.SIGHUP, signal.SIGTERM), (signal.SIGTERM, signal.SIGTERM, signal.SIGHUP)],
+)
 def test_signals_before_the_program_can_act_on_them_are_held(tmp_path: Path, sent: tuple[int, ...]) -> None:
     process, pipe = held_up(tmp_path)
     for number in sent:
@@ -584,7 +600,8 @@
 
 
 def test_a_watch_that_falls_silent_is_made_good_without_a_word_of_the_module(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """A silence is no refusal: the module, which waits after those, has no part in it."""
     monkeypatch.setattr(directory, "WATCH_TIME", 0.05)
     monkeypatch.setattr(directory, "WATCH_SLACK", 0.05)
@@ -613,7 +630,8 @@
 @pytest.mark.parametrize("seed", range(20))
 @pytest.mark.parametrize("refused_after", [0.0, 3.0])
 def test_after_any_number_of_failures_the_list_is_asked_for_within_the_term(
-        seed: int, refused_after: float) -> None:
+    seed: int, refused_after: float
+) -> None:
     """Discovery may be there again right after a call has failed: the wait and the next call's patience."""
     node = Node(seed, discovery=lg.Discovery.ASKED, ask_within=10.0)
     node.list(members(2), lg.ListKind.RESTORED)
@@ -632,12 +650,18 @@
             assert node.now - failed <= 0.5
 
 
-@pytest.mark.parametrize("spoilt", [
-    b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n{\"ver", b"HTTP/1.1 200 OK\r\n\r\n[1,2",
-    b"\0" * 40 + b"\r\n\r\n",
-    b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
-    b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
-    b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}", b"x" * 40_000])
+@pytest.mark.parametrize(
+    "spoilt",
+    [
+        b'HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n{"ver',
+        b"HTTP/1.1 200 OK\r\n\r\n[1,2",
+        b"\0" * 40 + b"\r\n\r\n",
+        b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}",
+        b"x" * 40_000,
+    ],
+)
 def test_spoilt_lists_are_refusals_and_leave_nothing_behind(spoilt: bytes) -> None:
     async def play() -> None:
         files = len(os.listdir("/proc/self/fd"))
@@ -693,10 +717,18 @@
 # ---- bad input on these paths: nothing raises, and the stand counts descriptors and tasks ------------
 
 
-@pytest.mark.parametrize("sent", [
-    b"x" * 5000,
-    b"OPEN a b c=qu", b"OPEN a b\r\n", b"\0\xff\r\n", b"PING\r\nPING\r\nOPEN", b"MOVE\r\n" * 2000,
-    OPEN.format(900).encode() + b"\r\n" + OPEN.format(900).encode() + b"\r\n"])
+@pytest.mark.parametrize(
+    "sent",
+    [
+        b"x" * 5000,
+        b"OPEN a b c=qu",
+        b"OPEN a b\r\n",
+        b"\0\xff\r\n",
+        b"PING\r\nPING\r\nOPEN",
+        b"MOVE\r\n" * 2000,
+        OPEN.format(900).encode() + b"\r\n" + OPEN.format(900).encode() + b"\r\n",
+    ],
+)
 @pytest.mark.parametrize("how", ["ends", "resets", "stays until the program leaves"])
 def test_bad_lines_are_ended_and_leave_nothing_behind(sent: bytes, how: str) -> None:
     async def play() -> None:
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -17,7 +17,19 @@
 from saltcourse.membership import election
 from saltcourse.membership.election import Election
 from saltcourse.membership.words import (
-    MOST_MEMBERS, Announcer, Claim, Hold, Leave, Received, Seat, Store, Tell, Tick, Timing, Vote, Withdraw,
+    MOST_MEMBERS,
+    Announcer,
+    Claim,
+    Hold,
+    Leave,
+    Received,
+    Seat,
+    Store,
+    Tell,
+    Tick,
+    Timing,
+    Vote,
+    Withdraw,
 )
 
 SCHEDULES = 2000
@@ -143,11 +155,15 @@
     assert len(rounds) == 5 and rounds == sorted(set(rounds))  # ranks are made of rounds
 
 
-@pytest.mark.parametrize("seats, me, named", [
-    ((Seat("a"), Seat("a")), "a", "twice"), ((Seat("a"),), "b", "b is not among"),
-    ((Seat("a", witness=True),), "a", "witnesses"),
-    (tuple(Seat(f"m{i}") for i in range(65)), "m0", "64 at most"),
-])
+@pytest.mark.parametrize(
+    "seats, me, named",
+    [
+        ((Seat("a"), Seat("a")), "a", "twice"),
+        ((Seat("a"),), "b", "b is not among"),
+        ((Seat("a", witness=True),), "a", "witnesses"),
+        (tuple(Seat(f"m{i}") for i in range(65)), "m0", "64 at most"),
+    ],
+)
 def test_members_that_can_not_be_are_refused(seats: tuple[Seat, ...], me: str, named: str) -> None:
     with pytest.raises(ValueError, match=named):
         Election(seats, me, Timing(), 1, 0.0)
@@ -214,9 +230,16 @@
         assert sum(ends > self.world.net.now for ends in self.world.ends.values()) <= 1
 
 
-EFFORT: dict[str, Any] = {"derandomize": True, "database": None, "deadline": None, "print_blob": False,
-                          "report_multiple_bugs": False, "phases": [Phase.generate],
-                          "suppress_health_check": list(HealthCheck), "stateful_step_count": 40}
+EFFORT: dict[str, Any] = {
+    "derandomize": True,
+    "database": None,
+    "deadline": None,
+    "print_blob": False,
+    "report_multiple_bugs": False,
+    "phases": [Phase.generate],
+    "suppress_health_check": list(HealthCheck),
+    "stateful_step_count": 40,
+}
 
 
 def test_any_order_of_faults_keeps_the_properties() -> None:
@@ -267,9 +290,27 @@
         return new
 
     def key(self) -> tuple[Any, ...]:
-        return (self.now, self.flight, self.restarts, *(
-            (m.phase, m.vote, m.promised, m.promise_ends, m.term, m.lease_ends, m.next_try, m.next_ask,
-             m.gives_up, tuple(sorted(m.grants.items())), m.abstains_until) for m in self.members.values()))
+        return (
+            self.now,
+            self.flight,
+            self.restarts,
+            *(
+                (
+                    m.phase,
+                    m.vote,
+                    m.promised,
+                    m.promise_ends,
+                    m.term,
+                    m.lease_ends,
+                    m.next_try,
+                    m.next_ask,
+                    m.gives_up,
+                    tuple(sorted(m.grants.items())),
+                    m.abstains_until,
+                )
+                for m in self.members.values()
+            ),
+        )
 
     def steps(self) -> list[tuple[str, Any]]:
         found: list[tuple[str, Any]] = [("ring", n) for n in self.wakes]
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -21,8 +21,18 @@
 from saltcourse.fleet.core import Fleet
 from saltcourse.fleet.ejections import Ejections
 from saltcourse.fleet.messages import (
-    ClockReading, Connections, EjectionNotice, LeaseGrant, LeaseRequest, Message, PairHeld, PairReleased,
-    ResendRequest, Reset, Scale, SnapshotRequest,
+    ClockReading,
+    Connections,
+    EjectionNotice,
+    LeaseGrant,
+    LeaseRequest,
+    Message,
+    PairHeld,
+    PairReleased,
+    ResendRequest,
+    Reset,
+    Scale,
+    SnapshotRequest,
 )
 from saltcourse.fleet.outbox import Outgoing
 from saltcourse.fleet.quota import QuotaLeases
@@ -30,6 +40,7 @@
 from saltcourse.policy import Sign
 from tests.node import Node, members, settings
 
+
 def free_addresses(count: int) -> tuple[tuple[str, int], ...]:
     """UDP addresses that nobody holds; all are held at once while they are sought, so that they differ."""
     held = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(count)]
@@ -46,10 +57,14 @@
 NUMBER, TIME = st.integers(0, 262143), st.integers(0, 2**30 - 1)
 RECORDS = st.one_of(
     st.sampled_from([PairHeld("srv1grp1"), PairReleased("srv1grp1"), Reset(), SnapshotRequest()]),
-    st.builds(Connections, st.just("srv1"), NUMBER), st.builds(ResendRequest, NUMBER),
-    st.builds(Scale, NUMBER.map(lambda steps: steps / 100)), st.builds(LeaseRequest, NUMBER),
-    st.builds(LeaseGrant, NUMBER), st.builds(ClockReading, TIME),
-    st.builds(EjectionNotice, st.just("srv1"), TIME))
+    st.builds(Connections, st.just("srv1"), NUMBER),
+    st.builds(ResendRequest, NUMBER),
+    st.builds(Scale, NUMBER.map(lambda steps: steps / 100)),
+    st.builds(LeaseRequest, NUMBER),
+    st.builds(LeaseGrant, NUMBER),
+    st.builds(ClockReading, TIME),
+    st.builds(EjectionNotice, st.just("srv1"), TIME),
+)
 MESSAGES = st.builds(Message, st.integers(0, 4095), NUMBER, NUMBER, st.lists(RECORDS, max_size=20).map(tuple))
 
 
@@ -80,8 +95,9 @@
 class Proxies:
     """Fleets on the simulated network whose holdings change at random, judged from outside."""
 
-    def __init__(self, seed: int, link: Link, core: type[Fleet] = Fleet, count: int = 4,
-                 terms: lg.FleetTerms = TERMS) -> None:
+    def __init__(
+        self, seed: int, link: Link, core: type[Fleet] = Fleet, count: int = 4, terms: lg.FleetTerms = TERMS
+    ) -> None:
         self.random, self.core, self.count, self.terms = random.Random(seed), core, count, terms
         hosts = [Host(str(i), rate=1 + (i % 3 - 1) * self.terms.drift, offset=1e5 * i) for i in range(count)]
         self.net = Network(seed, hosts, link, self._got, None)
@@ -159,8 +175,11 @@
         for i, core in enumerate(self.cores):
             for j, other in enumerate(self.cores):
                 indexed = {key for key, peers in core.holders.items() if j in peers}
-                if i != j and not (j in core.peers and core.peers[j].replica.entries == other.table.entries
-                                   and indexed == set(other.table.entries)):
+                if i != j and not (
+                    j in core.peers
+                    and core.peers[j].replica.entries == other.table.entries
+                    and indexed == set(other.table.entries)
+                ):
                     found.append((i, j))
         return found
 
@@ -267,8 +286,9 @@
     lost, others = proxies.held[3][key].count, sum(h[key].count for h in proxies.held[:3])
     assert lost > 1 and not proxies.wrong()
     assert proxies.cores[0].connections(proxies.clock(0), key) == lost + others
-    assert all(core.relative_share(proxies.clock(i)) == pytest.approx(1.0)
-               for i, core in enumerate(proxies.cores))
+    assert all(
+        core.relative_share(proxies.clock(i)) == pytest.approx(1.0) for i, core in enumerate(proxies.cores)
+    )
     for other in "012":
         proxies.net.cut("3", other)
     proxies.net.run(13.0 + SILENT + 6)
@@ -279,7 +299,8 @@
     assert not proxies.overspent()
     proxies.net.run(13.0 + SILENT + 6 + 600)
     assert proxies.cores[0].connections(proxies.clock(0), key) == pytest.approx(
-        others + min(lost, others / 3), abs=0.1)
+        others + min(lost, others / 3), abs=0.1
+    )
 
 
 def test_nothing_is_told_where_proxies_may_not_talk_and_the_equal_part_is_kept() -> None:
@@ -294,8 +315,10 @@
 
 def test_a_group_goes_where_a_peer_says_that_it_holds_it() -> None:
     # Four proxies, each at its best alone, put a group of eight connections on five servers.
-    nodes = [Node(reports_load=True, may_probe=True, groups=True, peers=True, balancers=2, index=i, seed=i)
-             for i in (0, 1)]
+    nodes = [
+        Node(reports_load=True, may_probe=True, groups=True, peers=True, balancers=2, index=i, seed=i)
+        for i in (0, 1)
+    ]
     for node in nodes:
         node.list(members(6))
         for i in range(6):
@@ -358,7 +381,8 @@
             await link.open()
         loop = asyncio.get_running_loop()
         stranger, _ = await loop.create_datagram_endpoint(
-            asyncio.DatagramProtocol, local_addr=("127.0.0.1", 0))
+            asyncio.DatagramProtocol, local_addr=("127.0.0.1", 0)
+        )
         for data in (b"2AAAAAAAA", b"\xff", b"x" * 300):
             stranger.sendto(data, each[1])
         links[0]._transport.sendto(b"x" * 300, each[1])  # type: ignore[union-attr]
--- a/tests/test_fleet_golden.py
+++ b/tests/test_fleet_golden.py
@@ -13,8 +13,18 @@
 from saltcourse.emulator.simnet import Link
 from saltcourse.fleet.codec import decode, encode
 from saltcourse.fleet.messages import (
-    ClockReading, Connections, EjectionNotice, LeaseGrant, LeaseRequest, Message, PairHeld, PairReleased,
-    ResendRequest, Reset, Scale, SnapshotRequest,
+    ClockReading,
+    Connections,
+    EjectionNotice,
+    LeaseGrant,
+    LeaseRequest,
+    Message,
+    PairHeld,
+    PairReleased,
+    ResendRequest,
+    Reset,
+    Scale,
+    SnapshotRequest,
 )
 from saltcourse.fleet.outbox import Outgoing
 from tests.test_fleet import Proxies, trouble
@@ -42,14 +52,35 @@
     assert encode(decode(text)) == text
 
 
-@pytest.mark.parametrize(("text", "message"), [
-    ("2--------cAAAAAv04STAADIA=---wAA-gBAA!*", Message(4095, 262143, 262143, (
-        ClockReading(0), EjectionNotice("04ST", 12800), Scale(2621.43), LeaseRequest(63), LeaseGrant(4096),
-        Reset(), SnapshotRequest()))),
-    ("2gUAB7t3Q?ACA", Message(2068, 123, 187856, (ResendRequest(128),))),
-    ("2tUAB4FWO#0t-DAAC+CVy546-x-eCz85agV", Message(2900, 120, 21902, (
-        Connections("0t-D", 2), PairHeld("CVy546-x"), PairReleased("eCz85agV")))),
-])
+@pytest.mark.parametrize(
+    ("text", "message"),
+    [
+        (
+            "2--------cAAAAAv04STAADIA=---wAA-gBAA!*",
+            Message(
+                4095,
+                262143,
+                262143,
+                (
+                    ClockReading(0),
+                    EjectionNotice("04ST", 12800),
+                    Scale(2621.43),
+                    LeaseRequest(63),
+                    LeaseGrant(4096),
+                    Reset(),
+                    SnapshotRequest(),
+                ),
+            ),
+        ),
+        ("2gUAB7t3Q?ACA", Message(2068, 123, 187856, (ResendRequest(128),))),
+        (
+            "2tUAB4FWO#0t-DAAC+CVy546-x-eCz85agV",
+            Message(
+                2900, 120, 21902, (Connections("0t-D", 2), PairHeld("CVy546-x"), PairReleased("eCz85agV"))
+            ),
+        ),
+    ],
+)
 def test_records_mean_what_they_always_meant(text: str, message: Message) -> None:
     assert decode(text) == message
 
@@ -87,8 +118,14 @@
         super()._act(index)
         core, now = self.cores[index], self.clock(index)
         core.set_scale(core.scale + self.random.random() - 0.4)
-        answers = (core.least_scale, core.relative_share(now), core.connections(now, "s1"), core.ejected(now),
-                   core.held_elsewhere("s2", "g3"), core.may_probe(now, "s3"))
+        answers = (
+            core.least_scale,
+            core.relative_share(now),
+            core.connections(now, "s1"),
+            core.ejected(now),
+            core.held_elsewhere("s2", "g3"),
+            core.may_probe(now, "s3"),
+        )
         self.digest.update(repr(answers).encode())
 
     def _send(self, index: int, sends: list[Outgoing]) -> None:
@@ -97,8 +134,9 @@
         super()._send(index, sends)
 
 
-@pytest.mark.parametrize(("seed", "wanted"), [
-    (1, "7a9f9cf50f3c1d0329fdd606996b56d8"), (2, "cb2c4c3c29b3a4543c377bcb32130dc9")])
+@pytest.mark.parametrize(
+    ("seed", "wanted"), [(1, "7a9f9cf50f3c1d0329fdd606996b56d8"), (2, "cb2c4c3c29b3a4543c377bcb32130dc9")]
+)
 def test_proxies_in_trouble_send_and_answer_what_they_always_did(seed: int, wanted: str) -> None:
     """Losses, doubled messages, a cut, a stop and a restart."""
     proxies = RecordedProxies(seed, Link(delay=(0.0017, 0.3), loss=0.2, double=0.2))
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -42,7 +42,8 @@
         loop = asyncio.get_running_loop()
         for pair in [(i, j) for i in range(COUNT) for j in range(COUNT)]:
             transport, _ = await loop.create_datagram_endpoint(
-                lambda pair=pair: _End(self, pair), local_addr=("127.0.0.1", 0))  # type: ignore[misc]
+                lambda pair=pair: _End(self, pair), local_addr=("127.0.0.1", 0)
+            )  # type: ignore[misc]
             self.sockets[pair] = transport
             self.places[pair] = transport.get_extra_info("sockname")
 
@@ -52,7 +53,8 @@
             self.passed += 1
             i, j = pair
             asyncio.get_running_loop().call_later(
-                self.random.uniform(*self.delay), self.sockets[j, i].sendto, data, self.listens[j])
+                self.random.uniform(*self.delay), self.sockets[j, i].sendto, data, self.listens[j]
+            )
 
     def split(self, *parts: set[int]) -> None:
         self.cut = {(i, j) for a in parts for b in parts if a is not b for i in a for j in b}
@@ -105,17 +107,32 @@
 def write_config(folder: Path, index: int, relay: Relay, providers: list[Provider]) -> dict[str, Any]:
     values: dict[str, Any] = json.loads(EXAMPLE.read_text())
     told = values["settings"]
-    told.update(balancers=COUNT, self_index=index, zone="z", failure_domains=["z"], discovery="pushed",
-                report={"how": "pull", "fields": ["q", "x0"]})
+    told.update(
+        balancers=COUNT,
+        self_index=index,
+        zone="z",
+        failure_domains=["z"],
+        discovery="pushed",
+        report={"how": "pull", "fields": ["q", "x0"]},
+    )
     told["limits"] |= {"peers": True, "may_probe": True}
     told["extra"] |= {"groups": True}
     values.update(
-        name=f"n{index}", listen=f"127.0.0.1:{free_port()}", admin=f"127.0.0.1:{free_port()}",
-        discovery=f"127.0.0.1:{free_port()}", peer_listen="{}:{}".format(*relay.listens[index]),
+        name=f"n{index}",
+        listen=f"127.0.0.1:{free_port()}",
+        admin=f"127.0.0.1:{free_port()}",
+        discovery=f"127.0.0.1:{free_port()}",
+        peer_listen="{}:{}".format(*relay.listens[index]),
         peers=["{}:{}".format(*relay.places[index, j]) for j in range(COUNT)],
-        known={"version": 1, "full": True, "servers": [
-            {"id": f"s{i}", "state": "SERVING", "zone": "z", "addr": "{}:{}".format(*p.address)}
-            for i, p in enumerate(providers)]})
+        known={
+            "version": 1,
+            "full": True,
+            "servers": [
+                {"id": f"s{i}", "state": "SERVING", "zone": "z", "addr": "{}:{}".format(*p.address)}
+                for i, p in enumerate(providers)
+            ],
+        },
+    )
     (folder / f"{index}.json").write_text(json.dumps(values))
     return values
 
@@ -125,7 +142,8 @@
         self.folder = folder
         self.values = [write_config(folder, i, relay, providers) for i in range(COUNT)]
         (folder / "operator.txtpb").write_text(
-            f"fleet {{ term_s: {TERM} counts: true probes_per_s: {PROBES} }}\n")
+            f"fleet {{ term_s: {TERM} counts: true probes_per_s: {PROBES} }}\n"
+        )
         self.processes: list[subprocess.Popen[bytes]] = [self.run(i) for i in range(COUNT)]
 
     def run(self, index: int) -> subprocess.Popen[bytes]:
@@ -134,16 +152,29 @@
         (self.folder / f"{index}.json").write_text(json.dumps(values))
         with (self.folder / f"{index}.log").open("ab") as log:
             return subprocess.Popen(
-                [sys.executable, "-m", "saltcourse", "serve", "--config", str(self.folder / f"{index}.json"),
-                 "--operator", str(self.folder / "operator.txtpb")],
-                env=os.environ | {"EDGE_CONFIG": ""}, stderr=log, cwd=ROOT)
+                [
+                    sys.executable,
+                    "-m",
+                    "saltcourse",
+                    "serve",
+                    "--config",
+                    str(self.folder / f"{index}.json"),
+                    "--operator",
+                    str(self.folder / "operator.txtpb"),
+                ],
+                env=os.environ | {"EDGE_CONFIG": ""},
+                stderr=log,
+                cwd=ROOT,
+            )
 
     async def figures(self, index: int) -> dict[str, int]:
         port = int(self.values[index]["admin"].rpartition(":")[2])
         status, body = await asyncio.to_thread(admin_answer, port, "/_vars")
         assert status == 200
-        return {name: int(rest.partition("|")[0])
-                for name, _, rest in (line.partition(":") for line in body.decode().split())}
+        return {
+            name: int(rest.partition("|")[0])
+            for name, _, rest in (line.partition(":") for line in body.decode().split())
+        }
 
     async def until(self, what: str, indexes: Any, want: Any, patience: float) -> None:
         """Figures are asked for until each has been as wanted, which the fleet owes within ``patience``."""
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -58,9 +58,13 @@
 
 def start(config: Path, admin: int, listener: socket.socket) -> subprocess.Popen[bytes]:
     environment = os.environ | {"EDGE_ADMIN": f"127.0.0.1:{admin}", "EDGE_LISTEN_FD": str(listener.fileno())}
-    process = subprocess.Popen([sys.executable, "-m", "saltcourse", "serve", "--config", str(config)],
-                               env=environment, pass_fds=(listener.fileno(),), stderr=subprocess.DEVNULL,
-                               cwd=Path(__file__).parent.parent)
+    process = subprocess.Popen(
+        [sys.executable, "-m", "saltcourse", "serve", "--config", str(config)],
+        env=environment,
+        pass_fds=(listener.fileno(),),
+        stderr=subprocess.DEVNULL,
+        cwd=Path(__file__).parent.parent,
+    )
     for _ in range(200):
         if admin_answer(admin, "/_ready")[0] == 200:
             return process
@@ -79,8 +83,13 @@
 
 def test_the_old_process_hands_over_without_turning_anyone_away(tmp_path: Path) -> None:
     server, _ = push_server()
-    config = values(known={"version": 1, "full": True, "servers": [
-        {"id": "s1", "state": "SERVING", "addr": f"127.0.0.1:{server.getsockname()[1]}"}]})
+    config = values(
+        known={
+            "version": 1,
+            "full": True,
+            "servers": [{"id": "s1", "state": "SERVING", "addr": f"127.0.0.1:{server.getsockname()[1]}"}],
+        }
+    )
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config))
     listener = socket.create_server(("127.0.0.1", 0), backlog=128)
@@ -92,8 +101,13 @@
     assert standing.recv(64) == b"UP 1\r\n"
     idle = socket.create_connection(address)  # says nothing: no connection asked for, not counted
     figures = admin_answer(old_admin, "/_vars")[1].decode().split()
-    assert {"svc.replies.live-feed.success:1|c", "svc.dispatches:1|c", "svc.concurrent:1|g",
-            "svc.targets:1|g", "svc.targets_disabled:0|g"} <= set(figures)
+    assert {
+        "svc.replies.live-feed.success:1|c",
+        "svc.dispatches:1|c",
+        "svc.concurrent:1|g",
+        "svc.targets:1|g",
+        "svc.targets_disabled:0|g",
+    } <= set(figures)
     new = start(path, new_admin, listener)
     try:
         answers: list[bytes] = []
--- a/tests/test_hard_days.py
+++ b/tests/test_hard_days.py
@@ -21,8 +21,13 @@
 
 
 async def proxy_beside(server: socket.socket) -> tuple[Lifecycle, asyncio.Task[None]]:
-    config: dict[str, Any] = values(known={"version": 1, "full": True, "servers": [
-        {"id": "s1", "state": "SERVING", "addr": f"127.0.0.1:{server.getsockname()[1]}"}]})
+    config: dict[str, Any] = values(
+        known={
+            "version": 1,
+            "full": True,
+            "servers": [{"id": "s1", "state": "SERVING", "addr": f"127.0.0.1:{server.getsockname()[1]}"}],
+        }
+    )
     config["limits"]["sockets"] = SOCKETS
     proxy = Lifecycle(read_config(config, {}))
     running = asyncio.get_running_loop().create_task(proxy.run())
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -27,8 +27,11 @@
 def test_every_state_has_an_answer_to_every_sign_and_only_a_trial_ends_as_one() -> None:
     assert set(AFTER) == set(Sign) and all(len(row) == len(Health) for row in AFTER.values())
     assert [(s, h) for s, row in AFTER.items() for h in Health if row[h] is Health.TRIAL] == [
-        (Sign.SENT, Health.DUE), (Sign.SENT, Health.TRIAL), (Sign.RESTED, Health.TRIAL),
-        (Sign.WARNED, Health.TRIAL)]
+        (Sign.SENT, Health.DUE),
+        (Sign.SENT, Health.TRIAL),
+        (Sign.RESTED, Health.TRIAL),
+        (Sign.WARNED, Health.TRIAL),
+    ]
 
 
 @pytest.mark.parametrize("how", [S.ERROR, S.RESET, S.CANCELLED, S.NOT_SENT])
@@ -116,7 +119,7 @@
         cold one no more than fills it over its warm-up, were it to hold all that ever stood at once."""
         groups = {(self.groups[r], server) for r, (_, server) in self.node.out.items() if self.groups[r]}
         self.peak = max(self.peak, len(self.node.out) + GROUP_SLOTS * len(groups))
-        for at, action in self.node.log[self.told:]:
+        for at, action in self.node.log[self.told :]:
             if isinstance(action, lg.Refuse | lg.Fail):
                 assert at <= self.owed.pop(action.request) + self.node.settings.answer_slack
             elif isinstance(action, lg.Send):
@@ -271,9 +274,16 @@
         assert not any(s.count or s.load or s.groups or s.held for s in balancer.servers.values())
 
 
-EFFORT: dict[str, Any] = {"derandomize": True, "database": None, "deadline": None, "print_blob": False,
-                          "report_multiple_bugs": False, "phases": [Phase.generate],
-                          "suppress_health_check": list(HealthCheck), "stateful_step_count": 30}
+EFFORT: dict[str, Any] = {
+    "derandomize": True,
+    "database": None,
+    "deadline": None,
+    "print_blob": False,
+    "report_multiple_bugs": False,
+    "phases": [Phase.generate],
+    "suppress_health_check": list(HealthCheck),
+    "stateful_step_count": 30,
+}
 
 
 def test_the_module_keeps_its_books_its_rules_and_every_server() -> None:
--- a/tests/test_membership_host.py
+++ b/tests/test_membership_host.py
@@ -63,8 +63,14 @@
             places = [("127.0.0.1", self.servers[i].port) for i in at]
             announcer = BgpAnnouncer(ADDRESS, f"10.0.0.{name[-1]}", peering, places, self.boot)
         others = {n: p for n, p in self.places.items() if n != name}
-        member = Member(SEATS, Seal(name, self.boot, [KEY], others), Timing(), self.boot, announcer,
-                        VoteStore(self.folder / name, name))
+        member = Member(
+            SEATS,
+            Seal(name, self.boot, [KEY], others),
+            Timing(),
+            self.boot,
+            announcer,
+            VoteStore(self.folder / name, name),
+        )
         await member.start(self.places[name])
         self.members[name] = member
 
@@ -227,6 +233,9 @@
         await until(lambda: said == [True, False, True])
         await announcer.stop("done")
         assert log.read_text().splitlines() == [
-            f"announce {ADDRESS} 65", f"announce {ADDRESS} 129", f"withdraw {ADDRESS} 129"]
+            f"announce {ADDRESS} 65",
+            f"announce {ADDRESS} 129",
+            f"withdraw {ADDRESS} 129",
+        ]
 
     asyncio.run(run())
--- a/tests/test_membership_seal.py
+++ b/tests/test_membership_seal.py
@@ -15,8 +15,14 @@
 
 A, B = ("127.0.0.1", 7001), ("127.0.0.2", 7001)
 OLD, NEW = b"o" * 32, b"n" * 32
-MESSAGES: list[Message] = [Ask(65, 1.5, True, 64), Answer(65, 1.5, False, True, 65), Renew(65, 2.25),
-                           Renewed(65, 2.25), Release(65), HandOver(2**40)]
+MESSAGES: list[Message] = [
+    Ask(65, 1.5, True, 64),
+    Answer(65, 1.5, False, True, 65),
+    Renew(65, 2.25),
+    Renewed(65, 2.25),
+    Release(65),
+    HandOver(2**40),
+]
 
 
 def pair(boot_a: int = 10, boot_b: int = 20) -> tuple[Seal, Seal]:
@@ -65,8 +71,10 @@
     assert b.open(pair()[0].pack("b", Renew(1, 0.0)), A) is Drop.KEY
 
 
-@pytest.mark.parametrize("keys, named", [([], "not 0"), ([b"short"], "under 16"), ([OLD, OLD], "twice"),
-                                         ([OLD, NEW, b"x" * 32], "not 3")])
+@pytest.mark.parametrize(
+    "keys, named",
+    [([], "not 0"), ([b"short"], "under 16"), ([OLD, OLD], "twice"), ([OLD, NEW, b"x" * 32], "not 3")],
+)
 def test_keys_that_can_not_be_are_refused_and_the_old_ones_stay(keys: list[bytes], named: str) -> None:
     a, b = pair()
     with pytest.raises(ValueError, match=named):
@@ -110,8 +118,12 @@
     store.save(Vote(65, "b", "b"))
     store.close()
     whole = file.read_bytes()
-    for torn in (whole[:len(whole) // 2], b"not a database at all" * 300,
-                 whole.replace(b"bb", b"cc"), whole[:4096] + b"\0" * (len(whole) - 4096)):
+    for torn in (
+        whole[: len(whole) // 2],
+        b"not a database at all" * 300,
+        whole.replace(b"bb", b"cc"),
+        whole[:4096] + b"\0" * (len(whole) - 4096),
+    ):
         file.write_bytes(torn)
         with pytest.raises(StoreError, match=str(file)):
             VoteStore(file, "a").load()
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -61,44 +61,60 @@
     assert read_operator(Path(__file__).parent.parent / "deploy" / "operator.txtpb", "p").membership is None
 
 
-@pytest.mark.parametrize("old, new, line, named", [
-    ("  me:", "  my:", 2, 'no field named "my"'), ('me: "a"', "me: 3", 2, "3"),
-    ('me: "a"', 'me: "z"', 2, "membership.me: 'z' is none of the members"),
-    ('"192.0.2.7"', '"somewhere"', 3, "membership.service_address: must be an IP address"),
-    ('name: "b"', 'name: "a"', 6, r"membership.member\[1\].name: 'a' stands twice"),
-    ("127.0.0.2:7001", "127.0.0.1:7001", 7, r"membership.member\[1\].address: is a's address too"),
-    ("127.0.0.2:7001", "proxy-b:7001", 7, r"membership.member\[1\].address: must be ADDRESS:PORT"),
-    ("priority: 2", "priority: -2", 4, "-2"), ("lease_s: 0.5", "lease_s: 90", 11, "from 0.2 to 30, not 90"),
-    ("lease_s: 0.5", "lease_s: 0.5 renew_s: 0.4", 11, "membership.timing.renew_s: under half"),
-    ('"key"', '"nokey"', 10, "membership.key_file: .*nokey: No such file"),
-    ("asn: 64512 p", "asn: 0 p", 13, "membership.bgp.asn: must be from 1"),
-    ('next_hop: "10.0.0.1"', 'next_hop: "::1"', 14, "membership.bgp.next_hop: must be an IPv4 address"),
-    ("  bgp {", "  command { }\n  bgp {", 12, "membership.command: beside bgp"),
-    ("witness: true", "witness: yes", 9, "yes"),
-])
+@pytest.mark.parametrize(
+    "old, new, line, named",
+    [
+        ("  me:", "  my:", 2, 'no field named "my"'),
+        ('me: "a"', "me: 3", 2, "3"),
+        ('me: "a"', 'me: "z"', 2, "membership.me: 'z' is none of the members"),
+        ('"192.0.2.7"', '"somewhere"', 3, "membership.service_address: must be an IP address"),
+        ('name: "b"', 'name: "a"', 6, r"membership.member\[1\].name: 'a' stands twice"),
+        ("127.0.0.2:7001", "127.0.0.1:7001", 7, r"membership.member\[1\].address: is a's address too"),
+        ("127.0.0.2:7001", "proxy-b:7001", 7, r"membership.member\[1\].address: must be ADDRESS:PORT"),
+        ("priority: 2", "priority: -2", 4, "-2"),
+        ("lease_s: 0.5", "lease_s: 90", 11, "from 0.2 to 30, not 90"),
+        ("lease_s: 0.5", "lease_s: 0.5 renew_s: 0.4", 11, "membership.timing.renew_s: under half"),
+        ('"key"', '"nokey"', 10, "membership.key_file: .*nokey: No such file"),
+        ("asn: 64512 p", "asn: 0 p", 13, "membership.bgp.asn: must be from 1"),
+        ('next_hop: "10.0.0.1"', 'next_hop: "::1"', 14, "membership.bgp.next_hop: must be an IPv4 address"),
+        ("  bgp {", "  command { }\n  bgp {", 12, "membership.command: beside bgp"),
+        ("witness: true", "witness: yes", 9, "yes"),
+    ],
+)
 def test_mistakes_are_named_with_line_and_key(
-        old: str, new: str, line: int, named: str, tmp_path: Path) -> None:
+    old: str, new: str, line: int, named: str, tmp_path: Path
+) -> None:
     assert GOOD.count(old) >= 1
     file = write(tmp_path, GOOD.replace(old, new, 1))
     with pytest.raises(ConfigError, match=rf"operator\.txtpb:{line}: .*{named}"):
         read_operator(file, "p")
 
 
-@pytest.mark.parametrize("text, named", [
-    ("term_s: 0", "fleet.term_s: must be from 1 to 300"),
-    ("drift: 0.5", "fleet.drift: must be from 0 to 0.05"),
-    ("probes_per_s: 0", "fleet.probes_per_s: must be above 0"), ("term_s: nan", "fleet.term_s"),
-    ("probes: 3", 'no field named "probes"'),
-])
+@pytest.mark.parametrize(
+    "text, named",
+    [
+        ("term_s: 0", "fleet.term_s: must be from 1 to 300"),
+        ("drift: 0.5", "fleet.drift: must be from 0 to 0.05"),
+        ("probes_per_s: 0", "fleet.probes_per_s: must be above 0"),
+        ("term_s: nan", "fleet.term_s"),
+        ("probes: 3", 'no field named "probes"'),
+    ],
+)
 def test_terms_of_the_fleet_that_can_not_be_are_refused(text: str, named: str, tmp_path: Path) -> None:
     with pytest.raises(ConfigError, match=rf":2: .*{named}"):
         read_operator(write(tmp_path, "fleet {\n  " + text + "\n}\n"), "p")
 
 
-@pytest.mark.parametrize("keys, mode, named", [
-    ("ab" * 32, 0o640, "read by others"), ("abcd", 0o600, "under 16 bytes"), ("", 0o600, "not 0"),
-    ("xy" * 32, 0o600, "hexadecimal"), (("ab" * 32 + "\n") * 2, 0o600, "same key twice"),
-])
+@pytest.mark.parametrize(
+    "keys, mode, named",
+    [
+        ("ab" * 32, 0o640, "read by others"),
+        ("abcd", 0o600, "under 16 bytes"),
+        ("", 0o600, "not 0"),
+        ("xy" * 32, 0o600, "hexadecimal"),
+        (("ab" * 32 + "\n") * 2, 0o600, "same key twice"),
+    ],
+)
 def test_keys_that_can_not_be_are_refused(keys: str, mode: int, named: str, tmp_path: Path) -> None:
     with pytest.raises(ConfigError, match=rf":10: membership.key_file: .*{named}"):
         read_operator(write(tmp_path, keys=keys, mode=mode), "p")
@@ -111,13 +127,18 @@
     return str(folder / "config.json")
 
 
-@pytest.mark.parametrize("arguments, named", [
-    (["check-config", "--operator", "none.txtpb"], "none.txtpb: No such file"),
-    (["serve", "--operator", "FILE"], "'settings.limits.peers'"),
-    (["witness", "--operator", "FILE"], "'a' is no witness"), (["witness"], "needs an operator's file"),
-])
+@pytest.mark.parametrize(
+    "arguments, named",
+    [
+        (["check-config", "--operator", "none.txtpb"], "none.txtpb: No such file"),
+        (["serve", "--operator", "FILE"], "'settings.limits.peers'"),
+        (["witness", "--operator", "FILE"], "'a' is no witness"),
+        (["witness"], "needs an operator's file"),
+    ],
+)
 def test_the_commands_end_with_code_2_and_a_clear_line(
-        arguments: list[str], named: str, tmp_path: Path) -> None:
+    arguments: list[str], named: str, tmp_path: Path
+) -> None:
     file = write(tmp_path)
     full = [str(file) if a == "FILE" else a for a in arguments]
     if arguments[0] != "witness":
@@ -127,14 +148,17 @@
 
 
 def test_check_config_tells_of_membership(tmp_path: Path) -> None:
-    result = CliRunner().invoke(main, ["check-config", "--config", config(tmp_path, peers=True),
-                                       "--operator", str(write(tmp_path))])
+    result = CliRunner().invoke(
+        main, ["check-config", "--config", config(tmp_path, peers=True), "--operator", str(write(tmp_path))]
+    )
     assert result.exit_code == 0 and "membership: a of 3" in result.output and "memory only" in result.output
 
 
 def test_without_an_operators_file_nothing_of_it_is_imported() -> None:
-    code = ("import sys, saltcourse.cli; print([m for m in sys.modules if any(w in m for w in "
-            "('protobuf', 'membership', 'emulator', 'sqlite3', 'config.operator'))])")
+    code = (
+        "import sys, saltcourse.cli; print([m for m in sys.modules if any(w in m for w in "
+        "('protobuf', 'membership', 'emulator', 'sqlite3', 'config.operator'))])"
+    )
     found = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
     assert found.stdout.strip() == "[]"
 
@@ -144,8 +168,12 @@
         free.bind(("127.0.0.1", 0))
         port = free.getsockname()[1]
     file = write(tmp_path, GOOD.replace('me: "a"', 'me: "w"', 1).replace("[::1]:7001", f"127.0.0.1:{port}"))
-    process = subprocess.Popen([sys.executable, "-m", "saltcourse", "witness", "--operator", str(file)],
-                               stderr=subprocess.PIPE, text=True, cwd=EXAMPLE.parent.parent)
+    process = subprocess.Popen(
+        [sys.executable, "-m", "saltcourse", "witness", "--operator", str(file)],
+        stderr=subprocess.PIPE,
+        text=True,
+        cwd=EXAMPLE.parent.parent,
+    )
     assert process.stderr is not None
     try:
         assert "event=voting" in process.stderr.readline()
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -219,7 +219,8 @@
 
 UNSAFE = lg.RequestClass("pay", aim=0.3, deadline=1.2, effect=lg.Effect.UNSAFE)
 KEYED = lg.RequestClass(
-    "book", aim=0.3, deadline=1.2, effect=lg.Effect.KEYED, scope=lg.Scope.ZONE, window=5.0)
+    "book", aim=0.3, deadline=1.2, effect=lg.Effect.KEYED, scope=lg.Scope.ZONE, window=5.0
+)
 
 
 def test_unsafe_request_that_may_have_run_is_failed_not_repeated_or_refused() -> None:
@@ -300,10 +301,19 @@
     assert logs[0] == logs[1]
 
 
-@pytest.mark.parametrize(("field", "value"), [
-    ("classes", ()), ("balancers", 0), ("max_attempts", 0), ("ask_within", -1.0), ("start_share", 0.0),
-    ("tick", float("nan")), ("drain_grace", -0.1), ("warm_up", "long"),
-])
+@pytest.mark.parametrize(
+    ("field", "value"),
+    [
+        ("classes", ()),
+        ("balancers", 0),
+        ("max_attempts", 0),
+        ("ask_within", -1.0),
+        ("start_share", 0.0),
+        ("tick", float("nan")),
+        ("drain_grace", -0.1),
+        ("warm_up", "long"),
+    ],
+)
 def test_invalid_settings_are_named(field: str, value: object) -> None:
     with pytest.raises(ValueError, match=field):
         settings(**{field: value})
@@ -316,8 +326,14 @@
 
 def test_events_for_what_has_ended_are_ignored() -> None:
     balancer = Balancer(settings(), 1)
-    for event in (lg.ClientGone("x"), lg.Outcome("x", 0, lg.Status.OK), lg.Established("x", 0, 0.1),
-                  lg.LoadNote("x", 1.0), lg.DelayNote("x", 1.0), lg.ProbeResult("x", lg.Status.OK)):
+    for event in (
+        lg.ClientGone("x"),
+        lg.Outcome("x", 0, lg.Status.OK),
+        lg.Established("x", 0, 0.1),
+        lg.LoadNote("x", 1.0),
+        lg.DelayNote("x", 1.0),
+        lg.ProbeResult("x", lg.Status.OK),
+    ):
         assert balancer.handle(1.0, event) == []
 
 
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -31,15 +31,25 @@
         self.got: list[float] = []
 
     def proxy(self, seed: int, count: int, now: float = 100.0) -> Node:
-        node = Node(seed, now, balancers=count, groups=self.groups, warm_up=WARM_UP, start_share=SHARE,
-                    push_multiple=MULTIPLE, push_for=WINDOW)
+        node = Node(
+            seed,
+            now,
+            balancers=count,
+            groups=self.groups,
+            warm_up=WARM_UP,
+            start_share=SHARE,
+            push_multiple=MULTIPLE,
+            push_for=WINDOW,
+        )
         node.list(members(SERVERS), lg.ListKind.RESTORED)
         return node
 
     def release(self, node: Node, started: float) -> None:
         """One starts cold, and six in ten of the others begin to drain: their clients come back at once."""
-        node.list((lg.Member("cold", zone="z0", started=started),
-                   *members(DRAINED, state=lg.ServerState.DRAINING)), lg.ListKind.CHANGED)
+        node.list(
+            (lg.Member("cold", zone="z0", started=started), *members(DRAINED, state=lg.ServerState.DRAINING)),
+            lg.ListKind.CHANGED,
+        )
         moved = {move.request for at, move in node.log if isinstance(move, lg.Move) and at == node.now}
         for request in [r for r in node.out if r in moved]:
             node.end(request, lg.Status.CANCELLED, final=True)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -28,37 +28,91 @@
 
 ROOT = Path(__file__).parent.parent
 SETTINGS: dict[str, Any] = {
-    "balancers": 2, "self_index": 1, "zone": "a", "failure_domains": ["a", "b"], "discovery": "on_request",
+    "balancers": 2,
+    "self_index": 1,
+    "zone": "a",
+    "failure_domains": ["a", "b"],
+    "discovery": "on_request",
     "classes": [
-        {"name": "feed", "aim": 0.5, "give_up": 2.0, "repeat": "keyed", "dedup_scope": "zone", "window": 3.0,
-         "worth": 2.0},
+        {
+            "name": "feed",
+            "aim": 0.5,
+            "give_up": 2.0,
+            "repeat": "keyed",
+            "dedup_scope": "zone",
+            "window": 3.0,
+            "worth": 2.0,
+        },
         {"name": "bulk", "aim": 1, "give_up": 4},
     ],
     "parties": [{"name": "north", "share": 0.5}, {"name": "south", "share": 0.5}],
-    "limits": {"send_cap": 3, "may_probe": True, "may_cancel": False, "peers": True, "parallel_tries": False,
-               "retry_after": True, "connect_timeout": 0.2, "max_retry_after": 1.5},
-    "obligations": {"ask_within": 10.0, "drain_grace": 2.0, "warm_after": 9.0, "start_capacity": 0.3,
-                    "grace_to_answer": 0.01, "overload_factor": 2.0, "overload_for": 1.0},
-    "report": {"how": "pull", "fields": ["busy", "x0"]}, "weights": "live", "step": 0.002,
-    "extra": {"message_aim": [0.06, 0.1], "tenant_quota_connections": [87.0, 45], "groups": True,
-              "tells_delay": True},
+    "limits": {
+        "send_cap": 3,
+        "may_probe": True,
+        "may_cancel": False,
+        "peers": True,
+        "parallel_tries": False,
+        "retry_after": True,
+        "connect_timeout": 0.2,
+        "max_retry_after": 1.5,
+    },
+    "obligations": {
+        "ask_within": 10.0,
+        "drain_grace": 2.0,
+        "warm_after": 9.0,
+        "start_capacity": 0.3,
+        "grace_to_answer": 0.01,
+        "overload_factor": 2.0,
+        "overload_for": 1.0,
+    },
+    "report": {"how": "pull", "fields": ["busy", "x0"]},
+    "weights": "live",
+    "step": 0.002,
+    "extra": {
+        "message_aim": [0.06, 0.1],
+        "tenant_quota_connections": [87.0, 45],
+        "groups": True,
+        "tells_delay": True,
+    },
     "charges": {"cross_zone": 0.1, "probe": 0.0, "moves": 0.2, "peer": 0.0},
-    "over_share_worth": 0.5, "value_by": "work",
+    "over_share_worth": 0.5,
+    "value_by": "work",
 }
 CONFIG: dict[str, Any] = {
-    "name": "n1", "listen": "127.0.0.1:8081", "discovery": "127.0.0.1:8500", "admin": "127.0.0.1:8082",
-    "seed": "8c1f30d27a5be964", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 512},
-    "peer_listen": "127.0.0.1:9001", "peers": ["127.0.0.1:9000", "127.0.0.1:9001"],
+    "name": "n1",
+    "listen": "127.0.0.1:8081",
+    "discovery": "127.0.0.1:8500",
+    "admin": "127.0.0.1:8082",
+    "seed": "8c1f30d27a5be964",
+    "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 512},
+    "peer_listen": "127.0.0.1:9001",
+    "peers": ["127.0.0.1:9000", "127.0.0.1:9001"],
     "peers_all": "127.0.0.1:9100",
-    "known": {"version": 4, "full": True, "servers": [
-        {"id": "p1", "state": "SERVING", "zone": "a", "kind": "k", "cell": 1, "weight": 1.5,
-         "started_ms": 1000, "addr": "127.0.0.1:7000"},
-        {"id": "p2", "state": "DRAINING", "addr": "127.0.0.1:7001"}]},
+    "known": {
+        "version": 4,
+        "full": True,
+        "servers": [
+            {
+                "id": "p1",
+                "state": "SERVING",
+                "zone": "a",
+                "kind": "k",
+                "cell": 1,
+                "weight": 1.5,
+                "started_ms": 1000,
+                "addr": "127.0.0.1:7000",
+            },
+            {"id": "p2", "state": "DRAINING", "addr": "127.0.0.1:7001"},
+        ],
+    },
     "settings": SETTINGS,
 }
 JSON_VALUES = st.recursive(
-    st.none() | st.booleans() | st.integers(-2**63, 2**64 - 1)
-    | st.floats(allow_nan=False, allow_infinity=False) | st.text(max_size=8)
+    st.none()
+    | st.booleans()
+    | st.integers(-(2**63), 2**64 - 1)
+    | st.floats(allow_nan=False, allow_infinity=False)
+    | st.text(max_size=8)
     | st.sampled_from(["silent", "on_request", "keyed", "x0", "127.0.0.1:1", "DELETED"]),
     lambda inner: st.lists(inner, max_size=3) | st.dictionaries(st.text(max_size=4), inner, max_size=3),
     max_leaves=5,
@@ -127,28 +181,40 @@
     Balancer(config.settings, config.seed)
 
 
-@pytest.mark.parametrize(("quotas", "read"), [
-    ([None], [0.0, 0.0]), ([None, 3], [0.0, 3]), ([3], [3, 0.0]), ([], [0.0, 0.0]), ([1, 2, 9], [1, 2]),
-])
+@pytest.mark.parametrize(
+    ("quotas", "read"),
+    [
+        ([None], [0.0, 0.0]),
+        ([None, 3], [0.0, 3]),
+        ([3], [3, 0.0]),
+        ([], [0.0, 0.0]),
+        ([1, 2, 9], [1, 2]),
+    ],
+)
 def test_a_quota_of_null_is_not_told_as_where_the_list_is_shorter(
-        quotas: list[Any], read: list[float]) -> None:
+    quotas: list[Any], read: list[float]
+) -> None:
     settings = read_settings(with_quotas(quotas))
     assert [t.quota_connections for t in settings.tenants] == read
     Balancer(settings, 1)
 
 
-@pytest.mark.parametrize(("path", "new", "named"), [
-    (("extra", "tenant_quota_connections"), [1, "7"], r"tenant_quota_connections\[1\]"),
-    (("extra", "tenant_quota_connections"), [-3], r"tenant_quota_connections\[0\]"),
-    (("extra", "tenant_quota_connections"), [True], r"tenant_quota_connections\[0\]"),
-    (("extra", "tenant_quota_connections"), [1, 2, {}], r"tenant_quota_connections\[2\]"),
-    (("extra", "tenant_quota_connections"), [float("inf")], r"tenant_quota_connections\[0\]"),
-    (("extra", "tenant_quota_connections"), [10**400], r"tenant_quota_connections\[0\]"),
-    (("extra", "message_aim"), [0.1, -1], r"message_aim\[1\]"),
-    (("failure_domains",), ["a", None], r"failure_domains\[1\]"),
-    (("report", "fields"), ["x0", []], r"fields\[1\]"),
-    (("classes",), [3], r"classes\[0\]"), (("parties", 1), "south", r"parties\[1\]"),
-])
+@pytest.mark.parametrize(
+    ("path", "new", "named"),
+    [
+        (("extra", "tenant_quota_connections"), [1, "7"], r"tenant_quota_connections\[1\]"),
+        (("extra", "tenant_quota_connections"), [-3], r"tenant_quota_connections\[0\]"),
+        (("extra", "tenant_quota_connections"), [True], r"tenant_quota_connections\[0\]"),
+        (("extra", "tenant_quota_connections"), [1, 2, {}], r"tenant_quota_connections\[2\]"),
+        (("extra", "tenant_quota_connections"), [float("inf")], r"tenant_quota_connections\[0\]"),
+        (("extra", "tenant_quota_connections"), [10**400], r"tenant_quota_connections\[0\]"),
+        (("extra", "message_aim"), [0.1, -1], r"message_aim\[1\]"),
+        (("failure_domains",), ["a", None], r"failure_domains\[1\]"),
+        (("report", "fields"), ["x0", []], r"fields\[1\]"),
+        (("classes",), [3], r"classes\[0\]"),
+        (("parties", 1), "south", r"parties\[1\]"),
+    ],
+)
 def test_an_element_that_makes_no_sense_is_named_with_its_index(path: JsonPath, new: Any, named: str) -> None:
     wrong = replaced(SETTINGS, path, new)
     with pytest.raises(Malformed, match=named):
@@ -161,7 +227,12 @@
 def test_a_wrong_quota_ends_the_program_with_code_2_and_no_traceback(command: str, tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(CONFIG | {"settings": with_quotas(["many"])}))
-    ran = subprocess.run([sys.executable, "-m", "saltcourse", command, "--config", str(path)],
-                         capture_output=True, env=os.environ, timeout=20, cwd=ROOT)
+    ran = subprocess.run(
+        [sys.executable, "-m", "saltcourse", command, "--config", str(path)],
+        capture_output=True,
+        env=os.environ,
+        timeout=20,
+        cwd=ROOT,
+    )
     assert ran.returncode == 2 and "tenant_quota_connections[0]" in ran.stderr.decode()
     assert b"Traceback" not in ran.stderr
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -19,14 +19,14 @@
 
 def fill(buffer: LineBuffer, data: bytes) -> None:
     room = buffer.room()
-    room[:len(data)] = data
+    room[: len(data)] = data
     buffer.filled(len(data))
 
 
 def test_lines_come_out_whole_however_they_came_in() -> None:
     buffer, text, found = LineBuffer(16), b"one\r\ntwo\r\n\r\nthree\r\nfo", []
     for i in range(len(text)):
-        fill(buffer, text[i:i + 1])
+        fill(buffer, text[i : i + 1])
         while (line := buffer.line()) is not None:
             found.append(bytes(line))
     assert found == [b"one\r\n", b"two\r\n", b"\r\n", b"three\r\n"] and bytes(buffer.rest()) == b"fo"
@@ -56,14 +56,17 @@
     assert load_of(memoryview(b"LOAD much\r\n")) is None and load_of(memoryview(b"UPLOAD 1\r\n")) is None
 
 
-@pytest.mark.parametrize("text", [
-    b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello",
-    b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n2\r\nhe\r\n3;x=y\r\nllo\r\n0\r\n\r\n",
-])
+@pytest.mark.parametrize(
+    "text",
+    [
+        b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello",
+        b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n2\r\nhe\r\n3;x=y\r\nllo\r\n0\r\n\r\n",
+    ],
+)
 def test_http_bodies_byte_by_byte(text: bytes) -> None:
     answer = Answer()
     for i in range(len(text)):
-        answer.feed(text[i:i + 1])
+        answer.feed(text[i : i + 1])
     assert answer.done and answer.status == 200 and answer.body == b"hello"
 
 
@@ -89,9 +92,14 @@
     assert listing.addresses == {"s": ("10.0.0.1", 81)}
     gone = parse_list(b'{"version":4,"full":false,"servers":[{"id":"s","state":"DELETED"}]}')
     assert gone.members[0].state is ServerState.GONE and not gone.addresses
-    for broken in (b"", b"[]", b'{"version":1,"full":true}', b'{"version":true,"full":true,"servers":[]}',
-                   b'{"version":1,"full":true,"servers":[{"id":"s","state":"SERVING","addr":"x"}]}',
-                   b'{"version":1,"full":true,"servers":[{"id":1,"state":"SERVING","addr":"x:1"}]}'):
+    for broken in (
+        b"",
+        b"[]",
+        b'{"version":1,"full":true}',
+        b'{"version":true,"full":true,"servers":[]}',
+        b'{"version":1,"full":true,"servers":[{"id":"s","state":"SERVING","addr":"x"}]}',
+        b'{"version":1,"full":true,"servers":[{"id":1,"state":"SERVING","addr":"x:1"}]}',
+    ):
         with pytest.raises(BadList):
             parse_list(broken)
 
@@ -169,14 +177,20 @@
     assert silent.told("a", 5.0, 10.0) is None
 
 
-@pytest.mark.parametrize(("line", "want"), [
-    (b"PONG q=3,x0=0.61\r\n", LoadReport(queue=3, load=0.61)),
-    (b"BYE inflight=7,queue=2,util=0.61\r\n", LoadReport(inflight=7, queue=2, utilisation=0.61)),
-    (b"PONG x0=nan,q=-1,odd=4,x1=2,q\r\n", LoadReport(backlog=2)),
-    (b"PONG x0=,\xff=1\r\n", None), (b"PONG\r\n", None), (b"BYE \r\n", None),
-])
+@pytest.mark.parametrize(
+    ("line", "want"),
+    [
+        (b"PONG q=3,x0=0.61\r\n", LoadReport(queue=3, load=0.61)),
+        (b"BYE inflight=7,queue=2,util=0.61\r\n", LoadReport(inflight=7, queue=2, utilisation=0.61)),
+        (b"PONG x0=nan,q=-1,odd=4,x1=2,q\r\n", LoadReport(backlog=2)),
+        (b"PONG x0=,\xff=1\r\n", None),
+        (b"PONG\r\n", None),
+        (b"BYE \r\n", None),
+    ],
+)
 def test_the_load_behind_a_word_is_read_and_what_is_no_figure_is_passed_over(
-        line: bytes, want: LoadReport | None) -> None:
+    line: bytes, want: LoadReport | None
+) -> None:
     assert report_of(memoryview(line)) == want
 
 
