--- a/saltcourse/admin/server.py
+++ b/saltcourse/admin/server.py
@@ -16,7 +16,7 @@
 from tornado.iostream import IOStream, StreamClosedError
 
 from saltcourse.admin.calls import NO_SUCH_PATH, Answer, Ask, Reader, answer_bytes
-from saltcourse.net.stream import listening
+from saltcourse.proxy.stream import listening
 from saltcourse.wire.members import Address
 
 CALL_TIME = 2.0  # s for a whole call; operators' tools send it at once
--- a/saltcourse/cli.py
+++ b/saltcourse/cli.py
@@ -24,9 +24,9 @@
 )
 from saltcourse.config import Config, ConfigError, load_config
 from saltcourse.config.overlay import ConfigurationSource
-from saltcourse.net.errors import CannotListen
-from saltcourse.net.lifecycle import Companion, FleetMember
-from saltcourse.net.lifecycle import serve as serve_forever
+from saltcourse.proxy.errors import CannotListen
+from saltcourse.proxy.server import Companion, FleetMember
+from saltcourse.proxy.server import serve as serve_forever
 
 if TYPE_CHECKING:  # nothing of it is imported without an operator's file
     from saltcourse.config.operator import MembershipSettings, OperatorSettings
--- a/saltcourse/cli_gossip.py
+++ b/saltcourse/cli_gossip.py
@@ -18,7 +18,7 @@
     set_up_logging,
 )
 from saltcourse.config import ConfigError
-from saltcourse.net.errors import CannotListen
+from saltcourse.proxy.errors import CannotListen
 from saltcourse.wire.members import Address, read_address
 
 
--- a/saltcourse/gossip/control.py
+++ b/saltcourse/gossip/control.py
@@ -19,7 +19,7 @@
 from saltcourse.gossip.messages import Address, ReplicaState, Status
 from saltcourse.gossip.run import Reread, create_host, figure_names, start_host, warn_of_changes
 from saltcourse.gossip.store import ReplicaStore, StoreError
-from saltcourse.net.errors import CannotListen
+from saltcourse.proxy.errors import CannotListen
 
 log = structlog.get_logger("saltcourse")
 
--- a/saltcourse/gossip/run.py
+++ b/saltcourse/gossip/run.py
@@ -20,7 +20,7 @@
 from saltcourse.gossip.messages import Applied, MemberRecord, ReplicaState
 from saltcourse.gossip.node import Node
 from saltcourse.gossip.settings import NodeSettings
-from saltcourse.net.errors import CannotListen
+from saltcourse.proxy.errors import CannotListen
 
 COUNT_INTERVAL = 1.0  # s between the connection counts that a proxy tells
 PROCESS_BITS = 32
--- a/saltcourse/net/invoker.py
+++ b/saltcourse/proxy/attempt.py
@@ -9,10 +9,10 @@
 from typing import Protocol
 
 from saltcourse import interface as lg
-from saltcourse.net.actor import Actor
-from saltcourse.net.clock import Clock
-from saltcourse.net.messages import CallEnded, CallUp, ToInvocation
-from saltcourse.net.stream import Peer, PeerReset
+from saltcourse.proxy.actor import Actor
+from saltcourse.proxy.clock import Clock
+from saltcourse.proxy.messages import CallEnded, CallUp, ToInvocation
+from saltcourse.proxy.stream import Peer, PeerReset
 from saltcourse.wire.lines import NO, PING, PONG, STATS, BadLine, load_of, report_of, word_of
 from saltcourse.wire.members import Address
 
--- a/saltcourse/net/consumer.py
+++ b/saltcourse/proxy/client_connection.py
@@ -15,10 +15,10 @@
 
 from saltcourse import interface as lg
 from saltcourse.figures import Figures
-from saltcourse.net.actor import Actor, spawn
-from saltcourse.net.clock import Clock
-from saltcourse.net.invoker import InvokerCall
-from saltcourse.net.messages import (
+from saltcourse.proxy.actor import Actor, spawn
+from saltcourse.proxy.clock import Clock
+from saltcourse.proxy.attempt import InvokerCall
+from saltcourse.proxy.messages import (
     Arrived,
     CallEnded,
     CallUp,
@@ -33,8 +33,8 @@
     ToDecider,
     ToInvocation,
 )
-from saltcourse.net.doorstep import Doorstep
-from saltcourse.net.stream import Peer, PeerReset, dismiss, part, write_within
+from saltcourse.proxy.pending_connections import Doorstep
+from saltcourse.proxy.stream import Peer, PeerReset, dismiss, part, write_within
 from saltcourse.wire.lines import (
     MICRO,
     FAIL_LINE,
--- a/saltcourse/net/directory.py
+++ b/saltcourse/proxy/discovery_client.py
@@ -11,9 +11,9 @@
 from tornado.iostream import IOStream, StreamClosedError
 
 from saltcourse import interface as lg
-from saltcourse.net.actor import Actor, spawn
-from saltcourse.net.invoker import NoSocket, open_socket
-from saltcourse.net.messages import Listed
+from saltcourse.proxy.actor import Actor, spawn
+from saltcourse.proxy.attempt import NoSocket, open_socket
+from saltcourse.proxy.messages import Listed
 from saltcourse.wire import http
 from saltcourse.wire.members import Address, BadList, Listing, parse_list
 
--- a/saltcourse/net/decider.py
+++ b/saltcourse/proxy/dispatcher.py
@@ -15,10 +15,10 @@
 from saltcourse import interface as lg
 from saltcourse.delay import NOTE_EVERY, DelayMeter
 from saltcourse.drain import DrainPlan
-from saltcourse.net.actor import Actor
-from saltcourse.net.clock import Clock
-from saltcourse.net.invoker import ProbeCall
-from saltcourse.net.messages import (
+from saltcourse.proxy.actor import Actor
+from saltcourse.proxy.clock import Clock
+from saltcourse.proxy.attempt import ProbeCall
+from saltcourse.proxy.messages import (
     Arrived,
     Invocation,
     Left,
--- a/saltcourse/net/lifecycle.py
+++ b/saltcourse/proxy/server.py
@@ -18,20 +18,20 @@
 from saltcourse import signals
 from saltcourse.config import NEED_RESTART, Config, ConfigError
 from saltcourse.figures import Figures
-from saltcourse.net.clock import Clock
-from saltcourse.net.consumer import Consumer, Host, Stage
-from saltcourse.net.decider import Decider
-from saltcourse.net.directory import Directory, Relocate
-from saltcourse.net.doorstep import Doorstep
-from saltcourse.net.errors import CannotListen
-from saltcourse.net.invoker import SHORT
-from saltcourse.net.messages import Forfeit, MoveAll
-from saltcourse.net.stream import Peer, listening
+from saltcourse.proxy.clock import Clock
+from saltcourse.proxy.client_connection import Consumer, Host, Stage
+from saltcourse.proxy.dispatcher import Decider
+from saltcourse.proxy.discovery_client import Directory, Relocate
+from saltcourse.proxy.pending_connections import Doorstep
+from saltcourse.proxy.errors import CannotListen
+from saltcourse.proxy.attempt import SHORT
+from saltcourse.proxy.messages import Forfeit, MoveAll
+from saltcourse.proxy.stream import Peer, listening
 
 if TYPE_CHECKING:  # nothing of it is imported without an admin address
     from saltcourse.admin.calls import Ask
     from saltcourse.admin.server import AdminServer, GossipCalls
-    from saltcourse.net.peers import PeerLink
+    from saltcourse.proxy.peer_link import PeerLink
 
 BACKLOG = 1024  # connections that wait to be taken: most clients may come back in the same second
 TAKEN_AT_ONCE = 32  # before other work has its turn
@@ -102,7 +102,7 @@
         self.directory = Directory(config.discovery, config.known.version, lambda m: self.decider.tell(m))
         self.peers: PeerLink | None = None
         if config.peers is not None:
-            from saltcourse.net.peers import PeerLink  # not imported where proxies share nothing
+            from saltcourse.proxy.peer_link import PeerLink  # not imported where proxies share nothing
 
             self.peers = PeerLink(config.peers, lambda m: self.decider.tell(m))
         self.decider = Decider(
--- a/tests/player.py
+++ b/tests/player.py
@@ -28,8 +28,8 @@
 
 from saltcourse.config import Config, ConfigError, Limits
 from saltcourse.interface import Discovery, Settings
-from saltcourse.net.lifecycle import Lifecycle
-from saltcourse.net.messages import MoveAll
+from saltcourse.proxy.server import Lifecycle
+from saltcourse.proxy.messages import MoveAll
 from saltcourse.wire.members import read_list
 from tests.node import QUICK, settings
 
--- a/tests/stand.py
+++ b/tests/stand.py
@@ -17,8 +17,8 @@
 
 from saltcourse.config import Config, Limits
 from saltcourse.interface import Discovery, RequestClass
-from saltcourse.net.consumer import Consumer
-from saltcourse.net.lifecycle import Lifecycle, Phase
+from saltcourse.proxy.client_connection import Consumer
+from saltcourse.proxy.server import Lifecycle, Phase
 from saltcourse.wire.members import read_list
 from tests.node import QUICK, settings
 from tests.player import End, listening
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -12,7 +12,7 @@
 
 from saltcourse.admin.calls import MOST_BYTES, Answer, Ask, Reader, answer_bytes
 from saltcourse.config import read_config
-from saltcourse.net.lifecycle import Lifecycle, Phase
+from saltcourse.proxy.server import Lifecycle, Phase
 
 EXAMPLE = Path(__file__).parent.parent / "example" / "config.json"
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -22,14 +22,14 @@
 import pytest
 
 from saltcourse import interface as lg
-from saltcourse.net import consumer, directory, lifecycle
-from saltcourse.net.clock import Clock
-from saltcourse.net.consumer import Consumer, Stage
-from saltcourse.net.directory import Directory
-from saltcourse.net.invoker import InvokerCall
-from saltcourse.net.lifecycle import Phase
-from saltcourse.net.messages import Arrived, Listed, Place
-from saltcourse.net.stream import Peer, _HalfStream
+from saltcourse.proxy import consumer, directory, lifecycle
+from saltcourse.proxy.clock import Clock
+from saltcourse.proxy.client_connection import Consumer, Stage
+from saltcourse.proxy.discovery_client import Directory
+from saltcourse.proxy.attempt import InvokerCall
+from saltcourse.proxy.server import Phase
+from saltcourse.proxy.messages import Arrived, Listed, Place
+from saltcourse.proxy.stream import Peer, _HalfStream
 from tests.node import QUICK, Node, members
 from tests.player import End, listening
 from tests.stand import Stand, has_left, nobody_came, turns, until
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -8,7 +8,7 @@
 from structlog.testing import capture_logs
 
 from saltcourse import delay
-from saltcourse.net import consumer, directory, lifecycle
+from saltcourse.proxy import consumer, directory, lifecycle
 from tests.player import Player, sections
 
 SECTIONS = sections()
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -36,7 +36,7 @@
 )
 from saltcourse.fleet.outbox import Outgoing
 from saltcourse.fleet.quota import QuotaLeases
-from saltcourse.net.peers import PeerLink
+from saltcourse.proxy.peer_link import PeerLink
 from saltcourse.policy import Sign
 from tests.node import Node, members, settings
 
--- a/tests/test_gossip_operator.py
+++ b/tests/test_gossip_operator.py
@@ -333,7 +333,7 @@
     finally:
         process.kill()
         process.wait()
-    assert "saltcourse.net.lifecycle" in modules and "saltcourse.config.operator" in modules
+    assert "saltcourse.proxy.server" in modules and "saltcourse.config.operator" in modules
     switched_off = ("saltcourse.gossip", "saltcourse.config.operator_gossip", "sqlite3")
     assert [name for name in modules if name.startswith(switched_off)] == []
 
--- a/tests/test_hard_days.py
+++ b/tests/test_hard_days.py
@@ -10,9 +10,9 @@
 from typing import Any
 
 from saltcourse.config import read_config
-from saltcourse.net.consumer import FIRST_LINE_TIME
-from saltcourse.net.lifecycle import Lifecycle, Phase
-from saltcourse.net.stream import Peer
+from saltcourse.proxy.client_connection import FIRST_LINE_TIME
+from saltcourse.proxy.server import Lifecycle, Phase
+from saltcourse.proxy.stream import Peer
 from tests.test_admin import values
 from tests.test_handover import push_server
 
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -20,7 +20,7 @@
     "saltcourse.cli_gossip": ENTRY,
     "saltcourse.cli_options": ENTRY,
     "saltcourse.benchlink": ENTRY,
-    "saltcourse.net": HOSTS,
+    "saltcourse.proxy": HOSTS,
     "saltcourse.admin": HOSTS,
     "saltcourse.membership": HOSTS,
     "saltcourse.gossip.admin": HOSTS,
@@ -148,33 +148,33 @@
     ("sources", "circle", "up"),
     [
         (
-            {"net/a.py": "from saltcourse.net.b import B", "net/b.py": "from saltcourse.net import a"},
-            [["saltcourse.net.a", "saltcourse.net.b"]],
+            {"proxy/a.py": "from saltcourse.proxy.b import B", "proxy/b.py": "from saltcourse.proxy import a"},
+            [["saltcourse.proxy.a", "saltcourse.proxy.b"]],
             [],
         ),
         (
             {
-                "net/a.py": "import saltcourse.net.b\n",
-                "net/b.py": "if TYPE_CHECKING:\n    from saltcourse.net.c import C",
-                "net/c.py": "def late():\n    from . import a",
+                "proxy/a.py": "import saltcourse.proxy.b\n",
+                "proxy/b.py": "if TYPE_CHECKING:\n    from saltcourse.proxy.c import C",
+                "proxy/c.py": "def late():\n    from . import a",
             },
-            [["saltcourse.net.a", "saltcourse.net.b", "saltcourse.net.c"]],
+            [["saltcourse.proxy.a", "saltcourse.proxy.b", "saltcourse.proxy.c"]],
             [],
         ),
         (
-            {"policy.py": "from saltcourse.net.a import A", "net/a.py": ""},
+            {"policy.py": "from saltcourse.proxy.a import A", "proxy/a.py": ""},
             [],
-            ["saltcourse.policy imports saltcourse.net.a"],
+            ["saltcourse.policy imports saltcourse.proxy.a"],
         ),
         (
             {
-                "net/a.py": "from ..emulator import simnet",
-                "emulator/simnet.py": "import saltcourse.net.b",
-                "net/b.py": "from ..policy import Balancer",
+                "proxy/a.py": "from ..emulator import simnet",
+                "emulator/simnet.py": "import saltcourse.proxy.b",
+                "proxy/b.py": "from ..policy import Balancer",
                 "policy.py": "import saltcourse_other.net",
             },
             [],
-            ["saltcourse.net.a imports saltcourse.emulator.simnet"],
+            ["saltcourse.proxy.a imports saltcourse.emulator.simnet"],
         ),
         ({"attic.py": ""}, [], ["saltcourse.attic stands on no floor"]),
     ],
@@ -183,7 +183,7 @@
     tmp_path: Path, sources: dict[str, str], circle: list[list[str]], up: list[str]
 ) -> None:
     package = tmp_path / "saltcourse"
-    empty = {"__init__.py": "", "net/__init__.py": "", "emulator/__init__.py": ""}
+    empty = {"__init__.py": "", "proxy/__init__.py": "", "emulator/__init__.py": ""}
     for name, source in (empty | sources).items():
         path = package / name
         path.parent.mkdir(parents=True, exist_ok=True)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -8,8 +8,8 @@
 
 from saltcourse.delay import SILENT_AFTER, DelayMeter
 from saltcourse.interface import LoadReport, ProbeResult, ServerState, Status
-from saltcourse.net.clock import Clock
-from saltcourse.net.invoker import ProbeCall
+from saltcourse.proxy.clock import Clock
+from saltcourse.proxy.attempt import ProbeCall
 from saltcourse.wire.http import Answer, BadAnswer
 from saltcourse.wire.lines import BadLine, LineBuffer, busy_line, load_of, read_open, report_of
 from saltcourse.wire.members import BadList, parse_list
