--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -22,9 +22,9 @@
 sys.path.insert(0, str(Path(__file__).resolve().parents[1]))
 
 from saltcourse.emulator.simnet import Host, Link, Network
-from saltcourse.fleet.core import Fleet
-from saltcourse.fleet.outbox import Outgoing
-from saltcourse.fleet.codec import decode
+from saltcourse.shared_state.core import Fleet
+from saltcourse.shared_state.outbox import Outgoing
+from saltcourse.shared_state.codec import decode
 from saltcourse.interface import FleetTerms, RequestClass, Settings
 
 SIZES = (4, 40, 200)
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -20,9 +20,9 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parents[1]))
 
-from saltcourse.membership.host import Member
-from saltcourse.membership.seal import Seal
-from saltcourse.membership.words import Seat, Timing
+from saltcourse.address_failover.host import Member
+from saltcourse.address_failover.authentication import Seal
+from saltcourse.address_failover.messages import Seat, Timing
 
 SIZES = (3, 9, 31)
 JUNK_A_SECOND, JUNK_TICK = 10_000, 0.01
--- a/benchmarks/slopes_module.py
+++ b/benchmarks/slopes_module.py
@@ -14,7 +14,7 @@
 from slopes_results import Results, Sizes
 
 from saltcourse import interface as lg
-from saltcourse.fleet.core import Fleet
+from saltcourse.shared_state.core import Fleet
 from saltcourse.policy import Balancer
 from saltcourse.wire.members import read_list
 
--- a/saltcourse/membership/seal.py
+++ b/saltcourse/address_failover/authentication.py
@@ -19,7 +19,7 @@
 
 from google.protobuf.message import DecodeError
 
-from saltcourse.membership.words import (
+from saltcourse.address_failover.messages import (
     Answer,
     Ask,
     HandOver,
--- a/saltcourse/membership/election.py
+++ b/saltcourse/address_failover/election.py
@@ -24,7 +24,7 @@
 import random
 from enum import Enum
 
-from saltcourse.membership.words import (
+from saltcourse.address_failover.messages import (
     MOST_MEMBERS,
     Action,
     Announcer,
--- a/saltcourse/membership/host.py
+++ b/saltcourse/address_failover/host.py
@@ -12,11 +12,11 @@
 
 import structlog
 
-from saltcourse.membership.announce import Announcing
-from saltcourse.membership.election import Election
-from saltcourse.membership.seal import Drop, Seal
-from saltcourse.membership.store import StoreError, VoteStore
-from saltcourse.membership.words import (
+from saltcourse.address_failover.route_announcement import Announcing
+from saltcourse.address_failover.election import Election
+from saltcourse.address_failover.authentication import Drop, Seal
+from saltcourse.address_failover.vote_store import StoreError, VoteStore
+from saltcourse.address_failover.messages import (
     MOST_MEMBERS,
     Action,
     Announcer,
--- a/saltcourse/membership/announce.py
+++ b/saltcourse/address_failover/route_announcement.py
@@ -13,9 +13,9 @@
 
 import structlog
 
-from saltcourse.membership import speaker as sp
-from saltcourse.membership.speaker import Peering, Speaker, ranked
-from saltcourse.membership.words import MOST_MEMBERS
+from saltcourse.address_failover import bgp_session as sp
+from saltcourse.address_failover.bgp_session import Peering, Speaker, ranked
+from saltcourse.address_failover.messages import MOST_MEMBERS
 
 COMMAND_TIME = 1.0  # s for the operator's program; then it is killed and counts as failed
 FIRST_REST, LONGEST_REST = 1.0, 30.0  # s for which a failed program keeps a member from holding; doubles
--- a/saltcourse/membership/store.py
+++ b/saltcourse/address_failover/vote_store.py
@@ -11,7 +11,7 @@
 import sqlite3
 from pathlib import Path
 
-from saltcourse.membership.words import Vote
+from saltcourse.address_failover.messages import Vote
 
 APPLICATION, VERSION = 0x53616C74, 1  # "Salt"; PRAGMA application_id and user_version
 
--- a/saltcourse/cli.py
+++ b/saltcourse/cli.py
@@ -96,7 +96,7 @@
 
 
 def _membership_companion(settings: MembershipSettings, operator: str | None, me: str) -> Companion:
-    from saltcourse.membership.run import Beside
+    from saltcourse.address_failover.run import Beside
 
     return Beside(settings, partial(_reread_membership, operator, me))
 
@@ -132,7 +132,7 @@
     if not settings.membership.witness:
         refuse(f"membership.member: {settings.membership.me!r} is no witness")
     set_up_logging()
-    from saltcourse.membership.run import run_alone
+    from saltcourse.address_failover.run import run_alone
 
     run_alone(settings.membership, partial(_reread_membership, operator, me))
 
--- a/saltcourse/config/operator.py
+++ b/saltcourse/config/operator.py
@@ -8,8 +8,8 @@
 from typing import TYPE_CHECKING
 
 from saltcourse.config.operator_file import OperatorFile
-from saltcourse.config.operator_fleet import read_fleet
-from saltcourse.config.operator_membership import RELOADED, MembershipSettings, read_membership
+from saltcourse.config.operator_shared_state import read_fleet
+from saltcourse.config.operator_address_failover import RELOADED, MembershipSettings, read_membership
 from saltcourse.interface import FleetTerms
 
 if TYPE_CHECKING:  # nothing of it is imported where the file does not have the section
--- a/saltcourse/emulator/election.py
+++ b/saltcourse/emulator/election.py
@@ -14,8 +14,8 @@
 from typing import Any
 
 from saltcourse.emulator.simnet import Host, Link, Network
-from saltcourse.membership.election import Election
-from saltcourse.membership.words import (
+from saltcourse.address_failover.election import Election
+from saltcourse.address_failover.messages import (
     MOST_MEMBERS,
     Action,
     Announcer,
--- a/saltcourse/emulator/scale/mesh.py
+++ b/saltcourse/emulator/scale/mesh.py
@@ -1,4 +1,4 @@
-"""Today's exchange between proxies, ``saltcourse.fleet``: all tell all. The baseline of a scale run.
+"""Today's exchange between proxies, ``saltcourse.shared_state``: all tell all. The baseline of a scale run.
 
 It carries no configuration. As the nearest thing to a change, the publisher tells one more record of its
 table, which reaches everyone as a change would: with the next message, or by a question after a loss.
@@ -17,8 +17,8 @@
     StatusObserved,
     view_of,
 )
-from saltcourse.fleet.core import Fleet
-from saltcourse.fleet.outbox import Outgoing
+from saltcourse.shared_state.core import Fleet
+from saltcourse.shared_state.outbox import Outgoing
 from saltcourse.gossip.messages import Address, Status, Transmit
 from saltcourse.interface import FleetTerms, RequestClass, Settings
 
--- a/saltcourse/policy.py
+++ b/saltcourse/policy.py
@@ -14,7 +14,7 @@
 import random
 from enum import Enum, IntEnum
 
-from saltcourse.fleet.core import Fleet
+from saltcourse.shared_state.core import Fleet
 from saltcourse.interface import (
     LONGEST_LIST_WAIT,
     NEVER_RAN,
--- a/saltcourse/proxy/peer_link.py
+++ b/saltcourse/proxy/peer_link.py
@@ -14,7 +14,7 @@
 
 from saltcourse import interface as lg
 from saltcourse.config import PeerAddresses
-from saltcourse.fleet.codec import MAX_BYTES
+from saltcourse.shared_state.codec import MAX_BYTES
 from saltcourse.wire.members import Address
 
 log = structlog.get_logger("saltcourse")
--- a/saltcourse/fleet/codec.py
+++ b/saltcourse/shared_state/codec.py
@@ -15,7 +15,7 @@
 from functools import lru_cache
 from typing import Any
 
-from saltcourse.fleet.messages import (
+from saltcourse.shared_state.messages import (
     ClockReading,
     Connections,
     EjectionNotice,
--- a/saltcourse/fleet/core.py
+++ b/saltcourse/shared_state/core.py
@@ -11,9 +11,9 @@
 from collections.abc import Mapping, Sequence
 from typing import Protocol
 
-from saltcourse.fleet.codec import BadMessage, decode
-from saltcourse.fleet.ejections import Ejections
-from saltcourse.fleet.messages import (
+from saltcourse.shared_state.codec import BadMessage, decode
+from saltcourse.shared_state.ejections import Ejections
+from saltcourse.shared_state.messages import (
     TABLE_RECORDS,
     ClockReading,
     EjectionNotice,
@@ -28,11 +28,11 @@
     SnapshotRequest,
     TableRecord,
 )
-from saltcourse.fleet.names import ShortNames
-from saltcourse.fleet.outbox import Outbox, Outgoing
-from saltcourse.fleet.peer import MISMATCH_GRACE, LostPeer, Peer
-from saltcourse.fleet.quota import HEARTBEATS_PER_TERM, QuotaLeases, TokenBucket
-from saltcourse.fleet.table import LocalTable, is_pair
+from saltcourse.shared_state.names import ShortNames
+from saltcourse.shared_state.outbox import Outbox, Outgoing
+from saltcourse.shared_state.peer import MISMATCH_GRACE, LostPeer, Peer
+from saltcourse.shared_state.quota import HEARTBEATS_PER_TERM, QuotaLeases, TokenBucket
+from saltcourse.shared_state.table import LocalTable, is_pair
 from saltcourse.interface import Settings
 
 BROADCAST_INTERVAL = 0.05  # s between messages of one proxy to all: what changes meanwhile goes together
--- a/saltcourse/fleet/ejections.py
+++ b/saltcourse/shared_state/ejections.py
@@ -9,8 +9,8 @@
 
 from dataclasses import dataclass
 
-from saltcourse.fleet.codec import CLOCK_MODULUS
-from saltcourse.fleet.messages import CLOCK_UNIT, ClockReading, EjectionNotice, EntryKey, Record
+from saltcourse.shared_state.codec import CLOCK_MODULUS
+from saltcourse.shared_state.messages import CLOCK_UNIT, ClockReading, EjectionNotice, EntryKey, Record
 
 MAX_HOLD = 10.0  # s from its arrival for which any ejection is held
 MAX_EJECTIONS = 1024  # of all peers together
--- a/saltcourse/fleet/names.py
+++ b/saltcourse/shared_state/names.py
@@ -8,7 +8,7 @@
 
 import hashlib
 
-from saltcourse.fleet.codec import NAME_LENGTH, encode_number
+from saltcourse.shared_state.codec import NAME_LENGTH, encode_number
 
 MAX_CACHED = 20_000  # names; groups come and go for ever
 
--- a/saltcourse/fleet/outbox.py
+++ b/saltcourse/shared_state/outbox.py
@@ -6,9 +6,9 @@
 from collections.abc import Iterator, Sequence
 from typing import NamedTuple
 
-from saltcourse.fleet.codec import INCARNATIONS, SEQUENCES, encode, split_to_fit
-from saltcourse.fleet.messages import Connections, EntryRecord, Message, PairHeld, PairReleased, Record
-from saltcourse.fleet.table import key_of
+from saltcourse.shared_state.codec import INCARNATIONS, SEQUENCES, encode, split_to_fit
+from saltcourse.shared_state.messages import Connections, EntryRecord, Message, PairHeld, PairReleased, Record
+from saltcourse.shared_state.table import key_of
 
 HISTORY_LENGTH = 256  # records sent to all that can be sent again to one that missed some
 
--- a/saltcourse/fleet/peer.py
+++ b/saltcourse/shared_state/peer.py
@@ -4,9 +4,9 @@
 
 from dataclasses import dataclass, field
 
-from saltcourse.fleet.codec import SEQUENCES
-from saltcourse.fleet.messages import EntryKey, Message, ResendRequest, SnapshotRequest
-from saltcourse.fleet.table import Replica, is_pair
+from saltcourse.shared_state.codec import SEQUENCES
+from saltcourse.shared_state.messages import EntryKey, Message, ResendRequest, SnapshotRequest
+from saltcourse.shared_state.table import Replica, is_pair
 
 MISMATCH_GRACE = 1.0  # s that a digest may differ before a peer is asked: what is under way may come
 RETRY_INTERVAL = 1.5  # s until the next request to the same peer
--- a/saltcourse/fleet/quota.py
+++ b/saltcourse/shared_state/quota.py
@@ -18,8 +18,8 @@
 import math
 from dataclasses import dataclass
 
-from saltcourse.fleet.codec import NUMBERS
-from saltcourse.fleet.messages import LeaseGrant, LeaseRequest
+from saltcourse.shared_state.codec import NUMBERS
+from saltcourse.shared_state.messages import LeaseGrant, LeaseRequest
 from saltcourse.interface import FleetTerms
 
 HEARTBEATS_PER_TERM = 4  # lease requests and heartbeats in a term: two in a row may be lost
--- a/saltcourse/fleet/table.py
+++ b/saltcourse/shared_state/table.py
@@ -12,8 +12,8 @@
 from dataclasses import dataclass, field
 from hashlib import blake2b
 
-from saltcourse.fleet.codec import DIGESTS, NAME_LENGTH, NUMBERS, encode_count
-from saltcourse.fleet.messages import (
+from saltcourse.shared_state.codec import DIGESTS, NAME_LENGTH, NUMBERS, encode_count
+from saltcourse.shared_state.messages import (
     Connections,
     EntryKey,
     EntryRecord,
--- a/tests/test_bgp.py
+++ b/tests/test_bgp.py
@@ -9,8 +9,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from saltcourse.membership import speaker as sp
-from saltcourse.membership.speaker import Peering, Speaker, State, ranked
+from saltcourse.address_failover import bgp_session as sp
+from saltcourse.address_failover.bgp_session import Peering, Speaker, State, ranked
 from saltcourse.wire import bgp
 
 IBGP = Peering(64512, 64512, "10.0.0.1")
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -14,9 +14,9 @@
 
 from saltcourse.emulator.election import Broken, World, play, seats_of
 from saltcourse.emulator.simnet import Link
-from saltcourse.membership import election
-from saltcourse.membership.election import Election
-from saltcourse.membership.words import (
+from saltcourse.address_failover import election
+from saltcourse.address_failover.election import Election
+from saltcourse.address_failover.messages import (
     MOST_MEMBERS,
     Announcer,
     Claim,
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -17,10 +17,10 @@
 from saltcourse import interface as lg
 from saltcourse.config import PeerAddresses
 from saltcourse.emulator.simnet import Host, Link, Network
-from saltcourse.fleet.codec import MAX_BYTES, BadMessage, decode, encode
-from saltcourse.fleet.core import Fleet
-from saltcourse.fleet.ejections import Ejections
-from saltcourse.fleet.messages import (
+from saltcourse.shared_state.codec import MAX_BYTES, BadMessage, decode, encode
+from saltcourse.shared_state.core import Fleet
+from saltcourse.shared_state.ejections import Ejections
+from saltcourse.shared_state.messages import (
     ClockReading,
     Connections,
     EjectionNotice,
@@ -34,8 +34,8 @@
     Scale,
     SnapshotRequest,
 )
-from saltcourse.fleet.outbox import Outgoing
-from saltcourse.fleet.quota import QuotaLeases
+from saltcourse.shared_state.outbox import Outgoing
+from saltcourse.shared_state.quota import QuotaLeases
 from saltcourse.proxy.peer_link import PeerLink
 from saltcourse.policy import Sign
 from tests.node import Node, members, settings
--- a/tests/test_fleet_golden.py
+++ b/tests/test_fleet_golden.py
@@ -11,8 +11,8 @@
 
 from benchmarks.fleet import Site
 from saltcourse.emulator.simnet import Link
-from saltcourse.fleet.codec import decode, encode
-from saltcourse.fleet.messages import (
+from saltcourse.shared_state.codec import decode, encode
+from saltcourse.shared_state.messages import (
     ClockReading,
     Connections,
     EjectionNotice,
@@ -26,7 +26,7 @@
     Scale,
     SnapshotRequest,
 )
-from saltcourse.fleet.outbox import Outgoing
+from saltcourse.shared_state.outbox import Outgoing
 from tests.test_fleet import Proxies, trouble
 
 GOLDEN = (  # of a site of 8 proxies within 20 s; the last two by hand
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -22,7 +22,7 @@
     "saltcourse.benchlink": ENTRY,
     "saltcourse.proxy": HOSTS,
     "saltcourse.admin": HOSTS,
-    "saltcourse.membership": HOSTS,
+    "saltcourse.address_failover": HOSTS,
     "saltcourse.gossip.admin": HOSTS,
     "saltcourse.gossip.control": HOSTS,
     "saltcourse.gossip.event_log": HOSTS,
@@ -32,9 +32,9 @@
     "saltcourse.policy": CHOICES,
     "saltcourse.delay": CHOICES,
     "saltcourse.drain": CHOICES,
-    "saltcourse.fleet": CHOICES,
+    "saltcourse.shared_state": CHOICES,
     "saltcourse.gossip": CHOICES,
-    "saltcourse.membership.election": CHOICES,
+    "saltcourse.address_failover.election": CHOICES,
     "saltcourse.interface": WORDS,
     "saltcourse.settings": WORDS,
     "saltcourse.config": WORDS,
@@ -42,14 +42,14 @@
     "saltcourse.schema": WORDS,
     "saltcourse.signals": WORDS,
     "saltcourse.figures": WORDS,
-    "saltcourse.fleet.codec": WORDS,
-    "saltcourse.fleet.messages": WORDS,
-    "saltcourse.fleet.names": WORDS,
+    "saltcourse.shared_state.codec": WORDS,
+    "saltcourse.shared_state.messages": WORDS,
+    "saltcourse.shared_state.names": WORDS,
     "saltcourse.gossip.fields": WORDS,  # the codec of records
     "saltcourse.gossip.messages": WORDS,
     "saltcourse.gossip.settings": WORDS,
-    "saltcourse.membership.words": WORDS,
-    "saltcourse.membership.seal": WORDS,  # the codec of sealed messages, and of the keys for them
+    "saltcourse.address_failover.messages": WORDS,
+    "saltcourse.address_failover.authentication": WORDS,  # the codec of sealed messages and keys
     "saltcourse.emulator": BESIDE,
 }
 ROOT = "saltcourse"  # its floor is its own file's alone: a new module or package below it names its own
@@ -148,7 +148,10 @@
     ("sources", "circle", "up"),
     [
         (
-            {"proxy/a.py": "from saltcourse.proxy.b import B", "proxy/b.py": "from saltcourse.proxy import a"},
+            {
+                "proxy/a.py": "from saltcourse.proxy.b import B",
+                "proxy/b.py": "from saltcourse.proxy import a",
+            },
             [["saltcourse.proxy.a", "saltcourse.proxy.b"]],
             [],
         ),
--- a/tests/test_membership_host.py
+++ b/tests/test_membership_host.py
@@ -13,12 +13,12 @@
 import pytest
 
 from saltcourse.emulator.route_server import RouteServer
-from saltcourse.membership.announce import BgpAnnouncer, CommandAnnouncer
-from saltcourse.membership.host import Member
-from saltcourse.membership.seal import Drop, Seal
-from saltcourse.membership.speaker import Peering
-from saltcourse.membership.store import VoteStore
-from saltcourse.membership.words import Seat, Timing
+from saltcourse.address_failover.route_announcement import BgpAnnouncer, CommandAnnouncer
+from saltcourse.address_failover.host import Member
+from saltcourse.address_failover.authentication import Drop, Seal
+from saltcourse.address_failover.bgp_session import Peering
+from saltcourse.address_failover.vote_store import VoteStore
+from saltcourse.address_failover.messages import Seat, Timing
 
 ADDRESS = "192.0.2.7"
 SEATS = (Seat("n0", 2), Seat("n1", 1), Seat("w", witness=True))
--- a/tests/test_package.py
+++ b/tests/test_package.py
@@ -32,7 +32,7 @@
 NEED_AN_EXTRA = (
     "saltcourse.schema.",
     "saltcourse.config.operator",
-    "saltcourse.membership.",
+    "saltcourse.address_failover.",
     "saltcourse.gossip.",
     "saltcourse.emulator.scale.scenario_file.",
 )
