--- a/benchmarks/slopes_module.py
+++ b/benchmarks/slopes_module.py
@@ -16,7 +16,7 @@
 from saltcourse import interface as lg
 from saltcourse.shared_state.core import Fleet
 from saltcourse.policy import Balancer
-from saltcourse.wire.members import read_list
+from saltcourse.codec.endpoint_list import read_list
 
 
 def settings(**changes: Any) -> lg.Settings:
--- a/saltcourse/address_failover/bgp_session.py
+++ b/saltcourse/address_failover/bgp_session.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from saltcourse.wire import bgp
+from saltcourse.codec import bgp
 
 CONNECT_TIME = 2.0  # s for a TCP connection to stand, and again for the peer's OPEN and first KEEPALIVE
 FIRST_RETRY, LONGEST_RETRY = 0.2, 8.0  # s between attempts; doubles with each that fails
--- a/saltcourse/admin/publishing.py
+++ b/saltcourse/admin/publishing.py
@@ -7,7 +7,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from saltcourse.wire.members import Address
+from saltcourse.codec.endpoint_list import Address
 
 PATH = "/_gossip/configuration"
 PATIENCE = 65.0  # s; a control member gives up after its publish_timeout_s, 60 at most, and answers then
--- a/saltcourse/admin/server.py
+++ b/saltcourse/admin/server.py
@@ -17,7 +17,7 @@
 
 from saltcourse.admin.calls import NO_SUCH_PATH, Answer, Ask, Reader, answer_bytes
 from saltcourse.proxy.stream import listening
-from saltcourse.wire.members import Address
+from saltcourse.codec.endpoint_list import Address
 
 CALL_TIME = 2.0  # s for a whole call; operators' tools send it at once
 WRITE_TIME = 0.5  # s for the answer to be taken
--- a/saltcourse/benchlink.py
+++ b/saltcourse/benchlink.py
@@ -16,7 +16,7 @@
 from saltcourse import interface as lg
 from saltcourse.policy import Balancer
 from saltcourse.settings import Malformed, field, number, read_settings, texts, word
-from saltcourse.wire.lines import REPORT_FIELDS
+from saltcourse.codec.lines import REPORT_FIELDS
 
 # The wire's words beside ours. Event and action names, and their fields, stand in the functions
 # below, one function a message.
--- a/saltcourse/cli_gossip.py
+++ b/saltcourse/cli_gossip.py
@@ -19,7 +19,7 @@
 )
 from saltcourse.config import ConfigError
 from saltcourse.proxy.errors import CannotListen
-from saltcourse.wire.members import Address, read_address
+from saltcourse.codec.endpoint_list import Address, read_address
 
 
 class AddressType(click.ParamType[Address]):
--- a/saltcourse/config/__init__.py
+++ b/saltcourse/config/__init__.py
@@ -18,7 +18,7 @@
 
 from saltcourse import interface as lg
 from saltcourse.settings import Malformed, is_finite_number, read_settings
-from saltcourse.wire.members import Address, BadList, Listing, read_address, read_list
+from saltcourse.codec.endpoint_list import Address, BadList, Listing, read_address, read_list
 
 DEFAULT_LISTEN = "127.0.0.1:8081"
 DEFAULT_SOCKETS, DEFAULT_MEMORY_MB, DEFAULT_CORES = 4096, 2048, 1.0
--- a/saltcourse/config/overlay.py
+++ b/saltcourse/config/overlay.py
@@ -12,7 +12,7 @@
 import structlog
 
 from saltcourse.config import FEWEST_SOCKETS, Config, allowed_sockets
-from saltcourse.wire.members import Address, read_address
+from saltcourse.codec.endpoint_list import Address, read_address
 
 DISCOVERY_KEY = "proxy/discovery"
 SOCKETS_KEY = "proxy/limits.sockets"
--- a/saltcourse/emulator/route_server.py
+++ b/saltcourse/emulator/route_server.py
@@ -8,7 +8,7 @@
 import ipaddress
 from dataclasses import dataclass, field
 
-from saltcourse.wire import bgp
+from saltcourse.codec import bgp
 
 
 @dataclass
--- a/saltcourse/gossip/control.py
+++ b/saltcourse/gossip/control.py
@@ -12,7 +12,7 @@
 from saltcourse.admin.server import AdminServer, GossipCalls
 from saltcourse.config import ConfigError
 from saltcourse.config.operator_gossip import SECTION, GossipSettings
-from saltcourse.figures import Figures
+from saltcourse.metrics import Figures
 from saltcourse.gossip.admin import GossipAnswers
 from saltcourse.gossip.host import LEAVE_GRACE, Host, PersistError, StateStore
 from saltcourse.gossip.member_table import Member
--- a/saltcourse/proxy/attempt.py
+++ b/saltcourse/proxy/attempt.py
@@ -13,8 +13,8 @@
 from saltcourse.proxy.clock import Clock
 from saltcourse.proxy.messages import CallEnded, CallUp, ToInvocation
 from saltcourse.proxy.stream import Peer, PeerReset
-from saltcourse.wire.lines import NO, PING, PONG, STATS, BadLine, load_of, report_of, word_of
-from saltcourse.wire.members import Address
+from saltcourse.codec.lines import NO, PING, PONG, STATS, BadLine, load_of, report_of, word_of
+from saltcourse.codec.endpoint_list import Address
 
 PROBE_TIME = 0.3  # s for a probe and its answer
 STATUS_OF_ANSWER = {
--- a/saltcourse/proxy/client_connection.py
+++ b/saltcourse/proxy/client_connection.py
@@ -14,7 +14,7 @@
 import structlog
 
 from saltcourse import interface as lg
-from saltcourse.figures import Figures
+from saltcourse.metrics import Figures
 from saltcourse.proxy.actor import Actor, spawn
 from saltcourse.proxy.clock import Clock
 from saltcourse.proxy.attempt import InvokerCall
@@ -35,7 +35,7 @@
 )
 from saltcourse.proxy.pending_connections import Doorstep
 from saltcourse.proxy.stream import Peer, PeerReset, dismiss, part, write_within
-from saltcourse.wire.lines import (
+from saltcourse.codec.lines import (
     MICRO,
     FAIL_LINE,
     MOVE_LINE,
@@ -48,7 +48,7 @@
     read_open,
     word_of,
 )
-from saltcourse.wire.members import Address
+from saltcourse.codec.endpoint_list import Address
 
 FIRST_LINE_TIME = 2.0  # s for a whole first line, however it trickles in; clients send it at once
 PING_TIME = 30.0  # s that a connection which was only pinged on may rest between two PINGs
--- a/saltcourse/proxy/discovery_client.py
+++ b/saltcourse/proxy/discovery_client.py
@@ -14,8 +14,8 @@
 from saltcourse.proxy.actor import Actor, spawn
 from saltcourse.proxy.attempt import NoSocket, open_socket
 from saltcourse.proxy.messages import Listed
-from saltcourse.wire import http
-from saltcourse.wire.members import Address, BadList, Listing, parse_list
+from saltcourse.codec import http
+from saltcourse.codec.endpoint_list import Address, BadList, Listing, parse_list
 
 PATH = "/catalog/members"
 # A watch can fall silent with news held back, as soon as it is begun. What it misses counts as told
--- a/saltcourse/proxy/dispatcher.py
+++ b/saltcourse/proxy/dispatcher.py
@@ -32,8 +32,8 @@
     ToDecider,
 )
 from saltcourse.policy import Balancer, Health
-from saltcourse.wire.lines import MICRO
-from saltcourse.wire.members import Address, Listing
+from saltcourse.codec.lines import MICRO
+from saltcourse.codec.endpoint_list import Address, Listing
 
 LOOK_EVERY = 0.25  # s between looks for connections that bring nothing back
 LATE = 0.1  # s by which a look may be late before it judges nobody for being silent
--- a/saltcourse/proxy/messages.py
+++ b/saltcourse/proxy/messages.py
@@ -6,7 +6,7 @@
 from typing import Protocol
 
 from saltcourse import interface as lg
-from saltcourse.wire.members import Address, Listing
+from saltcourse.codec.endpoint_list import Address, Listing
 
 
 class Attempt(Protocol):
--- a/saltcourse/proxy/peer_link.py
+++ b/saltcourse/proxy/peer_link.py
@@ -15,7 +15,7 @@
 from saltcourse import interface as lg
 from saltcourse.config import PeerAddresses
 from saltcourse.shared_state.codec import MAX_BYTES
-from saltcourse.wire.members import Address
+from saltcourse.codec.endpoint_list import Address
 
 log = structlog.get_logger("saltcourse")
 
--- a/saltcourse/proxy/server.py
+++ b/saltcourse/proxy/server.py
@@ -17,7 +17,7 @@
 
 from saltcourse import signals
 from saltcourse.config import NEED_RESTART, Config, ConfigError
-from saltcourse.figures import Figures
+from saltcourse.metrics import Figures
 from saltcourse.proxy.clock import Clock
 from saltcourse.proxy.client_connection import Consumer, Host, Stage
 from saltcourse.proxy.dispatcher import Decider
--- a/tests/player.py
+++ b/tests/player.py
@@ -30,7 +30,7 @@
 from saltcourse.interface import Discovery, Settings
 from saltcourse.proxy.server import Lifecycle
 from saltcourse.proxy.messages import MoveAll
-from saltcourse.wire.members import read_list
+from saltcourse.codec.endpoint_list import read_list
 from tests.node import QUICK, settings
 
 PATIENCE = 10.0  # s for a step; far more than any takes
--- a/tests/stand.py
+++ b/tests/stand.py
@@ -19,7 +19,7 @@
 from saltcourse.interface import Discovery, RequestClass
 from saltcourse.proxy.client_connection import Consumer
 from saltcourse.proxy.server import Lifecycle, Phase
-from saltcourse.wire.members import read_list
+from saltcourse.codec.endpoint_list import read_list
 from tests.node import QUICK, settings
 from tests.player import End, listening
 
--- a/tests/test_bgp.py
+++ b/tests/test_bgp.py
@@ -11,7 +11,7 @@
 
 from saltcourse.address_failover import bgp_session as sp
 from saltcourse.address_failover.bgp_session import Peering, Speaker, State, ranked
-from saltcourse.wire import bgp
+from saltcourse.codec import bgp
 
 IBGP = Peering(64512, 64512, "10.0.0.1")
 EBGP = Peering(4_200_000_001, 64512, "10.0.0.1")
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -10,9 +10,9 @@
 from saltcourse.interface import LoadReport, ProbeResult, ServerState, Status
 from saltcourse.proxy.clock import Clock
 from saltcourse.proxy.attempt import ProbeCall
-from saltcourse.wire.http import Answer, BadAnswer
-from saltcourse.wire.lines import BadLine, LineBuffer, busy_line, load_of, read_open, report_of
-from saltcourse.wire.members import BadList, parse_list
+from saltcourse.codec.http import Answer, BadAnswer
+from saltcourse.codec.lines import BadLine, LineBuffer, busy_line, load_of, read_open, report_of
+from saltcourse.codec.endpoint_list import BadList, parse_list
 
 OPEN = b"OPEN 9b1f 7f3a c=live-feed,t=acme,zd=7,d=2000,g=5c0f\r\n"
 
