--- a/benchmarks/slopes_module.py
+++ b/benchmarks/slopes_module.py
@@ -15,7 +15,7 @@
 
 from saltcourse import interface as lg
 from saltcourse.shared_state.core import Fleet
-from saltcourse.policy import Balancer
+from saltcourse.balancing.balancer import Balancer
 from saltcourse.codec.endpoint_list import read_list
 
 
--- a/saltcourse/__init__.py
+++ b/saltcourse/__init__.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING, Any
 
 if TYPE_CHECKING:
-    from saltcourse.policy import Balancer
+    from saltcourse.balancing.balancer import Balancer
 
 __version__ = "0.1.0"
 __all__ = ["Balancer", "__version__"]
@@ -15,6 +15,6 @@
     """The module is imported when it is asked for: the program has signals to hold before that."""
     if name != "Balancer":
         raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
-    from saltcourse.policy import Balancer
+    from saltcourse.balancing.balancer import Balancer
 
     return Balancer
--- a/saltcourse/interface.py
+++ b/saltcourse/interface.py
@@ -1,7 +1,7 @@
 """The words that saltcourse and its host program share: settings, events and actions.
 
 The host (a node of the fleet, or a test) turns what it sees into events, hands each one to
-``saltcourse.policy.Balancer.handle`` with the current time, and carries out the actions that
+``saltcourse.balancing.balancer.Balancer.handle`` with the current time, and carries out the actions that
 come back. Times are seconds on the host's own clock; loads are seconds of server work per second.
 """
 
--- a/saltcourse/proxy/dispatcher.py
+++ b/saltcourse/proxy/dispatcher.py
@@ -13,8 +13,8 @@
 import structlog
 
 from saltcourse import interface as lg
-from saltcourse.delay import NOTE_EVERY, DelayMeter
-from saltcourse.drain import DrainPlan
+from saltcourse.balancing.response_latency import NOTE_EVERY, DelayMeter
+from saltcourse.balancing.drain_schedule import DrainPlan
 from saltcourse.proxy.actor import Actor
 from saltcourse.proxy.clock import Clock
 from saltcourse.proxy.attempt import ProbeCall
@@ -31,7 +31,7 @@
     Retract,
     ToDecider,
 )
-from saltcourse.policy import Balancer, Health
+from saltcourse.balancing.balancer import Balancer, Health
 from saltcourse.codec.lines import MICRO
 from saltcourse.codec.endpoint_list import Address, Listing
 
--- a/saltcourse/benchlink.py
+++ b/saltcourse/simulator_adapter.py
@@ -1,4 +1,4 @@
-"""Carries the simulator's wire to ``saltcourse.policy`` and back. It decides nothing.
+"""Carries the simulator's wire to ``saltcourse.balancing.balancer`` and back. It decides nothing.
 
 One JSON object a line on standard input, one reply a line on standard output. Each instance has
 a Balancer of its own and they share nothing. Malformed input ends the program: a message on
@@ -14,7 +14,7 @@
 import orjson
 
 from saltcourse import interface as lg
-from saltcourse.policy import Balancer
+from saltcourse.balancing.balancer import Balancer
 from saltcourse.settings import Malformed, field, number, read_settings, texts, word
 from saltcourse.codec.lines import REPORT_FIELDS
 
@@ -257,7 +257,7 @@
         try:
             answer = link.reply(line)
         except Malformed as wrong:
-            print(f"benchlink: {wrong}", file=sys.stderr)
+            print(f"simulator_adapter: {wrong}", file=sys.stderr)
             return EXIT_MALFORMED
         sink.write(answer + b"\n")
         sink.flush()
--- a/tests/node.py
+++ b/tests/node.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from saltcourse import interface as lg
-from saltcourse.policy import Balancer
+from saltcourse.balancing.balancer import Balancer
 
 QUICK = lg.RequestClass("quick", aim=0.3, deadline=1.2, message_aim=0.06)
 
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from saltcourse import benchlink
-from saltcourse.benchlink import Link, Malformed, read_settings, serve
+from saltcourse import simulator_adapter
+from saltcourse.simulator_adapter import Link, Malformed, read_settings, serve
 
 ENV: dict[str, Any] = {
     "balancers": 2,
@@ -136,7 +136,7 @@
 ) -> None:
     sink = io.BytesIO()
     code = serve([batch(HELLO, MEMBERS), line, batch()], sink)
-    assert code == benchlink.EXIT_MALFORMED
+    assert code == simulator_adapter.EXIT_MALFORMED
     assert told in capsys.readouterr().err
     assert len(sink.getvalue().splitlines()) == 1  # nothing is said to the bad line or after it
 
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from saltcourse.drain import DrainPlan
+from saltcourse.balancing.drain_schedule import DrainPlan
 
 
 def test_moves_are_spread_evenly_and_all_are_done_by_the_end() -> None:
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -7,7 +7,7 @@
 import pytest
 from structlog.testing import capture_logs
 
-from saltcourse import delay
+from saltcourse.balancing import response_latency as delay
 from saltcourse.proxy import consumer, directory, lifecycle
 from tests.player import Player, sections
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -37,7 +37,7 @@
 from saltcourse.shared_state.outbox import Outgoing
 from saltcourse.shared_state.quota import QuotaLeases
 from saltcourse.proxy.peer_link import PeerLink
-from saltcourse.policy import Sign
+from saltcourse.balancing.balancer import Sign
 from tests.node import Node, members, settings
 
 
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -16,7 +16,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule, run_state_machine_as_test
 
 from saltcourse import interface as lg
-from saltcourse.policy import AFTER, GROUP_SLOTS, Balancer, Health, Request, Server, Sign
+from saltcourse.balancing.balancer import AFTER, GROUP_SLOTS, Balancer, Health, Request, Server, Sign
 from tests.node import Node, members
 
 S = lg.Status
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -19,7 +19,7 @@
     "saltcourse.cli": ENTRY,
     "saltcourse.cli_gossip": ENTRY,
     "saltcourse.cli_options": ENTRY,
-    "saltcourse.benchlink": ENTRY,
+    "saltcourse.simulator_adapter": ENTRY,
     "saltcourse.proxy": HOSTS,
     "saltcourse.admin": HOSTS,
     "saltcourse.address_failover": HOSTS,
@@ -29,9 +29,7 @@
     "saltcourse.gossip.host": HOSTS,
     "saltcourse.gossip.run": HOSTS,
     "saltcourse.gossip.store": HOSTS,
-    "saltcourse.policy": CHOICES,
-    "saltcourse.delay": CHOICES,
-    "saltcourse.drain": CHOICES,
+    "saltcourse.balancing": CHOICES,
     "saltcourse.shared_state": CHOICES,
     "saltcourse.gossip": CHOICES,
     "saltcourse.address_failover.election": CHOICES,
@@ -165,16 +163,16 @@
             [],
         ),
         (
-            {"policy.py": "from saltcourse.proxy.a import A", "proxy/a.py": ""},
+            {"balancing/a.py": "from saltcourse.proxy.a import A", "proxy/a.py": ""},
             [],
-            ["saltcourse.policy imports saltcourse.proxy.a"],
+            ["saltcourse.balancing.a imports saltcourse.proxy.a"],
         ),
         (
             {
                 "proxy/a.py": "from ..emulator import simnet",
                 "emulator/simnet.py": "import saltcourse.proxy.b",
-                "proxy/b.py": "from ..policy import Balancer",
-                "policy.py": "import saltcourse_other.net",
+                "proxy/b.py": "from ..balancing.a import Balancer",
+                "balancing/a.py": "import saltcourse_other.net",
             },
             [],
             ["saltcourse.proxy.a imports saltcourse.emulator.simnet"],
@@ -186,7 +184,12 @@
     tmp_path: Path, sources: dict[str, str], circle: list[list[str]], up: list[str]
 ) -> None:
     package = tmp_path / "saltcourse"
-    empty = {"__init__.py": "", "proxy/__init__.py": "", "emulator/__init__.py": ""}
+    empty = {
+        "__init__.py": "",
+        "proxy/__init__.py": "",
+        "balancing/__init__.py": "",
+        "emulator/__init__.py": "",
+    }
     for name, source in (empty | sources).items():
         path = package / name
         path.parent.mkdir(parents=True, exist_ok=True)
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -7,7 +7,7 @@
 import pytest
 
 from saltcourse import interface as lg
-from saltcourse.policy import GROUP_SLOTS, LONGEST_BACKOFF, Balancer, Sign
+from saltcourse.balancing.balancer import GROUP_SLOTS, LONGEST_BACKOFF, Balancer, Sign
 from tests.node import QUICK, Node, members, settings
 
 
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -13,7 +13,7 @@
 import pytest
 
 from saltcourse import interface as lg
-from saltcourse.policy import Balancer
+from saltcourse.balancing.balancer import Balancer
 from tests.node import Node, members
 
 SERVERS, DRAINED, LIFE, STEP = 8, 5, 8.0, 0.02
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -20,10 +20,10 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from saltcourse import benchlink
+from saltcourse import simulator_adapter
 from saltcourse import interface as lg
 from saltcourse.config import ConfigError, read_config
-from saltcourse.policy import Balancer
+from saltcourse.balancing.balancer import Balancer
 from saltcourse.settings import Malformed, read_settings
 
 ROOT = Path(__file__).parent.parent
@@ -168,8 +168,8 @@
     hello = {"msg": "hello", "node": 1, "init_seed": 5, "env": replaced(SETTINGS, path, new)}
     line = json.dumps({"at_time": 0.0, "events": [hello]}).encode()
     sink = io.BytesIO()
-    code = benchlink.serve([line], sink)
-    assert (code, sink.getvalue()) in ((0, b'{"actions":[]}\n'), (benchlink.EXIT_MALFORMED, b""))
+    code = simulator_adapter.serve([line], sink)
+    assert (code, sink.getvalue()) in ((0, b'{"actions":[]}\n'), (simulator_adapter.EXIT_MALFORMED, b""))
 
 
 @pytest.mark.parametrize("path", list(paths(CONFIG)))
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from saltcourse.delay import SILENT_AFTER, DelayMeter
+from saltcourse.balancing.response_latency import SILENT_AFTER, DelayMeter
 from saltcourse.interface import LoadReport, ProbeResult, ServerState, Status
 from saltcourse.proxy.clock import Clock
 from saltcourse.proxy.attempt import ProbeCall
