--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -25,7 +25,7 @@
 from saltcourse.shared_state.core import Fleet
 from saltcourse.shared_state.outbox import Outgoing
 from saltcourse.shared_state.codec import decode
-from saltcourse.interface import FleetTerms, RequestClass, Settings
+from saltcourse.balancing.settings import RequestClass, Settings, SharedStateSettings
 
 SIZES = (4, 40, 200)
 ARRIVALS = 2.75  # new connections a second at one proxy: casa-main's 11 over its four
@@ -52,12 +52,14 @@
         told = partial(
             Settings,
             (RequestClass("c", 0.5, 3.0),),
-            balancers=size,
-            peers=True,
-            groups=True,
-            fleet=FleetTerms(counts=counts),
+            proxy_count=size,
+            peers_allowed=True,
+            has_groups=True,
+            shared_state=SharedStateSettings(share_connection_counts=counts),
         )
-        self.cores = [Fleet(told(index=i), self.random.getrandbits(12), self.held[i]) for i in range(size)]
+        self.cores = [
+            Fleet(told(proxy_index=i), self.random.getrandbits(12), self.held[i]) for i in range(size)
+        ]
         self.sent = self.bytes = self.taken = 0
         self.cpu = 0.0
         self.texts: list[str] = []
--- a/benchmarks/slopes_mesh.py
+++ b/benchmarks/slopes_mesh.py
@@ -12,7 +12,7 @@
 from fleet import Site
 from slopes_results import Results, Sizes
 
-from saltcourse import interface as lg
+from saltcourse.balancing.settings import RequestClass, Settings, SharedStateSettings
 from saltcourse.shared_state.core import Fleet
 from saltcourse.shared_state.outbox import Outgoing
 
@@ -73,12 +73,12 @@
 
     def restart_first(self) -> None:
         """The first proxy's process is another from now on: it holds the same and knows nothing of others."""
-        told = lg.Settings(
-            (lg.RequestClass("c", 0.5, 3.0),),
-            balancers=self.size,
-            peers=True,
-            groups=True,
-            fleet=lg.FleetTerms(counts=True),
+        told = Settings(
+            (RequestClass("c", 0.5, 3.0),),
+            proxy_count=self.size,
+            peers_allowed=True,
+            has_groups=True,
+            shared_state=SharedStateSettings(share_connection_counts=True),
         )
         core = self.cores[0] = Fleet(told, self.cores[0].outbox.incarnation + 1, self.held[0])
         for pair in self.pairs[0]:
--- a/benchmarks/slopes_module.py
+++ b/benchmarks/slopes_module.py
@@ -13,21 +13,33 @@
 import orjson
 from slopes_results import Results, Sizes
 
-from saltcourse import interface as lg
+from saltcourse.balancing.actions import Action
+from saltcourse.balancing.events import (
+    BackendState,
+    ClientDisconnected,
+    ConnectionEstablished,
+    ConnectionResumed,
+    Endpoint,
+    EndpointUpdateKind,
+    EndpointsUpdated,
+    Event,
+    RequestReceived,
+)
+from saltcourse.balancing.settings import RequestClass, Settings
 from saltcourse.shared_state.core import Fleet
 from saltcourse.balancing.balancer import Balancer
 from saltcourse.codec.endpoint_list import read_list
 
 
-def settings(**changes: Any) -> lg.Settings:
-    return lg.Settings((lg.RequestClass("c", 1.0, 3.0),), **changes)
+def settings(**changes: Any) -> Settings:
+    return Settings((RequestClass("c", 1.0, 3.0),), **changes)
 
 
-def members(count: int) -> tuple[lg.Member, ...]:
-    return tuple(lg.Member(f"server-{i}") for i in range(count))
+def members(count: int) -> tuple[Endpoint, ...]:
+    return tuple(Endpoint(f"server-{i}") for i in range(count))
 
 
-def timed(balancer: Balancer, now: float, event: lg.Event) -> tuple[float, list[lg.Action]]:
+def timed(balancer: Balancer, now: float, event: Event) -> tuple[float, list[Action]]:
     """CPU in ms of one event, and the module's actions."""
     begin = time.process_time()
     actions = balancer.handle(now, event)
@@ -37,15 +49,15 @@
 def place(balancer: Balancer, number: int, group: str) -> float:
     """CPU in ms of one placement; the connection then stands."""
     now, request = 10.0 + number / 100, f"r{number}"
-    cpu, _ = timed(balancer, now, lg.NewRequest(request, "c", 3.0, group=group))
-    balancer.handle(now, lg.Established(request, 0, 0.01))
+    cpu, _ = timed(balancer, now, RequestReceived(request, "c", 3.0, group=group))
+    balancer.handle(now, ConnectionEstablished(request, 0, 0.01))
     return cpu
 
 
 def placements(servers: int, count: int, groups: bool) -> tuple[float, float]:
     """Mean CPU of a placement: of groups that are new here, and of the same groups again."""
-    balancer = Balancer(settings(groups=groups), 1)
-    balancer.handle(0.0, lg.MembersChanged(lg.ListKind.WHOLE, members(servers)))
+    balancer = Balancer(settings(has_groups=groups), 1)
+    balancer.handle(0.0, EndpointsUpdated(EndpointUpdateKind.SNAPSHOT, members(servers)))
     names = [f"group-{i}" if groups else "" for i in range(count)]
     first = statistics.mean([place(balancer, i, name) for i, name in enumerate(names)])
     again = statistics.mean([place(balancer, count + i, name) for i, name in enumerate(names)])
@@ -77,10 +89,10 @@
     read_list(orjson.loads(text))
     read = 1e3 * (time.process_time() - begin)
     balancer, whole = Balancer(settings(), 1), members(servers)
-    first, _ = timed(balancer, 0.0, lg.MembersChanged(lg.ListKind.WHOLE, whole))
-    drained = (lg.Member("server-0", lg.ServerState.DRAINING),)
-    change, _ = timed(balancer, 1.0, lg.MembersChanged(lg.ListKind.CHANGED, drained))
-    again, _ = timed(balancer, 2.0, lg.MembersChanged(lg.ListKind.WHOLE, whole))
+    first, _ = timed(balancer, 0.0, EndpointsUpdated(EndpointUpdateKind.SNAPSHOT, whole))
+    drained = (Endpoint("server-0", BackendState.DRAINING),)
+    change, _ = timed(balancer, 1.0, EndpointsUpdated(EndpointUpdateKind.DELTA, drained))
+    again, _ = timed(balancer, 2.0, EndpointsUpdated(EndpointUpdateKind.SNAPSHOT, whole))
     return {
         "list_read": read,
         "list_first": first,
@@ -124,19 +136,19 @@
 
 def resume(count: int, groups: bool) -> Balancer:
     """A module that holds so many connections, each of a group of its own or of none."""
-    balancer = Balancer(settings(groups=True, peers=True, balancers=2), 1)
-    balancer.handle(0.0, lg.MembersChanged(lg.ListKind.WHOLE, members(100)))
+    balancer = Balancer(settings(has_groups=True, peers_allowed=True, proxy_count=2), 1)
+    balancer.handle(0.0, EndpointsUpdated(EndpointUpdateKind.SNAPSHOT, members(100)))
     for i in range(count):
         group = f"group-{i}" if groups else ""
-        balancer.handle(1.0, lg.ConnectionResumed(f"r{i}", "c", f"server-{i % 100}", group=group))
-    balancer.handle(20.0, lg.ClientGone("nobody"))  # what there is to tell is told
+        balancer.handle(1.0, ConnectionResumed(f"r{i}", "c", f"server-{i % 100}", group=group))
+    balancer.handle(20.0, ClientDisconnected("nobody"))  # what there is to tell is told
     return balancer
 
 
 def pairs_of_peer(count: int) -> float:
     """kB that one peer's pairs take in this proxy's copy."""
-    told = partial(settings, balancers=2, peers=True, groups=True)
-    owner, receiver = Fleet(told(index=0), 1, {}), Fleet(told(index=1), 2, {})
+    told = partial(settings, proxy_count=2, peers_allowed=True, has_groups=True)
+    owner, receiver = Fleet(told(proxy_index=0), 1, {}), Fleet(told(proxy_index=1), 2, {})
     for i in range(count):
         owner.hold(f"server-{i % 100}", f"group-{i}", True)
     texts = [text for peer, text in owner.due(1.0) if peer is None]
--- a/saltcourse/address_failover/host.py
+++ b/saltcourse/address_failover/host.py
@@ -12,10 +12,8 @@
 
 import structlog
 
-from saltcourse.address_failover.route_announcement import Announcing
-from saltcourse.address_failover.election import Election
 from saltcourse.address_failover.authentication import Drop, Seal
-from saltcourse.address_failover.vote_store import StoreError, VoteStore
+from saltcourse.address_failover.election import Election
 from saltcourse.address_failover.messages import (
     MOST_MEMBERS,
     Action,
@@ -35,6 +33,8 @@
     Vote,
     Withdraw,
 )
+from saltcourse.address_failover.route_announcement import Announcing
+from saltcourse.address_failover.vote_store import StoreError, VoteStore
 
 HELLO_EVERY = 0.05  # s between Hellos to one member, however many of its datagrams do not know this process
 # By which the first term of a member without a store grows with the calendar. Such a member waits a lease
--- a/saltcourse/address_failover/run.py
+++ b/saltcourse/address_failover/run.py
@@ -11,13 +11,13 @@
 
 import structlog
 
-from saltcourse.config import ConfigError
-from saltcourse.config.operator import RELOADED, MembershipSettings
-from saltcourse.address_failover.route_announcement import Announcing, BgpAnnouncer, CommandAnnouncer
-from saltcourse.address_failover.host import Member
 from saltcourse.address_failover.authentication import Seal
 from saltcourse.address_failover.bgp_session import Peering
+from saltcourse.address_failover.host import Member
+from saltcourse.address_failover.route_announcement import Announcing, BgpAnnouncer, CommandAnnouncer
 from saltcourse.address_failover.vote_store import StoreError, VoteStore
+from saltcourse.config import ConfigError
+from saltcourse.config.operator import RELOADED, MembershipSettings
 
 log = structlog.get_logger("saltcourse")
 
--- a/saltcourse/admin/server.py
+++ b/saltcourse/admin/server.py
@@ -16,8 +16,8 @@
 from tornado.iostream import IOStream, StreamClosedError
 
 from saltcourse.admin.calls import NO_SUCH_PATH, Answer, Ask, Reader, answer_bytes
-from saltcourse.proxy.stream import listening
 from saltcourse.codec.endpoint_list import Address
+from saltcourse.proxy.stream import listening
 
 CALL_TIME = 2.0  # s for a whole call; operators' tools send it at once
 WRITE_TIME = 0.5  # s for the answer to be taken
--- a/saltcourse/balancing/balancer.py
+++ b/saltcourse/balancing/balancer.py
@@ -14,42 +14,46 @@
 import random
 from enum import Enum, IntEnum
 
-from saltcourse.shared_state.core import Fleet
-from saltcourse.interface import (
-    LONGEST_LIST_WAIT,
-    NEVER_RAN,
+from saltcourse.balancing.actions import (
     Action,
-    ClientGone,
+    FailRequest,
+    FetchEndpoints,
+    MigrateConnection,
+    RejectRequest,
+    SendPeerMessage,
+    SetTimer,
+    StartAttempt,
+    StartHealthCheck,
+    WatchEndpoints,
+)
+from saltcourse.balancing.events import (
+    NEVER_RAN,
+    AttemptFinished,
+    AttemptStatus,
+    BackendState,
+    ClientDisconnected,
+    ConnectionEstablished,
+    ConnectionLoadChanged,
     ConnectionResumed,
-    DelayNote,
-    Discovery,
-    Effect,
-    Established,
+    Endpoint,
+    EndpointsUpdated,
+    EndpointUpdateKind,
     Event,
-    Fail,
-    FetchList,
-    ListKind,
-    LoadNote,
-    Member,
-    MembersChanged,
-    Move,
-    NewRequest,
-    Outcome,
-    PeerMessage,
-    Probe,
-    ProbeResult,
-    Refuse,
+    HealthCheckFinished,
+    PeerMessageReceived,
+    RequestReceived,
+    ResponseLatencyMeasured,
+    TimerFired,
+)
+from saltcourse.balancing.settings import (
+    MAX_LIST_RETRY_DELAY_SECONDS,
+    DeduplicationScope,
+    DiscoveryMode,
+    Idempotency,
     RequestClass,
-    Scope,
-    Send,
-    ServerState,
-    SetTimer,
     Settings,
-    Status,
-    TellPeers,
-    TimerFired,
-    Watch,
 )
+from saltcourse.shared_state.core import Fleet
 
 TICK = 1.0  # s between refreshes of ceilings and health; short against a connection's life
 TICK_SERVERS = 150  # servers for which a refresh a second is cheap; a larger fleet is refreshed less often
@@ -87,7 +91,11 @@
 STRAGGLERS = 2  # connections of a group that are moved to where more of it are, from the fullest server
 ERROR_GAIN = 0.2  # of each answer in a server's share of errors
 ERRS = 0.3  # share of errors over which a server is tried by one connection at a time
-NO_STORM = (Status.CANCELLED, Status.NOT_SENT, Status.ERROR)  # endings that no jam of set-ups causes
+NO_STORM = (
+    AttemptStatus.CANCELLED,
+    AttemptStatus.NOT_SENT,
+    AttemptStatus.ERROR,
+)  # endings that no jam of set-ups causes
 LOADS_MEANT = 100  # told loads over which the load of one slot is a mean
 LAST_TRY = 0.1  # s of a request's time under which another attempt is not worth sending
 PICK_TRIES = 60  # uniform draws before the exact scan; each is accepted with room over largest room
@@ -126,8 +134,8 @@
 class Server:
     """What this node knows of one server. Loads are in slots."""
 
-    def __init__(self, member: Member) -> None:
-        self.id = member.server
+    def __init__(self, member: Endpoint) -> None:
+        self.id = member.backend
         self.load = 0.0  # occupancy: load of this node's connections there
         self.count = 0
         self.held: dict[str, Request] = {}  # connections that stand there
@@ -137,7 +145,7 @@
         self.update(member)
         self.forget(-1e9)
 
-    def update(self, member: Member) -> None:
+    def update(self, member: Endpoint) -> None:
         self.zone, self.kind, self.cell = member.zone, member.kind, member.cell
         self.weight, self.started, self.state = member.weight, member.started, member.state
 
@@ -187,7 +195,9 @@
     ) -> None:
         self.id, self.klass, self.deadline, self.load = request, klass, deadline, load
         self.group, self.flow = group, flow  # the flow is the client's, the same with each of its tries
-        self.suspect: tuple[Server, Status, float] | None = None  # who broke it off, how, when it was sent
+        self.suspect: tuple[Server, AttemptStatus, float] | None = (
+            None  # who broke it off, how, when it was sent
+        )
         self.server: Server | None = None
         self.attempts = self.looks = 0
         self.out = self.begun = self.answered = False
@@ -220,60 +230,64 @@
         self.failed = self.stood = 0.0  # attempts of late that failed or were dropped young; that stood
         self.retry_budget = RETRY_BURST  # further attempts that may be sent now
         self.level = self.far_level = 0.0  # ceiling of a mean server of which nothing is learned
-        self.quota = sum(t.quota_connections for t in settings.tenants) / settings.balancers
+        self.quota = sum(t.connection_quota for t in settings.tenants) / settings.proxy_count
         self.per_load, self.mean_report = 0.0, 0.5  # slots for a server's whole load
-        self.look = settings.reports_load and settings.may_probe
+        self.look = settings.reports_load and settings.health_checks_allowed
         self.peers = Fleet(settings, seed, self.servers)
         self.handlers = {
-            MembersChanged: self._on_members,
-            NewRequest: self._on_request,
+            EndpointsUpdated: self._on_members,
+            RequestReceived: self._on_request,
             ConnectionResumed: self._on_resumed,
-            Established: self._on_established,
-            Outcome: self._on_outcome,
-            ClientGone: self._on_gone,
-            LoadNote: self._on_load,
-            DelayNote: self._on_delay,
+            ConnectionEstablished: self._on_established,
+            AttemptFinished: self._on_outcome,
+            ClientDisconnected: self._on_gone,
+            ConnectionLoadChanged: self._on_load,
+            ResponseLatencyMeasured: self._on_delay,
             TimerFired: self._on_timer,
-            ProbeResult: self._on_probe,
-            PeerMessage: self._on_peer,
+            HealthCheckFinished: self._on_probe,
+            PeerMessageReceived: self._on_peer,
         }
 
     def handle(self, now: float, event: Event) -> list[Action]:
         """Take one event at the host's time; what comes back is to be carried out in its order."""
         self.now, self.out = now, []
         self.handlers[type(event)](event)  # type: ignore[operator]
-        self.out += [TellPeers(data, peer) for peer, data in self.peers.due(now)]
+        self.out += [SendPeerMessage(data, peer) for peer, data in self.peers.due(now)]
         return self.out
 
     # ---- membership -----------------------------------------------------------------------------
 
-    def _on_members(self, event: MembersChanged) -> None:
+    def _on_members(self, event: EndpointsUpdated) -> None:
         if not self.started:
             self._start()
-        if event.kind is ListKind.UNAVAILABLE:  # asked again, later each time: wait and call within the term
+        if (
+            event.kind is EndpointUpdateKind.UNAVAILABLE
+        ):  # asked again, later each time: wait and call within the term
             self.list_failures += 1
-            longest = min(self.settings.ask_within, LONGEST_LIST_WAIT, 2.0**self.list_failures * 0.5)
+            longest = min(
+                self.settings.poll_interval, MAX_LIST_RETRY_DELAY_SECONDS, 2.0**self.list_failures * 0.5
+            )
             wait = max(LIST_SPREAD, longest - (self.now - self.list_asked))  # less what the failed call took
             self.out.append(SetTimer(wait * (0.5 + self.random.random() / 2), LIST_TOKEN))
             return
-        if event.kind is not ListKind.RESTORED:
+        if event.kind is not EndpointUpdateKind.CACHED:
             self.list_failures = 0
             if self.polled:  # fetched once, not watched: the watch is asked for again, in time
                 self.polled = False
                 self.out.append(SetTimer(WATCH_AGAIN * (0.5 + self.random.random()), LIST_TOKEN))
-        changed = event.kind is not ListKind.CHANGED
+        changed = event.kind is not EndpointUpdateKind.DELTA
         if changed:
-            named = {m.server for m in event.members}
+            named = {m.backend for m in event.endpoints}
             for server in self.servers.values():
                 if server.id not in named:  # not in a whole list: removed
-                    server.state = ServerState.GONE
-        for member in event.members:
-            known = self.servers.get(member.server)
+                    server.state = BackendState.REMOVED
+        for member in event.endpoints:
+            known = self.servers.get(member.backend)
             if known and known.state is member.state and known.started == member.started:
                 known.weight = member.weight
                 continue
             changed = True
-            server = known or self.servers.setdefault(member.server, Server(member))
+            server = known or self.servers.setdefault(member.backend, Server(member))
             restarted = member.started > server.started
             server.update(member)
             server.near = 1.0 if server.zone == self.settings.zone else CROSS
@@ -282,8 +296,8 @@
             if (restarted or known is None) and self._warmth(server) < 1.0:
                 # Many nodes hear of a cold server at once; each sends its first at its own moment.
                 server.next_send = self.now + self.random.random() * self._slow_start_gap(server)
-            if server.state is ServerState.DRAINING or (
-                event.kind is ListKind.CHANGED and server.state is ServerState.GONE
+            if server.state is BackendState.DRAINING or (
+                event.kind is EndpointUpdateKind.DELTA and server.state is BackendState.REMOVED
             ):
                 self._move(list(server.held.values()))  # (a whole list that omits one does not prove it gone)
         if changed:  # weights alone are read at the next tick
@@ -292,14 +306,14 @@
     def _start(self) -> None:
         self.started = True
         self.out.append(SetTimer(TICK * (0.5 + self.random.random()), TICK_TOKEN))
-        if self.settings.discovery is Discovery.ASKED:
+        if self.settings.discovery_mode is DiscoveryMode.POLLED:
             # Nodes that start together must not pile onto the list: each waits its own part.
-            spread = min(self.settings.ask_within / 2, 0.2 * self.settings.balancers)
+            spread = min(self.settings.poll_interval / 2, 0.2 * self.settings.proxy_count)
             self.out.append(SetTimer(spread * self.random.random(), LIST_TOKEN))
 
     def _warmth(self, server: Server) -> float:
         """The share of its capacity that a server surely has by now."""
-        warm_up, share = self.settings.warm_up, self.settings.start_share
+        warm_up, share = self.settings.warm_up, self.settings.initial_capacity_share
         if server.started <= 0 or warm_up <= 0:
             return 1.0
         return min(1.0, share + (1 - share) * max(0.0, self.now - server.started) / warm_up)
@@ -353,20 +367,20 @@
             server.unclean_until = server.slow_until
         server.ceiling = 0.0 if dropped else min(server.ceiling, server.load)
 
-    def _on_delay(self, event: DelayNote) -> None:
+    def _on_delay(self, event: ResponseLatencyMeasured) -> None:
         request = self.requests.get(event.request)
         if request is None or request.server is None:
             return
-        server, slowness = request.server, event.delay / self.settings.slow_message
+        server, slowness = request.server, event.latency / self.settings.slow_message
         server.fails = server.fails + 1 if (failing := slowness > SHED_ANYWAY) else 0
         if self.look and failing:  # a reported load says it better, but not that work is piled up
             self._ask(server, FRESH)
-            if event.delay < HUNG or server.fails > 1:  # so long at once is a stall: work piles up slowly
+            if event.latency < HUNG or server.fails > 1:  # so long at once is a stall: work piles up slowly
                 self._strained(server, dropped=True)
                 self._shed(server, SHED_LESS)
         elif slowness > 1 and not self.look:
             self._strained(server, failing)
-            if event.delay >= HUNG:
+            if event.latency >= HUNG:
                 self._move(list(server.held.values()))
             elif failing or (slowness > SHED_SLOWNESS and self.largest_room > 0):
                 self._shed(server, SHED_SHARE)
@@ -402,7 +416,7 @@
     def _homeward(self, tick: float) -> None:
         """Bring connections home from other zones, bit by bit, while home is at ease: crossing costs."""
         home = [s for s in self.ready if s.near == 1.0]
-        if self.settings.groups or sum([s.slow_until > self.now for s in home]) >= EASE * len(home):
+        if self.settings.has_groups or sum([s.slow_until > self.now for s in home]) >= EASE * len(home):
             return  # (a group's connections would lose their others)
         away = [r for s in self.servers.values() if s.near < 1.0 for r in s.held.values()]
         self._move(self._share(away, HOMEWARD * tick))
@@ -417,7 +431,7 @@
         over = math.ceil(full.load / max(full.slots, 0.1) - self._fair(well))
         counts = sorted((count, group) for group, count in full.groups.items())
         (few, group), (_, most) = counts[0], counts[-1]
-        if over > 0 and len(well) == sum([s.state is ServerState.READY for s in self.servers.values()]):
+        if over > 0 and len(well) == sum([s.state is BackendState.READY for s in self.servers.values()]):
             self._move([r for r in full.held.values() if r.group == most][:over])
         elif few <= STRAGGLERS and any(
             [s.groups.get(group, 0) > few and s.load < full.load - GROUP_SLOTS for s in self.ready]
@@ -436,14 +450,14 @@
         for request in requests:
             if request.server is not None:
                 request.server.held.pop(request.id, None)
-            self.out.append(Move(request.id))
+            self.out.append(MigrateConnection(request.id))
 
     # ---- ceilings -------------------------------------------------------------------------------
 
     def _refresh(self) -> None:
         """Once a tick and after each list: who is ready, sizes, and every ceiling."""
         now, down = self.now, self.zone_down
-        listed = [s for s in self.servers.values() if s.state is ServerState.READY]
+        listed = [s for s in self.servers.values() if s.state is BackendState.READY]
         for server in listed:
             if server.health is Health.RESTING and server.down_until <= now:
                 self._sign(server, Sign.RESTED)
@@ -593,17 +607,20 @@
 
     def _allowed(self, request: Request, server: Server) -> bool:
         """Not tried, not cold beyond its share, where repeats are dropped, and still ready after a probe."""
-        if server.next_send > self.now or server.state is not ServerState.READY or server in request.tried:
+        if server.next_send > self.now or server.state is not BackendState.READY or server in request.tried:
             return False
         ran, klass = request.may_have_run, request.klass
-        if ran is None or klass.effect is Effect.SAFE:
+        if ran is None or klass.idempotency is Idempotency.IDEMPOTENT:
             return True
-        if klass.effect is Effect.UNSAFE or self.now >= request.ran_at + klass.window:
+        if (
+            klass.idempotency is Idempotency.NOT_IDEMPOTENT
+            or self.now >= request.ran_at + klass.deduplication_window
+        ):
             return False
         return (
-            klass.scope is Scope.ALL
+            klass.deduplication_scope is DeduplicationScope.ALL
             or server.zone == ran.zone
-            and (klass.scope is Scope.ZONE or server.cell == ran.cell)
+            and (klass.deduplication_scope is DeduplicationScope.ZONE or server.cell == ran.cell)
         )
 
     def _clean(self, server: Server) -> bool:
@@ -621,21 +638,21 @@
         self.mean_load += (load - self.mean_load) / min(self.told_loads, LOADS_MEANT)
         return load / self.mean_load
 
-    def _request(self, event: NewRequest | ConnectionResumed, deadline: float, flow: str) -> Request:
+    def _request(self, event: RequestReceived | ConnectionResumed, deadline: float, flow: str) -> Request:
         request = self.requests[event.request] = Request(
             event.request,
-            self.classes[event.klass],
+            self.classes[event.request_class],
             deadline,
             self._slot(event.load_hint),
-            event.group if self.settings.groups else "",
+            event.group if self.settings.has_groups else "",
             flow,
         )
         return request
 
-    def _on_request(self, event: NewRequest) -> None:
-        request = self._request(event, self.now + event.patience, event.key)
+    def _on_request(self, event: RequestReceived) -> None:
+        request = self._request(event, self.now + event.time_left, event.flow)
         self.retry_budget = min(RETRY_BURST, self.retry_budget + RETRY_RATIO)
-        self._set_timer(request, event.patience)
+        self._set_timer(request, event.time_left)
         (self._give_up if self._storm() else self._seek)(request)
 
     def _storm(self) -> bool:
@@ -646,7 +663,7 @@
         request = self._request(event, 0.0, "")
         request.attempts, request.out, request.begun = 1, True, True
         # One held by a server that no list has named is counted there, and never sent to.
-        server = self.servers.get(event.server) or Server(Member(event.server, ServerState.GONE))
+        server = self.servers.get(event.backend) or Server(Endpoint(event.backend, BackendState.REMOVED))
         request.server = server
         self._occupy(server, request)
         server.held[request.id] = request
@@ -692,32 +709,37 @@
         if self._warmth(server) < 1.0:
             server.next_send = self.now + request.load * self._slow_start_gap(server)
         self._sign(server, Sign.SENT, request)
-        self.out.append(Send(request.id, server.id, self._timeout(request, left)))
+        self.out.append(StartAttempt(request.id, server.id, self._timeout(request, left)))
 
     def _timeout(self, request: Request, left: float) -> float:
         """Short enough to leave room for another try, long enough for a server that is merely busy."""
-        if request.attempts >= self.settings.max_attempts or request.klass.effect is Effect.UNSAFE:
+        if (
+            request.attempts >= self.settings.max_attempts
+            or request.klass.idempotency is Idempotency.NOT_IDEMPOTENT
+        ):
             return left
-        wanted = max(request.klass.aim, self.settings.connect_timeout)
+        wanted = max(request.klass.latency_objective, self.settings.connect_timeout)
         return left if left < wanted + LAST_TRY else min(wanted, left)
 
     def _give_up(self, request: Request) -> None:
         """The final answer with no attempt left: a refusal where trying again is harmless, else a failure."""
-        effect, ran = request.klass.effect, request.may_have_run
+        effect, ran = request.klass.idempotency, request.may_have_run
         harmless = (
-            effect is Effect.SAFE
+            effect is Idempotency.IDEMPOTENT
             or ran is None
-            or (effect is Effect.KEYED and request.klass.scope is Scope.ALL)
+            or (effect is Idempotency.KEYED and request.klass.deduplication_scope is DeduplicationScope.ALL)
         )
         if harmless and not request.out:
-            self.out.append(Refuse(request.id, self.settings.longest_refusal * self.random.uniform(0.5, 1)))
+            self.out.append(
+                RejectRequest(request.id, self.settings.longest_retry_after * self.random.uniform(0.5, 1))
+            )
         else:
-            self.out.append(Fail(request.id))
+            self.out.append(FailRequest(request.id))
         request.answered = True
         if not request.out:
             self.requests.pop(request.id, None)
 
-    def _on_established(self, event: Established) -> None:
+    def _on_established(self, event: ConnectionEstablished) -> None:
         request = self.requests.get(event.request)
         if request is None or request.server is None or event.attempt != request.attempts - 1:
             return
@@ -730,7 +752,7 @@
         self._set_up(server, event.latency)
         server.strains = 0 if self._clean(server) else server.strains  # the next hold is a short one
         self._raise(server)
-        if server.state is ServerState.DRAINING:  # sent before this was known
+        if server.state is BackendState.DRAINING:  # sent before this was known
             self._move([request])
 
     def _answers(self, server: Server, request: Request | None) -> None:
@@ -742,7 +764,7 @@
         self.strikes.pop(server.zone, None)
         self.zone_down.pop(server.zone, None)
 
-    def _on_outcome(self, event: Outcome) -> None:
+    def _on_outcome(self, event: AttemptFinished) -> None:
         request = self.requests.get(event.request)
         if request is None or request.server is None or event.attempt != request.attempts - 1:
             return
@@ -754,7 +776,7 @@
         if event.report is not None and event.report.load is not None:
             self._heard(server, event.report.load)
         self._judge(server, request, event.status)
-        if request.begun and event.status is Status.RESET and self.now < request.began + STORM_DROP:
+        if request.begun and event.status is AttemptStatus.RESET and self.now < request.began + STORM_DROP:
             self.stood -= 1
             self.failed += 1
         if event.final or request.begun or request.answered:
@@ -767,29 +789,38 @@
             request.may_have_run, request.ran_at = server, self.now - event.latency
         self._place(request)
 
-    def _judge(self, server: Server, request: Request, status: Status) -> None:
+    def _judge(self, server: Server, request: Request, status: AttemptStatus) -> None:
         """What an ending says of the server; the client's own leaving says nothing."""
         if server.trial is request:
             self._sign(server, Sign.VOID)  # whatever ended it, it tries the server no longer
         if request.sent_at < server.fresh_at:
             return  # it went to the process before this one
-        if status is Status.CONNECT_FAILED or (status is Status.TIMEOUT and not request.begun):
+        if status is AttemptStatus.CONNECT_FAILED or (status is AttemptStatus.TIMEOUT and not request.begun):
             self._sign(server, Sign.FAILED)
-        elif status is Status.FULL:
+        elif status is AttemptStatus.FULL:
             self._answers(server, request)
             self._strained(server, dropped=True)
-        elif status is Status.RESET and request.begun:
+        elif status is AttemptStatus.RESET and request.begun:
             self._broke(server)
-        elif status in (Status.ERROR, Status.RESET):
+        elif status in (AttemptStatus.ERROR, AttemptStatus.RESET):
             # Nobody is to blame before it stands at another server; broken off there too, it is at fault.
-            request.suspect = (server, status if request.suspect is None else Status.OK, request.sent_at)
+            request.suspect = (
+                server,
+                status if request.suspect is None else AttemptStatus.OK,
+                request.sent_at,
+            )
 
-    def _blame(self, request: Request, server: Server, status: Status, sent: float) -> None:
+    def _blame(self, request: Request, server: Server, status: AttemptStatus, sent: float) -> None:
         """It stands elsewhere: what broke it off was its server, unless that does so to one flow alone."""
-        if status is Status.OK or sent < server.fresh_at or request.flow and request.flow == server.erred_on:
+        if (
+            status is AttemptStatus.OK
+            or sent < server.fresh_at
+            or request.flow
+            and request.flow == server.erred_on
+        ):
             return
         server.erred_on = request.flow
-        if status is Status.RESET:
+        if status is AttemptStatus.RESET:
             self._broke(server)
         else:
             server.errors += ERROR_GAIN * (1 - server.errors)
@@ -802,18 +833,18 @@
             self._strained(server, dropped=True)
         server.broke_at = self.now
 
-    def _on_gone(self, event: ClientGone) -> None:
+    def _on_gone(self, event: ClientDisconnected) -> None:
         request = self.requests.get(event.request)
         if request is not None:
             request.answered = True
             if not request.out:
                 del self.requests[event.request]
 
-    def _on_peer(self, event: PeerMessage) -> None:
+    def _on_peer(self, event: PeerMessageReceived) -> None:
         for name in self.peers.receive(self.now, event.sender, event.data):
             self._sign(self.servers[name], Sign.WARNED)
 
-    def _on_load(self, event: LoadNote) -> None:
+    def _on_load(self, event: ConnectionLoadChanged) -> None:
         request = self.requests.get(event.request)
         if request is None or request.server is None or not request.out:
             return
@@ -836,7 +867,7 @@
         elif event.token == LIST_TOKEN:
             self.list_asked = self.now
             self.polled = self.list_failures % 2 == 1  # a watch that failed: the whole list may still be had
-            self.out.append(FetchList() if self.polled else Watch())
+            self.out.append(FetchEndpoints() if self.polled else WatchEndpoints())
         else:
             self._on_request_timer(self.timers.pop(event.token))
 
@@ -846,7 +877,7 @@
         if request.asked is not None:  # no answer in time: what is known must do
             request.asked, request.looks = None, LOOKS
             self._seek(request)
-        elif self.now >= request.deadline - self.settings.tick / 2:
+        elif self.now >= request.deadline - self.settings.time_step / 2:
             self._give_up(request)  # rule 1: whatever became of the attempt, the client is answered in time
 
     # ---- probes and reports ---------------------------------------------------------------------
@@ -860,26 +891,26 @@
         request.asked = server
         request.looks += 1
         server.asking.append(request)
-        self._set_timer(request, min(LOOK_WAIT, request.klass.aim / 5))
+        self._set_timer(request, min(LOOK_WAIT, request.klass.latency_objective / 5))
 
     def _ask(self, server: Server, fresh: float) -> bool:
         """Whether its load is being asked for; a report that is fresh needs no question."""
         old = not server.probing and server.report_at < self.now - fresh
         if old and self.peers.may_probe(self.now, server.id):
             server.probing = True
-            self.out.append(Probe(server.id))
+            self.out.append(StartHealthCheck(server.id))
         return server.probing
 
-    def _on_probe(self, event: ProbeResult) -> None:
-        server = self.servers.get(event.server)
+    def _on_probe(self, event: HealthCheckFinished) -> None:
+        server = self.servers.get(event.backend)
         if server is None:
             return
         server.probing = False
-        if event.status is Status.OK:
+        if event.status is AttemptStatus.OK:
             self._answers(server, None)
             if event.report is not None and event.report.load is not None:
                 self._heard(server, event.report.load)
-        elif event.status is not Status.FULL and event.status is not Status.NOT_SENT:
+        elif event.status is not AttemptStatus.FULL and event.status is not AttemptStatus.NOT_SENT:
             self._sign(server, Sign.FAILED)
         asking, server.asking = server.asking, []
         for request in asking:
--- a/saltcourse/cli.py
+++ b/saltcourse/cli.py
@@ -46,7 +46,11 @@
     config = _load(path)
     settings = load_operator(operator, config.name)
     for section in NEEDS_PEERS:
-        if settings is not None and getattr(settings, section) is not None and not config.settings.peers:
+        if (
+            settings is not None
+            and getattr(settings, section) is not None
+            and not config.settings.peers_allowed
+        ):
             refuse(
                 f"{section}: the deployment's settings say that proxies may not talk to each other "
                 "('settings.limits.peers')"
@@ -58,7 +62,7 @@
     """The operator's terms for the fleet stand in the settings that the module is told."""
     if operator is None or operator.fleet is None:
         return config
-    return replace(config, settings=replace(config.settings, fleet=operator.fleet))
+    return replace(config, settings=replace(config.settings, shared_state=operator.fleet))
 
 
 def _reread(path: str | None, operator: OperatorSettings | None) -> Config:
--- a/saltcourse/cli_gossip.py
+++ b/saltcourse/cli_gossip.py
@@ -17,9 +17,9 @@
     reread_gossip,
     set_up_logging,
 )
+from saltcourse.codec.endpoint_list import Address, read_address
 from saltcourse.config import ConfigError
 from saltcourse.proxy.errors import CannotListen
-from saltcourse.codec.endpoint_list import Address, read_address
 
 
 class AddressType(click.ParamType[Address]):
--- a/saltcourse/codec/endpoint_list.py
+++ b/saltcourse/codec/endpoint_list.py
@@ -7,12 +7,12 @@
 
 import orjson
 
-from saltcourse import interface as lg
+from saltcourse.balancing.events import BackendState, Endpoint
 
 STATES = {
-    "SERVING": lg.ServerState.READY,
-    "DRAINING": lg.ServerState.DRAINING,
-    "DELETED": lg.ServerState.GONE,
+    "SERVING": BackendState.READY,
+    "DRAINING": BackendState.DRAINING,
+    "DELETED": BackendState.REMOVED,
 }
 Address = tuple[str, int]
 
@@ -27,7 +27,7 @@
 
     version: int
     full: bool
-    members: tuple[lg.Member, ...]
+    members: tuple[Endpoint, ...]
     addresses: dict[str, Address]
 
 
@@ -63,7 +63,7 @@
         if state is None:
             raise BadList("servers: 'state' is missing or unknown")
         members.append(
-            lg.Member(
+            Endpoint(
                 name,
                 state,
                 _value(entry, "zone", str, ""),
@@ -73,7 +73,7 @@
                 _value(entry, "started_ms", (int, float), 0) / 1000,
             )
         )
-        if "addr" in entry or state is not lg.ServerState.GONE:
+        if "addr" in entry or state is not BackendState.REMOVED:
             try:
                 addresses[name] = read_address(entry.get("addr"))
             except ValueError:
--- /dev/null
+++ b/saltcourse/codec/json_fields.py
@@ -0,0 +1,88 @@
+"""Checked access to the fields of an object as parsed from JSON; each error names the field.
+
+An absent field and one of null count alike.
+"""
+
+from __future__ import annotations
+
+import math
+from typing import Any
+
+
+class Malformed(Exception):
+    """An object is not what the wire promises; the text names the field."""
+
+
+def field(message: dict[str, Any], key: str, kind: type | tuple[type, ...], default: Any = None) -> Any:
+    """The field's value, checked; a field without a default must be there."""
+    value = message.get(key)
+    if value is None:
+        if default is None:
+            raise Malformed(f"{message.get('msg', 'message')}: no '{key}'")
+        return default
+    if not isinstance(value, kind) or (isinstance(value, bool) and kind is not bool):
+        raise Malformed(f"{message.get('msg', 'message')}: '{key}' is of the wrong type: {value!r}")
+    return value
+
+
+def number(message: dict[str, Any], key: str, default: float | None = None) -> float:
+    """The field's value as a finite number."""
+    value = field(message, key, (int, float), default)
+    if not is_finite_number(value):
+        raise Malformed(f"{message.get('msg', 'message')}: '{key}' is not a finite number")
+    return float(value)
+
+
+def is_finite_number(value: object) -> bool:
+    """Whether the value is a number, and one that a float can hold."""
+    if isinstance(value, bool) or not isinstance(value, (int, float)):
+        return False
+    try:
+        return math.isfinite(value)
+    except OverflowError:
+        return False
+
+
+def lookup(message: dict[str, Any], key: str, table: dict[Any, Any]) -> Any:
+    """What the table has for the field's value."""
+    value = message.get(key)
+    try:
+        return table[value]
+    except (KeyError, TypeError):
+        raise Malformed(f"{message.get('msg', 'message')}: '{key}' has an unknown value {value!r}") from None
+
+
+def choice(kind: Any, value: str, name: str) -> Any:
+    """The member of an enumeration whose value the text is."""
+    try:
+        return kind(value)
+    except ValueError:
+        raise Malformed(f"env: '{name}' has an unknown value {value!r}") from None
+
+
+def objects(message: dict[str, Any], key: str, default: list[Any] | None = None) -> list[dict[str, Any]]:
+    """A list whose elements are all objects."""
+    values: list[dict[str, Any]] = field(message, key, list, default)
+    for index, value in enumerate(values):
+        if not isinstance(value, dict):
+            raise Malformed(f"'{key}[{index}]' is not an object: {value!r}")
+    return values
+
+
+def texts(message: dict[str, Any], key: str) -> tuple[str, ...]:
+    """A list whose elements are all texts; empty where the field is absent."""
+    values = field(message, key, list, [])
+    for index, value in enumerate(values):
+        if not isinstance(value, str):
+            raise Malformed(f"'{key}[{index}]' is not a text: {value!r}")
+    return tuple(values)
+
+
+def optional_amounts(message: dict[str, Any], key: str, count: int) -> list[float]:
+    """A list of numbers of 0 or more, as ``count`` values; 0 where it is shorter, or says null."""
+    values = field(message, key, list, [])
+    for index, value in enumerate(values):
+        if value is not None and not (is_finite_number(value) and value >= 0):
+            raise Malformed(f"'{key}[{index}]' is not a finite number of 0 or more: {value!r}")
+    amounts = [0.0 if value is None else value for value in values[:count]]
+    return amounts + [0.0] * (count - len(amounts))
--- a/saltcourse/codec/lines.py
+++ b/saltcourse/codec/lines.py
@@ -9,7 +9,7 @@
 import math
 from dataclasses import dataclass
 
-from saltcourse.interface import LoadReport
+from saltcourse.balancing.events import LoadReport
 
 MICRO = 1e-6  # LOAD tells microseconds of work a second
 LONGEST_LINE = 4096  # bytes, CRLF included
--- a/saltcourse/config/__init__.py
+++ b/saltcourse/config/__init__.py
@@ -16,9 +16,10 @@
 
 import orjson
 
-from saltcourse import interface as lg
-from saltcourse.settings import Malformed, is_finite_number, read_settings
+from saltcourse.balancing.settings import Settings
 from saltcourse.codec.endpoint_list import Address, BadList, Listing, read_address, read_list
+from saltcourse.codec.json_fields import Malformed, is_finite_number
+from saltcourse.config.deployment_settings import read_settings
 
 DEFAULT_LISTEN = "127.0.0.1:8081"
 DEFAULT_SOCKETS, DEFAULT_MEMORY_MB, DEFAULT_CORES = 4096, 2048, 1.0
@@ -55,7 +56,7 @@
     seed: int
     limits: Limits
     known: Listing
-    settings: lg.Settings
+    settings: Settings
     tells_delay: bool
     admin: Address | None = None  # the operators' address; none, and nobody can call
     peers: PeerAddresses | None = None  # none: this proxy talks to no other
@@ -145,17 +146,19 @@
     )
 
 
-def _peers(values: dict[str, Any], settings: lg.Settings) -> PeerAddresses | None:
+def _peers(values: dict[str, Any], settings: Settings) -> PeerAddresses | None:
     """The addresses, where the settings allow proxies to talk and ``peer_listen`` says where to hear them."""
-    if not settings.peers or values.get("peer_listen") is None:
+    if not settings.peers_allowed or values.get("peer_listen") is None:
         return None
     each = values.get("peers")
-    if not isinstance(each, list) or len(each) != settings.balancers:
+    if not isinstance(each, list) or len(each) != settings.proxy_count:
         raise ConfigError(
-            f"'peers': must be a list of {settings.balancers} addresses, one for each of 'settings.balancers'"
+            f"'peers': must be a list of {settings.proxy_count} addresses, one for each of 'settings.balancers'"
+        )
+    if settings.proxy_index >= settings.proxy_count:
+        raise ConfigError(
+            f"'settings.self_index': must be under {settings.proxy_count}, 'settings.balancers'"
         )
-    if settings.index >= settings.balancers:
-        raise ConfigError(f"'settings.self_index': must be under {settings.balancers}, 'settings.balancers'")
     found = tuple(_address(str(value), f"peers[{i}]") for i, value in enumerate(each))
     if len(set(found)) < len(found):
         raise ConfigError("'peers': an address stands twice")
@@ -164,7 +167,7 @@
         _address(values["peer_listen"], "peer_listen"),
         found,
         None if everyone is None else _address(everyone, "peers_all"),
-        settings.index,
+        settings.proxy_index,
     )
 
 
--- a/saltcourse/config/operator.py
+++ b/saltcourse/config/operator.py
@@ -7,10 +7,10 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
+from saltcourse.balancing.settings import SharedStateSettings
+from saltcourse.config.operator_address_failover import RELOADED, MembershipSettings, read_membership
 from saltcourse.config.operator_file import OperatorFile
 from saltcourse.config.operator_shared_state import read_fleet
-from saltcourse.config.operator_address_failover import RELOADED, MembershipSettings, read_membership
-from saltcourse.interface import FleetTerms
 
 if TYPE_CHECKING:  # nothing of it is imported where the file does not have the section
     from saltcourse.config.operator_gossip import GossipSettings
@@ -23,7 +23,7 @@
     """None for a section that is left out: it is switched off."""
 
     membership: MembershipSettings | None
-    fleet: FleetTerms | None
+    fleet: SharedStateSettings | None
     gossip: GossipSettings | None = None
 
 
--- a/saltcourse/config/operator_address_failover.py
+++ b/saltcourse/config/operator_address_failover.py
@@ -7,9 +7,9 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from saltcourse.config.operator_file import OperatorFile, Place
 from saltcourse.address_failover.authentication import LEAST_KEY, MOST_KEYS
 from saltcourse.address_failover.messages import MOST_MEMBERS, Seat, Timing
+from saltcourse.config.operator_file import OperatorFile, Place
 
 RELOADED = "membership.key_file"  # what SIGHUP takes over; all else needs a restart
 
--- a/saltcourse/config/overlay.py
+++ b/saltcourse/config/overlay.py
@@ -11,8 +11,8 @@
 
 import structlog
 
-from saltcourse.config import FEWEST_SOCKETS, Config, allowed_sockets
 from saltcourse.codec.endpoint_list import Address, read_address
+from saltcourse.config import FEWEST_SOCKETS, Config, allowed_sockets
 
 DISCOVERY_KEY = "proxy/discovery"
 SOCKETS_KEY = "proxy/limits.sockets"
--- a/saltcourse/emulator/election.py
+++ b/saltcourse/emulator/election.py
@@ -13,7 +13,6 @@
 import random
 from typing import Any
 
-from saltcourse.emulator.simnet import Host, Link, Network
 from saltcourse.address_failover.election import Election
 from saltcourse.address_failover.messages import (
     MOST_MEMBERS,
@@ -33,6 +32,7 @@
     Vote,
     Withdraw,
 )
+from saltcourse.emulator.simnet import Host, Link, Network
 
 HELD_WITHIN = 2.0  # s
 FLOORS_A_SECOND = 64 * 8  # a term that a member without a store starts from grows with the calendar
--- a/saltcourse/emulator/scale/mesh.py
+++ b/saltcourse/emulator/scale/mesh.py
@@ -6,6 +6,7 @@
 
 from __future__ import annotations
 
+from saltcourse.balancing.settings import RequestClass, Settings, SharedStateSettings
 from saltcourse.emulator.scale.connections import ConnectionLives
 from saltcourse.emulator.scale.hollow import (
     ConfigurationObserved,
@@ -17,10 +18,9 @@
     StatusObserved,
     view_of,
 )
+from saltcourse.gossip.messages import Address, Status, Transmit
 from saltcourse.shared_state.core import Fleet
 from saltcourse.shared_state.outbox import Outgoing
-from saltcourse.gossip.messages import Address, Status, Transmit
-from saltcourse.interface import FleetTerms, RequestClass, Settings
 
 TICK = 0.05  # s; the pace of its messages, between which it is asked for nothing
 PUBLISHER = 0  # index of the member that tells changes
@@ -52,11 +52,11 @@
         self._indexes = {address: index for index, address in enumerate(seat.addresses)}
         settings = Settings(
             (RequestClass("live-feed", 0.5, 3.0),),
-            balancers=member_count,
-            index=seat.place.index,
-            peers=True,
-            groups=True,
-            fleet=FleetTerms(counts=True),
+            proxy_count=member_count,
+            proxy_index=seat.place.index,
+            peers_allowed=True,
+            has_groups=True,
+            shared_state=SharedStateSettings(share_connection_counts=True),
         )
         self._fleet = self._measured(Fleet, settings, seat.process, self._holdings)
 
--- a/saltcourse/gossip/control.py
+++ b/saltcourse/gossip/control.py
@@ -12,13 +12,13 @@
 from saltcourse.admin.server import AdminServer, GossipCalls
 from saltcourse.config import ConfigError
 from saltcourse.config.operator_gossip import SECTION, GossipSettings
-from saltcourse.metrics import Figures
 from saltcourse.gossip.admin import GossipAnswers
 from saltcourse.gossip.host import LEAVE_GRACE, Host, PersistError, StateStore
 from saltcourse.gossip.member_table import Member
 from saltcourse.gossip.messages import Address, ReplicaState, Status
 from saltcourse.gossip.run import Reread, create_host, figure_names, start_host, warn_of_changes
 from saltcourse.gossip.store import ReplicaStore, StoreError
+from saltcourse.metrics import Figures
 from saltcourse.proxy.errors import CannotListen
 
 log = structlog.get_logger("saltcourse")
--- a/saltcourse/proxy/attempt.py
+++ b/saltcourse/proxy/attempt.py
@@ -8,20 +8,20 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from saltcourse import interface as lg
+from saltcourse.balancing.events import AttemptStatus, HealthCheckFinished, LoadReport
+from saltcourse.codec.endpoint_list import Address
+from saltcourse.codec.lines import NO, PING, PONG, STATS, BadLine, load_of, report_of, word_of
 from saltcourse.proxy.actor import Actor
 from saltcourse.proxy.clock import Clock
 from saltcourse.proxy.messages import CallEnded, CallUp, ToInvocation
 from saltcourse.proxy.stream import Peer, PeerReset
-from saltcourse.codec.lines import NO, PING, PONG, STATS, BadLine, load_of, report_of, word_of
-from saltcourse.codec.endpoint_list import Address
 
 PROBE_TIME = 0.3  # s for a probe and its answer
 STATUS_OF_ANSWER = {
-    b"BUSY": lg.Status.FULL,
-    b"ERR": lg.Status.ERROR,
-    b"MOVE": lg.Status.CANCELLED,
-    b"BYE": lg.Status.OK,
+    b"BUSY": AttemptStatus.FULL,
+    b"ERR": AttemptStatus.ERROR,
+    b"MOVE": AttemptStatus.CANCELLED,
+    b"BYE": AttemptStatus.OK,
 }
 SHORT = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)  # of what a socket needs
 
@@ -89,7 +89,7 @@
     async def run(self) -> None:
         status, reset = await self._attempt()
         if self._given_up:
-            status = lg.Status.CANCELLED if self._ran() else lg.Status.NOT_SENT
+            status = AttemptStatus.CANCELLED if self._ran() else AttemptStatus.NOT_SENT
         self.owner.tell(CallEnded(self, status, reset))
 
     def cleanup(self) -> None:
@@ -107,32 +107,32 @@
         tells nothing: a time-out or a reset may cross the end of a write that went in parts."""
         return self.peer is not None and self.peer.sent >= len(self._line)
 
-    async def _attempt(self) -> tuple[lg.Status, bool]:
+    async def _attempt(self) -> tuple[AttemptStatus, bool]:
         if self._given_up or not self.owner.wanted():  # before this coroutine had its first turn
-            return lg.Status.NOT_SENT, False
+            return AttemptStatus.NOT_SENT, False
         if self._address is None:
-            return lg.Status.CONNECT_FAILED, False
+            return AttemptStatus.CONNECT_FAILED, False
         try:
             self.peer = Peer(open_socket(self._address))
         except NoSocket:
-            return lg.Status.NOT_SENT, False
+            return AttemptStatus.NOT_SENT, False
         try:
             line = await self._ask(self.peer, self._address)
         except TimeoutError:
-            return (lg.Status.TIMEOUT if self._ran() else lg.Status.CONNECT_FAILED), False
+            return (AttemptStatus.TIMEOUT if self._ran() else AttemptStatus.CONNECT_FAILED), False
         except PeerReset:
-            return (lg.Status.RESET if self._ran() else lg.Status.CONNECT_FAILED), True
+            return (AttemptStatus.RESET if self._ran() else AttemptStatus.CONNECT_FAILED), True
         except BadLine:
-            return lg.Status.ERROR, False
+            return AttemptStatus.ERROR, False
         except NotWanted:
-            return lg.Status.NOT_SENT, False
+            return AttemptStatus.NOT_SENT, False
         finally:
             if self._ran():
                 self.owner.dispatched()
         if line is None:
-            return lg.Status.RESET, False
+            return AttemptStatus.RESET, False
         if word_of(line) != b"UP":
-            return STATUS_OF_ANSWER.get(word_of(line), lg.Status.ERROR), False
+            return STATUS_OF_ANSWER.get(word_of(line), AttemptStatus.ERROR), False
         self.owner.tell(CallUp(self, bytes(line)))
         await self.stood.wait()
         return await self._pump()
@@ -159,7 +159,7 @@
                 return None
         return line
 
-    async def _pump(self) -> tuple[lg.Status, bool]:
+    async def _pump(self) -> tuple[AttemptStatus, bool]:
         """Pass lines on until the provider ends. Only whole lines go to the client, so that MOVE can be
         put between any two of them; a line that the end cuts short follows as it is."""
         assert self.peer is not None
@@ -175,12 +175,12 @@
             if len(rest) and not self.silenced:
                 await self.owner.deliver(rest)
         except PeerReset:
-            return lg.Status.RESET, True
+            return AttemptStatus.RESET, True
         except BadLine:
-            return lg.Status.RESET, True
+            return AttemptStatus.RESET, True
         if word == b"BYE":
-            return lg.Status.OK, False
-        return (lg.Status.CANCELLED if word == b"MOVE" else lg.Status.RESET), False
+            return AttemptStatus.OK, False
+        return (AttemptStatus.CANCELLED if word == b"MOVE" else AttemptStatus.RESET), False
 
 
 class ProbeCall(Actor[None]):
@@ -192,7 +192,7 @@
         address: Address | None,
         stats: bool,
         clock: Clock,
-        told: Callable[[lg.ProbeResult], None],
+        told: Callable[[HealthCheckFinished], None],
     ) -> None:
         super().__init__(f"probe of {server}")
         self._server, self._address, self._stats = server, address, stats
@@ -201,33 +201,33 @@
 
     async def run(self) -> None:
         began = self._clock.now()
-        status = lg.Status.CONNECT_FAILED
+        status = AttemptStatus.CONNECT_FAILED
         report = None
         try:
             if self._address is not None:
                 async with asyncio.timeout(PROBE_TIME):
                     status, report = await self._ask(self._address)
         except NoSocket:
-            status = lg.Status.NOT_SENT
+            status = AttemptStatus.NOT_SENT
         except TimeoutError:
-            status = lg.Status.TIMEOUT
+            status = AttemptStatus.TIMEOUT
         except PeerReset:
-            status = lg.Status.CONNECT_FAILED
+            status = AttemptStatus.CONNECT_FAILED
         except BadLine:
-            status = lg.Status.ERROR
-        self._told(lg.ProbeResult(self._server, status, self._clock.now() - began, report))
+            status = AttemptStatus.ERROR
+        self._told(HealthCheckFinished(self._server, status, self._clock.now() - began, report))
 
-    async def _ask(self, address: Address) -> tuple[lg.Status, lg.LoadReport | None]:
+    async def _ask(self, address: Address) -> tuple[AttemptStatus, LoadReport | None]:
         peer = self._peer = Peer(open_socket(address))
         await peer.connect(address)
         await peer.write((STATS if self._stats else PING) + b"\r\n")
         while (line := peer.buffer.line()) is None:
             if not await peer.fill():
-                return lg.Status.RESET, None
+                return AttemptStatus.RESET, None
         word = word_of(line)
         if word == NO:
-            return lg.Status.NOT_SENT, None
-        return (lg.Status.OK if word == PONG else lg.Status.ERROR), report_of(line)
+            return AttemptStatus.NOT_SENT, None
+        return (AttemptStatus.OK if word == PONG else AttemptStatus.ERROR), report_of(line)
 
     def cleanup(self) -> None:
         if self._peer is not None:
--- a/saltcourse/proxy/client_connection.py
+++ b/saltcourse/proxy/client_connection.py
@@ -13,11 +13,36 @@
 
 import structlog
 
-from saltcourse import interface as lg
+from saltcourse.balancing.actions import FailRequest, MigrateConnection, RejectRequest
+from saltcourse.balancing.events import (
+    NEVER_RAN,
+    AttemptFinished,
+    AttemptStatus,
+    ClientDisconnected,
+    ConnectionEstablished,
+    ConnectionLoadChanged,
+    ConnectionResumed,
+    RequestReceived,
+)
+from saltcourse.balancing.settings import Settings
+from saltcourse.codec.endpoint_list import Address
+from saltcourse.codec.lines import (
+    FAIL_LINE,
+    MICRO,
+    MOVE_LINE,
+    PING,
+    PONG_LINE,
+    BadLine,
+    OpenLine,
+    busy_line,
+    load_of,
+    read_open,
+    word_of,
+)
 from saltcourse.metrics import Figures
 from saltcourse.proxy.actor import Actor, spawn
-from saltcourse.proxy.clock import Clock
 from saltcourse.proxy.attempt import InvokerCall
+from saltcourse.proxy.clock import Clock
 from saltcourse.proxy.messages import (
     Arrived,
     CallEnded,
@@ -35,20 +60,6 @@
 )
 from saltcourse.proxy.pending_connections import Doorstep
 from saltcourse.proxy.stream import Peer, PeerReset, dismiss, part, write_within
-from saltcourse.codec.lines import (
-    MICRO,
-    FAIL_LINE,
-    MOVE_LINE,
-    PING,
-    PONG_LINE,
-    BadLine,
-    OpenLine,
-    busy_line,
-    load_of,
-    read_open,
-    word_of,
-)
-from saltcourse.codec.endpoint_list import Address
 
 FIRST_LINE_TIME = 2.0  # s for a whole first line, however it trickles in; clients send it at once
 PING_TIME = 30.0  # s that a connection which was only pinged on may rest between two PINGs
@@ -79,7 +90,7 @@
 
     def __init__(
         self,
-        settings: lg.Settings,
+        settings: Settings,
         clock: Clock,
         tell_decider: Callable[[ToDecider], None],
         address_of: Callable[[str], Address | None],
@@ -147,7 +158,7 @@
         self._no_longer_leaves()
         if self.call is not None:
             self.call.close()
-        self._settle(lg.Status.CANCELLED)
+        self._settle(AttemptStatus.CANCELLED)
         while not self.mailbox.empty():
             message = self.mailbox.get_nowait()
             if isinstance(message, Place):
@@ -158,14 +169,16 @@
             self.host.tell_decider(Left(self, self.request))
 
     def _never_sent(self, place: Place) -> None:
-        self.host.tell_decider(lg.Outcome(place.request, place.attempt, lg.Status.NOT_SENT, 0.0, True))
+        self.host.tell_decider(
+            AttemptFinished(place.request, place.attempt, AttemptStatus.NOT_SENT, 0.0, True)
+        )
 
-    def _settle(self, status: lg.Status, final: bool = True) -> None:
+    def _settle(self, status: AttemptStatus, final: bool = True) -> None:
         """Tell the module how the send that is out has ended; once for each send."""
         place, self._owed = self._owed, None
         if place is not None and self.call is not None:
             took = self.host.clock.now() - self.call.began
-            self.host.tell_decider(lg.Outcome(place.request, place.attempt, status, took, final))
+            self.host.tell_decider(AttemptFinished(place.request, place.attempt, status, took, final))
 
     # ---- life -----------------------------------------------------------------------------------
 
@@ -185,7 +198,7 @@
         self._opens_no_more()
         if self.host.short():
             self.host.figures.reply(self.opened.klass, "overload")
-            busy = busy_line(self.host.settings.longest_refusal)
+            busy = busy_line(self.host.settings.longest_retry_after)
             await dismiss(self.peer, busy, DISMISS_TIME, DISMISS_BYTES)
             return
         wait = min(self.opened.wait, RESUME_TIME) if self.opened.at else self.opened.wait
@@ -301,8 +314,8 @@
             self._leave_in(0.0 if self._rests else quiet)
 
     @staticmethod
-    def _event(opened: OpenLine, patience: float) -> lg.NewRequest:
-        return lg.NewRequest(
+    def _event(opened: OpenLine, patience: float) -> RequestReceived:
+        return RequestReceived(
             opened.request,
             opened.klass,
             patience,
@@ -361,18 +374,18 @@
                 await self._call_ended(status, reset)
             case ClientEnded(reset):
                 await self._client_ended(reset)
-            case lg.Refuse(_, retry_after) if self.stage is Stage.WAITING:
+            case RejectRequest(_, retry_after) if self.stage is Stage.WAITING:
                 await self._answer(busy_line(retry_after), "overload")
-            case lg.Fail() if self.stage is Stage.WAITING:
+            case FailRequest() if self.stage is Stage.WAITING:
                 await self._answer(FAIL_LINE, "error")
-            case lg.Move() if self.stage is Stage.STANDING:
+            case MigrateConnection() if self.stage is Stage.STANDING:
                 await self._move()
             case Retract(attempt) if self.stage is Stage.WAITING and self._owed is not None:
                 if self._owed.attempt == attempt and self.call is not None:
                     self.call.close()
             case Forfeit(reason) if self.stage is Stage.WAITING:
                 log.info("failed without the module", request=self.request, reason=reason)
-                self.host.tell_decider(lg.ClientGone(self.request))
+                self.host.tell_decider(ClientDisconnected(self.request))
                 await self._answer(FAIL_LINE, "error")
 
     def _place(self, place: Place) -> None:
@@ -412,7 +425,7 @@
         if load is None:
             self.host.tell_decider(LineBack(self.request, self.host.clock.now()))
         else:
-            self.host.tell_decider(lg.LoadNote(self.request, load * MICRO))
+            self.host.tell_decider(ConnectionLoadChanged(self.request, load * MICRO))
 
     async def _up(self, call: InvokerCall, line: bytes) -> None:
         if self.stage is not Stage.WAITING:
@@ -427,7 +440,7 @@
             self.host.tell_decider(
                 Resumed(
                     self,
-                    lg.ConnectionResumed(
+                    ConnectionResumed(
                         self.request,
                         self.opened.klass,
                         self.opened.at,
@@ -439,11 +452,11 @@
             )
         elif self._owed is not None:
             took = self.host.clock.now() - call.began
-            self.host.tell_decider(lg.Established(self.request, self._owed.attempt, took))
+            self.host.tell_decider(ConnectionEstablished(self.request, self._owed.attempt, took))
         call.stood.set()
         self._released.set()
 
-    async def _call_ended(self, status: lg.Status, reset: bool) -> None:
+    async def _call_ended(self, status: AttemptStatus, reset: bool) -> None:
         if self.stage is Stage.STANDING:
             self.stage = Stage.ENDED
             self._settle(status)
@@ -464,28 +477,28 @@
         standing, self.stage = self.stage is Stage.STANDING, Stage.ENDED
         if not standing:
             if not (self.opened is not None and self.opened.at):
-                self.host.tell_decider(lg.ClientGone(self.request))
+                self.host.tell_decider(ClientDisconnected(self.request))
             if self.call is not None:
                 self.call.close()
-            self._settle(lg.Status.CANCELLED)
+            self._settle(AttemptStatus.CANCELLED)
             return
         call = self.call
         if call is None or call.peer is None:
             return
         if reset:
             call.peer.abort()
-            self._settle(lg.Status.CANCELLED)
+            self._settle(AttemptStatus.CANCELLED)
             return
         # The client has only ended its sending, perhaps: what the provider still says goes to it.
         call.peer.finish()
         status = await self._provider_end(call)
-        self._settle(lg.Status.OK if status is lg.Status.OK else lg.Status.CANCELLED)
+        self._settle(AttemptStatus.OK if status is AttemptStatus.OK else AttemptStatus.CANCELLED)
         self.peer.finish()
 
-    async def _provider_end(self, call: InvokerCall) -> lg.Status:
+    async def _provider_end(self, call: InvokerCall) -> AttemptStatus:
         if call.task is not None:
             await asyncio.wait([call.task], timeout=PART_TIME)
-        status = lg.Status.CANCELLED
+        status = AttemptStatus.CANCELLED
         while not self.mailbox.empty():
             message = self.mailbox.get_nowait()
             if isinstance(message, CallEnded):
@@ -499,7 +512,7 @@
             self.host.figures.reply(self.opened.klass, outcome)
         if self.call is not None:
             self.call.close()
-        self._settle(lg.Status.CANCELLED)
+        self._settle(AttemptStatus.CANCELLED)
         self._released.set()
         if await write_within(self.peer, line, MOVE_TIME):
             await part(self.peer, self._reader, PART_TIME)
@@ -513,7 +526,7 @@
         call.silenced = True
         written = await write_within(self.peer, MOVE_LINE, MOVE_TIME)
         call.peer.finish()
-        self._settle(lg.Status.CANCELLED)
+        self._settle(AttemptStatus.CANCELLED)
         if written:
             await part(self.peer, self._reader, PART_TIME)
         else:
@@ -524,12 +537,12 @@
     def _resume(self, opened: OpenLine) -> None:
         self._place(Place(self.request, opened.at, 0, 0.0, self.host.address_of(opened.at)))
 
-    async def _resume_failed(self, status: lg.Status) -> None:
+    async def _resume_failed(self, status: AttemptStatus) -> None:
         """It has one place to go to, and the server may only just be coming up as well."""
         self._owed = None
         if self.opened is None:
             return
-        if status not in lg.NEVER_RAN or self.deadline - self.host.clock.now() < 2 * RESUME_AGAIN:
+        if status not in NEVER_RAN or self.deadline - self.host.clock.now() < 2 * RESUME_AGAIN:
             await self._answer(FAIL_LINE, "error")
             return
         await asyncio.sleep(RESUME_AGAIN)
--- a/saltcourse/proxy/discovery_client.py
+++ b/saltcourse/proxy/discovery_client.py
@@ -10,18 +10,22 @@
 import structlog
 from tornado.iostream import IOStream, StreamClosedError
 
-from saltcourse import interface as lg
+from saltcourse.balancing.actions import FetchEndpoints, WatchEndpoints
+from saltcourse.balancing.events import EndpointUpdateKind
+from saltcourse.balancing.settings import CHANGE_KNOWN_WITHIN_SECONDS, LIST_CALL_TIMEOUT_SECONDS
+from saltcourse.codec import http
+from saltcourse.codec.endpoint_list import Address, BadList, Listing, parse_list
 from saltcourse.proxy.actor import Actor, spawn
 from saltcourse.proxy.attempt import NoSocket, open_socket
 from saltcourse.proxy.messages import Listed
-from saltcourse.codec import http
-from saltcourse.codec.endpoint_list import Address, BadList, Listing, parse_list
 
 PATH = "/catalog/members"
 # A watch can fall silent with news held back, as soon as it is begun. What it misses counts as told
 # TOLD_WITHIN later: until then it has to be given up, and the call in its place has to have had its turn.
 WATCH_SLACK = 0.6  # s after its wait at which a watch without an answer is taken for silent
-WATCH_TIME = lg.TOLD_WITHIN - WATCH_SLACK - lg.LIST_PATIENCE / 2  # s that a call may wait for news
+WATCH_TIME = (
+    CHANGE_KNOWN_WITHIN_SECONDS - WATCH_SLACK - LIST_CALL_TIMEOUT_SECONDS / 2
+)  # s that a call may wait for news
 SOON = 0.1  # s; a watch goes on when the next call comes within 0.2 s of an answer
 FIRST_CALL_TIME = 1.2  # s for the first answer at a new address, doubling: the list is owed within 4 s
 CALL_AGAIN = 0.2  # s between calls at a new address while none has been answered
@@ -45,7 +49,7 @@
     address: Address
 
 
-class Directory(Actor[lg.Watch | lg.FetchList | Relocate]):
+class Directory(Actor[WatchEndpoints | FetchEndpoints | Relocate]):
     """Calls run beside the mailbox, so that the whole list can be asked for during a watch."""
 
     def __init__(self, address: Address, version: int, told: Callable[[Listed], None]) -> None:
@@ -60,10 +64,10 @@
             asked = await self.mailbox.get()
             if isinstance(asked, Relocate):
                 self._relocate(asked.address)
-            elif isinstance(asked, lg.FetchList):
+            elif isinstance(asked, FetchEndpoints):
                 self._begin(self._fetch(), "list call")
             elif self._watching:  # a call is out already, and news will come by it
-                self._told(Listed(lg.ListKind.CHANGED, Listing(self._version, False, (), {})))
+                self._told(Listed(EndpointUpdateKind.DELTA, Listing(self._version, False, (), {})))
             else:
                 self._watching = True
                 self._begin(self._watch(), "watch")
@@ -88,7 +92,7 @@
         patience = FIRST_CALL_TIME
         while True:
             try:
-                self._tell(await self._call(PATH, 0.0, min(patience, lg.LIST_PATIENCE)), 0)
+                self._tell(await self._call(PATH, 0.0, min(patience, LIST_CALL_TIMEOUT_SECONDS)), 0)
                 break
             except (Refused, Silent):
                 patience *= 2
@@ -100,7 +104,7 @@
         try:
             self._tell(await self._call(PATH, 0.0), held)
         except (Refused, Silent):
-            self._told(Listed(lg.ListKind.UNAVAILABLE))
+            self._told(Listed(EndpointUpdateKind.UNAVAILABLE))
 
     async def _watch(self) -> None:
         """Each call follows the last answer at once. A call that falls silent is no refusal: the whole list
@@ -125,7 +129,7 @@
                 await asyncio.sleep(SOON)  # a service that does not wait must not be called in a spin
             silent = False
         self._watching = False
-        self._told(Listed(lg.ListKind.UNAVAILABLE))
+        self._told(Listed(EndpointUpdateKind.UNAVAILABLE))
 
     def _tell(self, listing: Listing, held: int) -> None:
         """``held`` is the version that was held when the call was made.
@@ -139,9 +143,9 @@
         self._version = 0 if began_anew and not listing.full else listing.version
         if began_anew and not listing.full:
             return
-        self._told(Listed(lg.ListKind.WHOLE if listing.full else lg.ListKind.CHANGED, listing))
+        self._told(Listed(EndpointUpdateKind.SNAPSHOT if listing.full else EndpointUpdateKind.DELTA, listing))
 
-    async def _call(self, target: str, wait: float, patience: float = lg.LIST_PATIENCE) -> Listing:
+    async def _call(self, target: str, wait: float, patience: float = LIST_CALL_TIMEOUT_SECONDS) -> Listing:
         try:
             async with asyncio.timeout(wait + patience):
                 answer = await self._get(target)
--- a/saltcourse/proxy/dispatcher.py
+++ b/saltcourse/proxy/dispatcher.py
@@ -12,12 +12,44 @@
 
 import structlog
 
-from saltcourse import interface as lg
-from saltcourse.balancing.response_latency import NOTE_EVERY, DelayMeter
+from saltcourse.balancing.actions import (
+    Action,
+    CancelAttempt,
+    FailRequest,
+    FetchEndpoints,
+    Log,
+    MigrateConnection,
+    RejectRequest,
+    SendPeerMessage,
+    SetTimer,
+    StartAttempt,
+    StartHealthCheck,
+    WatchEndpoints,
+)
+from saltcourse.balancing.balancer import Balancer, Health
 from saltcourse.balancing.drain_schedule import DrainPlan
+from saltcourse.balancing.events import (
+    AttemptFinished,
+    AttemptStatus,
+    BackendState,
+    ConnectionEstablished,
+    ConnectionLoadChanged,
+    ConnectionResumed,
+    Endpoint,
+    EndpointsUpdated,
+    EndpointUpdateKind,
+    Event,
+    RequestReceived,
+    ResponseLatencyMeasured,
+    TimerFired,
+)
+from saltcourse.balancing.response_latency import NOTE_EVERY, DelayMeter
+from saltcourse.balancing.settings import Settings
+from saltcourse.codec.endpoint_list import Address, Listing
+from saltcourse.codec.lines import MICRO
 from saltcourse.proxy.actor import Actor
-from saltcourse.proxy.clock import Clock
 from saltcourse.proxy.attempt import ProbeCall
+from saltcourse.proxy.clock import Clock
 from saltcourse.proxy.messages import (
     Arrived,
     Invocation,
@@ -31,9 +63,6 @@
     Retract,
     ToDecider,
 )
-from saltcourse.balancing.balancer import Balancer, Health
-from saltcourse.codec.lines import MICRO
-from saltcourse.codec.endpoint_list import Address, Listing
 
 LOOK_EVERY = 0.25  # s between looks for connections that bring nothing back
 LATE = 0.1  # s by which a look may be late before it judges nobody for being silent
@@ -53,24 +82,24 @@
 class Decider(Actor[ToDecider | Rung]):
     def __init__(
         self,
-        settings: lg.Settings,
+        settings: Settings,
         seed: int,
         clock: Clock,
         known: Listing,
-        ask_directory: Callable[[lg.Watch | lg.FetchList], None],
+        ask_directory: Callable[[WatchEndpoints | FetchEndpoints], None],
         tells_delay: bool,
-        say: Callable[[lg.TellPeers], None],
+        say: Callable[[SendPeerMessage], None],
     ) -> None:
         super().__init__("decider")
         self.settings, self.clock = settings, clock
         self.addresses: dict[str, Address] = {}
-        self.members: dict[str, lg.Member] = {}
+        self.members: dict[str, Endpoint] = {}
         self.invocations: dict[str, Invocation] = {}
-        self.standing: dict[str, lg.ConnectionResumed] = {}
+        self.standing: dict[str, ConnectionResumed] = {}
         self._plan: DrainPlan | None = None  # when standing connections are moved; None: nothing is
         self._known, self._ask, self._seed, self._say = known, ask_directory, seed, say
         self._sends: dict[str, tuple[int, str]] = {}  # request -> number and server of its last attempt
-        self._arrived: dict[str, lg.NewRequest] = {}
+        self._arrived: dict[str, RequestReceived] = {}
         self._meter = DelayMeter(settings.slow_message if tells_delay else float("inf"))
         self._noted = 0.0
         self._looked = clock.now()
@@ -80,7 +109,7 @@
         self._balancer = Balancer(settings, seed)
 
     async def run(self) -> None:
-        self._take(Listed(lg.ListKind.RESTORED, self._known))
+        self._take(Listed(EndpointUpdateKind.CACHED, self._known))
         self._look()
         while True:
             self._take(await self.mailbox.get())
@@ -95,7 +124,7 @@
                 self._meter.line_back(request, at)
             case Arrived(invocation, event):
                 if event.request in self.invocations:  # ids are new with every connection
-                    invocation.tell(lg.Fail(event.request))
+                    invocation.tell(FailRequest(event.request))
                     return
                 self.invocations[event.request] = invocation
                 self._arrived[event.request] = event
@@ -117,42 +146,42 @@
             case MoveAll(on, begin, end):
                 self._plan = DrainPlan(begin, end) if on else None
                 self._pace()
-            case lg.Established():
+            case ConnectionEstablished():
                 self._established(message)
             case Rung(balancer, token):
                 if balancer is self._balancer:
-                    self._handle(lg.TimerFired(token))
-            case lg.Outcome():
+                    self._handle(TimerFired(token))
+            case AttemptFinished():
                 if message.final:
                     self._ended(message.request)
                 if message.request in self._sends:
                     self._ended_how[self._sends[message.request][1], message.status.value] += 1
                 self._handle(message)
-            case lg.LoadNote(request, load):
+            case ConnectionLoadChanged(request, load):
                 delay = self._meter.told(request, load / MICRO, self.clock.now())
-                self._handle(message if delay is None else lg.DelayNote(request, delay))
+                self._handle(message if delay is None else ResponseLatencyMeasured(request, delay))
             case _:
                 self._handle(message)
 
-    def _listed(self, kind: lg.ListKind, listing: Listing | None) -> None:
+    def _listed(self, kind: EndpointUpdateKind, listing: Listing | None) -> None:
         if listing is None:
-            self._handle(lg.MembersChanged(kind))
+            self._handle(EndpointsUpdated(kind))
             return
         self.addresses.update(listing.addresses)
-        if kind is not lg.ListKind.CHANGED:
+        if kind is not EndpointUpdateKind.DELTA:
             self.members = {}
-        self.members.update((m.server, m) for m in listing.members)
-        self._handle(lg.MembersChanged(kind, listing.members))
+        self.members.update((m.backend, m) for m in listing.members)
+        self._handle(EndpointsUpdated(kind, listing.members))
 
     def targets(self) -> tuple[int, int]:
         """Providers in the list, and those of them that the module avoids now (draining, resting, tried)."""
-        listed = [m.server for m in self.members.values() if m.state is not lg.ServerState.GONE]
+        listed = [m.backend for m in self.members.values() if m.state is not BackendState.REMOVED]
         servers = self._balancer.servers
         avoided = sum(
             1
             for name in listed
             if (server := servers.get(name)) is not None
-            and (server.state is not lg.ServerState.READY or server.health in (Health.RESTING, Health.TRIAL))
+            and (server.state is not BackendState.READY or server.health in (Health.RESTING, Health.TRIAL))
         )
         return len(listed), avoided
 
@@ -168,21 +197,26 @@
             "fleet.unreadable": peers.undecodable,
         }
 
-    def _established(self, event: lg.Established) -> None:
+    def _established(self, event: ConnectionEstablished) -> None:
         arrived, sent = self._arrived.get(event.request), self._sends.get(event.request)
         if arrived is not None and sent is not None:
             self._stands(
-                lg.ConnectionResumed(
-                    event.request, arrived.klass, sent[1], arrived.tenant, arrived.load_hint, arrived.group
+                ConnectionResumed(
+                    event.request,
+                    arrived.request_class,
+                    sent[1],
+                    arrived.tenant,
+                    arrived.load_hint,
+                    arrived.group,
                 )
             )
         self._handle(event)
         if self._plan is not None:
             self._move(event.request)
 
-    def _stands(self, connection: lg.ConnectionResumed) -> None:
+    def _stands(self, connection: ConnectionResumed) -> None:
         self.standing[connection.request] = connection
-        self._meter.stands(connection.request, connection.server)
+        self._meter.stands(connection.request, connection.backend)
 
     def _ended(self, request: str) -> None:
         self.standing.pop(request, None)
@@ -200,14 +234,14 @@
             for request, delay in self._meter.hung(now):
                 log.info(
                     "provider has stopped answering",
-                    id=self.standing[request].server,
+                    id=self.standing[request].backend,
                     seconds=round(delay, 2),
                 )
-                self._handle(lg.DelayNote(request, delay))
+                self._handle(ResponseLatencyMeasured(request, delay))
         if now - self._noted >= NOTE_EVERY:
             self._noted = now
             for request, delay in self._meter.notes(now):
-                self._handle(lg.DelayNote(request, delay))
+                self._handle(ResponseLatencyMeasured(request, delay))
         self._pace()
         if now - self._summed >= SUM_EVERY:
             self._summed = now
@@ -225,12 +259,12 @@
     def _sum_up(self, now: float) -> None:
         """For whoever asks why connections went where they went: connections that stand there, the module's
         occupancy over its ceiling, why nothing new goes there, and how attempts and connections ended."""
-        held = Counter(c.server for c in self.standing.values())
+        held = Counter(c.backend for c in self.standing.values())
         for server in self._balancer.servers.values():
             why = [
                 word
                 for word, so in (
-                    (server.state.value, server.state is not lg.ServerState.READY),
+                    (server.state.value, server.state is not BackendState.READY),
                     (server.health.name.lower(), server.health is not Health.USABLE),
                     ("unclean", server.unclean_until > now),
                     ("slow", server.slow_until > now),
@@ -239,7 +273,7 @@
                 if so
             ]
             ended = {how: n for (name, how), n in sorted(self._ended_how.items()) if name == server.id}
-            if server.state is lg.ServerState.GONE and not held[server.id] and not ended:
+            if server.state is BackendState.REMOVED and not held[server.id] and not ended:
                 continue
             log.info(
                 "provider",
@@ -261,28 +295,28 @@
 
     # ---- the module -----------------------------------------------------------------------------
 
-    def _handle(self, event: lg.Event) -> None:
+    def _handle(self, event: Event) -> None:
         self._carry_out(self._decide(event))
 
-    def _decide(self, event: lg.Event) -> list[lg.Action]:
+    def _decide(self, event: Event) -> list[Action]:
         try:
             return self._balancer.handle(self.clock.now(), event)
         except Exception:
             log.exception("fault in the module", event_type=type(event).__name__)
             return self._begin_anew()
 
-    def _begin_anew(self) -> list[lg.Action]:
+    def _begin_anew(self) -> list[Action]:
         """After a fault nothing that the module held can be trusted. Whoever waits is answered, and a new
         module is told of the list and of all that stands, as if the program had just started."""
         for request, invocation in self.invocations.items():
             if request not in self.standing:
-                invocation.tell(lg.Fail(request))
+                invocation.tell(FailRequest(request))
         self._seed += 1
         self._balancer = Balancer(self.settings, self._seed)
         now = self.clock.now()
         try:
             actions = self._balancer.handle(
-                now, lg.MembersChanged(lg.ListKind.RESTORED, tuple(self.members.values()))
+                now, EndpointsUpdated(EndpointUpdateKind.CACHED, tuple(self.members.values()))
             )
             for connection in self.standing.values():
                 actions += self._balancer.handle(now, connection)
@@ -291,39 +325,40 @@
             return []
         return actions
 
-    def _carry_out(self, actions: list[lg.Action]) -> None:
+    def _carry_out(self, actions: list[Action]) -> None:
         for action in actions:
             match action:
-                case lg.Send():
+                case StartAttempt():
                     self._send(action)
-                case lg.Refuse() | lg.Fail():
-                    self._ended_how["", type(action).__name__.lower()] += 1
+                case RejectRequest() | FailRequest():
+                    outcome = "rejected" if isinstance(action, RejectRequest) else "failed"
+                    self._ended_how["", outcome] += 1
                     self._tell(action.request, action)
-                case lg.Move():
-                    self._ended_how["", "move"] += 1
+                case MigrateConnection():
+                    self._ended_how["", "migrated"] += 1
                     self._move(action.request)
-                case lg.Cancel():
+                case CancelAttempt():
                     invocation = self.invocations.get(action.request)
                     if invocation is not None:
                         invocation.tell(Retract(action.attempt))
-                case lg.SetTimer():
+                case SetTimer():
                     self._set_timer(action)
-                case lg.Probe():
+                case StartHealthCheck():
                     ProbeCall(
-                        action.server,
-                        self.addresses.get(action.server),
+                        action.backend,
+                        self.addresses.get(action.backend),
                         self.settings.reports_load,
                         self.clock,
                         self.tell,
                     ).start()
-                case lg.Watch() | lg.FetchList():
+                case WatchEndpoints() | FetchEndpoints():
                     self._ask(action)
-                case lg.Log():
+                case Log():
                     log.info("module", text=action.text)
-                case lg.TellPeers():
+                case SendPeerMessage():
                     self._say(action)
 
-    def _tell(self, request: str, action: lg.Refuse | lg.Fail | lg.Move) -> None:
+    def _tell(self, request: str, action: RejectRequest | FailRequest | MigrateConnection) -> None:
         invocation = self.invocations.get(request)
         if invocation is not None:
             invocation.tell(action)
@@ -331,18 +366,18 @@
     def _move(self, request: str) -> None:
         """It stops counting as standing at once, so that it is moved once."""
         self._ended(request)
-        self._tell(request, lg.Move(request))
+        self._tell(request, MigrateConnection(request))
 
-    def _send(self, send: lg.Send) -> None:
+    def _send(self, send: StartAttempt) -> None:
         last, _ = self._sends.get(send.request, (-1, ""))
-        place = Place(send.request, send.server, last + 1, send.timeout, self.addresses.get(send.server))
-        self._sends[send.request] = (place.attempt, send.server)
+        place = Place(send.request, send.backend, last + 1, send.timeout, self.addresses.get(send.backend))
+        self._sends[send.request] = (place.attempt, send.backend)
         invocation = self.invocations.get(send.request)
         if invocation is not None:
             invocation.tell(place)
         else:  # its client left a moment ago
-            self.tell(lg.Outcome(send.request, place.attempt, lg.Status.NOT_SENT, 0.0, True))
+            self.tell(AttemptFinished(send.request, place.attempt, AttemptStatus.NOT_SENT, 0.0, True))
 
-    def _set_timer(self, timer: lg.SetTimer) -> None:
+    def _set_timer(self, timer: SetTimer) -> None:
         rung = Rung(self._balancer, timer.token)
         asyncio.get_running_loop().call_later(timer.delay, self.tell, rung)
--- a/saltcourse/proxy/messages.py
+++ b/saltcourse/proxy/messages.py
@@ -5,7 +5,14 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from saltcourse import interface as lg
+from saltcourse.balancing.actions import FailRequest, MigrateConnection, RejectRequest
+from saltcourse.balancing.events import (
+    AttemptStatus,
+    ConnectionResumed,
+    EndpointUpdateKind,
+    Event,
+    RequestReceived,
+)
 from saltcourse.codec.endpoint_list import Address, Listing
 
 
@@ -58,11 +65,21 @@
     """The call is over: before UP with any status, after it with how the connection ended."""
 
     call: Attempt
-    status: lg.Status
+    status: AttemptStatus
     reset: bool
 
 
-ToInvocation = Place | Retract | Forfeit | ClientEnded | CallUp | CallEnded | lg.Refuse | lg.Fail | lg.Move
+ToInvocation = (
+    Place
+    | Retract
+    | Forfeit
+    | ClientEnded
+    | CallUp
+    | CallEnded
+    | RejectRequest
+    | FailRequest
+    | MigrateConnection
+)
 
 
 class Invocation(Protocol):
@@ -76,7 +93,7 @@
     """A new request, and who takes its answers."""
 
     invocation: Invocation
-    event: lg.NewRequest
+    event: RequestReceived
 
 
 @dataclass(slots=True)
@@ -84,7 +101,7 @@
     """A connection from before this program's start stands again."""
 
     invocation: Invocation
-    event: lg.ConnectionResumed
+    event: ConnectionResumed
 
 
 @dataclass(slots=True)
@@ -97,7 +114,7 @@
 
 @dataclass(slots=True)
 class Listed:
-    kind: lg.ListKind
+    kind: EndpointUpdateKind
     listing: Listing | None = None
 
 
@@ -126,4 +143,4 @@
     end: float = 0.0
 
 
-ToDecider = Arrived | Resumed | Left | Listed | LineSent | LineBack | MoveAll | lg.Event
+ToDecider = Arrived | Resumed | Left | Listed | LineSent | LineBack | MoveAll | Event
--- a/saltcourse/proxy/peer_link.py
+++ b/saltcourse/proxy/peer_link.py
@@ -12,16 +12,17 @@
 
 import structlog
 
-from saltcourse import interface as lg
+from saltcourse.balancing.actions import SendPeerMessage
+from saltcourse.balancing.events import PeerMessageReceived
+from saltcourse.codec.endpoint_list import Address
 from saltcourse.config import PeerAddresses
 from saltcourse.shared_state.codec import MAX_BYTES
-from saltcourse.codec.endpoint_list import Address
 
 log = structlog.get_logger("saltcourse")
 
 
 class PeerLink(asyncio.DatagramProtocol):
-    def __init__(self, addresses: PeerAddresses, tell: Callable[[lg.PeerMessage], None]) -> None:
+    def __init__(self, addresses: PeerAddresses, tell: Callable[[PeerMessageReceived], None]) -> None:
         self._addresses, self._tell = addresses, tell
         self._index = {address: i for i, address in enumerate(addresses.each)}
         self._transport: asyncio.DatagramTransport | None = None
@@ -41,12 +42,12 @@
         if sender is None or len(data) > MAX_BYTES or not data.isascii():
             self.strange += 1
             return
-        self._tell(lg.PeerMessage(sender, data.decode("ascii")))
+        self._tell(PeerMessageReceived(sender, data.decode("ascii")))
 
     def error_received(self, exc: Exception) -> None:
         """A peer's machine refused a datagram: that peer is down, which its silence tells as well."""
 
-    def say(self, action: lg.TellPeers) -> None:
+    def say(self, action: SendPeerMessage) -> None:
         data = action.data.encode()
         if self._transport is None or len(data) > MAX_BYTES:
             return
--- a/saltcourse/proxy/server.py
+++ b/saltcourse/proxy/server.py
@@ -18,14 +18,14 @@
 from saltcourse import signals
 from saltcourse.config import NEED_RESTART, Config, ConfigError
 from saltcourse.metrics import Figures
-from saltcourse.proxy.clock import Clock
+from saltcourse.proxy.attempt import SHORT
 from saltcourse.proxy.client_connection import Consumer, Host, Stage
-from saltcourse.proxy.dispatcher import Decider
+from saltcourse.proxy.clock import Clock
 from saltcourse.proxy.discovery_client import Directory, Relocate
-from saltcourse.proxy.pending_connections import Doorstep
+from saltcourse.proxy.dispatcher import Decider
 from saltcourse.proxy.errors import CannotListen
-from saltcourse.proxy.attempt import SHORT
 from saltcourse.proxy.messages import Forfeit, MoveAll
+from saltcourse.proxy.pending_connections import Doorstep
 from saltcourse.proxy.stream import Peer, listening
 
 if TYPE_CHECKING:  # nothing of it is imported without an admin address
--- a/saltcourse/proxy/stream.py
+++ b/saltcourse/proxy/stream.py
@@ -16,8 +16,8 @@
 
 from tornado.iostream import IOStream
 
-from saltcourse.codec.lines import LONGEST_LINE, LineBuffer
 from saltcourse.codec.endpoint_list import Address
+from saltcourse.codec.lines import LONGEST_LINE, LineBuffer
 
 WRITE_LIMIT = 64 * 1024  # bytes waiting for one peer; writers await each write, so little gathers
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
--- a/saltcourse/shared_state/core.py
+++ b/saltcourse/shared_state/core.py
@@ -11,6 +11,7 @@
 from collections.abc import Mapping, Sequence
 from typing import Protocol
 
+from saltcourse.balancing.settings import Settings
 from saltcourse.shared_state.codec import BadMessage, decode
 from saltcourse.shared_state.ejections import Ejections
 from saltcourse.shared_state.messages import (
@@ -33,7 +34,6 @@
 from saltcourse.shared_state.peer import MISMATCH_GRACE, LostPeer, Peer
 from saltcourse.shared_state.quota import HEARTBEATS_PER_TERM, QuotaLeases, TokenBucket
 from saltcourse.shared_state.table import LocalTable, is_pair
-from saltcourse.interface import Settings
 
 BROADCAST_INTERVAL = 0.05  # s between messages of one proxy to all: what changes meanwhile goes together
 CHECK_INTERVAL = MISMATCH_GRACE  # s between looks for silent peers and differing replicas
@@ -56,14 +56,14 @@
 
     def __init__(self, settings: Settings, incarnation: int, servers: Mapping[str, Holding]) -> None:
         """``incarnation``: another number with each start of this proxy. ``servers``: those it knows now."""
-        self.index, self.count = settings.index, settings.balancers if settings.peers else 1
-        self.terms, self.servers = settings.fleet, servers
-        self.heartbeat_interval = self.terms.term / HEARTBEATS_PER_TERM  # s
+        self.index, self.count = settings.proxy_index, settings.proxy_count if settings.peers_allowed else 1
+        self.terms, self.servers = settings.shared_state, servers
+        self.heartbeat_interval = self.terms.lease_term / HEARTBEATS_PER_TERM  # s
         self.names = ShortNames()
         self.table, self.outbox = LocalTable(), Outbox(incarnation)
-        self.leases = QuotaLeases(self.index, settings.balancers, self.terms, alone=self.count < 2)
+        self.leases = QuotaLeases(self.index, settings.proxy_count, self.terms, alone=self.count < 2)
         self.budgets: dict[str, TokenBucket] = {}  # server -> of probes
-        self.ejections = Ejections(self.terms.drift)
+        self.ejections = Ejections(self.terms.clock_drift)
         self.peers: dict[int, Peer] = {}
         self.lost: dict[int, LostPeer] = {}
         self.incarnations: dict[int, int] = {}  # of the peers, also of the lost ones
@@ -118,7 +118,7 @@
         """Empty at the start, unless this proxy is alone: an earlier life may have spent it."""
         burst = PROBES_IN_BURST * self.leases.count
         tokens = burst if self.leases.alone else 0.0
-        return TokenBucket(self.terms.probes, burst, tokens, self._started(now))
+        return TokenBucket(self.terms.health_checks_per_second, burst, tokens, self._started(now))
 
     def connections(self, now: float, server: str) -> float:
         """Those of the whole fleet, as far as is known; what lost peers held fades."""
@@ -268,7 +268,7 @@
     def _news(self, now: float) -> list[Record]:
         """What all are to hear. Numbers of connections change all the time and wait for the heartbeat."""
         heartbeat = self._heartbeat_due(now)
-        if heartbeat and self.terms.counts:
+        if heartbeat and self.terms.share_connection_counts:
             for server, holding in self.servers.items():
                 self.table.set_connections(self.names.of(server), holding.count)
         records: list[Record] = [*self.table.pop_changes(lambda key: heartbeat or is_pair(key))]
@@ -285,7 +285,9 @@
         return [*self.table.snapshot(), Scale(self.announced_scale)]
 
     def _expire_peers(self, now: float) -> None:
-        silent = [sender for sender, peer in self.peers.items() if now > peer.received_at + self.terms.term]
+        silent = [
+            sender for sender, peer in self.peers.items() if now > peer.received_at + self.terms.lease_term
+        ]
         for sender in silent:
             self.lost[sender] = LostPeer(now, self.peers[sender].connections())
             self._remove_peer(sender)
--- a/saltcourse/shared_state/quota.py
+++ b/saltcourse/shared_state/quota.py
@@ -18,9 +18,9 @@
 import math
 from dataclasses import dataclass
 
+from saltcourse.balancing.settings import SharedStateSettings
 from saltcourse.shared_state.codec import NUMBERS
 from saltcourse.shared_state.messages import LeaseGrant, LeaseRequest
-from saltcourse.interface import FleetTerms
 
 HEARTBEATS_PER_TERM = 4  # lease requests and heartbeats in a term: two in a row may be lost
 MAX_SUCCESSORS = 3  # leased portions of a proxy, at most
@@ -30,7 +30,7 @@
 class QuotaLeases:
     """``alone``: no message reaches another proxy, and the equal part is all that is safe."""
 
-    def __init__(self, index: int, count: int, terms: FleetTerms, alone: bool = False) -> None:
+    def __init__(self, index: int, count: int, terms: SharedStateSettings, alone: bool = False) -> None:
         self.terms, self.count, self.alone = terms, count, alone or count < 2
         distances = range(1, min(MAX_SUCCESSORS, count - 1) + 1)
         self.successors = [(index + step) % count for step in distances]
@@ -47,7 +47,7 @@
             self.granted_until = dict.fromkeys(self.predecessors, now + self._longest_grant())
 
     def _longest_grant(self) -> float:
-        return self.terms.term * (1 + self.terms.drift)
+        return self.terms.lease_term * (1 + self.terms.clock_drift)
 
     def share(self, now: float) -> float:
         """Of the whole, from ``1 / 2 count`` to ``3 / 2 count``."""
@@ -61,7 +61,7 @@
     def request(self, now: float) -> list[LeaseRequest]:
         """A record for all, when it is time for another; those that are no successors pass it over."""
         self._start(now)
-        if now < self.requested_at + self.terms.term / HEARTBEATS_PER_TERM:
+        if now < self.requested_at + self.terms.lease_term / HEARTBEATS_PER_TERM:
             return []
         self.requested_at = now
         self.number = (self.number + 1) % NUMBERS
@@ -83,7 +83,7 @@
         self._start(now)
         requested_at = self.open_requests.get(grant.number)
         if requested_at is not None and sender in self.leased_until:
-            end = requested_at + self.terms.term * (1 - self.terms.drift)
+            end = requested_at + self.terms.lease_term * (1 - self.terms.clock_drift)
             self.leased_until[sender] = max(self.leased_until[sender], end)
 
 
--- a/saltcourse/simulator_adapter.py
+++ b/saltcourse/simulator_adapter.py
@@ -13,33 +13,65 @@
 
 import orjson
 
-from saltcourse import interface as lg
+from saltcourse.balancing.actions import (
+    CancelAttempt,
+    FailRequest,
+    FetchEndpoints,
+    Log,
+    MigrateConnection,
+    RejectRequest,
+    SendPeerMessage,
+    SetTimer,
+    StartAttempt,
+    StartHealthCheck,
+    WatchEndpoints,
+)
 from saltcourse.balancing.balancer import Balancer
-from saltcourse.settings import Malformed, field, number, read_settings, texts, word
+from saltcourse.balancing.events import (
+    AttemptFinished,
+    AttemptStatus,
+    BackendState,
+    ClientDisconnected,
+    ConnectionEstablished,
+    ConnectionLoadChanged,
+    ConnectionResumed,
+    Endpoint,
+    EndpointsUpdated,
+    EndpointUpdateKind,
+    Event,
+    HealthCheckFinished,
+    LoadReport,
+    PeerMessageReceived,
+    RequestReceived,
+    ResponseLatencyMeasured,
+    TimerFired,
+)
+from saltcourse.codec.json_fields import Malformed, field, lookup, number, texts
 from saltcourse.codec.lines import REPORT_FIELDS
+from saltcourse.config.deployment_settings import read_settings
 
 # The wire's words beside ours. Event and action names, and their fields, stand in the functions
 # below, one function a message.
 STATUSES = {
-    0: lg.Status.OK,
-    13: lg.Status.ERROR,
-    8: lg.Status.FULL,
-    4: lg.Status.TIMEOUT,
-    14: lg.Status.CONNECT_FAILED,
-    10: lg.Status.RESET,
-    1: lg.Status.CANCELLED,
-    9: lg.Status.NOT_SENT,
+    0: AttemptStatus.OK,
+    13: AttemptStatus.ERROR,
+    8: AttemptStatus.FULL,
+    4: AttemptStatus.TIMEOUT,
+    14: AttemptStatus.CONNECT_FAILED,
+    10: AttemptStatus.RESET,
+    1: AttemptStatus.CANCELLED,
+    9: AttemptStatus.NOT_SENT,
 }
 STATES = {
-    "healthy": lg.ServerState.READY,
-    "cordoned": lg.ServerState.DRAINING,
-    "deregistered": lg.ServerState.GONE,
+    "healthy": BackendState.READY,
+    "cordoned": BackendState.DRAINING,
+    "deregistered": BackendState.REMOVED,
 }
 LIST_KINDS = {
-    "update": lg.ListKind.CHANGED,
-    "replace": lg.ListKind.WHOLE,
-    "restored": lg.ListKind.RESTORED,
-    "unavailable": lg.ListKind.UNAVAILABLE,
+    "update": EndpointUpdateKind.DELTA,
+    "replace": EndpointUpdateKind.SNAPSHOT,
+    "restored": EndpointUpdateKind.CACHED,
+    "unavailable": EndpointUpdateKind.UNAVAILABLE,
 }
 NOTE_LOAD, NOTE_DELAY = 1, 2
 MICRO, MILLI = 1e-6, 1e-3
@@ -60,16 +92,16 @@
         self.fields = [REPORT_FIELDS.get(name, "") for name in fields]
         self.balancer = Balancer(settings, seed)
 
-    def report(self, message: dict[str, Any]) -> lg.LoadReport | None:
+    def report(self, message: dict[str, Any]) -> LoadReport | None:
         row = message.get("server_stats")
         if row is None:
             return None
         if not isinstance(row, list) or not all(isinstance(v, (int, float)) for v in row):
             raise Malformed(f"{message['msg']}: 'server_stats' is not a row of numbers")
-        return lg.LoadReport(**{f: v for f, v in zip(self.fields, row, strict=False) if f})
+        return LoadReport(**{f: v for f, v in zip(self.fields, row, strict=False) if f})
 
 
-def _member(entry: Any) -> lg.Member:
+def _member(entry: Any) -> Endpoint:
     """One entry of a list; the hot path of a large fleet, so one test covers all the common types."""
     if not isinstance(entry, dict):
         raise Malformed("backends_changed: a member that is not an object")
@@ -77,20 +109,20 @@
     host, state = get("host"), STATES.get(str(get("lifecycle")))
     weight, started = get("nominal", 1), get("launched", 0)
     if type(host) is str and state and type(weight) in (int, float) and type(started) in (int, float):
-        return lg.Member(host, state, get("az", ""), get("sku", ""), get("block", 0), weight, started)
+        return Endpoint(host, state, get("az", ""), get("sku", ""), get("block", 0), weight, started)
     field(entry, "host", str)
-    word(entry, "lifecycle", STATES)
+    lookup(entry, "lifecycle", STATES)
     raise Malformed(f"backends_changed: a member with a wrong value: {entry!r}")
 
 
-def _members(message: dict[str, Any], _: Instance) -> lg.Event:
-    kind = word(message, "mode", LIST_KINDS)
-    return lg.MembersChanged(kind, tuple(_member(e) for e in field(message, "members", list, [])))
+def _members(message: dict[str, Any], _: Instance) -> Event:
+    kind = lookup(message, "mode", LIST_KINDS)
+    return EndpointsUpdated(kind, tuple(_member(e) for e in field(message, "members", list, [])))
 
 
-def _accept(message: dict[str, Any], _: Instance) -> lg.Event:
+def _accept(message: dict[str, Any], _: Instance) -> Event:
     get = message.get
-    return lg.NewRequest(
+    return RequestReceived(
         field(message, "job", str),
         field(message, "profile", str),
         number(message, "patience_left"),
@@ -104,9 +136,9 @@
     )
 
 
-def _resumed(message: dict[str, Any], _: Instance) -> lg.Event:
+def _resumed(message: dict[str, Any], _: Instance) -> Event:
     get = message.get
-    return lg.ConnectionResumed(
+    return ConnectionResumed(
         field(message, "job", str),
         field(message, "profile", str),
         field(message, "host", str),
@@ -116,54 +148,54 @@
     )
 
 
-def _first(message: dict[str, Any], _: Instance) -> lg.Event:
-    return lg.Established(
+def _first(message: dict[str, Any], _: Instance) -> Event:
+    return ConnectionEstablished(
         field(message, "job", str), field(message, "seq_no", int), number(message, "lag", 0.0)
     )
 
 
-def _answer(message: dict[str, Any], instance: Instance) -> lg.Event:
-    return lg.Outcome(
+def _answer(message: dict[str, Any], instance: Instance) -> Event:
+    return AttemptFinished(
         field(message, "job", str),
         field(message, "seq_no", int),
-        word(message, "result", STATUSES),
+        lookup(message, "result", STATUSES),
         number(message, "lag", 0.0),
         bool(message.get("finished")),
         instance.report(message),
     )
 
 
-def _aborted(message: dict[str, Any], _: Instance) -> lg.Event:
-    return lg.ClientGone(field(message, "job", str))
+def _aborted(message: dict[str, Any], _: Instance) -> Event:
+    return ClientDisconnected(field(message, "job", str))
 
 
-def _change(message: dict[str, Any], _: Instance) -> lg.Event | None:
+def _change(message: dict[str, Any], _: Instance) -> Event | None:
     topic, job, value = message.get("topic"), field(message, "job", str), number(message, "value")
     if topic == NOTE_LOAD:
-        return lg.LoadNote(job, value * MICRO)
+        return ConnectionLoadChanged(job, value * MICRO)
     if topic == NOTE_DELAY:
-        return lg.DelayNote(job, value * MILLI)
+        return ResponseLatencyMeasured(job, value * MILLI)
     return None  # a kind of note that came later than this page
 
 
-def _ring(message: dict[str, Any], _: Instance) -> lg.Event:
-    return lg.TimerFired(field(message, "handle", int))
+def _ring(message: dict[str, Any], _: Instance) -> Event:
+    return TimerFired(field(message, "handle", int))
 
 
-def _probe_done(message: dict[str, Any], instance: Instance) -> lg.Event:
-    return lg.ProbeResult(
+def _probe_done(message: dict[str, Any], instance: Instance) -> Event:
+    return HealthCheckFinished(
         field(message, "host", str),
-        word(message, "result", STATUSES),
+        lookup(message, "result", STATUSES),
         number(message, "lag", 0.0),
         instance.report(message),
     )
 
 
-def _from_peer(message: dict[str, Any], _: Instance) -> lg.Event:
-    return lg.PeerMessage(field(message, "src_peer", int), field(message, "data", str))
+def _from_peer(message: dict[str, Any], _: Instance) -> Event:
+    return PeerMessageReceived(field(message, "src_peer", int), field(message, "data", str))
 
 
-READERS: dict[str, Callable[[dict[str, Any], Instance], lg.Event | None]] = {
+READERS: dict[str, Callable[[dict[str, Any], Instance], Event | None]] = {
     "backends_changed": _members,
     "accept": _accept,
     "resumed": _resumed,
@@ -177,28 +209,28 @@
 }
 
 WRITERS: dict[type, Callable[[Any, int], dict[str, Any]]] = {
-    lg.Send: lambda a, n: {
+    StartAttempt: lambda a, n: {
         "msg": "place",
         "node": n,
         "job": a.request,
         "host": a.server,
         "try_for": a.timeout,
     },
-    lg.Refuse: lambda a, n: {"msg": "decline", "node": n, "job": a.request, "come_back": a.retry_after},
-    lg.Fail: lambda a, n: {"msg": "report_failure", "node": n, "job": a.request},
-    lg.Cancel: lambda a, n: {"msg": "retract", "node": n, "job": a.request, "seq_no": a.attempt},
-    lg.Move: lambda a, n: {"msg": "move", "node": n, "job": a.request},
-    lg.SetTimer: lambda a, n: {"msg": "wake_me", "node": n, "after": a.delay, "handle": a.token},
-    lg.Probe: lambda a, n: {"msg": "check", "node": n, "host": a.server},
-    lg.TellPeers: lambda a, n: {
+    RejectRequest: lambda a, n: {"msg": "decline", "node": n, "job": a.request, "come_back": a.retry_after},
+    FailRequest: lambda a, n: {"msg": "report_failure", "node": n, "job": a.request},
+    CancelAttempt: lambda a, n: {"msg": "retract", "node": n, "job": a.request, "seq_no": a.attempt},
+    MigrateConnection: lambda a, n: {"msg": "move", "node": n, "job": a.request},
+    SetTimer: lambda a, n: {"msg": "wake_me", "node": n, "after": a.delay, "handle": a.token},
+    StartHealthCheck: lambda a, n: {"msg": "check", "node": n, "host": a.server},
+    SendPeerMessage: lambda a, n: {
         "msg": "say",
         "node": n,
         "peer": "all" if a.peer is None else a.peer,
         "data": a.data,
     },
-    lg.Watch: lambda a, n: {"msg": "subscribe", "node": n, "want": True},
-    lg.FetchList: lambda a, n: {"msg": "get_list", "node": n},
-    lg.Log: lambda a, n: {"msg": "trace", "node": n, "text": a.text},
+    WatchEndpoints: lambda a, n: {"msg": "subscribe", "node": n, "want": True},
+    FetchEndpoints: lambda a, n: {"msg": "get_list", "node": n},
+    Log: lambda a, n: {"msg": "trace", "node": n, "text": a.text},
 }
 
 
--- a/tests/node.py
+++ b/tests/node.py
@@ -5,27 +5,38 @@
 import heapq
 from typing import Any
 
-from saltcourse import interface as lg
+from saltcourse.balancing.actions import Action, SetTimer, StartAttempt
+from saltcourse.balancing.events import (
+    AttemptFinished,
+    AttemptStatus,
+    ConnectionEstablished,
+    Endpoint,
+    EndpointUpdateKind,
+    EndpointsUpdated,
+    Event,
+    RequestReceived,
+    TimerFired,
+)
+from saltcourse.balancing.settings import RequestClass, Settings
 from saltcourse.balancing.balancer import Balancer
 
-QUICK = lg.RequestClass("quick", aim=0.3, deadline=1.2, message_aim=0.06)
+QUICK = RequestClass("quick", latency_objective=0.3, deadline=1.2, message_latency_objective=0.06)
 
 
-def settings(**changes: Any) -> lg.Settings:
+def settings(**changes: Any) -> Settings:
     base: dict[str, Any] = {
         "classes": (QUICK,),
         "warm_up": 10.0,
-        "start_share": 0.25,
+        "initial_capacity_share": 0.25,
         "max_attempts": 4,
         "zone": "z0",
-        "answer_slack": 0.01,
-        "tick": 0.002,
+        "time_step": 0.002,
     }
-    return lg.Settings(**(base | changes))
+    return Settings(**(base | changes))
 
 
-def members(count: int, **changes: Any) -> tuple[lg.Member, ...]:
-    return tuple(lg.Member(f"s{i}", **({"zone": "z0"} | changes)) for i in range(count))
+def members(count: int, **changes: Any) -> tuple[Endpoint, ...]:
+    return tuple(Endpoint(f"s{i}", **({"zone": "z0"} | changes)) for i in range(count))
 
 
 class Node:
@@ -36,18 +47,18 @@
         self.balancer = Balancer(self.settings, seed)
         self.now = now
         self.timers: list[tuple[float, int]] = []
-        self.log: list[tuple[float, lg.Action]] = []
+        self.log: list[tuple[float, Action]] = []
         self.out: dict[str, tuple[int, str]] = {}  # request -> attempt and server now out
         self.sends: dict[str, int] = {}
         self.count = 0
 
-    def give(self, event: lg.Event) -> list[lg.Action]:
+    def give(self, event: Event) -> list[Action]:
         actions = self.balancer.handle(self.now, event)
         for action in actions:
             self.log.append((self.now, action))
-            if isinstance(action, lg.SetTimer):
+            if isinstance(action, SetTimer):
                 heapq.heappush(self.timers, (self.now + action.delay, action.token))
-            elif isinstance(action, lg.Send):
+            elif isinstance(action, StartAttempt):
                 assert action.request not in self.out, "two attempts of a request at once"
                 attempt = self.sends.get(action.request, 0)
                 self.sends[action.request] = attempt + 1
@@ -58,24 +69,26 @@
         end = self.now + seconds
         while self.timers and self.timers[0][0] <= end:
             self.now, token = heapq.heappop(self.timers)
-            self.give(lg.TimerFired(token))
+            self.give(TimerFired(token))
         self.now = end
 
-    def list(self, entries: tuple[lg.Member, ...], kind: lg.ListKind = lg.ListKind.WHOLE) -> None:
-        self.give(lg.MembersChanged(kind, entries))
+    def list(
+        self, entries: tuple[Endpoint, ...], kind: EndpointUpdateKind = EndpointUpdateKind.SNAPSHOT
+    ) -> None:
+        self.give(EndpointsUpdated(kind, entries))
 
     def ask(self, patience: float = 1.2, klass: str = "quick", **fields: Any) -> str:
         self.count += 1
         name = f"r{self.count}"
-        self.give(lg.NewRequest(name, klass, patience, **fields))
+        self.give(RequestReceived(name, klass, patience, **fields))
         return name
 
-    def end(self, request: str, status: lg.Status, final: bool = False, **fields: Any) -> None:
+    def end(self, request: str, status: AttemptStatus, final: bool = False, **fields: Any) -> None:
         attempt, _ = self.out.pop(request)
-        self.give(lg.Outcome(request, attempt, status, final=final, **fields))
+        self.give(AttemptFinished(request, attempt, status, final=final, **fields))
 
     def stand(self, request: str, took: float = 0.01) -> None:
-        self.give(lg.Established(request, self.out[request][0], took))
+        self.give(ConnectionEstablished(request, self.out[request][0], took))
 
     def open(self) -> str:
         request = self.ask()
--- a/tests/player.py
+++ b/tests/player.py
@@ -27,7 +27,7 @@
 from typing import Any
 
 from saltcourse.config import Config, ConfigError, Limits
-from saltcourse.interface import Discovery, Settings
+from saltcourse.balancing.settings import DiscoveryMode, Settings
 from saltcourse.proxy.server import Lifecycle
 from saltcourse.proxy.messages import MoveAll
 from saltcourse.codec.endpoint_list import read_list
@@ -133,7 +133,7 @@
         asked = changes.pop("asked", 0)
         return settings(
             classes=(QUICK,),
-            discovery=Discovery.ASKED if asked else Discovery.PUSHED,
+            discovery=DiscoveryMode.POLLED if asked else DiscoveryMode.PUSHED,
             **changes | {"max_attempts": int(changes["max_attempts"])},
         )
 
--- a/tests/stand.py
+++ b/tests/stand.py
@@ -16,7 +16,7 @@
 from structlog.testing import capture_logs
 
 from saltcourse.config import Config, Limits
-from saltcourse.interface import Discovery, RequestClass
+from saltcourse.balancing.settings import DiscoveryMode, RequestClass
 from saltcourse.proxy.client_connection import Consumer
 from saltcourse.proxy.server import Lifecycle, Phase
 from saltcourse.codec.endpoint_list import read_list
@@ -73,7 +73,7 @@
                 "connect_timeout": 2.0,
                 "max_attempts": 3,
                 "max_retry_after": 0.0,
-                "discovery": Discovery.ASKED if asked else Discovery.PUSHED,
+                "discovery_mode": DiscoveryMode.POLLED if asked else DiscoveryMode.PUSHED,
             }
             | changes
         )
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -21,7 +21,9 @@
 
 import pytest
 
-from saltcourse import interface as lg
+from saltcourse.balancing.actions import FetchEndpoints, WatchEndpoints
+from saltcourse.balancing.events import AttemptStatus, EndpointUpdateKind, EndpointsUpdated
+from saltcourse.balancing.settings import DeduplicationScope, DiscoveryMode, Idempotency, RequestClass
 from saltcourse.proxy import consumer, directory, lifecycle
 from saltcourse.proxy.clock import Clock
 from saltcourse.proxy.client_connection import Consumer, Stage
@@ -37,7 +39,7 @@
 
 OPEN = "OPEN a b c=quick,d={}"
 TERM, TURN = 6.0, 3.0  # s within which news counts as told; that a call waits for its turn at the longest
-SHORT = lg.RequestClass("quick", aim=0.1, deadline=0.3, message_aim=0.06)
+SHORT = RequestClass("quick", latency_objective=0.1, deadline=0.3, message_latency_objective=0.06)
 
 
 @pytest.fixture(autouse=True)
@@ -92,7 +94,7 @@
         assert call.task is not None
         await call.task
         assert nobody_came(door)
-        assert [message.status for message in owner.told] == [lg.Status.NOT_SENT] and not owner.sent
+        assert [message.status for message in owner.told] == [AttemptStatus.NOT_SENT] and not owner.sent
         door.close()
 
     asyncio.run(play())
@@ -125,7 +127,7 @@
         await call.task
         taken = door.accept()[0]
         assert taken.recv(4096) == b"OPEN a b c=quick,d=900\r\n"
-        assert [message.status for message in owner.told] == [lg.Status.TIMEOUT] and owner.sent == 1
+        assert [message.status for message in owner.told] == [AttemptStatus.TIMEOUT] and owner.sent == 1
         taken.close()
         door.close()
 
@@ -135,20 +137,33 @@
 @pytest.mark.parametrize(
     ("effect", "scope", "window", "again"),
     [
-        (lg.Effect.SAFE, lg.Scope.ALL, 0.0, True),
-        (lg.Effect.KEYED, lg.Scope.ALL, 60.0, True),
-        (lg.Effect.KEYED, lg.Scope.ALL, 0.1, False),
-        (lg.Effect.KEYED, lg.Scope.ZONE, 60.0, True),
-        (lg.Effect.KEYED, lg.Scope.ZONE, 0.1, False),
-        (lg.Effect.KEYED, lg.Scope.CELL, 60.0, False),
-        (lg.Effect.UNSAFE, lg.Scope.ALL, 60.0, False),
+        (Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0.0, True),
+        (Idempotency.KEYED, DeduplicationScope.ALL, 60.0, True),
+        (Idempotency.KEYED, DeduplicationScope.ALL, 0.1, False),
+        (Idempotency.KEYED, DeduplicationScope.ZONE, 60.0, True),
+        (Idempotency.KEYED, DeduplicationScope.ZONE, 0.1, False),
+        (Idempotency.KEYED, DeduplicationScope.CELL, 60.0, False),
+        (Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL, 60.0, False),
     ],
 )
 def test_what_may_have_run_is_sent_again_only_where_that_is_harmless(
-    monkeypatch: pytest.MonkeyPatch, effect: lg.Effect, scope: lg.Scope, window: float, again: bool
+    monkeypatch: pytest.MonkeyPatch,
+    effect: Idempotency,
+    scope: DeduplicationScope,
+    window: float,
+    again: bool,
 ) -> None:
-    klass = replace(QUICK, effect=effect, scope=scope, window=window, aim=0.2, deadline=0.6)
-    seconds = 0.65 if effect is lg.Effect.UNSAFE else 0.25  # its attempt has all the time that there is
+    klass = replace(
+        QUICK,
+        idempotency=effect,
+        deduplication_scope=scope,
+        deduplication_window=window,
+        latency_objective=0.2,
+        deadline=0.6,
+    )
+    seconds = (
+        0.65 if effect is Idempotency.NOT_IDEMPOTENT else 0.25
+    )  # its attempt has all the time that there is
 
     async def play() -> None:
         async with Stand(2, klass, connect_timeout=0.1) as stand:
@@ -568,9 +583,9 @@
 def test_a_whole_list_that_is_late_does_not_undo_what_a_watch_told_meanwhile() -> None:
     async def play() -> None:
         catalog = Catalog(5)
-        catalog.directory.tell(lg.FetchList())
+        catalog.directory.tell(FetchEndpoints())
         fetch, _ = await catalog.call()
-        catalog.directory.tell(lg.Watch())
+        catalog.directory.tell(WatchEndpoints())
         watch, target = await catalog.call()
         assert "after=5&" in target
         await catalog.answer(watch, 7, False, "DRAINING")
@@ -586,7 +601,7 @@
 def test_a_discovery_that_began_anew_is_believed_though_its_versions_are_lower() -> None:
     async def play() -> None:
         catalog = Catalog(41)
-        catalog.directory.tell(lg.Watch())
+        catalog.directory.tell(WatchEndpoints())
         call, _ = await catalog.call()
         await catalog.answer(call, 3, False, "DRAINING")  # changes to a list that nobody here has
         call, target = await catalog.call()
@@ -608,7 +623,7 @@
 
     async def play() -> None:
         catalog = Catalog(5)
-        catalog.directory.tell(lg.Watch())
+        catalog.directory.tell(WatchEndpoints())
         _, target = await catalog.call()
         assert "after=5&" in target
         call, target = await catalog.call()
@@ -633,15 +648,15 @@
     seed: int, refused_after: float
 ) -> None:
     """Discovery may be there again right after a call has failed: the wait and the next call's patience."""
-    node = Node(seed, discovery=lg.Discovery.ASKED, ask_within=10.0)
-    node.list(members(2), lg.ListKind.RESTORED)
-    asked: Callable[[], int] = lambda: len(node.of(lg.Watch)) + len(node.of(lg.FetchList))  # noqa: E731
+    node = Node(seed, discovery_mode=DiscoveryMode.POLLED, poll_interval=10.0)
+    node.list(members(2), EndpointUpdateKind.CACHED)
+    asked: Callable[[], int] = lambda: len(node.of(WatchEndpoints)) + len(node.of(FetchEndpoints))  # noqa: E731
     while not asked():
         node.run(0.05)
     for _ in range(12):
         node.run(refused_after)
         before, failed = asked(), node.now
-        node.give(lg.MembersChanged(lg.ListKind.UNAVAILABLE))
+        node.give(EndpointsUpdated(EndpointUpdateKind.UNAVAILABLE))
         while asked() == before:
             node.run(0.01)
             assert node.now - failed < TERM
@@ -666,13 +681,13 @@
     async def play() -> None:
         files = len(os.listdir("/proc/self/fd"))
         catalog = Catalog(5)
-        catalog.directory.tell(lg.Watch())
+        catalog.directory.tell(WatchEndpoints())
         call, _ = await catalog.call()
         with suppress(ConnectionError):
             call.sock.send(spoilt)
             call.sock.shutdown(socket.SHUT_WR)
         await until(lambda: catalog.told)
-        assert catalog.told == [Listed(lg.ListKind.UNAVAILABLE)]
+        assert catalog.told == [Listed(EndpointUpdateKind.UNAVAILABLE)]
         await catalog.end()
         assert len(os.listdir("/proc/self/fd")) <= files
 
@@ -682,7 +697,7 @@
 def test_a_list_in_pieces_with_white_space_and_bytes_behind_it_is_read() -> None:
     async def play() -> None:
         catalog = Catalog(5)
-        catalog.directory.tell(lg.Watch())
+        catalog.directory.tell(WatchEndpoints())
         call, _ = await catalog.call()
         body = '{\n  "version": 6,\n  "full": true,\n  "servers": [ ]\n}\n'
         for byte in f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n{body}trailing".encode():
@@ -697,7 +712,7 @@
 
 def test_idle_clients_that_fill_the_descriptors_leave_one_for_the_list() -> None:
     async def play() -> None:
-        async with Stand(asked=True, sockets=48, ask_within=0.4) as stand:
+        async with Stand(asked=True, sockets=48, poll_interval=0.4) as stand:
             crowd = [socket.create_connection(stand.life.address()) for _ in range(120)]
             for sock in crowd[::2]:
                 with suppress(OSError):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -14,7 +14,17 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from saltcourse import interface as lg
+from saltcourse.balancing.actions import MigrateConnection, SendPeerMessage
+from saltcourse.balancing.events import (
+    AttemptStatus,
+    ClientDisconnected,
+    ConnectionResumed,
+    HealthCheckFinished,
+    LoadReport,
+    PeerMessageReceived,
+    ResponseLatencyMeasured,
+)
+from saltcourse.balancing.settings import SharedStateSettings
 from saltcourse.config import PeerAddresses
 from saltcourse.emulator.simnet import Host, Link, Network
 from saltcourse.shared_state.codec import MAX_BYTES, BadMessage, decode, encode
@@ -52,7 +62,7 @@
     return found
 
 
-TERMS = lg.FleetTerms(counts=True)
+TERMS = SharedStateSettings(share_connection_counts=True)
 SILENT = TERMS.term
 NUMBER, TIME = st.integers(0, 262143), st.integers(0, 2**30 - 1)
 RECORDS = st.one_of(
@@ -96,7 +106,12 @@
     """Fleets on the simulated network whose holdings change at random, judged from outside."""
 
     def __init__(
-        self, seed: int, link: Link, core: type[Fleet] = Fleet, count: int = 4, terms: lg.FleetTerms = TERMS
+        self,
+        seed: int,
+        link: Link,
+        core: type[Fleet] = Fleet,
+        count: int = 4,
+        terms: SharedStateSettings = TERMS,
     ) -> None:
         self.random, self.core, self.count, self.terms = random.Random(seed), core, count, terms
         hosts = [Host(str(i), rate=1 + (i % 3 - 1) * self.terms.drift, offset=1e5 * i) for i in range(count)]
@@ -118,7 +133,13 @@
         return {f"s{i}": Held(0) for i in range(8)}
 
     def _fresh(self, index: int) -> Fleet:
-        told = settings(balancers=self.count, index=index, peers=True, groups=True, fleet=self.terms)
+        told = settings(
+            proxy_count=self.count,
+            proxy_index=index,
+            peers_allowed=True,
+            has_groups=True,
+            shared_state=self.terms,
+        )
         return self.core(told, self.random.getrandbits(12), self.held[index])
 
     def restart(self, index: int) -> None:
@@ -304,8 +325,10 @@
 
 
 def test_nothing_is_told_where_proxies_may_not_talk_and_the_equal_part_is_kept() -> None:
-    for changes in ({"peers": False}, {"balancers": 1}):
-        core = Fleet(settings(**({"balancers": 4, "peers": True, "groups": True} | changes)), 1, {})
+    for changes in ({"peers_allowed": False}, {"proxy_count": 1}):
+        core = Fleet(
+            settings(**({"proxy_count": 4, "peers_allowed": True, "has_groups": True} | changes)), 1, {}
+        )
         core.hold("s0", "g0", True)
         assert core.due(1.0) == [] and core.relative_share(1.0) == 1.0
         spent = sum(core.may_probe(1.0 + i / 100, "s0") for i in range(1000))  # 10 s
@@ -316,66 +339,78 @@
 def test_a_group_goes_where_a_peer_says_that_it_holds_it() -> None:
     # Four proxies, each at its best alone, put a group of eight connections on five servers.
     nodes = [
-        Node(reports_load=True, may_probe=True, groups=True, peers=True, balancers=2, index=i, seed=i)
+        Node(
+            reports_load=True,
+            health_checks_allowed=True,
+            has_groups=True,
+            peers_allowed=True,
+            proxy_count=2,
+            proxy_index=i,
+            seed=i,
+        )
         for i in (0, 1)
     ]
     for node in nodes:
         node.list(members(6))
         for i in range(6):
-            node.give(lg.ProbeResult(f"s{i}", lg.Status.OK, report=lg.LoadReport(load=0.5)))
-    nodes[0].give(lg.ConnectionResumed("old", "quick", "s4", group="a"))
+            node.give(HealthCheckFinished(f"s{i}", AttemptStatus.OK, report=LoadReport(load=0.5)))
+    nodes[0].give(ConnectionResumed("old", "quick", "s4", group="a"))
     nodes[0].run(2.0)
-    for told in nodes[0].of(lg.TellPeers):
-        nodes[1].give(lg.PeerMessage(0, told.data))
+    for told in nodes[0].of(SendPeerMessage):
+        nodes[1].give(PeerMessageReceived(0, told.data))
     assert nodes[1].server_of(nodes[1].ask(group="a")) == "s4"
 
 
 def test_a_server_that_a_peer_leaves_alone_is_tried_by_one_connection_at_a_time() -> None:
     # Each proxy found a dead server alone, by as many connections as were then under way to it.
-    nodes = [Node(peers=True, balancers=2, index=i, seed=3 + i) for i in (0, 1)]
+    nodes = [Node(peers_allowed=True, proxy_count=2, proxy_index=i, seed=3 + i) for i in (0, 1)]
     for node in nodes:
         node.list(members(2))
         node.run(1.0)
     nodes[0].balancer._sign(nodes[0].balancer.servers["s0"], Sign.FAILED)
-    for told in [a for a in nodes[0].give(lg.ClientGone("nobody")) if isinstance(a, lg.TellPeers)]:
-        nodes[1].give(lg.PeerMessage(0, told.data))
+    for told in [a for a in nodes[0].give(ClientDisconnected("nobody")) if isinstance(a, SendPeerMessage)]:
+        nodes[1].give(PeerMessageReceived(0, told.data))
     out = [nodes[1].ask() for _ in range(30)]
     assert [nodes[1].server_of(r) for r in out if r in nodes[1].out].count("s0") == 1
 
 
 def test_a_group_that_a_peer_holds_there_too_is_shed_last() -> None:
     # Moving one's own connections of it frees nothing: the server pays for the group all the same.
-    node = Node(reports_load=True, may_probe=True, groups=True, peers=True, balancers=2)
+    node = Node(
+        reports_load=True, health_checks_allowed=True, has_groups=True, peers_allowed=True, proxy_count=2
+    )
     node.list(members(2))
     for i, group in enumerate("abbb"):
-        node.give(lg.ConnectionResumed(f"c{i}", "quick", "s0", group=group))
-    peer = Fleet(settings(balancers=2, index=1, peers=True, groups=True), 3, {})
+        node.give(ConnectionResumed(f"c{i}", "quick", "s0", group=group))
+    peer = Fleet(settings(proxy_count=2, proxy_index=1, peers_allowed=True, has_groups=True), 3, {})
     peer.hold("s0", "a", True)
     for _, text in peer.due(node.now):
-        node.give(lg.PeerMessage(1, text))
+        node.give(PeerMessageReceived(1, text))
     for _ in range(9):
-        node.give(lg.DelayNote("c0", 0.07))
-    assert {m.request for m in node.of(lg.Move)} == {"c1", "c2", "c3"}
+        node.give(ResponseLatencyMeasured("c0", 0.07))
+    assert {m.request for m in node.of(MigrateConnection)} == {"c1", "c2", "c3"}
 
 
 def test_a_proxy_that_has_just_started_learns_from_its_peers_what_a_server_bears() -> None:
     # It held nothing, so it took two slots for a server's whole load and refused 75 times in five seconds.
-    node = Node(reports_load=True, may_probe=True, groups=True, peers=True, balancers=2)
+    node = Node(
+        reports_load=True, health_checks_allowed=True, has_groups=True, peers_allowed=True, proxy_count=2
+    )
     node.list(members(2))
-    node.give(lg.ProbeResult("s0", lg.Status.OK, report=lg.LoadReport(load=0.1)))
-    peer = Fleet(settings(balancers=2, index=1, peers=True, groups=True), 3, {})
+    node.give(HealthCheckFinished("s0", AttemptStatus.OK, report=LoadReport(load=0.1)))
+    peer = Fleet(settings(proxy_count=2, proxy_index=1, peers_allowed=True, has_groups=True), 3, {})
     peer.set_scale(20.0)
     before = node.balancer.servers["s0"].ceiling
     for _, text in peer.due(node.now):
-        node.give(lg.PeerMessage(1, text))
+        node.give(PeerMessageReceived(1, text))
     node.run(2.0)
     assert before < 2.0 and node.balancer.servers["s0"].ceiling == pytest.approx(0.7 * 10.0)
 
 
 def test_only_what_a_peer_sends_from_its_own_address_is_taken() -> None:
-    async def play() -> tuple[list[lg.PeerMessage], int]:
+    async def play() -> tuple[list[PeerMessageReceived], int]:
         each = free_addresses(3)
-        got: asyncio.Queue[lg.PeerMessage] = asyncio.Queue()
+        got: asyncio.Queue[PeerMessageReceived] = asyncio.Queue()
         links = [PeerLink(PeerAddresses(each[i], each, None, i), got.put_nowait) for i in (0, 1)]
         for link in links:
             await link.open()
@@ -387,13 +422,13 @@
             stranger.sendto(data, each[1])
         links[0]._transport.sendto(b"x" * 300, each[1])  # type: ignore[union-attr]
         links[0]._transport.sendto(b"\xff\n", each[1])  # type: ignore[union-attr]
-        links[0].say(lg.TellPeers("x" * 300))
-        links[0].say(lg.TellPeers("hello", 1))
-        links[0].say(lg.TellPeers("to all"))  # the third is not there, and nobody minds
+        links[0].say(SendPeerMessage("x" * 300))
+        links[0].say(SendPeerMessage("hello", 1))
+        links[0].say(SendPeerMessage("to all"))  # the third is not there, and nobody minds
         found = [await got.get(), await got.get()]
         for end in (stranger, *links):
             end.close()
         return found, links[1].strange
 
     found, strange = asyncio.run(play())
-    assert found == [lg.PeerMessage(0, "hello"), lg.PeerMessage(0, "to all")] and strange == 5
+    assert found == [PeerMessageReceived(0, "hello"), PeerMessageReceived(0, "to all")] and strange == 5
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -15,11 +15,23 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule, run_state_machine_as_test
 
-from saltcourse import interface as lg
+from saltcourse.balancing.actions import FailRequest, RejectRequest, StartAttempt
+from saltcourse.balancing.events import (
+    AttemptFinished,
+    AttemptStatus,
+    BackendState,
+    ClientDisconnected,
+    ConnectionEstablished,
+    ConnectionLoadChanged,
+    Endpoint,
+    EndpointUpdateKind,
+    EndpointsUpdated,
+    ResponseLatencyMeasured,
+)
 from saltcourse.balancing.balancer import AFTER, GROUP_SLOTS, Balancer, Health, Request, Server, Sign
 from tests.node import Node, members
 
-S = lg.Status
+S = AttemptStatus
 FAILS = [s for s in S if s is not S.OK]
 BACK = 60.0  # s: the longest rest, hold and warm-up one after another, with time to be drawn
 
@@ -101,9 +113,9 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.node = Node(max_attempts=3, groups=True)
+        self.node = Node(max_attempts=3, has_groups=True)
         self.node.balancer = self.module(self.node.settings, 7)
-        self.states: dict[str, lg.ServerState] = {}
+        self.states: dict[str, BackendState] = {}
         self.started: Counter[str] = Counter()
         self.cold: Counter[str] = Counter()  # sends to each since it started, while it is cold
         self.peak = 0.0
@@ -120,11 +132,11 @@
         groups = {(self.groups[r], server) for r, (_, server) in self.node.out.items() if self.groups[r]}
         self.peak = max(self.peak, len(self.node.out) + GROUP_SLOTS * len(groups))
         for at, action in self.node.log[self.told :]:
-            if isinstance(action, lg.Refuse | lg.Fail):
+            if isinstance(action, RejectRequest | FailRequest):
                 assert at <= self.owed.pop(action.request) + self.node.settings.answer_slack
-            elif isinstance(action, lg.Send):
+            elif isinstance(action, StartAttempt):
                 assert action.request in self.owed, "sent after its final answer"
-                assert self.states[action.server] is lg.ServerState.READY
+                assert self.states[action.server] is BackendState.READY
                 age, warm_up = at - self.started[action.server], self.node.settings.warm_up
                 if self.started[action.server] and age < warm_up:
                     self.cold[action.server] += 1
@@ -134,25 +146,25 @@
 
     @rule(count=st.integers(2, 5))
     def list_all(self, count: int) -> None:
-        self.states = {f"s{i}": lg.ServerState.READY if i < count else lg.ServerState.GONE for i in range(5)}
+        self.states = {f"s{i}": BackendState.READY if i < count else BackendState.REMOVED for i in range(5)}
         self.node.list(tuple(self.member(f"s{i}") for i in range(count)))
 
-    def member(self, name: str) -> lg.Member:
-        return lg.Member(name, self.states[name], "z0", started=float(self.started[name]))
+    def member(self, name: str) -> Endpoint:
+        return Endpoint(name, self.states[name], "z0", started=float(self.started[name]))
 
-    @rule(which=st.integers(0, 4), state=st.sampled_from(lg.ServerState))
-    def list_one(self, which: int, state: lg.ServerState) -> None:
+    @rule(which=st.integers(0, 4), state=st.sampled_from(BackendState))
+    def list_one(self, which: int, state: BackendState) -> None:
         self.states[f"s{which}"] = state
-        self.node.list((self.member(f"s{which}"),), lg.ListKind.CHANGED)
+        self.node.list((self.member(f"s{which}"),), EndpointUpdateKind.DELTA)
 
     @rule(which=st.integers(0, 4))
     def restart(self, which: int) -> None:
         self.started[f"s{which}"], self.cold[f"s{which}"] = int(self.node.now), 0
-        self.list_one(which, lg.ServerState.READY)
+        self.list_one(which, BackendState.READY)
 
     @rule()
     def lose_list(self) -> None:
-        self.node.give(lg.MembersChanged(lg.ListKind.UNAVAILABLE))
+        self.node.give(EndpointsUpdated(EndpointUpdateKind.UNAVAILABLE))
 
     @rule(seconds=st.sampled_from([0.1, 0.4, 2.0, 2.0, 10.0]))
     def wait(self, seconds: float) -> None:
@@ -218,7 +230,7 @@
         if self.owed:
             request = sorted(self.owed)[pick % len(self.owed)]
             del self.owed[request]
-            self.node.give(lg.ClientGone(request))
+            self.node.give(ClientDisconnected(request))
             if request in self.node.out:
                 self.end(request, S.CANCELLED)
 
@@ -227,15 +239,15 @@
         """An ending told again, perhaps of an attempt before the last."""
         if self.ended:
             request, attempt = self.ended[pick % len(self.ended)]
-            self.node.give(lg.Outcome(request, attempt, status, final=True))
-            self.node.give(lg.Established(request, attempt, 0.01))
+            self.node.give(AttemptFinished(request, attempt, status, final=True))
+            self.node.give(ConnectionEstablished(request, attempt, 0.01))
 
     @rule(pick=st.integers(0, 99), load=st.floats(0.001, 0.1), delay=st.sampled_from([0.005, 0.03, 0.1, 1.0]))
     def note(self, pick: int, load: float, delay: float) -> None:
         if self.stands:
             request = sorted(self.stands)[pick % len(self.stands)]
-            self.node.give(lg.LoadNote(request, load))
-            self.node.give(lg.DelayNote(request, delay))
+            self.node.give(ConnectionLoadChanged(request, load))
+            self.node.give(ResponseLatencyMeasured(request, delay))
 
     @invariant()
     def conserved(self) -> None:
@@ -264,7 +276,7 @@
             self.node.run(0.2)
             if len(self.stands) > 4:
                 self.end(next(iter(self.stands)), S.OK)
-        assert all(used[n] for n, state in self.states.items() if state is lg.ServerState.READY), "left out"
+        assert all(used[n] for n, state in self.states.items() if state is BackendState.READY), "left out"
         for request in list(self.stands):
             self.end(request, S.OK)
         self.wait(2.0)
@@ -307,20 +319,20 @@
 
 
 class EndsTwice(Balancer):
-    def _on_outcome(self, event: lg.Outcome) -> None:
+    def _on_outcome(self, event: AttemptFinished) -> None:
         request = self.requests.get(event.request)
         if request is not None:
-            event = lg.Outcome(event.request, request.attempts - 1, event.status, 0.0, event.final)
+            event = AttemptFinished(event.request, request.attempts - 1, event.status, 0.0, event.final)
         super()._on_outcome(event)
 
 
 class SendsToLeaving(Balancer):
     def _allowed(self, request: Request, server: Server) -> bool:
-        return super()._allowed(request, server) or server.state is lg.ServerState.DRAINING
+        return super()._allowed(request, server) or server.state is BackendState.DRAINING
 
     def _refresh(self) -> None:
         super()._refresh()
-        self.ready = [s for s in self.servers.values() if s.state is not lg.ServerState.GONE]
+        self.ready = [s for s in self.servers.values() if s.state is not BackendState.REMOVED]
 
 
 class FloodsCold(Balancer):
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -12,7 +12,8 @@
 
 import pytest
 
-from saltcourse import interface as lg
+from saltcourse.balancing.actions import MigrateConnection
+from saltcourse.balancing.events import AttemptStatus, BackendState, Endpoint, EndpointUpdateKind
 from saltcourse.balancing.balancer import Balancer
 from tests.node import Node, members
 
@@ -34,25 +35,25 @@
         node = Node(
             seed,
             now,
-            balancers=count,
-            groups=self.groups,
+            proxy_count=count,
+            has_groups=self.groups,
             warm_up=WARM_UP,
-            start_share=SHARE,
-            push_multiple=MULTIPLE,
-            push_for=WINDOW,
+            initial_capacity_share=SHARE,
         )
-        node.list(members(SERVERS), lg.ListKind.RESTORED)
+        node.list(members(SERVERS), EndpointUpdateKind.CACHED)
         return node
 
     def release(self, node: Node, started: float) -> None:
         """One starts cold, and six in ten of the others begin to drain: their clients come back at once."""
         node.list(
-            (lg.Member("cold", zone="z0", started=started), *members(DRAINED, state=lg.ServerState.DRAINING)),
-            lg.ListKind.CHANGED,
+            (Endpoint("cold", zone="z0", started=started), *members(DRAINED, state=BackendState.DRAINING)),
+            EndpointUpdateKind.DELTA,
         )
-        moved = {move.request for at, move in node.log if isinstance(move, lg.Move) and at == node.now}
+        moved = {
+            move.request for at, move in node.log if isinstance(move, MigrateConnection) and at == node.now
+        }
         for request in [r for r in node.out if r in moved]:
-            node.end(request, lg.Status.CANCELLED, final=True)
+            node.end(request, AttemptStatus.CANCELLED, final=True)
             self.arrived += 1.0
 
     def come(self) -> None:
@@ -79,7 +80,7 @@
             self.ends = [each for each in self.ends if each[0] > self.now]
             for _, node, request in over:
                 if request in node.out and node in self.proxies:
-                    node.end(request, lg.Status.OK, final=True)
+                    node.end(request, AttemptStatus.OK, final=True)
 
 
 def worst(proxies: int, rate: float, seed: int, groups: bool) -> float:  # 1.0 is all that is allowed
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -21,10 +21,11 @@
 from hypothesis import strategies as st
 
 from saltcourse import simulator_adapter
-from saltcourse import interface as lg
+from saltcourse.balancing.events import EndpointUpdateKind, EndpointsUpdated
 from saltcourse.config import ConfigError, read_config
 from saltcourse.balancing.balancer import Balancer
-from saltcourse.settings import Malformed, read_settings
+from saltcourse.codec.json_fields import Malformed
+from saltcourse.config.deployment_settings import read_settings
 
 ROOT = Path(__file__).parent.parent
 SETTINGS: dict[str, Any] = {
@@ -159,7 +160,7 @@
     except ConfigError:
         return
     balancer = Balancer(config.settings, config.seed)
-    balancer.handle(0.0, lg.MembersChanged(lg.ListKind.RESTORED, config.known.members))
+    balancer.handle(0.0, EndpointsUpdated(EndpointUpdateKind.CACHED, config.known.members))
 
 
 @hypothesis_settings(max_examples=400, deadline=None, derandomize=True)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -7,7 +7,7 @@
 import pytest
 
 from saltcourse.balancing.response_latency import SILENT_AFTER, DelayMeter
-from saltcourse.interface import LoadReport, ProbeResult, ServerState, Status
+from saltcourse.balancing.events import AttemptStatus, BackendState, HealthCheckFinished, LoadReport
 from saltcourse.proxy.clock import Clock
 from saltcourse.proxy.attempt import ProbeCall
 from saltcourse.codec.http import Answer, BadAnswer
@@ -88,10 +88,10 @@
     entry = b'{"id":"s","addr":"10.0.0.1:81","state":"DRAINING","started_ms":1500,"weight":2}'
     listing = parse_list(b'{"version":4,"full":false,"servers":[%s]}' % entry)
     member = listing.members[0]
-    assert (member.state, member.started, member.weight) == (ServerState.DRAINING, 1.5, 2.0)
+    assert (member.state, member.started, member.weight) == (BackendState.DRAINING, 1.5, 2.0)
     assert listing.addresses == {"s": ("10.0.0.1", 81)}
     gone = parse_list(b'{"version":4,"full":false,"servers":[{"id":"s","state":"DELETED"}]}')
-    assert gone.members[0].state is ServerState.GONE and not gone.addresses
+    assert gone.members[0].state is BackendState.REMOVED and not gone.addresses
     for broken in (
         b"",
         b"[]",
@@ -200,11 +200,11 @@
         assert await reader.readline() == b"STATS\r\n"
         writer.write(b"PONG q=0,x0=0.276\r\n")
 
-    async def probed() -> ProbeResult:
-        got: asyncio.Future[ProbeResult] = asyncio.get_running_loop().create_future()
+    async def probed() -> HealthCheckFinished:
+        got: asyncio.Future[HealthCheckFinished] = asyncio.get_running_loop().create_future()
         async with await asyncio.start_server(provider, "127.0.0.1", 0) as server:
             ProbeCall("s0", server.sockets[0].getsockname()[:2], True, Clock(), got.set_result).start()
             return await got
 
     result = asyncio.run(probed())
-    assert result.status is Status.OK and result.report == LoadReport(queue=0, load=0.276)
+    assert result.status is AttemptStatus.OK and result.report == LoadReport(queue=0, load=0.276)
