--- a/saltcourse/__main__.py
+++ b/saltcourse/__main__.py
@@ -6,7 +6,7 @@
 def main() -> None:
     """Hold the signals first: the imports behind it take a while on a small part of a core."""
     signals.hold()
-    from saltcourse.cli import main as command_line
+    from saltcourse.cli.main import main as command_line
 
     command_line(prog_name="saltcourse")
 
--- a/saltcourse/gossip/control.py
+++ b/saltcourse/app/control_member.py
@@ -16,7 +16,7 @@
 from saltcourse.gossip.host import LEAVE_GRACE, Host, PersistError, StateStore
 from saltcourse.gossip.member_table import Member
 from saltcourse.gossip.messages import Address, ReplicaState, Status
-from saltcourse.gossip.run import Reread, create_host, figure_names, start_host, warn_of_changes
+from saltcourse.app.gossip import Reread, create_host, figure_names, start_host, warn_of_changes
 from saltcourse.gossip.store import ReplicaStore, StoreError
 from saltcourse.metrics import Figures
 from saltcourse.proxy.errors import CannotListen
--- /dev/null
+++ b/saltcourse/cli/__init__.py
@@ -0,0 +1,1 @@
+"""The command line: one module for each group of commands."""
--- a/saltcourse/cli_gossip.py
+++ b/saltcourse/cli/gossip.py
@@ -7,7 +7,7 @@
 
 import click
 
-from saltcourse.cli_options import (
+from saltcourse.cli.options import (
     EXIT_FAILURE,
     EXIT_LISTEN,
     fail,
@@ -47,7 +47,7 @@
     settings = load_operator(operator, me)
     if settings is None or settings.gossip is None:
         refuse("a control member needs an operator's file with gossip")
-    from saltcourse.gossip.control import ControlFailed, run_alone
+    from saltcourse.app.control_member import ControlFailed, run_alone
     from saltcourse.gossip.messages import Role
 
     if settings.gossip.role is not Role.CONTROL:
--- a/saltcourse/cli.py
+++ b/saltcourse/cli/main.py
@@ -10,8 +10,8 @@
 import click
 
 from saltcourse import __version__, signals
-from saltcourse.cli_gossip import control, publish
-from saltcourse.cli_options import (
+from saltcourse.cli.gossip import control, publish
+from saltcourse.cli.options import (
     EXIT_LISTEN,
     config_option,
     fail,
@@ -100,7 +100,7 @@
 
 
 def _membership_companion(settings: MembershipSettings, operator: str | None, me: str) -> Companion:
-    from saltcourse.address_failover.run import Beside
+    from saltcourse.app.address_failover import Beside
 
     return Beside(settings, partial(_reread_membership, operator, me))
 
@@ -109,7 +109,7 @@
     settings: GossipSettings, source: ConfigurationSource, operator: str | None, me: str
 ) -> FleetMember:
     from saltcourse.gossip.messages import Role
-    from saltcourse.gossip.run import GossipCompanion
+    from saltcourse.app.gossip import GossipCompanion
 
     if settings.role is not Role.PROXY:
         refuse("gossip.role: must be PROXY for a proxy; a control member runs alone, by saltcourse control")
@@ -136,7 +136,7 @@
     if not settings.membership.witness:
         refuse(f"membership.member: {settings.membership.me!r} is no witness")
     set_up_logging()
-    from saltcourse.address_failover.run import run_alone
+    from saltcourse.app.address_failover import run_alone
 
     run_alone(settings.membership, partial(_reread_membership, operator, me))
 
--- a/saltcourse/config/__init__.py
+++ b/saltcourse/config/__init__.py
@@ -153,7 +153,8 @@
     each = values.get("peers")
     if not isinstance(each, list) or len(each) != settings.proxy_count:
         raise ConfigError(
-            f"'peers': must be a list of {settings.proxy_count} addresses, one for each of 'settings.balancers'"
+            f"'peers': must be a list of {settings.proxy_count} addresses, "
+            "one for each of 'settings.balancers'"
         )
     if settings.proxy_index >= settings.proxy_count:
         raise ConfigError(
--- a/tests/gossip_site.py
+++ b/tests/gossip_site.py
@@ -21,7 +21,7 @@
 from saltcourse.config.operator_gossip import GossipSettings
 from saltcourse.gossip.host import Host
 from saltcourse.gossip.messages import Address, Position, ReplicaState, Role, Status
-from saltcourse.gossip.run import create_host
+from saltcourse.app.gossip import create_host
 from saltcourse.gossip.settings import Timing, Voter
 
 ROOT = Path(__file__).parent.parent
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -13,7 +13,7 @@
 import pytest
 from click.testing import CliRunner
 
-from saltcourse.cli import main
+from saltcourse.cli.main import main
 from saltcourse.config import ConfigError, read_config
 from tests.test_admin import free_port
 
--- a/tests/test_gossip_faults.py
+++ b/tests/test_gossip_faults.py
@@ -7,7 +7,7 @@
 from dataclasses import replace
 
 from saltcourse.gossip import messages as m
-from saltcourse.gossip.run import create_host, figure_names
+from saltcourse.app.gossip import create_host, figure_names
 from tests.gossip_site import QUICK, Site, until
 
 TIMING = replace(QUICK, zone_silence=0.6, publish_timeout=1.0)
--- a/tests/test_gossip_host.py
+++ b/tests/test_gossip_host.py
@@ -19,7 +19,7 @@
 from saltcourse.gossip.event_log import LOG_INTERVAL, EventLog
 from saltcourse.gossip.host import MAX_UNSENT_BYTES, Host, PersistError
 from saltcourse.gossip.node import Node
-from saltcourse.gossip.run import figure_names
+from saltcourse.app.gossip import figure_names
 from tests.gossip_site import EXAMPLE, KEY, Processes, Site, call, figure, until, wait_for
 
 # ---- nine hosts --------------------------------------------------------------------------------------
--- a/tests/test_gossip_operator.py
+++ b/tests/test_gossip_operator.py
@@ -16,7 +16,7 @@
 from click.testing import CliRunner
 from structlog.testing import capture_logs
 
-from saltcourse.cli import main
+from saltcourse.cli.main import main
 from saltcourse.config import Config, ConfigError, load_config
 from saltcourse.config.operator import read_operator
 from saltcourse.config.operator_gossip import GossipSettings
@@ -305,7 +305,7 @@
 MODULES = """
 import atexit, sys
 atexit.register(lambda: print(*sorted(sys.modules)))
-from saltcourse.cli import main
+from saltcourse.cli.main import main
 main(sys.argv[1:])
 """
 
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -11,23 +11,20 @@
 import pytest
 
 PACKAGE = Path(__file__).parent.parent / "saltcourse"
-ENTRY, HOSTS, CHOICES, WORDS = 3, 2, 1, 0  # floors, the lowest is 0
-BESIDE = 4  # may import everything; nothing on the floors imports it
+ENTRY, WIRING, HOSTS, CHOICES, WORDS = 4, 3, 2, 1, 0  # floors, the lowest is 0
+BESIDE = 5  # may import everything; nothing on the floors imports it
 FLOORS = {  # of a module, or of all of a package; the longest name that fits counts
     "saltcourse": ENTRY,  # the package's own file: the version, and the module when it is asked for
     "saltcourse.__main__": ENTRY,
     "saltcourse.cli": ENTRY,
-    "saltcourse.cli_gossip": ENTRY,
-    "saltcourse.cli_options": ENTRY,
     "saltcourse.simulator_adapter": ENTRY,
+    "saltcourse.app": WIRING,
     "saltcourse.proxy": HOSTS,
     "saltcourse.admin": HOSTS,
     "saltcourse.address_failover": HOSTS,
     "saltcourse.gossip.admin": HOSTS,
-    "saltcourse.gossip.control": HOSTS,
     "saltcourse.gossip.event_log": HOSTS,
     "saltcourse.gossip.host": HOSTS,
-    "saltcourse.gossip.run": HOSTS,
     "saltcourse.gossip.store": HOSTS,
     "saltcourse.balancing": CHOICES,
     "saltcourse.shared_state": CHOICES,
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -12,7 +12,7 @@
 import pytest
 from click.testing import CliRunner
 
-from saltcourse.cli import main
+from saltcourse.cli.main import main
 from saltcourse.config import ConfigError
 from saltcourse.config.operator import MembershipSettings, read_operator
 
@@ -156,7 +156,7 @@
 
 def test_without_an_operators_file_nothing_of_it_is_imported() -> None:
     code = (
-        "import sys, saltcourse.cli; print([m for m in sys.modules if any(w in m for w in "
+        "import sys, saltcourse.cli.main; print([m for m in sys.modules if any(w in m for w in "
         "('protobuf', 'membership', 'emulator', 'sqlite3', 'config.operator'))])"
     )
     found = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
--- a/tests/test_package.py
+++ b/tests/test_package.py
@@ -52,7 +52,7 @@
 """
 LIST_COMMANDS = """
 import json, click
-from saltcourse.cli import main
+from saltcourse.cli.main import main
 def paths(command, path):
     yield path
     if isinstance(command, click.Group):
@@ -209,7 +209,7 @@
 
 
 def test_the_daemon_imports_nothing_of_the_lab() -> None:
-    script = "import sys, saltcourse.cli, saltcourse.proxy.server; print(*sys.modules)"
+    script = "import sys, saltcourse.cli.main, saltcourse.proxy.server; print(*sys.modules)"
     ran = subprocess.run(
         [sys.executable, "-c", script], capture_output=True, text=True, cwd=ROOT, timeout=LIMIT
     )
