--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -23,13 +23,6 @@
 import capacity_roles  # noqa: E402
 import capacity_tables  # noqa: E402
 import scale_weighing  # noqa: E402
-from scale_weighing import (  # noqa: E402
-    change_bytes,
-    relay_bytes,
-    suspicion_seconds,
-    swim_bytes,
-    swim_memory,
-)
 from capacity_model import (  # noqa: E402
     BYTES_BUDGET,
     CHANGE_BYTES,
@@ -63,6 +56,13 @@
     whole_table_bytes,
     worked,
 )
+from scale_weighing import (  # noqa: E402
+    change_bytes,
+    relay_bytes,
+    suspicion_seconds,
+    swim_bytes,
+    swim_memory,
+)
 
 MEASURED = ROOT / "docs" / "measurements" / "capacity.json"
 SCALE = ROOT / "docs" / "measurements" / "scale.json"
--- a/benchmarks/capacity_roles.py
+++ b/benchmarks/capacity_roles.py
@@ -7,8 +7,8 @@
 from capacity_model import (
     BYTES_BUDGET,
     CASA_MAIN_RATE,
-    CHANGES_A_DAY,
     CHANGE_BYTES,
+    CHANGES_A_DAY,
     CONNECTIONS,
     DAY,
     DELIVERIES,
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -20,8 +20,8 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parents[1]))
 
-from saltcourse.address_failover.host import Member
 from saltcourse.address_failover.authentication import Seal
+from saltcourse.address_failover.host import Member
 from saltcourse.address_failover.messages import Seat, Timing
 
 SIZES = (3, 9, 31)
--- a/benchmarks/scale_weighing.py
+++ b/benchmarks/scale_weighing.py
@@ -11,8 +11,8 @@
 
 from capacity_model import (
     BYTES_BUDGET,
-    CHANGES_A_DAY,
     CHANGE_BYTES,
+    CHANGES_A_DAY,
     DAY,
     LIVES,
     MAGLEV_ENTRIES,
--- a/benchmarks/slopes_module.py
+++ b/benchmarks/slopes_module.py
@@ -14,21 +14,21 @@
 from slopes_results import Results, Sizes
 
 from saltcourse.balancing.actions import Action
+from saltcourse.balancing.balancer import Balancer
 from saltcourse.balancing.events import (
     BackendState,
     ClientDisconnected,
     ConnectionEstablished,
     ConnectionResumed,
     Endpoint,
-    EndpointUpdateKind,
     EndpointsUpdated,
+    EndpointUpdateKind,
     Event,
     RequestReceived,
 )
 from saltcourse.balancing.settings import RequestClass, Settings
-from saltcourse.shared_state.core import Fleet
-from saltcourse.balancing.balancer import Balancer
 from saltcourse.codec.endpoint_list import read_list
+from saltcourse.shared_state.core import Fleet
 
 
 def settings(**changes: Any) -> Settings:
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -25,9 +25,10 @@
 ROOT = Path(__file__).resolve().parents[1]
 sys.path[:0] = [str(ROOT), str(ROOT / "example")]
 
-from saltcourse.emulator.route_server import RouteServer  # noqa: E402
 from toy import Platform  # noqa: E402
 
+from saltcourse.emulator.route_server import RouteServer  # noqa: E402
+
 ADDRESS = "192.0.2.7"
 SIGNALS = {"kill9": signal.SIGKILL, "sigstop": signal.SIGSTOP, "sigterm": signal.SIGTERM}
 FAILURES = tuple(SIGNALS)
--- a/saltcourse/app/control_member.py
+++ b/saltcourse/app/control_member.py
@@ -10,13 +10,13 @@
 from saltcourse import signals
 from saltcourse.admin.calls import LAMEDUCK_ASKS, Ask
 from saltcourse.admin.server import AdminServer, GossipCalls
+from saltcourse.app.gossip import Reread, create_host, figure_names, start_host, warn_of_changes
 from saltcourse.config import ConfigError
 from saltcourse.config.operator_gossip import SECTION, GossipSettings
 from saltcourse.gossip.admin import GossipAnswers
 from saltcourse.gossip.host import LEAVE_GRACE, Host, PersistError, StateStore
 from saltcourse.gossip.member_table import Member
 from saltcourse.gossip.messages import Address, ReplicaState, Status
-from saltcourse.app.gossip import Reread, create_host, figure_names, start_host, warn_of_changes
 from saltcourse.gossip.store import ReplicaStore, StoreError
 from saltcourse.metrics import Figures
 from saltcourse.proxy.errors import CannotListen
--- a/saltcourse/cli/main.py
+++ b/saltcourse/cli/main.py
@@ -108,8 +108,8 @@
 def _gossip_companion(
     settings: GossipSettings, source: ConfigurationSource, operator: str | None, me: str
 ) -> FleetMember:
-    from saltcourse.gossip.messages import Role
     from saltcourse.app.gossip import GossipCompanion
+    from saltcourse.gossip.messages import Role
 
     if settings.role is not Role.PROXY:
         refuse("gossip.role: must be PROXY for a proxy; a control member runs alone, by saltcourse control")
--- a/tests/test_membership_seal.py
+++ b/tests/address_failover/test_authentication.py
@@ -10,8 +10,8 @@
 from hypothesis import strategies as st
 
 from saltcourse.address_failover.authentication import HEAD, Drop, Seal
-from saltcourse.address_failover.vote_store import StoreError, VoteStore
 from saltcourse.address_failover.messages import Answer, Ask, HandOver, Message, Release, Renew, Renewed, Vote
+from saltcourse.address_failover.vote_store import StoreError, VoteStore
 
 A, B = ("127.0.0.1", 7001), ("127.0.0.2", 7001)
 OLD, NEW = b"o" * 32, b"n" * 32
--- a/tests/test_election.py
+++ b/tests/address_failover/test_election.py
@@ -12,8 +12,6 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule, run_state_machine_as_test
 
-from saltcourse.emulator.election import Broken, World, play, seats_of
-from saltcourse.emulator.simnet import Link
 from saltcourse.address_failover import election
 from saltcourse.address_failover.election import Election
 from saltcourse.address_failover.messages import (
@@ -31,6 +29,8 @@
     Vote,
     Withdraw,
 )
+from saltcourse.emulator.election import Broken, World, play, seats_of
+from saltcourse.emulator.simnet import Link
 
 SCHEDULES = 2000
 THREE = seats_of(3, 1)
--- a/tests/test_membership_host.py
+++ b/tests/address_failover/test_host.py
@@ -12,13 +12,13 @@
 
 import pytest
 
-from saltcourse.emulator.route_server import RouteServer
-from saltcourse.address_failover.route_announcement import BgpAnnouncer, CommandAnnouncer
-from saltcourse.address_failover.host import Member
 from saltcourse.address_failover.authentication import Drop, Seal
 from saltcourse.address_failover.bgp_session import Peering
-from saltcourse.address_failover.vote_store import VoteStore
+from saltcourse.address_failover.host import Member
 from saltcourse.address_failover.messages import Seat, Timing
+from saltcourse.address_failover.route_announcement import BgpAnnouncer, CommandAnnouncer
+from saltcourse.address_failover.vote_store import VoteStore
+from saltcourse.emulator.route_server import RouteServer
 
 ADDRESS = "192.0.2.7"
 SEATS = (Seat("n0", 2), Seat("n1", 1), Seat("w", witness=True))
--- a/tests/test_admin.py
+++ b/tests/admin/test_server.py
@@ -14,7 +14,7 @@
 from saltcourse.config import read_config
 from saltcourse.proxy.server import Lifecycle, Phase
 
-EXAMPLE = Path(__file__).parent.parent / "example" / "config.json"
+EXAMPLE = Path(__file__).parents[2] / "example" / "config.json"
 
 
 def free_port() -> int:
--- a/tests/node.py
+++ b/tests/balancing/balancer_host.py
@@ -6,19 +6,19 @@
 from typing import Any
 
 from saltcourse.balancing.actions import Action, SetTimer, StartAttempt
+from saltcourse.balancing.balancer import Balancer
 from saltcourse.balancing.events import (
     AttemptFinished,
     AttemptStatus,
     ConnectionEstablished,
     Endpoint,
-    EndpointUpdateKind,
     EndpointsUpdated,
+    EndpointUpdateKind,
     Event,
     RequestReceived,
     TimerFired,
 )
 from saltcourse.balancing.settings import RequestClass, Settings
-from saltcourse.balancing.balancer import Balancer
 
 QUICK = RequestClass("quick", latency_objective=0.3, deadline=1.2, message_latency_objective=0.06)
 
--- a/tests/test_policy.py
+++ b/tests/balancing/test_balancer.py
@@ -15,6 +15,7 @@
     StartHealthCheck,
     WatchEndpoints,
 )
+from saltcourse.balancing.balancer import GROUP_SLOTS, LONGEST_BACKOFF, Balancer, Sign
 from saltcourse.balancing.events import (
     AttemptFinished,
     AttemptStatus,
@@ -30,8 +31,7 @@
     ResponseLatencyMeasured,
 )
 from saltcourse.balancing.settings import DeduplicationScope, DiscoveryMode, Idempotency, RequestClass, Tenant
-from saltcourse.balancing.balancer import GROUP_SLOTS, LONGEST_BACKOFF, Balancer, Sign
-from tests.node import QUICK, Node, members, settings
+from tests.balancing.balancer_host import QUICK, Node, members, settings
 
 
 def test_picks_follow_free_slots() -> None:
--- a/tests/test_health.py
+++ b/tests/balancing/test_outlier_ejection.py
@@ -16,6 +16,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule, run_state_machine_as_test
 
 from saltcourse.balancing.actions import FailRequest, RejectRequest, StartAttempt
+from saltcourse.balancing.balancer import AFTER, GROUP_SLOTS, Balancer, Health, Request, Server, Sign
 from saltcourse.balancing.events import (
     AttemptFinished,
     AttemptStatus,
@@ -24,12 +25,11 @@
     ConnectionEstablished,
     ConnectionLoadChanged,
     Endpoint,
-    EndpointUpdateKind,
     EndpointsUpdated,
+    EndpointUpdateKind,
     ResponseLatencyMeasured,
 )
-from saltcourse.balancing.balancer import AFTER, GROUP_SLOTS, Balancer, Health, Request, Server, Sign
-from tests.node import Node, members
+from tests.balancing.balancer_host import Node, members
 
 S = AttemptStatus
 FAILS = [s for s in S if s is not S.OK]
--- a/tests/test_rules.py
+++ b/tests/balancing/test_request_rules.py
@@ -8,6 +8,7 @@
 
 from saltcourse.balancing.actions import Action, FailRequest, RejectRequest, StartAttempt
 from saltcourse.balancing.events import (
+    NEVER_RAN,
     AttemptFinished,
     AttemptStatus,
     BackendState,
@@ -17,11 +18,10 @@
     Event,
     HealthCheckFinished,
     LoadReport,
-    NEVER_RAN,
     ResponseLatencyMeasured,
 )
 from saltcourse.balancing.settings import DeduplicationScope, Idempotency, RequestClass
-from tests.node import Node
+from tests.balancing.balancer_host import Node
 
 CLASSES = (
     RequestClass("safe", latency_objective=0.3, deadline=1.2, message_latency_objective=0.1),
--- a/tests/test_ramp.py
+++ b/tests/balancing/test_slow_start.py
@@ -13,9 +13,9 @@
 import pytest
 
 from saltcourse.balancing.actions import MigrateConnection
-from saltcourse.balancing.events import AttemptStatus, BackendState, Endpoint, EndpointUpdateKind
 from saltcourse.balancing.balancer import Balancer
-from tests.node import Node, members
+from saltcourse.balancing.events import AttemptStatus, BackendState, Endpoint, EndpointUpdateKind
+from tests.balancing.balancer_host import Node, members
 
 SERVERS, DRAINED, LIFE, STEP = 8, 5, 8.0, 0.02
 WARM_UP, SHARE, MULTIPLE, WINDOW = 8.0, 0.3, 3.0, 3.0
--- a/tests/test_capacity.py
+++ b/tests/benchmarks/test_capacity.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-ROOT = Path(__file__).resolve().parents[1]
+ROOT = Path(__file__).resolve().parents[2]
 sys.path[:0] = [str(ROOT / "benchmarks"), str(ROOT / "example")]
 
 import capacity  # noqa: E402
--- a/tests/test_wire.py
+++ b/tests/codec/test_codec.py
@@ -6,13 +6,13 @@
 
 import pytest
 
-from saltcourse.balancing.response_latency import SILENT_AFTER, DelayMeter
 from saltcourse.balancing.events import AttemptStatus, BackendState, HealthCheckFinished, LoadReport
-from saltcourse.proxy.clock import Clock
-from saltcourse.proxy.attempt import ProbeCall
+from saltcourse.balancing.response_latency import SILENT_AFTER, DelayMeter
+from saltcourse.codec.endpoint_list import BadList, parse_list
 from saltcourse.codec.http import Answer, BadAnswer
 from saltcourse.codec.lines import BadLine, LineBuffer, busy_line, load_of, read_open, report_of
-from saltcourse.codec.endpoint_list import BadList, parse_list
+from saltcourse.proxy.attempt import ProbeCall
+from saltcourse.proxy.clock import Clock
 
 OPEN = b"OPEN 9b1f 7f3a c=live-feed,t=acme,zd=7,d=2000,g=5c0f\r\n"
 
--- a/tests/test_settings.py
+++ b/tests/config/test_deployment_settings.py
@@ -21,13 +21,13 @@
 from hypothesis import strategies as st
 
 from saltcourse import simulator_adapter
-from saltcourse.balancing.events import EndpointUpdateKind, EndpointsUpdated
-from saltcourse.config import ConfigError, read_config
 from saltcourse.balancing.balancer import Balancer
+from saltcourse.balancing.events import EndpointsUpdated, EndpointUpdateKind
 from saltcourse.codec.json_fields import Malformed
+from saltcourse.config import ConfigError, read_config
 from saltcourse.config.deployment_settings import read_settings
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 SETTINGS: dict[str, Any] = {
     "balancers": 2,
     "self_index": 1,
--- a/tests/test_operator.py
+++ b/tests/config/test_operator.py
@@ -16,7 +16,7 @@
 from saltcourse.config import ConfigError
 from saltcourse.config.operator import MembershipSettings, read_operator
 
-EXAMPLE = Path(__file__).parent.parent / "example" / "config.json"
+EXAMPLE = Path(__file__).parents[2] / "example" / "config.json"
 GOOD = """membership {
   me: "a"
   service_address: "192.0.2.7"
@@ -58,7 +58,7 @@
     assert read_operator(write(tmp_path, "# nothing\n"), "p").membership is None
     fleet = read_operator(write(tmp_path, "fleet { term_s: 3 counts: true }"), "p").fleet
     assert fleet is not None and (fleet.term, fleet.drift, fleet.counts) == (3, 0.01, True)
-    assert read_operator(Path(__file__).parent.parent / "deploy" / "operator.txtpb", "p").membership is None
+    assert read_operator(Path(__file__).parents[2] / "deploy" / "operator.txtpb", "p").membership is None
 
 
 @pytest.mark.parametrize(
--- a/tests/test_config.py
+++ b/tests/config/test_proxy_config.py
@@ -15,9 +15,9 @@
 
 from saltcourse.cli.main import main
 from saltcourse.config import ConfigError, read_config
-from tests.test_admin import free_port
+from tests.admin.test_server import free_port
 
-EXAMPLE = Path(__file__).parent.parent / "example" / "config.json"
+EXAMPLE = Path(__file__).parents[2] / "example" / "config.json"
 
 
 def example(**changes: Any) -> dict[str, Any]:
--- a/tests/test_scale_run.py
+++ b/tests/emulator/test_scale_run.py
@@ -58,7 +58,7 @@
 from saltcourse.emulator.scale.topology import Topology, build_topology
 from saltcourse.gossip.messages import Role, Status
 
-SCENARIOS = Path(__file__).parent.parent / "benchmarks" / "scenarios"
+SCENARIOS = Path(__file__).parents[2] / "benchmarks" / "scenarios"
 SMALL = """
 size: 6
 region { name: "west" zone: "w1" zone: "w2" }
--- a/tests/gossip_site.py
+++ b/tests/gossip/site.py
@@ -18,13 +18,13 @@
 from random import Random
 from typing import Any
 
+from saltcourse.app.gossip import create_host
 from saltcourse.config.operator_gossip import GossipSettings
 from saltcourse.gossip.host import Host
 from saltcourse.gossip.messages import Address, Position, ReplicaState, Role, Status
-from saltcourse.app.gossip import create_host
 from saltcourse.gossip.settings import Timing, Voter
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 EXAMPLE = ROOT / "example" / "config.json"
 KEY = b"k" * 32
 PATIENCE = 20.0  # s that a slow machine may take for what takes one
--- a/tests/test_gossip_dissemination.py
+++ b/tests/gossip/test_dissemination.py
@@ -48,7 +48,7 @@
     part_of,
 )
 from saltcourse.gossip.sources import MAX_SOURCES
-from tests.gossip_fleet import Fleet, Member, Violation, address_of, record_of
+from tests.gossip.fleet import Fleet, Member, Violation, address_of, record_of
 
 HIGHEST = 2**32 - 1
 TIMING = Timing()
--- a/tests/test_gossip_faults.py
+++ b/tests/gossip/test_faults.py
@@ -6,9 +6,9 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import replace
 
-from saltcourse.gossip import messages as m
 from saltcourse.app.gossip import create_host, figure_names
-from tests.gossip_site import QUICK, Site, until
+from saltcourse.gossip import messages as m
+from tests.gossip.site import QUICK, Site, until
 
 TIMING = replace(QUICK, zone_silence=0.6, publish_timeout=1.0)
 
--- a/tests/test_gossip_operator.py
+++ b/tests/gossip/test_operator.py
@@ -25,7 +25,7 @@
 from saltcourse.gossip.settings import Timing
 from saltcourse.gossip.store import ReplicaStore, StoreError
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 EXAMPLE = ROOT / "example" / "config.json"
 GOOD = """gossip {
   me: "c0"
--- a/tests/player.py
+++ b/tests/proxy/exchange_player.py
@@ -26,12 +26,12 @@
 from pathlib import Path
 from typing import Any
 
-from saltcourse.config import Config, ConfigError, Limits
 from saltcourse.balancing.settings import DiscoveryMode, Settings
-from saltcourse.proxy.server import Lifecycle
-from saltcourse.proxy.messages import MoveAll
 from saltcourse.codec.endpoint_list import read_list
-from tests.node import QUICK, settings
+from saltcourse.config import Config, ConfigError, Limits
+from saltcourse.proxy.messages import MoveAll
+from saltcourse.proxy.server import Lifecycle
+from tests.balancing.balancer_host import QUICK, settings
 
 PATIENCE = 10.0  # s for a step; far more than any takes
 EXCHANGES = Path(__file__).parent / "exchanges"
--- a/tests/stand.py
+++ b/tests/proxy/running_proxy.py
@@ -15,13 +15,13 @@
 
 from structlog.testing import capture_logs
 
-from saltcourse.config import Config, Limits
 from saltcourse.balancing.settings import DiscoveryMode, RequestClass
+from saltcourse.codec.endpoint_list import read_list
+from saltcourse.config import Config, Limits
 from saltcourse.proxy.client_connection import Consumer
 from saltcourse.proxy.server import Lifecycle, Phase
-from saltcourse.codec.endpoint_list import read_list
-from tests.node import QUICK, settings
-from tests.player import End, listening
+from tests.balancing.balancer_host import QUICK, settings
+from tests.proxy.exchange_player import End, listening
 
 TURNS = 60  # of the loop: more than any chain of messages takes that waits for nothing outside
 
--- a/tests/test_exchanges.py
+++ b/tests/proxy/test_exchanges.py
@@ -8,8 +8,10 @@
 from structlog.testing import capture_logs
 
 from saltcourse.balancing import response_latency as delay
-from saltcourse.proxy import consumer, directory, lifecycle
-from tests.player import Player, sections
+from saltcourse.proxy import client_connection as consumer
+from saltcourse.proxy import discovery_client as directory
+from saltcourse.proxy import server as lifecycle
+from tests.proxy.exchange_player import Player, sections
 
 SECTIONS = sections()
 
--- a/tests/test_hard_days.py
+++ b/tests/proxy/test_hostile_clients.py
@@ -13,8 +13,8 @@
 from saltcourse.proxy.client_connection import FIRST_LINE_TIME
 from saltcourse.proxy.server import Lifecycle, Phase
 from saltcourse.proxy.stream import Peer
-from tests.test_admin import values
-from tests.test_handover import push_server
+from tests.admin.test_server import values
+from tests.proxy.test_process_replacement import push_server
 
 SOCKETS = 96  # a small platform's descriptors, and the crowd several times as many
 CROWD = 400
--- a/tests/test_handover.py
+++ b/tests/proxy/test_process_replacement.py
@@ -17,7 +17,7 @@
 import time
 from pathlib import Path
 
-from tests.test_admin import free_port, values
+from tests.admin.test_server import free_port, values
 
 CLIENTS = 60
 
@@ -63,7 +63,7 @@
         env=environment,
         pass_fds=(listener.fileno(),),
         stderr=subprocess.DEVNULL,
-        cwd=Path(__file__).parent.parent,
+        cwd=Path(__file__).parents[2],
     )
     for _ in range(200):
         if admin_answer(admin, "/_ready")[0] == 200:
--- a/tests/test_crossings.py
+++ b/tests/proxy/test_race_conditions.py
@@ -22,20 +22,22 @@
 import pytest
 
 from saltcourse.balancing.actions import FetchEndpoints, WatchEndpoints
-from saltcourse.balancing.events import AttemptStatus, EndpointUpdateKind, EndpointsUpdated
+from saltcourse.balancing.events import AttemptStatus, EndpointsUpdated, EndpointUpdateKind
 from saltcourse.balancing.settings import DeduplicationScope, DiscoveryMode, Idempotency, RequestClass
-from saltcourse.proxy import consumer, directory, lifecycle
-from saltcourse.proxy.clock import Clock
+from saltcourse.proxy import client_connection as consumer
+from saltcourse.proxy import discovery_client as directory
+from saltcourse.proxy import server as lifecycle
+from saltcourse.proxy.attempt import InvokerCall
 from saltcourse.proxy.client_connection import Consumer, Stage
+from saltcourse.proxy.clock import Clock
 from saltcourse.proxy.discovery_client import Directory
-from saltcourse.proxy.attempt import InvokerCall
-from saltcourse.proxy.server import Phase
 from saltcourse.proxy.messages import Arrived, Listed, Place
+from saltcourse.proxy.server import Phase
 from saltcourse.proxy.stream import Peer, _HalfStream
-from tests.node import QUICK, Node, members
-from tests.player import End, listening
-from tests.stand import Stand, has_left, nobody_came, turns, until
-from tests.test_admin import free_port, values
+from tests.admin.test_server import free_port, values
+from tests.balancing.balancer_host import QUICK, Node, members
+from tests.proxy.exchange_player import End, listening
+from tests.proxy.running_proxy import Stand, has_left, nobody_came, turns, until
 
 OPEN = "OPEN a b c=quick,d={}"
 TERM, TURN = 6.0, 3.0  # s within which news counts as told; that a call waits for its turn at the longest
--- a/tests/test_fleet_golden.py
+++ b/tests/shared_state/test_golden_messages.py
@@ -27,7 +27,7 @@
     SnapshotRequest,
 )
 from saltcourse.shared_state.outbox import Outgoing
-from tests.test_fleet import Proxies, trouble
+from tests.shared_state.test_shared_state import Proxies, trouble
 
 GOLDEN = (  # of a site of 8 proxies within 20 s; the last two by hand
     "277AAEtPS*",
--- a/tests/test_fleet_processes.py
+++ b/tests/shared_state/test_processes.py
@@ -18,13 +18,13 @@
 from pathlib import Path
 from typing import Any
 
-from tests.test_admin import EXAMPLE, free_port
-from tests.test_fleet import free_addresses
-from tests.test_handover import admin_answer
+from tests.admin.test_server import EXAMPLE, free_port
+from tests.proxy.test_process_replacement import admin_answer
+from tests.shared_state.test_shared_state import free_addresses
 
 COUNT, SERVERS = 4, 3
 TERM, PROBES = 2.0, 3.0  # s; a second that one provider gets of all proxies together
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 
 
 class Relay:
--- a/tests/test_fleet.py
+++ b/tests/shared_state/test_shared_state.py
@@ -15,6 +15,7 @@
 from hypothesis import strategies as st
 
 from saltcourse.balancing.actions import MigrateConnection, SendPeerMessage
+from saltcourse.balancing.balancer import Sign
 from saltcourse.balancing.events import (
     AttemptStatus,
     ClientDisconnected,
@@ -27,6 +28,7 @@
 from saltcourse.balancing.settings import SharedStateSettings
 from saltcourse.config import PeerAddresses
 from saltcourse.emulator.simnet import Host, Link, Network
+from saltcourse.proxy.peer_link import PeerLink
 from saltcourse.shared_state.codec import MAX_BYTES, BadMessage, decode, encode
 from saltcourse.shared_state.core import Fleet
 from saltcourse.shared_state.ejections import Ejections
@@ -46,9 +48,7 @@
 )
 from saltcourse.shared_state.outbox import Outgoing
 from saltcourse.shared_state.quota import QuotaLeases
-from saltcourse.proxy.peer_link import PeerLink
-from saltcourse.balancing.balancer import Sign
-from tests.node import Node, members, settings
+from tests.balancing.balancer_host import Node, members, settings
 
 
 def free_addresses(count: int) -> tuple[tuple[str, int], ...]:
@@ -63,7 +63,7 @@
 
 
 TERMS = SharedStateSettings(share_connection_counts=True)
-SILENT = TERMS.term
+SILENT = TERMS.lease_term
 NUMBER, TIME = st.integers(0, 262143), st.integers(0, 2**30 - 1)
 RECORDS = st.one_of(
     st.sampled_from([PairHeld("srv1grp1"), PairReleased("srv1grp1"), Reset(), SnapshotRequest()]),
@@ -114,7 +114,9 @@
         terms: SharedStateSettings = TERMS,
     ) -> None:
         self.random, self.core, self.count, self.terms = random.Random(seed), core, count, terms
-        hosts = [Host(str(i), rate=1 + (i % 3 - 1) * self.terms.drift, offset=1e5 * i) for i in range(count)]
+        hosts = [
+            Host(str(i), rate=1 + (i % 3 - 1) * self.terms.clock_drift, offset=1e5 * i) for i in range(count)
+        ]
         self.net = Network(seed, hosts, link, self._got, None)
         self.held = [self._empty() for _ in range(count)]
         self.cores = [self._fresh(i) for i in range(count)]
@@ -209,7 +211,7 @@
         burst = 2.0 * self.count
         low = 0.0
         for n, at in enumerate(sorted(self.paid)):
-            level = n - rate * (1 + self.terms.drift) * at  # spent before, less what the rate allows
+            level = n - rate * (1 + self.terms.clock_drift) * at  # spent before, less what the rate allows
             low = min(low, level)
             if level + 1 - low > burst + 1e-6:
                 return True
@@ -291,7 +293,7 @@
     class Late(Fleet):
         def __init__(self, *args: Any) -> None:
             super().__init__(*args)
-            self.ejections = Ageless(self.terms.drift)
+            self.ejections = Ageless(self.terms.clock_drift)
 
     assert caught(Proud, Proxies.wrong)
     assert caught(Greedy, Proxies.overspent)
