--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -24,7 +24,7 @@
 from saltcourse.balancing.settings import RequestClass, Settings, SharedStateSettings
 from saltcourse.emulator.simnet import Host, Link, Network
 from saltcourse.shared_state.codec import decode
-from saltcourse.shared_state.core import Fleet
+from saltcourse.shared_state.state import SharedState
 from saltcourse.shared_state.outbox import Outgoing
 
 SIZES = (4, 40, 200)
@@ -58,7 +58,7 @@
             shared_state=SharedStateSettings(share_connection_counts=counts),
         )
         self.cores = [
-            Fleet(told(proxy_index=i), self.random.getrandbits(12), self.held[i]) for i in range(size)
+            SharedState(told(proxy_index=i), self.random.getrandbits(12), self.held[i]) for i in range(size)
         ]
         self.sent = self.bytes = self.taken = 0
         self.cpu = 0.0
@@ -76,7 +76,7 @@
         self.pairs[i][pair] = self.pairs[i].get(pair, 0) + 1
         self.held[i][server].count += 1
         if self.pairs[i][pair] == 1:
-            self.cores[i].hold(server, group, True)
+            self.cores[i].record_group(server, group, True)
         self.net.at(self.net.now + self.random.expovariate(1 / LIFE), partial(self.goes, i, pair))
 
     def goes(self, i: int, pair: tuple[str, str]) -> None:
@@ -84,12 +84,12 @@
         self.pairs[i][pair] -= 1
         if not self.pairs[i][pair]:
             del self.pairs[i][pair]
-            self.cores[i].hold(*pair, False)
+            self.cores[i].record_group(*pair, False)
 
     def step(self, i: int) -> None:
         if self.random.random() < ARRIVALS * STEP:
             self.comes(i)
-        self.send(i, self.cores[i].due(self.net.now))
+        self.send(i, self.cores[i].outgoing_messages(self.net.now))
         self.net.at(self.net.now + STEP, partial(self.step, i))
 
     def send(self, i: int, sends: list[Outgoing]) -> None:
--- a/benchmarks/slopes_mesh.py
+++ b/benchmarks/slopes_mesh.py
@@ -13,7 +13,7 @@
 from slopes_results import Results, Sizes
 
 from saltcourse.balancing.settings import RequestClass, Settings, SharedStateSettings
-from saltcourse.shared_state.core import Fleet
+from saltcourse.shared_state.state import SharedState
 from saltcourse.shared_state.outbox import Outgoing
 
 HOST = "127.0.0.1"
@@ -43,7 +43,7 @@
 
     def step(self, i: int) -> None:
         begin = time.process_time()
-        sends = self.cores[i].due(self.net.now)
+        sends = self.cores[i].outgoing_messages(self.net.now)
         self.send_cpu += (time.process_time() - begin) * (i < OBSERVERS)
         self.send(i, sends)
         super().step(i)
@@ -80,9 +80,9 @@
             has_groups=True,
             shared_state=SharedStateSettings(share_connection_counts=True),
         )
-        core = self.cores[0] = Fleet(told, self.cores[0].outbox.incarnation + 1, self.held[0])
+        core = self.cores[0] = SharedState(told, self.cores[0].outbox.incarnation + 1, self.held[0])
         for pair in self.pairs[0]:
-            core.hold(*pair, True)
+            core.record_group(*pair, True)
 
     def sent_bytes(self) -> float:
         """Bytes of one proxy in the mean: to all as every proxy tells them, to one as the observers do."""
--- a/benchmarks/slopes_module.py
+++ b/benchmarks/slopes_module.py
@@ -28,7 +28,7 @@
 )
 from saltcourse.balancing.settings import RequestClass, Settings
 from saltcourse.codec.endpoint_list import read_list
-from saltcourse.shared_state.core import Fleet
+from saltcourse.shared_state.state import SharedState
 
 
 def settings(**changes: Any) -> Settings:
@@ -148,12 +148,12 @@
 def pairs_of_peer(count: int) -> float:
     """kB that one peer's pairs take in this proxy's copy."""
     told = partial(settings, proxy_count=2, peers_allowed=True, has_groups=True)
-    owner, receiver = Fleet(told(proxy_index=0), 1, {}), Fleet(told(proxy_index=1), 2, {})
+    owner, receiver = SharedState(told(proxy_index=0), 1, {}), SharedState(told(proxy_index=1), 2, {})
     for i in range(count):
-        owner.hold(f"server-{i % 100}", f"group-{i}", True)
-    texts = [text for peer, text in owner.due(1.0) if peer is None]
+        owner.record_group(f"server-{i % 100}", f"group-{i}", True)
+    texts = [text for peer, text in owner.outgoing_messages(1.0) if peer is None]
 
-    def hear() -> Fleet:
+    def hear() -> SharedState:
         for text in texts:
             receiver.receive(1.1, 0, text)
         return receiver
--- a/saltcourse/balancing/balancer.py
+++ b/saltcourse/balancing/balancer.py
@@ -26,6 +26,7 @@
     StartHealthCheck,
     WatchEndpoints,
 )
+from saltcourse.balancing.backend_report import BackendReport
 from saltcourse.balancing.events import (
     NEVER_RAN,
     AttemptFinished,
@@ -53,7 +54,7 @@
     RequestClass,
     Settings,
 )
-from saltcourse.shared_state.core import Fleet
+from saltcourse.shared_state.state import SharedState
 
 TICK = 1.0  # s between refreshes of ceilings and health; short against a connection's life
 TICK_SERVERS = 150  # servers for which a refresh a second is cheap; a larger fleet is refreshed less often
@@ -233,7 +234,7 @@
         self.quota = sum(t.connection_quota for t in settings.tenants) / settings.proxy_count
         self.per_load, self.mean_report = 0.0, 0.5  # slots for a server's whole load
         self.look = settings.reports_load and settings.health_checks_allowed
-        self.peers = Fleet(settings, seed, self.servers)
+        self.shared_state = SharedState(settings, seed, self.servers)
         self.handlers = {
             EndpointsUpdated: self._on_members,
             RequestReceived: self._on_request,
@@ -252,9 +253,40 @@
         """Take one event at the host's time; what comes back is to be carried out in its order."""
         self.now, self.out = now, []
         self.handlers[type(event)](event)  # type: ignore[operator]
-        self.out += [SendPeerMessage(data, peer) for peer, data in self.peers.due(now)]
+        self.out += [SendPeerMessage(data, peer) for peer, data in self.shared_state.outgoing_messages(now)]
         return self.out
 
+    def backend_names(self) -> list[str]:
+        """Every backend that a list has named."""
+        return list(self.servers)
+
+    def backend_reports(self, now: float) -> list[BackendReport]:
+        """What is believed of each backend now."""
+        return [self._backend_report(now, server) for server in self.servers.values()]
+
+    def _backend_report(self, now: float, server: Server) -> BackendReport:
+        reasons = {
+            server.state.value: server.state is not BackendState.READY,
+            server.health.name.lower(): server.health is not Health.USABLE,
+            "unclean": server.unclean_until > now,
+            "slow": server.slow_until > now,
+            "cold": server.next_send > now,
+        }
+        return BackendReport(
+            backend=server.id,
+            state=server.state,
+            occupancy=server.load,
+            ceiling=server.ceiling,
+            reasons=tuple(reason for reason, holds in reasons.items() if holds),
+            is_avoided=server.state is not BackendState.READY
+            or server.health in (Health.RESTING, Health.TRIAL),
+        )
+
+    @property
+    def is_failing(self) -> bool:
+        """Whether more attempts failed than succeeded of late."""
+        return self.failed > self.stood
+
     # ---- membership -----------------------------------------------------------------------------
 
     def _on_members(self, event: EndpointsUpdated) -> None:
@@ -321,7 +353,9 @@
     def _slow_start_gap(self, server: Server) -> float:
         """Seconds between this node's slots to a cold server, so that all nodes fill it over its warm-up."""
         level = self.level if server.near == 1.0 else self.far_level
-        slots = max(0.25, server.size * (level - FEW_SLOTS + 0.5)) * self.peers.relative_share(self.now)
+        slots = max(0.25, server.size * (level - FEW_SLOTS + 0.5)) * self.shared_state.relative_share(
+            self.now
+        )
         return self.settings.warm_up / slots
 
     # ---- health ---------------------------------------------------------------------------------
@@ -340,7 +374,7 @@
             server.failures += 1  # what was sent before does not lengthen the rest
             wait = min(LONGEST_BACKOFF, FIRST_BACKOFF * 2.0 ** (server.failures - 1))
             server.down_until = self.now + wait * (0.75 + self.random.random() / 2)
-            self.peers.eject(server.id, server.down_until)
+            self.shared_state.announce_ejection(server.id, server.down_until)
             self._strike(server.zone)
         if server.health in (Health.RESTING, Health.TRIAL) and server in self.ready and len(self.ready) > 1:
             self.ready.remove(server)
@@ -405,7 +439,7 @@
         held = sorted(
             server.held.values(),
             key=lambda r: (
-                self.peers.held_elsewhere(server.id, r.group),
+                self.shared_state.peer_serves_group(server.id, r.group),
                 server.groups.get(r.group, 0),
                 r.group,
             ),
@@ -497,7 +531,7 @@
         if own <= 0:
             return
         mean = self.per_load = own / told
-        self.peers.set_scale(mean)
+        self.shared_state.set_capacity_scale(mean)
         self.mean_report = told / len(heard)
         sizes = {}
         for kind in {s.kind for s in self.ready}:
@@ -512,7 +546,7 @@
         slow = server.slow_until > self.now  # set-up work can jam a server whose reported load is low
         if server.report_load >= 0:
             told = server.report_load if server.report_at > self.now - REPORT_STALE else self.mean_report
-            server.whole = max(FEW_SLOTS, self.per_load, self.peers.least_scale) * server.slots
+            server.whole = max(FEW_SLOTS, self.per_load, self.shared_state.minimum_scale) * server.slots
             ceiling = server.load + server.whole * max(0.0, TARGET - told)
         else:  # without a limit nothing says that it is full: what it holds is no reason to refuse
             ceiling = max(level * server.slots, 0.0 if server.limit > 0 else server.load)
@@ -542,7 +576,9 @@
             # Where its group costs nothing more, unless that is much fuller; else where others would go.
             able = [s for s in self.ready if self._allowed(request, s)]
             homes = [
-                s for s in able if request.group in s.groups or self.peers.held_elsewhere(s.id, request.group)
+                s
+                for s in able
+                if request.group in s.groups or self.shared_state.peer_serves_group(s.id, request.group)
             ]
             if self.look:
                 return self._gathered(request.group, homes, able)
@@ -674,7 +710,7 @@
         if request.group:
             if request.group not in server.groups:
                 server.load += GROUP_SLOTS
-                self.peers.hold(server.id, request.group, True)
+                self.shared_state.record_group(server.id, request.group, True)
             server.groups[request.group] = server.groups.get(request.group, 0) + 1
 
     def _vacate(self, server: Server, request: Request) -> None:
@@ -682,7 +718,7 @@
             server.groups[request.group] -= 1
             if not server.groups[request.group]:
                 del server.groups[request.group]
-                self.peers.hold(server.id, request.group, False)
+                self.shared_state.record_group(server.id, request.group, False)
                 server.load -= GROUP_SLOTS
         server.load = max(0.0, server.load - request.load) if server.count > 1 else 0.0
         server.count -= 1
@@ -841,7 +877,7 @@
                 del self.requests[event.request]
 
     def _on_peer(self, event: PeerMessageReceived) -> None:
-        for name in self.peers.receive(self.now, event.sender, event.data):
+        for name in self.shared_state.receive(self.now, event.sender, event.data):
             self._sign(self.servers[name], Sign.WARNED)
 
     def _on_load(self, event: ConnectionLoadChanged) -> None:
@@ -896,7 +932,7 @@
     def _ask(self, server: Server, fresh: float) -> bool:
         """Whether its load is being asked for; a report that is fresh needs no question."""
         old = not server.probing and server.report_at < self.now - fresh
-        if old and self.peers.may_probe(self.now, server.id):
+        if old and self.shared_state.may_health_check(self.now, server.id):
             server.probing = True
             self.out.append(StartHealthCheck(server.id))
         return server.probing
--- a/saltcourse/emulator/scale/mesh.py
+++ b/saltcourse/emulator/scale/mesh.py
@@ -19,7 +19,7 @@
     view_of,
 )
 from saltcourse.gossip.messages import Address, Status, Transmit
-from saltcourse.shared_state.core import Fleet
+from saltcourse.shared_state.state import SharedState
 from saltcourse.shared_state.outbox import Outgoing
 
 TICK = 0.05  # s; the pace of its messages, between which it is asked for nothing
@@ -58,7 +58,7 @@
             has_groups=True,
             shared_state=SharedStateSettings(share_connection_counts=True),
         )
-        self._fleet = self._measured(Fleet, settings, seat.process, self._holdings)
+        self._fleet = self._measured(SharedState, settings, seat.process, self._holdings)
 
     def start(self, now: float) -> Output:
         for number in self._lives.start(now):
@@ -76,15 +76,15 @@
 
     def _take(self, now: float, sender: int, datagram: bytes) -> list[Outgoing]:
         self._fleet.receive(now, sender, datagram.decode("ascii"))
-        return self._fleet.due(now)
+        return self._fleet.outgoing_messages(now)
 
     def tick(self, now: float) -> Output:
         self._play_connections(now)
         self.next_deadline = now + TICK
-        return self._output(self._measured(self._fleet.due, now))
+        return self._output(self._measured(self._fleet.outgoing_messages, now))
 
     def publish(self, now: float, change: int, padding: int) -> Output:
-        self._measured(self._fleet.hold, CHANGES_SERVER, str(change), True)
+        self._measured(self._fleet.record_group, CHANGES_SERVER, str(change), True)
         self._changes_seen = change + 1
         output = self.tick(now)
         output.observations += [
@@ -124,7 +124,7 @@
 
     def _observe_changes(self, output: Output) -> None:
         """Those that are here without a gap."""
-        while self._fleet.held_elsewhere(CHANGES_SERVER, str(self._changes_seen)):
+        while self._fleet.peer_serves_group(CHANGES_SERVER, str(self._changes_seen)):
             change = self._changes_seen
             self._changes_seen += 1
             output.observations.append(ConfigurationObserved(0, self._changes_seen, 0, (change,), ()))
@@ -148,7 +148,7 @@
         self._holdings[server].count += 1
         self._pairs[pair] = self._pairs.get(pair, 0) + 1
         if self._pairs[pair] == 1:
-            self._measured(self._fleet.hold, *pair, True)
+            self._measured(self._fleet.record_group, *pair, True)
 
     def _disconnect(self, number: int) -> None:
         pair = self._pair_of.pop(number)
@@ -156,4 +156,4 @@
         self._pairs[pair] -= 1
         if not self._pairs[pair]:
             del self._pairs[pair]
-            self._measured(self._fleet.hold, *pair, False)
+            self._measured(self._fleet.record_group, *pair, False)
--- a/saltcourse/proxy/dispatcher.py
+++ b/saltcourse/proxy/dispatcher.py
@@ -26,7 +26,7 @@
     StartHealthCheck,
     WatchEndpoints,
 )
-from saltcourse.balancing.balancer import Balancer, Health
+from saltcourse.balancing.balancer import Balancer
 from saltcourse.balancing.drain_schedule import DrainPlan
 from saltcourse.balancing.events import (
     AttemptFinished,
@@ -176,25 +176,21 @@
     def targets(self) -> tuple[int, int]:
         """Providers in the list, and those of them that the module avoids now (draining, resting, tried)."""
         listed = [m.backend for m in self.members.values() if m.state is not BackendState.REMOVED]
-        servers = self._balancer.servers
-        avoided = sum(
-            1
-            for name in listed
-            if (server := servers.get(name)) is not None
-            and (server.state is not BackendState.READY or server.health in (Health.RESTING, Health.TRIAL))
-        )
+        reports = self._balancer.backend_reports(self.clock.now())
+        avoided_backends = {report.backend for report in reports if report.is_avoided}
+        avoided = sum(1 for name in listed if name in avoided_backends)
         return len(listed), avoided
 
     def fleet(self) -> dict[str, int]:
         """What this proxy knows of the others and may spend by it."""
-        now, peers = self.clock.now(), self._balancer.peers
-        known = [peers.connections(now, name) for name in self._balancer.servers]
+        now, peers = self.clock.now(), self._balancer.shared_state
+        known = [peers.fleet_connections(now, name) for name in self._balancer.backend_names()]
         return {
             "fleet.peers": len(peers.peers),
             "fleet.pace": round(1000 * peers.relative_share(now)),
-            "fleet.judged": len(peers.ejected(now)),
+            "fleet.judged": len(peers.peer_ejections(now)),
             "fleet.connections": round(sum(known)),
-            "fleet.unreadable": peers.undecodable,
+            "fleet.unreadable": peers.undecodable_messages,
         }
 
     def _established(self, event: ConnectionEstablished) -> None:
@@ -260,27 +256,17 @@
         """For whoever asks why connections went where they went: connections that stand there, the module's
         occupancy over its ceiling, why nothing new goes there, and how attempts and connections ended."""
         held = Counter(c.backend for c in self.standing.values())
-        for server in self._balancer.servers.values():
-            why = [
-                word
-                for word, so in (
-                    (server.state.value, server.state is not BackendState.READY),
-                    (server.health.name.lower(), server.health is not Health.USABLE),
-                    ("unclean", server.unclean_until > now),
-                    ("slow", server.slow_until > now),
-                    ("cold", server.next_send > now),
-                )
-                if so
-            ]
-            ended = {how: n for (name, how), n in sorted(self._ended_how.items()) if name == server.id}
-            if server.state is BackendState.REMOVED and not held[server.id] and not ended:
+        for report in self._balancer.backend_reports(now):
+            name = report.backend
+            ended = {how: n for (backend, how), n in sorted(self._ended_how.items()) if backend == name}
+            if report.state is BackendState.REMOVED and not held[name] and not ended:
                 continue
             log.info(
                 "provider",
-                id=server.id,
-                standing=held[server.id],
-                occupancy=f"{server.load:.1f}/{server.ceiling:.1f}",
-                limits=",".join(why),
+                id=name,
+                standing=held[name],
+                occupancy=f"{report.occupancy:.1f}/{report.ceiling:.1f}",
+                limits=",".join(report.reasons),
                 **ended,
             )
         said = {what: n for (name, what), n in sorted(self._ended_how.items()) if not name}
@@ -288,7 +274,7 @@
             "sum",
             invocations=len(self.invocations),
             standing=len(self.standing),
-            storm=self._balancer.failed > self._balancer.stood,
+            storm=self._balancer.is_failing,
             **said,
         )
         self._ended_how.clear()
--- a/saltcourse/shared_state/core.py
+++ b/saltcourse/shared_state/state.py
@@ -51,7 +51,7 @@
     count: int  # connections that stand there through this proxy
 
 
-class Fleet:
+class SharedState:
     """The state of one proxy. With no others to talk to it sends nothing, and its shares are equal parts."""
 
     def __init__(self, settings: Settings, incarnation: int, servers: Mapping[str, Holding]) -> None:
@@ -69,36 +69,36 @@
         self.incarnations: dict[int, int] = {}  # of the peers, also of the lost ones
         self.holders: dict[EntryKey, set[int]] = {}  # entry -> the peers that have it
         self.scale = self.announced_scale = 0.0
-        self.least_scale = 0.0  # what this proxy's is at least, by what the peers report; 0 while none does
+        self.minimum_scale = 0.0  # what this proxy's is at least, by what the peers report; 0 while none does
         self.broadcast_at = self.heartbeat_at = LONG_AGO  # the last message to all; the last heartbeat
         self.checked_at = 0.0
         self.event_at = LONG_AGO  # when anything happened here
         self.trusted_from = LONG_AGO  # from when on what comes has not waited
         self.started_at: float | None = None
-        self.undecodable = 0  # messages
+        self.undecodable_messages = 0  # messages
 
     # ---- what the module asks and tells -----------------------------------------------------------
 
-    def held_elsewhere(self, server: str, group: str) -> bool:
+    def peer_serves_group(self, server: str, group: str) -> bool:
         """A peer has connections of the group there."""
         return bool(self.holders) and self._pair(server, group) in self.holders
 
-    def hold(self, server: str, group: str, held: bool) -> None:
+    def record_group(self, server: str, group: str, held: bool) -> None:
         """This proxy has got its first connection of the group there, or lost its last."""
         if self.count > 1:
             self.table.set_pair(self._pair(server, group), held)
 
-    def set_scale(self, scale: float) -> None:
+    def set_capacity_scale(self, scale: float) -> None:
         """This proxy's slots in a server's whole load; sent when it has changed by a fifth."""
         if _has_changed(scale, self.scale):
             self.scale = scale
 
-    def eject(self, server: str, until: float) -> None:
+    def announce_ejection(self, server: str, until: float) -> None:
         """This proxy has ejected the server until then."""
         if self.count > 1:
             self.ejections.eject(self.names.of(server), until)
 
-    def ejected(self, now: float) -> list[str]:
+    def peer_ejections(self, now: float) -> list[str]:
         """Servers that a peer has ejected now."""
         active = self.ejections.active(now)
         return [server for server in self.servers if self.names.of(server) in active]
@@ -107,7 +107,7 @@
         """This proxy's share over an equal part, for what each does at a pace of its own: 0.5 to 1.5."""
         return self.leases.share(now) * self.leases.count
 
-    def may_probe(self, now: float, server: str) -> bool:
+    def may_health_check(self, now: float, server: str) -> bool:
         """One probe there of those that the fleet may send in a second, if this proxy's share has it left."""
         budget = self.budgets.get(server)
         if budget is None:
@@ -120,7 +120,7 @@
         tokens = burst if self.leases.alone else 0.0
         return TokenBucket(self.terms.health_checks_per_second, burst, tokens, self._started(now))
 
-    def connections(self, now: float, server: str) -> float:
+    def fleet_connections(self, now: float, server: str) -> float:
         """Those of the whole fleet, as far as is known; what lost peers held fades."""
         key = self.names.of(server)
         known = [
@@ -149,7 +149,7 @@
         try:
             message = decode(text)
         except BadMessage:
-            self.undecodable += 1
+            self.undecodable_messages += 1
             return []
         peer = self._peer(now, sender, message)
         sequence = peer.begin(now, message)
@@ -160,7 +160,7 @@
                 self._answer(now, sender, peer, record)
         peer.end(now)
         brings_ejection = any([type(record) is EjectionNotice for record in message.records])
-        return self.ejected(now) if brings_ejection else []
+        return self.peer_ejections(now) if brings_ejection else []
 
     def _note_event(self, now: float) -> None:
         """After a stop of this process, what came meanwhile waits: how old it is cannot be told."""
@@ -200,7 +200,7 @@
                 self.outbox.reply(sender, self._snapshot() if missed is None else missed)
             case Scale():
                 peer.scale = record.slots
-                self._update_least_scale()
+                self._update_minimum_scale()
 
     def _update_replica(self, sender: int, peer: Peer, sequence: int, record: TableRecord) -> None:
         for key in peer.replica.apply(sequence, record):
@@ -209,9 +209,9 @@
             else:
                 self._remove_holder(sender, key)
 
-    def _update_least_scale(self) -> None:
+    def _update_minimum_scale(self) -> None:
         reported = [peer.scale for peer in self.peers.values() if peer.scale > 0]
-        self.least_scale = MIN_SCALE_RATIO * sum(reported) / len(reported) if reported else 0.0
+        self.minimum_scale = MIN_SCALE_RATIO * sum(reported) / len(reported) if reported else 0.0
 
     def _remove_holder(self, sender: int, key: EntryKey) -> None:
         peers = self.holders.get(key, set())
@@ -227,7 +227,7 @@
 
     # ---- messages that go -------------------------------------------------------------------------
 
-    def due(self, now: float) -> list[Outgoing]:
+    def outgoing_messages(self, now: float) -> list[Outgoing]:
         """The messages to be sent now."""
         self._started(now)
         self._note_event(now)
--- a/tests/shared_state/test_golden_messages.py
+++ b/tests/shared_state/test_golden_messages.py
@@ -117,14 +117,14 @@
     def _act(self, index: int) -> None:
         super()._act(index)
         core, now = self.cores[index], self.clock(index)
-        core.set_scale(core.scale + self.random.random() - 0.4)
+        core.set_capacity_scale(core.scale + self.random.random() - 0.4)
         answers = (
-            core.least_scale,
+            core.minimum_scale,
             core.relative_share(now),
-            core.connections(now, "s1"),
-            core.ejected(now),
-            core.held_elsewhere("s2", "g3"),
-            core.may_probe(now, "s3"),
+            core.fleet_connections(now, "s1"),
+            core.peer_ejections(now),
+            core.peer_serves_group("s2", "g3"),
+            core.may_health_check(now, "s3"),
         )
         self.digest.update(repr(answers).encode())
 
--- a/tests/shared_state/test_shared_state.py
+++ b/tests/shared_state/test_shared_state.py
@@ -30,7 +30,7 @@
 from saltcourse.emulator.simnet import Host, Link, Network
 from saltcourse.proxy.peer_link import PeerLink
 from saltcourse.shared_state.codec import MAX_BYTES, BadMessage, decode, encode
-from saltcourse.shared_state.core import Fleet
+from saltcourse.shared_state.state import SharedState
 from saltcourse.shared_state.ejections import Ejections
 from saltcourse.shared_state.messages import (
     ClockReading,
@@ -109,7 +109,7 @@
         self,
         seed: int,
         link: Link,
-        core: type[Fleet] = Fleet,
+        core: type[SharedState] = SharedState,
         count: int = 4,
         terms: SharedStateSettings = TERMS,
     ) -> None:
@@ -134,7 +134,7 @@
     def _empty() -> dict[str, Held]:
         return {f"s{i}": Held(0) for i in range(8)}
 
-    def _fresh(self, index: int) -> Fleet:
+    def _fresh(self, index: int) -> SharedState:
         told = settings(
             proxy_count=self.count,
             proxy_index=index,
@@ -160,22 +160,22 @@
         life = host.life
         if not host.stopped:
             self._act(index)
-            self._send(index, self.cores[index].due(self.clock(index)))
+            self._send(index, self.cores[index].outgoing_messages(self.clock(index)))
         self.net.at(self.net.now + 0.1, lambda: self._step(index) if host.life == life else None)
 
     def _act(self, index: int) -> None:
         core, draw, now = self.cores[index], self.random.randrange, self.clock(index)
-        if core.may_probe(now, "s0"):
+        if core.may_health_check(now, "s0"):
             self.paid.append(self.net.now)
         self.shares.append(sum(c.leases.share(self.clock(i)) for i, c in enumerate(self.cores)))
         if self.changing and draw(10) < 3:
             server, more = f"s{draw(8)}", draw(5) < 3
-            core.hold(server, f"g{draw(9)}", more)
+            core.record_group(server, f"g{draw(9)}", more)
             self.held[index][server].count = max(0, self.held[index][server].count + (1 if more else -1))
         if self.changing and draw(100) < 2:
             length = 0.3 + 6 * self.random.random()
             server = f"s{draw(8)}"
-            core.eject(server, now + length)
+            core.announce_ejection(server, now + length)
             self.ejections[server] = max(self.ejections.get(server, 0.0), self.net.now + 1.02 * length)
 
     def _send(self, index: int, sends: list[Outgoing]) -> None:
@@ -252,7 +252,7 @@
     assert not proxies.outlived
 
 
-def caught(core: type[Fleet], judge: Callable[[Proxies], object]) -> bool:
+def caught(core: type[SharedState], judge: Callable[[Proxies], object]) -> bool:
     """Whether the judge finds fault with a broken core on any of some seeds."""
     for seed in range(8):
         proxies = Proxies(seed, Link(delay=(0.0017, 0.3), loss=0.3), core)
@@ -263,7 +263,7 @@
 
 
 def test_the_judges_catch_broken_cores() -> None:
-    class Proud(Fleet):
+    class Proud(SharedState):
         """Never asks for what it has missed."""
 
         def _request_repairs(self, now: float) -> None:
@@ -279,7 +279,7 @@
             self.open_requests = dict.fromkeys(self.open_requests, now)
             super().renew(now, sender, grant)
 
-    class Greedy(Fleet):
+    class Greedy(SharedState):
         def __init__(self, *args: Any) -> None:
             super().__init__(*args)
             self.leases = Hasty(self.index, self.leases.count, self.terms)
@@ -290,7 +290,7 @@
         def _remaining(self, now: float, origin: int, end: int) -> float:
             return 1.0
 
-    class Late(Fleet):
+    class Late(SharedState):
         def __init__(self, *args: Any) -> None:
             super().__init__(*args)
             self.ejections = Ageless(self.terms.clock_drift)
@@ -308,7 +308,7 @@
     key = max(proxies.held[3], key=lambda s: proxies.held[3][s].count)
     lost, others = proxies.held[3][key].count, sum(h[key].count for h in proxies.held[:3])
     assert lost > 1 and not proxies.wrong()
-    assert proxies.cores[0].connections(proxies.clock(0), key) == lost + others
+    assert proxies.cores[0].fleet_connections(proxies.clock(0), key) == lost + others
     assert all(
         core.relative_share(proxies.clock(i)) == pytest.approx(1.0) for i, core in enumerate(proxies.cores)
     )
@@ -321,19 +321,19 @@
     assert share == pytest.approx(1.0)  # a lease lost, a portion inherited
     assert not proxies.overspent()
     proxies.net.run(13.0 + SILENT + 6 + 600)
-    assert proxies.cores[0].connections(proxies.clock(0), key) == pytest.approx(
+    assert proxies.cores[0].fleet_connections(proxies.clock(0), key) == pytest.approx(
         others + min(lost, others / 3), abs=0.1
     )
 
 
 def test_nothing_is_told_where_proxies_may_not_talk_and_the_equal_part_is_kept() -> None:
     for changes in ({"peers_allowed": False}, {"proxy_count": 1}):
-        core = Fleet(
+        core = SharedState(
             settings(**({"proxy_count": 4, "peers_allowed": True, "has_groups": True} | changes)), 1, {}
         )
-        core.hold("s0", "g0", True)
-        assert core.due(1.0) == [] and core.relative_share(1.0) == 1.0
-        spent = sum(core.may_probe(1.0 + i / 100, "s0") for i in range(1000))  # 10 s
+        core.record_group("s0", "g0", True)
+        assert core.outgoing_messages(1.0) == [] and core.relative_share(1.0) == 1.0
+        spent = sum(core.may_health_check(1.0 + i / 100, "s0") for i in range(1000))  # 10 s
         parts = 4 if "peers" in changes else 1
         assert 10 * 20 / parts - 1 <= spent <= 10 * 20 / parts + 3
 
@@ -384,9 +384,9 @@
     node.list(members(2))
     for i, group in enumerate("abbb"):
         node.give(ConnectionResumed(f"c{i}", "quick", "s0", group=group))
-    peer = Fleet(settings(proxy_count=2, proxy_index=1, peers_allowed=True, has_groups=True), 3, {})
-    peer.hold("s0", "a", True)
-    for _, text in peer.due(node.now):
+    peer = SharedState(settings(proxy_count=2, proxy_index=1, peers_allowed=True, has_groups=True), 3, {})
+    peer.record_group("s0", "a", True)
+    for _, text in peer.outgoing_messages(node.now):
         node.give(PeerMessageReceived(1, text))
     for _ in range(9):
         node.give(ResponseLatencyMeasured("c0", 0.07))
@@ -400,10 +400,10 @@
     )
     node.list(members(2))
     node.give(HealthCheckFinished("s0", AttemptStatus.OK, report=LoadReport(load=0.1)))
-    peer = Fleet(settings(proxy_count=2, proxy_index=1, peers_allowed=True, has_groups=True), 3, {})
-    peer.set_scale(20.0)
+    peer = SharedState(settings(proxy_count=2, proxy_index=1, peers_allowed=True, has_groups=True), 3, {})
+    peer.set_capacity_scale(20.0)
     before = node.balancer.servers["s0"].ceiling
-    for _, text in peer.due(node.now):
+    for _, text in peer.outgoing_messages(node.now):
         node.give(PeerMessageReceived(1, text))
     node.run(2.0)
     assert before < 2.0 and node.balancer.servers["s0"].ceiling == pytest.approx(0.7 * 10.0)
