--- a/saltcourse/app/control_member.py
+++ b/saltcourse/app/control_member.py
@@ -18,8 +18,8 @@
 from saltcourse.gossip.member_table import Member
 from saltcourse.gossip.messages import Address, ReplicaState, Status
 from saltcourse.gossip.store import ReplicaStore, StoreError
-from saltcourse.metrics import Figures
-from saltcourse.proxy.errors import CannotListen
+from saltcourse.metrics import Metrics
+from saltcourse.proxy.errors import ListenError
 
 log = structlog.get_logger("saltcourse")
 
@@ -52,7 +52,7 @@
         self._reread = reread
         self._stop = asyncio.Event()
         self._failure: PersistError | None = None
-        self._figures = Figures(())
+        self._figures = Metrics(())
         self._figures.gauges = self._gauges
         self._host = self._create_host()
         self._answers = GossipAnswers(self._host)
@@ -104,7 +104,7 @@
         try:
             server.start()
         except OSError as error:
-            raise CannotListen("--admin", "{}:{}".format(*address), error) from None
+            raise ListenError("--admin", "{}:{}".format(*address), error) from None
         return server
 
     async def _leave(self) -> None:
@@ -146,7 +146,7 @@
 
 
 def run_alone(settings: GossipSettings, reread: Reread, admin: Address | None) -> None:
-    """``ConfigError``, ``CannotListen`` or ``ControlFailed`` say why it did not start or go on."""
+    """``ConfigError``, ``ListenError`` or ``ControlFailed`` say why it did not start or go on."""
     asyncio.run(_run_alone(settings, reread, admin))
 
 
--- a/saltcourse/app/gossip.py
+++ b/saltcourse/app/gossip.py
@@ -20,7 +20,7 @@
 from saltcourse.gossip.messages import Applied, MemberRecord, ReplicaState
 from saltcourse.gossip.node import Node
 from saltcourse.gossip.settings import NodeSettings
-from saltcourse.proxy.errors import CannotListen
+from saltcourse.proxy.errors import ListenError
 
 COUNT_INTERVAL = 1.0  # s between the connection counts that a proxy tells
 PROCESS_BITS = 32
@@ -74,11 +74,11 @@
 
 
 async def start_host(host: Host, settings: GossipSettings) -> None:
-    """``CannotListen`` when the address can't be had."""
+    """``ListenError`` when the address can't be had."""
     try:
         await host.start(settings.listen)
     except OSError as error:
-        raise CannotListen(f"{SECTION}.listen", "{}:{}".format(*settings.listen), error) from None
+        raise ListenError(f"{SECTION}.listen", "{}:{}".format(*settings.listen), error) from None
     log.info("gossip started", me=settings.me, role=settings.role.name.lower(), zone=settings.zone)
 
 
--- a/saltcourse/cli/gossip.py
+++ b/saltcourse/cli/gossip.py
@@ -19,7 +19,7 @@
 )
 from saltcourse.codec.endpoint_list import Address, read_address
 from saltcourse.config import ConfigError
-from saltcourse.proxy.errors import CannotListen
+from saltcourse.proxy.errors import ListenError
 
 
 class AddressType(click.ParamType[Address]):
@@ -57,7 +57,7 @@
         run_alone(settings.gossip, partial(reread_gossip, operator, me), admin)
     except ConfigError as wrong:
         refuse(str(wrong))
-    except CannotListen as wrong:
+    except ListenError as wrong:
         fail(EXIT_LISTEN, str(wrong))
     except ControlFailed as wrong:
         fail(EXIT_FAILURE, str(wrong))
--- a/saltcourse/cli/main.py
+++ b/saltcourse/cli/main.py
@@ -24,8 +24,8 @@
 )
 from saltcourse.config import Config, ConfigError, load_config
 from saltcourse.config.overlay import ConfigurationSource
-from saltcourse.proxy.errors import CannotListen
-from saltcourse.proxy.server import Companion, FleetMember
+from saltcourse.proxy.companion import Companion, FleetMember
+from saltcourse.proxy.errors import ListenError
 from saltcourse.proxy.server import serve as serve_forever
 
 if TYPE_CHECKING:  # nothing of it is imported without an operator's file
@@ -95,7 +95,7 @@
         gossip = _gossip_companion(settings.gossip, source, operator, config.name)
     try:
         serve_forever(config, source.reread, companions, gossip)
-    except CannotListen as wrong:
+    except ListenError as wrong:
         fail(EXIT_LISTEN, str(wrong))
 
 
--- a/saltcourse/emulator/scale/mesh.py
+++ b/saltcourse/emulator/scale/mesh.py
@@ -19,8 +19,8 @@
     view_of,
 )
 from saltcourse.gossip.messages import Address, Status, Transmit
-from saltcourse.shared_state.state import SharedState
 from saltcourse.shared_state.outbox import Outgoing
+from saltcourse.shared_state.state import SharedState
 
 TICK = 0.05  # s; the pace of its messages, between which it is asked for nothing
 PUBLISHER = 0  # index of the member that tells changes
--- a/saltcourse/emulator/scale/worker.py
+++ b/saltcourse/emulator/scale/worker.py
@@ -48,8 +48,8 @@
 from saltcourse.emulator.scale.records import (
     ConfigurationSeen,
     FreshnessSeen,
-    Lifecycle,
     Load,
+    Lifecycle,
     RecordWriter,
     StatusSeen,
     View,
--- a/saltcourse/metrics.py
+++ b/saltcourse/metrics.py
@@ -12,7 +12,7 @@
 OUTCOMES = ("success", "overload", "error")  # brought up, refused with BUSY, failed with FAIL
 
 
-class Figures:
+class Metrics:
     """Counters of one process; ``gauges`` gives the figures that are read off the program's state."""
 
     def __init__(self, classes: Iterable[str]) -> None:
--- a/saltcourse/proxy/client_connection.py
+++ b/saltcourse/proxy/client_connection.py
@@ -39,7 +39,7 @@
     read_open,
     word_of,
 )
-from saltcourse.metrics import Figures
+from saltcourse.metrics import Metrics
 from saltcourse.proxy.actor import Actor, spawn
 from saltcourse.proxy.attempt import InvokerCall
 from saltcourse.proxy.clock import Clock
@@ -97,7 +97,7 @@
         may_answer_ping: Callable[[], bool],
         short: Callable[[], bool],
         doorstep: Doorstep,
-        figures: Figures,
+        figures: Metrics,
     ) -> None:
         self.settings, self.clock, self.figures = settings, clock, figures
         self.tell_decider, self.address_of = tell_decider, address_of
--- /dev/null
+++ b/saltcourse/proxy/companion.py
@@ -0,0 +1,43 @@
+"""What runs beside the proxy in its process where the operator switched it on, as the server sees it."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Protocol
+
+from saltcourse.config import Config
+
+if TYPE_CHECKING:  # nothing of it is imported without an admin address
+    from saltcourse.admin.server import GossipCalls
+
+
+class Companion(Protocol):
+    """What runs beside the proxy in its process where the operator switched it on."""
+
+    async def start(self) -> None: ...
+
+    async def leave(self) -> None:
+        """Before draining: clients are then already sent elsewhere."""
+
+    def reload(self) -> None: ...
+
+
+class HostProgram(Protocol):
+    """What a fleet member needs of the proxy that it runs in."""
+
+    def connections(self) -> int:
+        """Connections that clients asked for and that have not ended."""
+
+    def take_over(self, new: Config) -> None:
+        """Put a changed configuration in force."""
+
+
+class FleetMember(Companion, Protocol):
+    """The companion that makes the proxy a member of a fleet with gossip."""
+
+    @property
+    def answers(self) -> GossipCalls | None: ...
+
+    def attach(self, program: HostProgram) -> None:
+        """Before its start: ``program`` tells its connections, and takes over a changed configuration."""
+
+    def figures(self) -> dict[str, int]: ...
--- a/saltcourse/proxy/errors.py
+++ b/saltcourse/proxy/errors.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class CannotListen(Exception):
+class ListenError(Exception):
     """An address or descriptor to listen on cannot be had; says which key of the configuration names it."""
 
     def __init__(self, key: str, where: str, wrong: OSError) -> None:
--- a/saltcourse/proxy/server.py
+++ b/saltcourse/proxy/server.py
@@ -11,19 +11,20 @@
 from dataclasses import replace
 from enum import Enum
 from functools import partial
-from typing import TYPE_CHECKING, Protocol
+from typing import TYPE_CHECKING
 
 import structlog
 
 from saltcourse import signals
 from saltcourse.config import NEED_RESTART, Config, ConfigError
-from saltcourse.metrics import Figures
+from saltcourse.metrics import Metrics
 from saltcourse.proxy.attempt import SHORT
 from saltcourse.proxy.client_connection import Consumer, Host, Stage
 from saltcourse.proxy.clock import Clock
+from saltcourse.proxy.companion import Companion, FleetMember
 from saltcourse.proxy.discovery_client import Directory, Relocate
 from saltcourse.proxy.dispatcher import Decider
-from saltcourse.proxy.errors import CannotListen
+from saltcourse.proxy.errors import ListenError
 from saltcourse.proxy.messages import Forfeit, MoveAll
 from saltcourse.proxy.pending_connections import Doorstep
 from saltcourse.proxy.stream import Peer, listening
@@ -58,30 +59,7 @@
     STOPPED = "stopped"
 
 
-class Companion(Protocol):
-    """What runs beside the proxy in its process where the operator switched it on."""
-
-    async def start(self) -> None: ...
-
-    async def leave(self) -> None:
-        """Before draining: clients are then already sent elsewhere."""
-
-    def reload(self) -> None: ...
-
-
-class FleetMember(Companion, Protocol):
-    """The companion that makes the proxy a member of a fleet with gossip."""
-
-    @property
-    def answers(self) -> GossipCalls | None: ...
-
-    def attach(self, program: Lifecycle) -> None:
-        """Before its start: ``program`` tells its connections, and takes over a changed configuration."""
-
-    def figures(self) -> dict[str, int]: ...
-
-
-class Lifecycle:
+class ProxyServer:
     """``reread`` reads the configuration anew when SIGHUP asks for it; without it SIGHUP changes nothing.
     ``companions`` and ``gossip`` start when it serves, and leave before it drains, ``gossip`` first."""
 
@@ -115,7 +93,7 @@
             self.peers.say if self.peers else lambda _: None,
         )
         self.doorstep = Doorstep(config.limits.sockets - OWN_SOCKETS)
-        self.figures = Figures(c.name for c in config.settings.classes)
+        self.figures = Metrics(c.name for c in config.settings.classes)
         self.figures.gauges = self._gauges
         self.host = Host(
             config.settings,
@@ -146,7 +124,7 @@
             try:
                 await self.peers.open()
             except OSError as wrong:
-                raise CannotListen("peer_listen", "{}:{}".format(*self.config.peers.listen), wrong) from None
+                raise ListenError("peer_listen", "{}:{}".format(*self.config.peers.listen), wrong) from None
         self.decider.start()
         self.directory.start()
         self._listener = self._listen()
@@ -157,7 +135,7 @@
             try:
                 self.admin.start()
             except OSError as wrong:
-                raise CannotListen("admin", "{}:{}".format(*self.config.admin), wrong) from None
+                raise ListenError("admin", "{}:{}".format(*self.config.admin), wrong) from None
         self._enter(Phase.SERVING)
         for companion in self._companions:
             await companion.start()
@@ -298,11 +276,11 @@
             try:
                 return self._inherit(self.config.listen_fd)
             except OSError as wrong:
-                raise CannotListen("EDGE_LISTEN_FD", f"descriptor {self.config.listen_fd}", wrong) from None
+                raise ListenError("EDGE_LISTEN_FD", f"descriptor {self.config.listen_fd}", wrong) from None
         try:
             return listening(self.config.listen, BACKLOG, self._take_some)
         except OSError as wrong:
-            raise CannotListen("listen", "{}:{}".format(*self.config.listen), wrong) from None
+            raise ListenError("listen", "{}:{}".format(*self.config.listen), wrong) from None
 
     def _inherit(self, number: int) -> socket.socket:
         """The platform's listening socket, shared with the process that this one replaces, or its heir."""
@@ -385,8 +363,8 @@
     companions: Sequence[Companion] = (),
     gossip: FleetMember | None = None,
 ) -> None:
-    """Run the program; CannotListen when it cannot listen."""
-    asyncio.run(Lifecycle(config, reread, companions, gossip).run())
+    """Run the program; ListenError when it cannot listen."""
+    asyncio.run(ProxyServer(config, reread, companions, gossip).run())
 
 
-__all__ = ["CannotListen", "Lifecycle", "Phase", "serve"]
+__all__ = ["ListenError", "ProxyServer", "Phase", "serve"]
--- a/tests/admin/test_server.py
+++ b/tests/admin/test_server.py
@@ -12,7 +12,7 @@
 
 from saltcourse.admin.calls import MOST_BYTES, Answer, Ask, Reader, answer_bytes
 from saltcourse.config import read_config
-from saltcourse.proxy.server import Lifecycle, Phase
+from saltcourse.proxy.server import Phase, ProxyServer
 
 EXAMPLE = Path(__file__).parents[2] / "example" / "config.json"
 
@@ -99,7 +99,7 @@
 
 
 async def beside_a_proxy(**changes: Any) -> None:
-    proxy = Lifecycle(read_config(values(**changes), {}))
+    proxy = ProxyServer(read_config(values(**changes), {}))
     running = asyncio.get_running_loop().create_task(proxy.run())
     while proxy.phase is not Phase.SERVING:
         await asyncio.sleep(0.01)
--- a/tests/proxy/exchange_player.py
+++ b/tests/proxy/exchange_player.py
@@ -30,7 +30,7 @@
 from saltcourse.codec.endpoint_list import read_list
 from saltcourse.config import Config, ConfigError, Limits
 from saltcourse.proxy.messages import MoveAll
-from saltcourse.proxy.server import Lifecycle
+from saltcourse.proxy.server import ProxyServer
 from tests.balancing.balancer_host import QUICK, settings
 
 PATIENCE = 10.0  # s for a step; far more than any takes
@@ -120,7 +120,7 @@
             True,
         )
         self.broken = False
-        self.life = Lifecycle(self.config, self.reread)
+        self.life = ProxyServer(self.config, self.reread)
 
     def reread(self) -> Config:
         if self.broken:
--- a/tests/proxy/running_proxy.py
+++ b/tests/proxy/running_proxy.py
@@ -19,7 +19,7 @@
 from saltcourse.codec.endpoint_list import read_list
 from saltcourse.config import Config, Limits
 from saltcourse.proxy.client_connection import Consumer
-from saltcourse.proxy.server import Lifecycle, Phase
+from saltcourse.proxy.server import Phase, ProxyServer
 from tests.balancing.balancer_host import QUICK, settings
 from tests.proxy.exchange_player import End, listening
 
@@ -77,7 +77,7 @@
             }
             | changes
         )
-        self.life = Lifecycle(
+        self.life = ProxyServer(
             Config(
                 "test",
                 ("127.0.0.1", 0),
--- a/tests/proxy/test_hostile_clients.py
+++ b/tests/proxy/test_hostile_clients.py
@@ -11,7 +11,7 @@
 
 from saltcourse.config import read_config
 from saltcourse.proxy.client_connection import FIRST_LINE_TIME
-from saltcourse.proxy.server import Lifecycle, Phase
+from saltcourse.proxy.server import Phase, ProxyServer
 from saltcourse.proxy.stream import Peer
 from tests.admin.test_server import values
 from tests.proxy.test_process_replacement import push_server
@@ -20,7 +20,7 @@
 CROWD = 400
 
 
-async def proxy_beside(server: socket.socket) -> tuple[Lifecycle, asyncio.Task[None]]:
+async def proxy_beside(server: socket.socket) -> tuple[ProxyServer, asyncio.Task[None]]:
     config: dict[str, Any] = values(
         known={
             "version": 1,
@@ -29,7 +29,7 @@
         }
     )
     config["limits"]["sockets"] = SOCKETS
-    proxy = Lifecycle(read_config(config, {}))
+    proxy = ProxyServer(read_config(config, {}))
     running = asyncio.get_running_loop().create_task(proxy.run())
     while proxy.phase is not Phase.SERVING:
         await asyncio.sleep(0.01)
--- a/tests/shared_state/test_shared_state.py
+++ b/tests/shared_state/test_shared_state.py
@@ -30,7 +30,6 @@
 from saltcourse.emulator.simnet import Host, Link, Network
 from saltcourse.proxy.peer_link import PeerLink
 from saltcourse.shared_state.codec import MAX_BYTES, BadMessage, decode, encode
-from saltcourse.shared_state.state import SharedState
 from saltcourse.shared_state.ejections import Ejections
 from saltcourse.shared_state.messages import (
     ClockReading,
@@ -48,6 +47,7 @@
 )
 from saltcourse.shared_state.outbox import Outgoing
 from saltcourse.shared_state.quota import QuotaLeases
+from saltcourse.shared_state.state import SharedState
 from tests.balancing.balancer_host import Node, members, settings
 
 
