--- a/tests/shared_state/test_shared_state.py
+++ b/tests/shared_state/test_shared_state.py
@@ -334,7 +334,7 @@
         core.record_group("s0", "g0", True)
         assert core.outgoing_messages(1.0) == [] and core.relative_share(1.0) == 1.0
         spent = sum(core.may_health_check(1.0 + i / 100, "s0") for i in range(1000))  # 10 s
-        parts = 4 if "peers" in changes else 1
+        parts = 4 if "peers_allowed" in changes else 1
         assert 10 * 20 / parts - 1 <= spent <= 10 * 20 / parts + 3
 
 
