--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -20,21 +20,22 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parents[1]))
 
-from saltcourse.address_failover.authentication import Seal
-from saltcourse.address_failover.host import Member
-from saltcourse.address_failover.messages import Seat, Timing
+from saltcourse.address_failover.authentication import DatagramAuthenticator
+from saltcourse.address_failover.host import ElectionHost
+from saltcourse.address_failover.timing import ElectionTiming
+from saltcourse.address_failover.voters import ElectionConfig, Voter
 
 SIZES = (3, 9, 31)
 JUNK_A_SECOND, JUNK_TICK = 10_000, 0.01
 SETTLE = 2.0  # s until one holds
 
 
-class Counted(Member):
+class Counted(ElectionHost):
     sent = 0  # bytes, of all members
 
-    def _send(self, member: str, data: bytes) -> None:
+    def _send(self, receiver: str, data: bytes) -> None:
         Counted.sent += len(data) + 28  # IPv4 and UDP headers
-        super()._send(member, data)
+        super()._send(receiver, data)
 
 
 class Sink(asyncio.DatagramProtocol):
@@ -52,13 +53,16 @@
 
 
 async def site(count: int) -> list[Counted]:
-    seats = tuple(Seat(f"m{i}", priority=count - i) for i in range(count))
+    seats = tuple(Voter(f"m{i}", priority=count - i) for i in range(count))
     where = dict(zip([s.name for s in seats], places(count), strict=True))
     key, members = os.urandom(32), []
     for number, seat in enumerate(seats):
         others = {n: p for n, p in where.items() if n != seat.name}
         member = Counted(
-            seats, Seal(seat.name, time.time_ns() // 1000 + number, [key], others), Timing(), number, None
+            ElectionConfig(seats, seat.name, ElectionTiming()),
+            DatagramAuthenticator(seat.name, time.time_ns() // 1000 + number, [key], others),
+            number,
+            None,
         )
         await member.start(where[seat.name])
         members.append(member)
@@ -69,7 +73,7 @@
 async def at_rest(count: int, seconds: float) -> tuple[float, float]:
     """CPU share and bytes a second, each for one member."""
     members = await site(count)
-    held = sum(m.holding for m in members)
+    held = sum(m.is_holder for m in members)
     if held != 1:
         raise SystemExit(f"{held} of {count} members hold")
     cpu, sent, began = time.process_time(), Counted.sent, time.monotonic()
@@ -97,10 +101,10 @@
 
 async def junk_ratio(seconds: float) -> tuple[float, float, bool]:
     members = await site(3)
-    held = next(m for m in members if m.holding)
+    held = next(m for m in members if m.is_holder)
     assert held._socket is not None
     ours = await junk(held._socket.get_extra_info("sockname"), seconds)
-    still = held.holding
+    still = held.is_holder
     for member in members:
         member.close()
     loop = asyncio.get_running_loop()
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -127,8 +127,8 @@
         if failure == "sigterm":  # the gap without any route, the longer of both records
             gaps = []
             for server, mark in zip(self.servers, marks, strict=True):
-                gone = min(at for at, _, _, route in server.record[mark:] if route is None)
-                new = min(at for at, _, _, route in server.record[mark:] if route is not None)
+                gone = min(change.time for change in server.record[mark:] if change.route is None)
+                new = min(change.time for change in server.record[mark:] if change.route is not None)
                 gaps.append(max(0.0, new - gone))
             took = max(gaps)
         if failure != "sigstop":
@@ -142,7 +142,7 @@
                 process.kill()
             await process.wait()
         for server in self.servers:
-            server.die()
+            server.crash()
         os.close(self.log)
 
 
--- a/saltcourse/address_failover/authentication.py
+++ b/saltcourse/address_failover/authentication.py
@@ -1,12 +1,13 @@
-"""Datagrams between members: packed, authenticated, and opened again only once. No I/O.
+"""Datagrams between members: authenticated, and each accepted only once. No I/O.
 
-On the wire: ``SC``, one byte of form (1), 4 bytes that name the key, 32 bytes of HMAC-SHA256 (RFC 2104) over
-what follows, then a ``Datagram`` (``schema/membership.proto``). What is wrong with a datagram is found in the
-order of cost, so junk is dropped for the price of a comparison.
+On the wire: ``SC``, one byte of version (1), 4 bytes that identify the key, 32 bytes of HMAC-SHA256 (RFC
+2104) over what follows, then a ``Datagram`` (``schema/membership.proto``). Checks run in the order of their
+cost, so junk is dropped for the price of a comparison.
 
-Replays: each process has a boot number and counts its datagrams. A receiver takes a number once, from the
-newest boot of its sender only, and only where the sender knew the receiver's own boot; so what was recorded
-before the receiver's restart is void too. Who does not know it yet is told by a Hello.
+Replays: each process has an incarnation number and counts its datagrams. A receiver accepts a sequence number
+once, from the newest incarnation of its sender only, and only where the sender knew the receiver's own
+incarnation; so a recording from before the receiver's restart is void too. A sender that does not know it yet
+is sent a Hello.
 """
 
 from __future__ import annotations
@@ -14,174 +15,154 @@
 import hashlib
 import hmac
 from collections import Counter
-from dataclasses import dataclass
+from dataclasses import dataclass, field
 from enum import Enum
 
 from google.protobuf.message import DecodeError
 
-from saltcourse.address_failover.messages import (
-    Answer,
-    Ask,
-    HandOver,
-    Message,
-    Release,
-    Renew,
-    Renewed,
-)
+from saltcourse.address_failover.errors import InvalidKeysError
+from saltcourse.address_failover.message_codec import read_message, write_message
+from saltcourse.address_failover.messages import Message
+from saltcourse.address_failover.replay_window import ReplayWindow
 from saltcourse.schema import membership_pb2 as pb
 
-MAGIC, KEY_ID, TAG = b"SC\x01", 4, 32
-HEAD = len(MAGIC) + KEY_ID + TAG
-LONGEST = 512  # bytes; the longest message takes under 300
-LEAST_KEY = 16  # bytes
-MOST_KEYS = 2  # the one in use, and the one that it replaces or that will replace it
-WINDOW = 64  # datagrams that may overtake one another
-VERSION = 1
+MAGIC = b"SC\x01"
+# Lengths in bytes.
+KEY_ID_LENGTH = 4
+TAG_LENGTH = 32
+HEADER_LENGTH = len(MAGIC) + KEY_ID_LENGTH + TAG_LENGTH
+MAX_DATAGRAM_LENGTH = 512  # the longest message takes under 300
+MIN_KEY_LENGTH = 16
+MAX_KEYS = 2  # the one in use, and the one that it replaces or that will replace it
+SCHEMA_VERSION = 1
 
 
-class Drop(Enum):
+class DropReason(Enum):
     """Why a datagram was dropped."""
 
-    FORM = "form"  # no datagram of ours
-    KEY = "key"  # a key that is not in the file
-    FORGED = "forged"
-    SCHEMA = "schema"  # sealed well, but it says what this version can't read
-    STRANGER = "stranger"  # not a member, from a wrong address, or meant for another
-    REPLAY = "replay"
-    STALE = "stale"  # of an earlier process of its sender
-    UNKNOWN_BOOT = "unknown_boot"  # the sender does not know this process yet
+    MALFORMED = "malformed"  # no datagram of this protocol
+    UNKNOWN_KEY = "unknown_key"
+    BAD_SIGNATURE = "bad_signature"
+    UNSUPPORTED = "unsupported"  # authentic, but this version cannot read it
+    NOT_A_MEMBER = "not_a_member"  # another sender, source address or receiver than configured
+    REPLAYED = "replayed"
+    STALE_INCARNATION = "stale_incarnation"  # from an earlier process of the sender
+    UNKNOWN_INCARNATION = "unknown_incarnation"  # the sender does not know this process yet
 
 
-def key_id(key: bytes) -> bytes:
-    return hashlib.sha256(b"saltcourse key id " + key).digest()[:KEY_ID]
+@dataclass(frozen=True, slots=True)
+class AuthenticatedMessage:
+    """A message that its sender signed and that was not accepted before."""
+
+    sender: str
+    message: Message
 
 
 @dataclass(slots=True)
-class Peer:
+class PeerState:
     """What is known of another member's process."""
 
     address: tuple[str, int]
-    boot: int = 0
-    highest: int = 0
-    seen: int = 0  # bit i: the number ``highest - i`` has come
+    incarnation: int = 0
+    window: ReplayWindow = field(default_factory=ReplayWindow)
+
+    def restart(self, incarnation: int) -> None:
+        """A newer process of this member has sent something; it counts from 1 again."""
+        self.incarnation = incarnation
+        self.window = ReplayWindow()
+
+
+def key_id(key: bytes) -> bytes:
+    """What identifies a key on the wire."""
+    return hashlib.sha256(b"saltcourse key id " + key).digest()[:KEY_ID_LENGTH]
 
 
-class Seal:
-    """One member's end. ``keys``: the first signs, all of them open. ``peers``: name -> address."""
+class DatagramAuthenticator:
+    """One member's end.
 
-    def __init__(self, me: str, boot: int, keys: list[bytes], peers: dict[str, tuple[str, int]]) -> None:
-        self.me, self.boot = me, boot
-        self.peers = {name: Peer(address) for name, address in peers.items()}
-        self.dropped: Counter[Drop] = Counter()
+    ``incarnation`` grows with each start of this member: microseconds since 1970. ``keys``: the first
+    signs, all of them verify. ``peer_addresses``: of the other members by name. Raises InvalidKeysError.
+    """
+
+    def __init__(
+        self, own_name: str, incarnation: int, keys: list[bytes], peer_addresses: dict[str, tuple[str, int]]
+    ) -> None:
+        self.own_name = own_name
+        self.incarnation = incarnation
+        self.peers = {name: PeerState(address) for name, address in peer_addresses.items()}
+        self.dropped: Counter[DropReason] = Counter()
         self._sequence = 0
         self.change_keys(keys)
 
     def change_keys(self, keys: list[bytes]) -> None:
-        """Errors name what is wrong with the keys, as ValueError; the old ones then stay."""
-        if not 1 <= len(keys) <= MOST_KEYS:
-            raise ValueError(f"one or {MOST_KEYS} keys, not {len(keys)}")
-        if any(len(k) < LEAST_KEY for k in keys):
-            raise ValueError(f"a key under {LEAST_KEY} bytes")
-        if len({key_id(k) for k in keys}) != len(keys):
-            raise ValueError("the same key twice")
-        self._keys = {key_id(k): k for k in keys}
-        self._signs = key_id(keys[0])
-
-    def pack(self, receiver: str, message: Message | None) -> bytes:
-        """A sealed datagram; None is a Hello."""
+        """Replace all keys. Raises InvalidKeysError, and the old ones then stay."""
+        if not 1 <= len(keys) <= MAX_KEYS:
+            raise InvalidKeysError(f"one or {MAX_KEYS} keys, not {len(keys)}")
+        if any(len(key) < MIN_KEY_LENGTH for key in keys):
+            raise InvalidKeysError(f"a key under {MIN_KEY_LENGTH} bytes")
+        if len({key_id(key) for key in keys}) != len(keys):
+            raise InvalidKeysError("the same key twice")
+        self._keys = {key_id(key): key for key in keys}
+        self._signing_key_id = key_id(keys[0])
+
+    def seal(self, receiver: str, message: Message) -> bytes:
+        """The datagram that brings a message to a member."""
         self._sequence += 1
-        told = pb.Datagram(
-            version=VERSION,
-            sender=self.me,
+        datagram = pb.Datagram(
+            version=SCHEMA_VERSION,
+            sender=self.own_name,
             receiver=receiver,
-            boot=self.boot,
-            to_boot=self.peers[receiver].boot,
+            boot=self.incarnation,
+            to_boot=self.peers[receiver].incarnation,
             sequence=self._sequence,
         )
-        match message:
-            case None:
-                told.hello.SetInParent()
-            case Ask(term, echo, pre, freed):
-                told.ask.CopyFrom(pb.Ask(term=term, echo=echo, pre=pre, freed=freed))
-            case Answer(term, echo, pre, granted, newest):
-                told.answer.CopyFrom(pb.Answer(term=term, echo=echo, pre=pre, granted=granted, newest=newest))
-            case Renew(term, echo):
-                told.renew.CopyFrom(pb.Renew(term=term, echo=echo))
-            case Renewed(term, echo):
-                told.renewed.CopyFrom(pb.Renewed(term=term, echo=echo))
-            case Release(term):
-                told.release.CopyFrom(pb.Release(term=term))
-            case HandOver(term):
-                told.hand_over.CopyFrom(pb.HandOver(term=term))
-        body: bytes = told.SerializeToString()
-        tag = hmac.digest(self._keys[self._signs], body, "sha256")
-        return MAGIC + self._signs + tag + body
-
-    def open(self, data: bytes, source: tuple[str, int]) -> tuple[str, Message | None] | Drop:
-        """Who sent what (None: a Hello), or why it is dropped; counted. Any bytes are borne."""
-        found = self._open(data, source)
-        if isinstance(found, Drop):
-            self.dropped[found] += 1
-        return found
-
-    def _open(self, data: bytes, source: tuple[str, int]) -> tuple[str, Message | None] | Drop:
-        if not HEAD < len(data) <= LONGEST or not data.startswith(MAGIC):
-            return Drop.FORM
-        key = self._keys.get(data[len(MAGIC) : len(MAGIC) + KEY_ID])
+        write_message(datagram, message)
+        body: bytes = datagram.SerializeToString()
+        tag = hmac.digest(self._keys[self._signing_key_id], body, "sha256")
+        return MAGIC + self._signing_key_id + tag + body
+
+    def open(self, data: bytes, source: tuple[str, int]) -> AuthenticatedMessage | DropReason:
+        """Verify a datagram that came from ``source``. Any bytes are borne; what is dropped is counted."""
+        body = self._verify(data)
+        result = body if isinstance(body, DropReason) else self._read(body, source)
+        if isinstance(result, DropReason):
+            self.dropped[result] += 1
+        return result
+
+    def _verify(self, data: bytes) -> bytes | DropReason:
+        if not HEADER_LENGTH < len(data) <= MAX_DATAGRAM_LENGTH or not data.startswith(MAGIC):
+            return DropReason.MALFORMED
+        tag_start = len(MAGIC) + KEY_ID_LENGTH
+        key = self._keys.get(data[len(MAGIC) : tag_start])
         if key is None:
-            return Drop.KEY
-        body = data[HEAD:]
-        if not hmac.compare_digest(hmac.digest(key, body, "sha256"), data[len(MAGIC) + KEY_ID : HEAD]):
-            return Drop.FORGED
+            return DropReason.UNKNOWN_KEY
+        body = data[HEADER_LENGTH:]
+        if not hmac.compare_digest(hmac.digest(key, body, "sha256"), data[tag_start:HEADER_LENGTH]):
+            return DropReason.BAD_SIGNATURE
+        return body
+
+    def _read(self, body: bytes, source: tuple[str, int]) -> AuthenticatedMessage | DropReason:
         try:
-            told = pb.Datagram.FromString(body)
+            datagram = pb.Datagram.FromString(body)
         except DecodeError:
-            return Drop.SCHEMA
-        peer = self.peers.get(told.sender)
-        if peer is None or peer.address != source or told.receiver != self.me:
-            return Drop.STRANGER
-        if told.version != VERSION:
-            return Drop.SCHEMA
-        return self._once(peer, told)
-
-    def _once(self, peer: Peer, told: pb.Datagram) -> tuple[str, Message | None] | Drop:
-        kind = told.WhichOneof("message")
-        if kind is None:
-            return Drop.SCHEMA
-        if told.boot < peer.boot:
-            return Drop.STALE
-        if told.to_boot != self.boot:
-            # A recorded Hello could name an old boot as new: that costs a round trip, for the peer's own
-            # datagrams then say which is newer, and nothing is decided by a Hello.
-            if kind == "hello" and told.boot > peer.boot:
-                peer.boot, peer.highest, peer.seen = told.boot, 0, 0
-            return Drop.UNKNOWN_BOOT
-        if told.boot > peer.boot:
-            peer.boot, peer.highest, peer.seen = told.boot, 0, 0
-        ahead = told.sequence - peer.highest
-        if ahead > 0:
-            peer.seen = ((peer.seen << min(ahead, WINDOW)) | 1) & ((1 << WINDOW) - 1)
-            peer.highest = told.sequence
-        elif -ahead >= WINDOW or peer.seen >> -ahead & 1:
-            return Drop.REPLAY
-        else:
-            peer.seen |= 1 << -ahead
-        return told.sender, _read(kind, told)
-
-
-def _read(kind: str, told: pb.Datagram) -> Message | None:
-    match kind:
-        case "ask":
-            return Ask(told.ask.term, told.ask.echo, told.ask.pre, told.ask.freed)
-        case "answer":
-            a = told.answer
-            return Answer(a.term, a.echo, a.pre, a.granted, a.newest)
-        case "renew":
-            return Renew(told.renew.term, told.renew.echo)
-        case "renewed":
-            return Renewed(told.renewed.term, told.renewed.echo)
-        case "release":
-            return Release(told.release.term)
-        case "hand_over":
-            return HandOver(told.hand_over.term)
-    return None
+            return DropReason.UNSUPPORTED
+        peer = self.peers.get(datagram.sender)
+        if peer is None or peer.address != source or datagram.receiver != self.own_name:
+            return DropReason.NOT_A_MEMBER
+        message = read_message(datagram)
+        if datagram.version != SCHEMA_VERSION or message is None:
+            return DropReason.UNSUPPORTED
+        return self._check_replay(peer, datagram) or AuthenticatedMessage(datagram.sender, message)
+
+    def _check_replay(self, peer: PeerState, datagram: pb.Datagram) -> DropReason | None:
+        if datagram.boot < peer.incarnation:
+            return DropReason.STALE_INCARNATION
+        if datagram.to_boot != self.incarnation:
+            # A recorded Hello could pass an old incarnation off as new. That costs one round trip: the peer's
+            # own datagrams then say which is newer, and a Hello decides nothing.
+            if datagram.WhichOneof("message") == "hello" and datagram.boot > peer.incarnation:
+                peer.restart(datagram.boot)
+            return DropReason.UNKNOWN_INCARNATION
+        if datagram.boot > peer.incarnation:
+            peer.restart(datagram.boot)
+        return None if peer.window.accept(datagram.sequence) else DropReason.REPLAYED
--- a/saltcourse/address_failover/election.py
+++ b/saltcourse/address_failover/election.py
@@ -1,19 +1,35 @@
-"""The election: which member holds the service address. No I/O, no clock, no logging but as an action.
+"""The lease election: which member holds the service address. No I/O, no clock; logging is an action.
 
 The rules that this file lives by:
 
-1. A *promise* is a voter's word to one member that it helps nobody else until ``Timing.lease`` has passed on
-   its own clock. Votes and answers to renewals are promises. An active promise is never broken.
-2. A *lease* counts from when the question was asked, not from its answer, and is shorter than the promise by
-   what two clocks may differ. So while a majority's promises hold up a lease, nobody else can get a majority.
-3. Whatever comes in, the first thing that is looked at is the clock: a holder whose lease has run out, be it
-   that the process was stopped, withdraws before it does anything else, and late answers find a round over.
-4. A vote, and to whom the promise goes, is stored before it is told. After a restart a member promises
-   nothing but to whom its last promise went, until that has surely run out; without a store to nobody.
-5. A term belongs to one member, by its remainder, and each candidacy takes a new one: no two claims share
-   one. Its quotient is the round; a vote is for a newer round only, so ranks made of rounds grow strictly.
-6. Who only would like to stand asks first (pre-vote) and changes nothing by asking, so a member that returns
-   or is cut off on one side can't unseat a healthy holder.
+1. A *promise* is given by a voter to one member: the voter helps nobody else until ``lease_duration`` has
+   passed on its own clock. Votes and acknowledged renewals are promises. An active promise is never broken.
+2. A *lease* counts from when the request was sent, not from its answer, and is shorter than the promise by
+   what two clocks may differ. So while a majority's promises hold up a lease, nobody else can get a
+   majority.
+3. Each event first meets the clock: a holder whose lease has expired, perhaps because the process was
+   stopped, withdraws before it does anything else, and late responses find their round over.
+4. A vote, and to whom the promise goes, is stored before it is sent. After a restart a member promises only
+   to the receiver of its last promise until that has surely expired; without a vote store to nobody.
+5. A term belongs to one member, and each candidacy takes a new one: no two announcements share a term. A
+   vote is for a newer round only, so ranks made of rounds grow strictly (``terms``).
+6. A member that would become a candidate asks first (pre-vote) and changes nothing by asking, so a member
+   that returns, or is cut off in one direction, cannot unseat a healthy holder.
+
+::
+
+    FOLLOWER ----> PRE_CANDIDATE ----> CANDIDATE ----> HOLDER      and from each of them back to FOLLOWER
+
+    role           event                                              next role
+    FOLLOWER       timer, when all promises have expired              PRE_CANDIDATE
+                   LeaseTransfer                                      CANDIDATE
+    PRE_CANDIDATE  a majority would vote for it, LeaseTransfer        CANDIDATE
+                   timed out, a newer term, promised to another,      FOLLOWER
+                   cannot announce
+    CANDIDATE      a majority voted for it                            HOLDER
+                   timed out, a newer term, cannot announce           FOLLOWER
+    HOLDER         lease expired, cannot announce                     FOLLOWER
+    any            ShutdownRequested                                  STOPPED
 
 Leases as in Gray and Cheriton, "Leases" (1989); terms, votes and pre-votes as in Ongaro, "Consensus: Bridging
 Theory and Practice" (2014), sections 3.4, 6.4.1 and 9.6.
@@ -24,375 +40,376 @@
 import random
 from enum import Enum
 
-from saltcourse.address_failover.messages import (
-    MOST_MEMBERS,
+from saltcourse.address_failover.actions import (
     Action,
-    Announcer,
-    Answer,
-    Ask,
-    Claim,
-    Event,
-    HandOver,
-    Hold,
-    Leave,
-    Message,
-    Note,
-    Received,
-    Release,
-    Renew,
-    Renewed,
-    Seat,
+    AnnounceAddress,
+    ExtendLease,
+    LogEvent,
+    SendMessage,
     SetTimer,
-    Store,
-    Tell,
-    Tick,
-    Timing,
-    Vote,
-    Withdraw,
+    WithdrawAddress,
+)
+from saltcourse.address_failover.events import (
+    AnnouncerAvailabilityChanged,
+    Event,
+    MessageReceived,
+    ShutdownRequested,
+    TimerExpired,
+)
+from saltcourse.address_failover.messages import (
+    ElectionMessage,
+    LeaseRelease,
+    LeaseRenewal,
+    LeaseRenewalAck,
+    LeaseTransfer,
+    VoteRequest,
+    VoteResponse,
 )
+from saltcourse.address_failover.promises import VoterPromises
+from saltcourse.address_failover.terms import next_term, term_owner, term_round
+from saltcourse.address_failover.vote import NOTHING_RECOVERED, RecoveredState
+from saltcourse.address_failover.voters import ElectionConfig
 
-FOREVER = float("inf")
+NEVER = float("inf")  # the time of what is not planned
+LONG_AGO = -float("inf")  # the time of what has not happened
+RECENT_LEASES = 2  # lease durations within which a member was heard that may take over a lease
 
 
-class Phase(Enum):
-    FOLLOWING = "following"  # grants votes, waits
-    ASKING = "asking"  # asks who would vote for it
-    STANDING = "standing"  # asks for votes
-    HOLDING = "holding"
-    LEFT = "left"
+class Role(Enum):
+    """What a member is in the election; see the table at the head of this file."""
 
+    FOLLOWER = "follower"
+    PRE_CANDIDATE = "pre-candidate"
+    CANDIDATE = "candidate"
+    HOLDER = "holder"
+    STOPPED = "stopped"
+
+
+RUNNING = (Role.PRE_CANDIDATE, Role.CANDIDATE)
 
-class Election:
-    """One member. ``stored`` is what the store returned at the start; None where nothing outlives a restart.
 
-    ``fresh`` says that this member can't have promised anything that is still good: its first start ever, or
-    one after longer than a lease. ``floor`` is a term that is surely above those forgotten (the host derives
-    it from the calendar), for members without a store.
-    """
+class Election:
+    """One member's part in the election. ``seed`` spreads the candidacies of members with one priority."""
 
     def __init__(
-        self,
-        seats: tuple[Seat, ...],
-        me: str,
-        timing: Timing,
-        seed: int,
-        now: float,
-        stored: Vote | None = None,
-        fresh: bool = False,
-        floor: int = 0,
+        self, config: ElectionConfig, seed: int, now: float, recovered: RecoveredState = NOTHING_RECOVERED
     ) -> None:
-        names = [s.name for s in seats]
-        if len(set(names)) != len(names):
-            raise ValueError("members: a name stands twice")
-        if len(names) > MOST_MEMBERS:
-            raise ValueError(f"members: {MOST_MEMBERS} at most")
-        if me not in names:
-            raise ValueError(f"members: {me} is not among them")
-        if all(s.witness for s in seats):
-            raise ValueError("members: all are witnesses, so nobody could hold the address")
-        self.timing, self.me, self.index = timing, me, names.index(me)
-        self.seat = seats[self.index]
-        self.others = [s for s in seats if s.name != me]
-        self.majority = len(seats) // 2 + 1
-        ranks = sorted({s.priority for s in seats if not s.witness}, reverse=True)
-        self.delay = timing.step * (0 if self.seat.witness else ranks.index(self.seat.priority))
+        self.config = config
+        self.timing = config.timing
+        self.own_name = config.own_name
+        self.others = config.others
+        self._own_index = config.own_index
+        self._majority = config.majority
+        self._start_delay = config.start_delay
+        self._is_witness = config.own_voter.witness
         self.random = random.Random(seed)
-        self.phase = Phase.FOLLOWING
-        self.vote = stored or Vote(term=floor)
-        self.able = True
-        self.promised, self.promised_term, self.promise_ends = "", 0, now
-        # Rule 4: a promise may have been given just before the start. With a store it is known to whom.
-        self.abstains_until = now if fresh else now + timing.lease
-        self.allowed = self.vote.promised
+        self.promises = VoterPromises(config.own_name, config.timing.lease_duration, now, recovered)
+        self.role = Role.FOLLOWER
+        self.can_announce = True
         self.term = 0  # of the candidacy or the lease
-        self.freed = 0  # what a leaving holder has handed over for this candidacy
-        self.grants: dict[str, float] = {}  # voter -> when it was asked for what it last granted
-        self.lease_ends = -FOREVER
-        self.heard: dict[str, float] = {}  # member -> when it was last heard
-        self.next_try = self.next_ask = self.gives_up = FOREVER
-        self.began = now
+        self.transferred_term = 0  # the term of the lease that was transferred for this candidacy; 0: none
+        self.grants: dict[str, float] = {}  # voter -> when the request was sent that it last granted
+        self.last_received: dict[str, float] = {}  # member -> when its last message came
+        self.lease_ends_at = LONG_AGO
+        self.candidacy_started_at = now
+        self.candidacy_ends_at = NEVER
+        self.next_candidacy_at = NEVER
+        self.next_send_at = NEVER  # the next repeat of requests or renewals
         self.now = now
-        self.out: list[Action] = []
+        self._actions: list[Action] = []
 
     def start(self, now: float) -> list[Action]:
-        """The first timer; to be called once."""
-        self.now, self.out = now, []
-        self._wait()
-        return self._done()
+        """The actions of the beginning; to be called once."""
+        self._begin_event(now)
+        self._follow()
+        return self._end_event()
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Take one event at the host's time; what comes back is to be carried out in its order."""
-        self.now, self.out = now, []
-        self._look_at_clock()
-        if self.phase is not Phase.LEFT:
+        """Take one event at ``now``, seconds on the host's clock; carry the actions out in their order."""
+        self._begin_event(now)
+        self._check_deadlines()
+        if self.role is not Role.STOPPED:
             match event:
-                case Received(sender, message):
-                    self.heard[sender] = now
-                    self._received(sender, message)
-                case Tick():
-                    self._tick()
-                case Announcer(able):
-                    self._announcer(able)
-                case Leave():
-                    self._leave()
-        return self._done()
-
-    # ---- clock ----------------------------------------------------------------------------------
-
-    def _look_at_clock(self) -> None:
-        if self.phase is Phase.HOLDING and self.now >= self.lease_ends:
-            self.out.append(Note("the lease has run out"))
+                case MessageReceived(sender, message):
+                    self.last_received[sender] = now
+                    self._receive(sender, message)
+                case TimerExpired():
+                    self._on_timer()
+                case AnnouncerAvailabilityChanged(available):
+                    self._on_announcer(available)
+                case ShutdownRequested():
+                    self._on_shutdown()
+        return self._end_event()
+
+    # ---- time ---------------------------------------------------------------------------------------
+
+    def _begin_event(self, now: float) -> None:
+        self.now = now
+        self._actions = []
+
+    def _end_event(self) -> list[Action]:
+        deadline = self._next_deadline()
+        if deadline < NEVER:
+            self._actions.append(SetTimer(deadline))
+        return self._actions
+
+    def _next_deadline(self) -> float:
+        if self.role is Role.HOLDER:
+            return min(self.next_send_at, self.lease_ends_at)
+        if self.role in RUNNING:
+            return min(self.next_send_at, self.candidacy_ends_at)
+        return self.next_candidacy_at
+
+    def _check_deadlines(self) -> None:
+        """Rule 3."""
+        if self.role is Role.HOLDER and self.now >= self.lease_ends_at:
+            self._actions.append(LogEvent("lease expired"))
             self._step_down()
-            self._wait()
-        elif self.phase in (Phase.ASKING, Phase.STANDING) and self.now >= self.gives_up:
-            self._lose()
-
-    def _tick(self) -> None:
-        if self.phase is Phase.HOLDING:
-            if self.now >= self.next_ask:
+            self._follow()
+        elif self.role in RUNNING and self.now >= self.candidacy_ends_at:
+            self._abandon_candidacy()
+
+    def _on_timer(self) -> None:
+        if self.role is Role.FOLLOWER:
+            if self.now >= self.next_candidacy_at:
+                self._become_pre_candidate()
+        elif self.now >= self.next_send_at:
+            if self.role is Role.HOLDER:
                 self._renew()
-        elif self.phase in (Phase.ASKING, Phase.STANDING):
-            if self.now >= self.next_ask:
-                self._ask()
-        elif self.now >= self.next_try:
-            self._seek()
-
-    def _done(self) -> list[Action]:
-        if self.phase is Phase.HOLDING:
-            at = min(self.next_ask, self.lease_ends)
-        elif self.phase in (Phase.ASKING, Phase.STANDING):
-            at = min(self.next_ask, self.gives_up)
-        else:
-            at = self.next_try
-        if at < FOREVER:
-            self.out.append(SetTimer(at))
-        return self.out
-
-    def _wait(self) -> None:
-        """Follow; seek the address once each promise that stands in the way has run out, and a while more."""
-        self.phase = Phase.FOLLOWING
-        self.next_try = FOREVER
-        if not self.seat.witness and self.able:
-            clear = max(self.now, self.promise_ends, self.abstains_until)
-            self.next_try = clear + self.delay + self.random.random() * self.timing.spread
-
-    # ---- promises -------------------------------------------------------------------------------
-
-    def _may_promise(self, member: str, freed: int = 0) -> bool:
-        """Rules 1 and 4. ``freed`` is a term whose holder has given it up: its promise binds no more."""
-        bound = self.now < self.promise_ends and self.promised != member
-        if bound and not (freed and freed == self.promised_term and self.promised != self.me):
-            return False
-        return self.now >= self.abstains_until or self.allowed == member
-
-    def _promise(self, member: str, term: int, vote: Vote) -> None:
-        """``vote`` is what to remember; written only when it is new, so that renewals write nothing."""
-        self.promised, self.promised_term = member, term
-        self.promise_ends = self.now + self.timing.lease
-        self._remember(Vote(vote.term, vote.voted, member))
-
-    def _release(self, member: str, term: int) -> None:
-        if self.promised == member and self.promised_term == term:
-            self.promise_ends = min(self.promise_ends, self.now)
-            if self.phase is Phase.FOLLOWING:
-                self._wait()
-
-    def _remember(self, vote: Vote) -> None:
-        if vote != self.vote:
-            self.vote = vote
-            self.out.append(Store(vote))
-
-    def _learn(self, term: int) -> None:
-        """A newer term than any known, in which this member has not voted."""
-        if term > self.vote.term:
-            self._remember(Vote(term, "", self.vote.promised))
-
-    # ---- seeking the address ----------------------------------------------------------------------
-
-    def _new_term(self) -> int:
-        """The least of this member's own terms above all that it knows (rule 5)."""
-        return (self.vote.term // MOST_MEMBERS + 1) * MOST_MEMBERS + self.index
-
-    def _seek(self) -> None:
-        """Ask who would vote (rule 6)."""
-        if not self._may_promise(self.me):
-            self._wait()
+            else:
+                self._request_votes()
+
+    def _follow(self) -> None:
+        """Become a follower, and a pre-candidate some time after all promises of this member have expired."""
+        self.role = Role.FOLLOWER
+        self.next_candidacy_at = NEVER
+        if not self._is_witness and self.can_announce:
+            jitter = self.random.random() * self.timing.start_jitter
+            self.next_candidacy_at = self.promises.free_at(self.now) + self._start_delay + jitter
+
+    # ---- candidacy ------------------------------------------------------------------------------------
+
+    def _become_pre_candidate(self) -> None:
+        """Rule 6: ask who would vote."""
+        if not self.promises.allows(self.now, self.own_name):
+            self._follow()
             return
-        self._begin(Phase.ASKING)
-
-    def _begin(self, phase: Phase) -> None:
-        self.phase, self.grants, self.term = phase, {}, self._new_term()
-        if phase is Phase.STANDING:
-            self._promise(self.me, self.term, Vote(self.term, self.me))
-        self.began, self.gives_up = self.now, self.now + self.timing.ask_for
-        self._ask()
-        self._count()
-
-    def _ask(self) -> None:
-        """Whoever has not granted yet; an answer may have been lost."""
-        self.next_ask = self.now + self.timing.ask_again
-        question = Ask(self.term, self.now, self.phase is Phase.ASKING, self.freed)
-        self.out += [Tell(s.name, question) for s in self.others if s.name not in self.grants]
-
-    def _answered(self, sender: str, answer: Answer) -> None:
-        wanted = {Phase.ASKING: True, Phase.STANDING: False}.get(self.phase)
-        if answer.term != self.term or answer.pre is not wanted or answer.echo < self.began:
-            return  # an earlier round's, perhaps: one that only asked uses up no term
-        if answer.granted:
-            self.grants[sender] = max(answer.echo, self.grants.get(sender, -FOREVER))
-            self._count()
-        elif answer.newest // MOST_MEMBERS >= self.term // MOST_MEMBERS and answer.newest != self.term:
-            self._learn(answer.newest)  # the next candidacy starts above it
-            self._lose()
-
-    def _count(self) -> None:
-        if len(self.grants) + 1 < self.majority:
+        self._start_candidacy(Role.PRE_CANDIDATE)
+
+    def _start_candidacy(self, role: Role) -> None:
+        self.role = role
+        self.grants = {}
+        self.term = next_term(self.promises.vote.term, self._own_index)
+        if role is Role.CANDIDATE:
+            self._actions += self.promises.vote_for(self.now, self.own_name, self.term)
+        self.candidacy_started_at = self.now
+        self.candidacy_ends_at = self.now + self.timing.candidacy_timeout
+        self._request_votes()
+        self._count_grants()
+
+    def _request_votes(self) -> None:
+        """Ask all that have not granted yet, for an answer may have been lost."""
+        self.next_send_at = self.now + self.timing.retry_interval
+        request = VoteRequest(self.term, self.now, self.role is Role.PRE_CANDIDATE, self.transferred_term)
+        missing = [voter for voter in self.others if voter.name not in self.grants]
+        self._actions += [SendMessage(voter.name, request) for voter in missing]
+
+    def _on_vote_response(self, sender: str, response: VoteResponse) -> None:
+        if not self._answers_this_candidacy(response):
             return
-        if self.phase is Phase.ASKING:
-            self._begin(Phase.STANDING)
-        elif self.phase is Phase.STANDING:
-            self._win()
-
-    def _lose(self) -> None:
-        """Give the round up; whoever promised something is free again."""
-        if self.phase is Phase.STANDING:
-            self._give_back(self.term)
-        self.freed = 0
-        self._wait()
-
-    def _give_back(self, term: int) -> None:
-        self.out += [Tell(s.name, Release(term)) for s in self.others]
-        self._release(self.me, term)
-
-    # ---- holding ----------------------------------------------------------------------------------
-
-    def _win(self) -> None:
-        self.freed = 0
-        if self._lease() <= self.now:  # the votes took longer than they are good for
-            self._lose()
+        if response.granted:
+            self._record_grant(sender, response.request_sent_at)
+            self._count_grants()
+        elif self._is_overtaken_by(response.newest_term):
+            self._actions += self.promises.learn_term(
+                response.newest_term
+            )  # the next candidacy starts above it
+            self._abandon_candidacy()
+
+    def _answers_this_candidacy(self, response: VoteResponse) -> bool:
+        """A pre-vote uses up no term, so only the time tells which of two rounds a response belongs to."""
+        expects_pre_vote = self.role is Role.PRE_CANDIDATE
+        return (
+            self.role in RUNNING
+            and response.term == self.term
+            and response.pre_vote is expects_pre_vote
+            and response.request_sent_at >= self.candidacy_started_at
+        )
+
+    def _is_overtaken_by(self, term: int) -> bool:
+        return term_round(term) >= term_round(self.term) and term != self.term
+
+    def _record_grant(self, voter: str, request_sent_at: float) -> None:
+        self.grants[voter] = max(request_sent_at, self.grants.get(voter, LONG_AGO))
+
+    def _count_grants(self) -> None:
+        if len(self.grants) + 1 < self._majority:
+            return
+        if self.role is Role.PRE_CANDIDATE:
+            self._start_candidacy(Role.CANDIDATE)
+        elif self.role is Role.CANDIDATE:
+            self._become_holder()
+
+    def _abandon_candidacy(self) -> None:
+        """Give the round up, and free those that have promised something."""
+        if self.role is Role.CANDIDATE:
+            self._release_promises(self.term)
+        self.transferred_term = 0
+        self._follow()
+
+    def _release_promises(self, term: int) -> None:
+        """Without it a split vote would cost a whole lease duration."""
+        self._actions += [SendMessage(voter.name, LeaseRelease(term)) for voter in self.others]
+        self._on_release(self.own_name, term)
+
+    # ---- lease ----------------------------------------------------------------------------------------
+
+    def _become_holder(self) -> None:
+        self.transferred_term = 0
+        if self._granted_until() <= self.now:  # the votes took longer than they are good for
+            self._abandon_candidacy()
             return
-        self.phase = Phase.HOLDING
-        self.out.append(Claim(self.term))
-        self._extend()
+        self.role = Role.HOLDER
+        self._actions.append(AnnounceAddress(self.term))
+        self._extend_lease()
         self._renew()
 
-    def _lease(self) -> float:
-        """When the promises of a majority, this member's own among them, may begin to run out."""
-        asked = sorted(self.grants.values(), reverse=True)
-        needed = self.majority - 1
-        return (asked[needed - 1] if needed else self.now) + self.timing.held
+    def _granted_until(self) -> float:
+        """When the promises of a majority, this member's own among them, may begin to expire (rule 2)."""
+        needed = self._majority - 1
+        if needed == 0:
+            return self.now + self.timing.holder_lease
+        newest_first = sorted(self.grants.values(), reverse=True)
+        return newest_first[needed - 1] + self.timing.holder_lease
 
-    def _extend(self) -> None:
-        ends = self._lease()
-        if ends > self.lease_ends:
-            self.lease_ends = ends
-            self.out.append(Hold(ends))
+    def _extend_lease(self) -> None:
+        granted_until = self._granted_until()
+        if granted_until > self.lease_ends_at:
+            self.lease_ends_at = granted_until
+            self._actions.append(ExtendLease(granted_until))
 
     def _renew(self) -> None:
-        self.next_ask = self.now + self.timing.renew
-        self._promise(self.me, self.term, self.vote)
-        self.out += [Tell(s.name, Renew(self.term, self.now)) for s in self.others]
-        if self.majority == 1:
-            self._extend()
-
-    def _renewed(self, sender: str, message: Renewed) -> None:
-        if self.phase is Phase.HOLDING and message.term == self.term:
-            self.grants[sender] = max(message.echo, self.grants.get(sender, -FOREVER))
-            self._extend()
+        self.next_send_at = self.now + self.timing.renewal_interval
+        self._actions += self.promises.give(self.now, self.own_name, self.term)
+        renewal = LeaseRenewal(self.term, self.now)
+        self._actions += [SendMessage(voter.name, renewal) for voter in self.others]
+        if self._majority == 1:
+            self._extend_lease()
+
+    def _on_renewal_ack(self, sender: str, ack: LeaseRenewalAck) -> None:
+        if self.role is Role.HOLDER and ack.term == self.term:
+            self._record_grant(sender, ack.request_sent_at)
+            self._extend_lease()
 
     def _step_down(self) -> None:
         """Withdraw; from here on this member relies on nobody's promise."""
-        self.out.append(Withdraw(self.term))
-        self.lease_ends = -FOREVER
-        self._give_back(self.term)
+        self._actions.append(WithdrawAddress(self.term))
+        self.lease_ends_at = LONG_AGO
+        self._release_promises(self.term)
 
-    def _hand_over(self) -> None:
-        """The best of those that were lately heard stands at once; the others have been freed."""
+    def _transfer_lease(self) -> None:
+        """Step down and have the preferred one of the live members become a candidate at once."""
         term = self.term
         self._step_down()
-        lately = self.now - 2 * self.timing.lease
-        able = [s for s in self.others if not s.witness and self.heard.get(s.name, -FOREVER) >= lately]
-        if able:
-            best = max(able, key=lambda s: (s.priority, self.heard[s.name]))
-            self.out.append(Tell(best.name, HandOver(term)))
-            self.out.append(Note(f"handed over to {best.name}"))
-
-    def _announcer(self, able: bool) -> None:
-        """Who can't announce must not hold: another member may be able to."""
-        if able is self.able:
+        successor = self._preferred_successor()
+        if successor is not None:
+            self._actions.append(SendMessage(successor, LeaseTransfer(term)))
+            self._actions.append(LogEvent("lease transferred", successor))
+
+    def _preferred_successor(self) -> str | None:
+        """Of those that were heard lately, the one of the highest priority, then the one heard last."""
+        alive_since = self.now - RECENT_LEASES * self.timing.lease_duration
+        alive = [
+            voter
+            for voter in self.others
+            if not voter.witness and self.last_received.get(voter.name, LONG_AGO) >= alive_since
+        ]
+        if not alive:
+            return None
+        return max(alive, key=lambda voter: (voter.priority, self.last_received[voter.name])).name
+
+    # ---- what the host reports --------------------------------------------------------------------------
+
+    def _on_announcer(self, available: bool) -> None:
+        """A member that cannot announce must not hold: another one may be able to."""
+        if available is self.can_announce:
             return
-        self.able = able
-        if not able and self.phase is Phase.HOLDING:
-            self.out.append(Note("the address can't be announced"))
-            self._hand_over()
-        elif not able and self.phase is Phase.STANDING:
-            self._lose()
-        if self.phase is not Phase.HOLDING:
-            self._wait()
-
-    def _leave(self) -> None:
-        if self.phase is Phase.HOLDING:
-            self._hand_over()
-        elif self.phase is Phase.STANDING:
-            self._give_back(self.term)
-        self.phase = Phase.LEFT
-        self.next_try = FOREVER
-
-    # ---- messages ---------------------------------------------------------------------------------
-
-    def _received(self, sender: str, message: Message) -> None:
+        self.can_announce = available
+        if not available and self.role is Role.HOLDER:
+            self._actions.append(LogEvent("service address cannot be announced"))
+            self._transfer_lease()
+            return  # the lease is over: the timer, which is set to at once, makes this member a follower
+        if not available and self.role is Role.CANDIDATE:
+            self._abandon_candidacy()
+        if self.role is not Role.HOLDER:
+            self._follow()
+
+    def _on_shutdown(self) -> None:
+        if self.role is Role.HOLDER:
+            self._transfer_lease()
+        elif self.role is Role.CANDIDATE:
+            self._release_promises(self.term)
+        self.role = Role.STOPPED
+        self.next_candidacy_at = NEVER
+
+    # ---- messages ---------------------------------------------------------------------------------------
+
+    def _receive(self, sender: str, message: ElectionMessage) -> None:
         match message:
-            case Ask():
-                self._asked(sender, message)
-            case Answer():
-                self._answered(sender, message)
-            case Renew():
-                self._asked_to_renew(sender, message)
-            case Renewed():
-                self._renewed(sender, message)
-            case Release(term):
-                self._release(sender, term)
-            case HandOver(term):
-                self._handed(sender, term)
-
-    def _asked(self, sender: str, ask: Ask) -> None:
-        if ask.term % MOST_MEMBERS != self._index_of(sender):
-            return  # rule 5: not a term of its own
-        again = ask.term == self.vote.term and self.vote.voted == sender
-        granted = self._may_promise(sender, 0 if ask.pre else ask.freed) and (
-            ask.term // MOST_MEMBERS > self.vote.term // MOST_MEMBERS or (again and not ask.pre)
-        )
-        if granted and not ask.pre:
-            self._promise(sender, ask.term, Vote(ask.term, sender))
-            self.freed = 0
-            self._wait()  # its own candidacy, if it only asked, has no vote of its own any more
-        self.out.append(Tell(sender, Answer(ask.term, ask.echo, ask.pre, granted, self.vote.term)))
-
-    def _asked_to_renew(self, sender: str, renew: Renew) -> None:
-        """A holder's renewal; it may be a holder that this member did not vote for."""
-        if renew.term % MOST_MEMBERS != self._index_of(sender) or not self._may_promise(sender):
+            case VoteRequest():
+                self._on_vote_request(sender, message)
+            case VoteResponse():
+                self._on_vote_response(sender, message)
+            case LeaseRenewal():
+                self._on_renewal(sender, message)
+            case LeaseRenewalAck():
+                self._on_renewal_ack(sender, message)
+            case LeaseRelease(term):
+                self._on_release(sender, term)
+            case LeaseTransfer(term):
+                self._on_transfer(sender, term)
+
+    def _owns_term(self, member: str, term: int) -> bool:
+        """Rule 5."""
+        return term_owner(term) == self.config.index_of(member)
+
+    def _on_vote_request(self, sender: str, request: VoteRequest) -> None:
+        if not self._owns_term(sender, request.term):
+            return
+        granted = self.promises.would_vote(self.now, sender, request)
+        if granted and not request.pre_vote:
+            self._actions += self.promises.vote_for(self.now, sender, request.term)
+            self.transferred_term = 0
+            self._follow()  # a pre-candidate has no vote of its own any more
+        newest_term = self.promises.vote.term
+        response = VoteResponse(request.term, request.sent_at, request.pre_vote, granted, newest_term)
+        self._actions.append(SendMessage(sender, response))
+
+    def _on_renewal(self, sender: str, renewal: LeaseRenewal) -> None:
+        """A holder's renewal; this member need not have voted for it."""
+        if not self._owns_term(sender, renewal.term):
             return
-        if self.promised == sender and renew.term < self.promised_term:
-            return  # from before its last candidacy
-        self._learn(renew.term)
-        self._promise(sender, renew.term, self.vote)
-        self._wait()
-        self.out.append(Tell(sender, Renewed(renew.term, renew.echo)))
-
-    def _handed(self, sender: str, term: int) -> None:
-        if self.seat.witness or not self.able or self.phase in (Phase.HOLDING, Phase.STANDING):
+        if not self.promises.would_renew(self.now, sender, renewal):
             return
-        self._learn(term)
-        self._release(sender, term)
-        if self._may_promise(self.me):
-            self.freed = term
-            self._begin(Phase.STANDING)
+        self._actions += self.promises.learn_term(renewal.term)
+        self._actions += self.promises.give(self.now, sender, renewal.term)
+        self._follow()
+        self._actions.append(SendMessage(sender, LeaseRenewalAck(renewal.term, renewal.sent_at)))
+
+    def _on_release(self, member: str, term: int) -> None:
+        if self.promises.release(self.now, member, term) and self.role is Role.FOLLOWER:
+            self._follow()
 
-    def _index_of(self, member: str) -> int:
-        for index, seat in enumerate(self.others):
-            if seat.name == member:
-                return index + (index >= self.index)
-        return -1
+    def _on_transfer(self, sender: str, term: int) -> None:
+        if self._is_witness or not self.can_announce:
+            return
+        if self.role in (Role.HOLDER, Role.CANDIDATE):
+            return
+        self._actions += self.promises.learn_term(term)
+        self._on_release(sender, term)
+        if self.promises.allows(self.now, self.own_name):
+            self.transferred_term = term
+            self._start_candidacy(Role.CANDIDATE)
 
 
-__all__ = ["Election", "Phase"]
+__all__ = ["Election", "Role"]
--- a/saltcourse/address_failover/host.py
+++ b/saltcourse/address_failover/host.py
@@ -1,7 +1,7 @@
-"""One member on real sockets: UDP, timers, the vote's file and the announcer around the election core.
+"""One member on real sockets: UDP, timers, the vote store and the announcer around the election core.
 
 It decides nothing. The clock is CLOCK_BOOTTIME, which also counts while the machine is suspended: a lease
-must not outlast that.
+must not outlast a suspension.
 """
 
 from __future__ import annotations
@@ -12,172 +12,217 @@
 
 import structlog
 
-from saltcourse.address_failover.authentication import Drop, Seal
-from saltcourse.address_failover.election import Election
-from saltcourse.address_failover.messages import (
-    MOST_MEMBERS,
+from saltcourse.address_failover.actions import (
     Action,
-    Announcer,
-    Claim,
-    Event,
-    Hold,
-    Leave,
-    Note,
-    Received,
-    Seat,
+    AnnounceAddress,
+    ExtendLease,
+    LogEvent,
+    SendMessage,
     SetTimer,
-    Store,
-    Tell,
-    Tick,
-    Timing,
-    Vote,
-    Withdraw,
+    StoreVote,
+    WithdrawAddress,
 )
-from saltcourse.address_failover.route_announcement import Announcing
-from saltcourse.address_failover.vote_store import StoreError, VoteStore
-
-HELLO_EVERY = 0.05  # s between Hellos to one member, however many of its datagrams do not know this process
-# By which the first term of a member without a store grows with the calendar. Such a member waits a lease
-# before it claims, so each life's claims lie above the last one's; members together use up fewer.
-ROUNDS_A_SECOND = 8
-EPOCH = 1_767_225_600  # 2026-01-01, so that rounds fit BGP's four octets until 2043
-DROPS_EVERY = 5.0  # s between log lines that sum up dropped datagrams
+from saltcourse.address_failover.authentication import DatagramAuthenticator, DropReason
+from saltcourse.address_failover.election import Election
+from saltcourse.address_failover.errors import VoteStoreError
+from saltcourse.address_failover.events import (
+    AnnouncerAvailabilityChanged,
+    Event,
+    MessageReceived,
+    ShutdownRequested,
+    TimerExpired,
+)
+from saltcourse.address_failover.messages import Hello, Message
+from saltcourse.address_failover.route_announcement import AddressAnnouncer
+from saltcourse.address_failover.terms import first_term_of_round
+from saltcourse.address_failover.vote import RecoveredState, Vote
+from saltcourse.address_failover.vote_store import VoteStore
+from saltcourse.address_failover.voters import ElectionConfig
+
+# Between two Hellos to one member, however many of its datagrams do not know this process.
+HELLO_INTERVAL_SECONDS = 0.05
+# By which the first term of a member without a vote store grows with the calendar. Such a member abstains
+# for a lease before its first candidacy, in which all members together use up fewer rounds; so its terms
+# grow with each start.
+ROUNDS_PER_SECOND = 8
+ROUNDS_EPOCH = (
+    1_767_225_600  # 2026-01-01 in seconds since 1970, so that rounds fit BGP's four octets until 2043
+)
+DROP_LOG_INTERVAL_SECONDS = 5.0
 
 log = structlog.get_logger("saltcourse")
 
 
 def boot_clock() -> float:
+    """Seconds since the machine started, suspended time included."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-class Member(asyncio.DatagramProtocol):
-    """``seal`` knows the other members' addresses; ``store`` is None where no disk survives."""
+class ElectionHost(asyncio.DatagramProtocol):
+    """Runs one member's ``Election``.
+
+    ``vote_store`` is None where no disk survives a restart, ``announcer`` for a witness. The constructor
+    raises VoteStoreError, ``start`` OSError.
+    """
 
     def __init__(
         self,
-        seats: tuple[Seat, ...],
-        seal: Seal,
-        timing: Timing,
+        config: ElectionConfig,
+        authenticator: DatagramAuthenticator,
         seed: int,
-        announcer: Announcing | None,
-        store: VoteStore | None = None,
+        announcer: AddressAnnouncer | None,
+        vote_store: VoteStore | None = None,
         clock: Callable[[], float] = boot_clock,
     ) -> None:
-        self.seal, self.store, self.announcer, self.clock = seal, store, announcer, clock
-        self.holds_until = 0.0
+        self.authenticator = authenticator
+        self.announcer = announcer
+        self.vote_store = vote_store
+        self.clock = clock
+        self.lease_ends_at = 0.0
         self._loop = asyncio.get_running_loop()
         self._socket: asyncio.DatagramTransport | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._hello: dict[str, float] = {}
-        self._summed = self._loop.time()
-        stored = store.load() if store is not None else None
-        fresh = store is not None and stored is None  # an empty file: nothing was ever promised
-        stored = Vote() if fresh else stored
-        floor = int((time.time() - EPOCH) * ROUNDS_A_SECOND) * MOST_MEMBERS
-        self.core = Election(seats, seal.me, timing, seed, clock(), stored, fresh, max(0, floor))
+        self._hello_sent_at: dict[str, float] = {}
+        self._drops_logged_at = self._loop.time()
+        self.election = Election(config, seed, clock(), _recovered_state(vote_store))
         if announcer is not None:
-            self.core.able = False  # until it says that it can
+            self.election.can_announce = False  # until the announcer reports that it can
 
     async def start(self, address: tuple[str, int]) -> None:
+        """Listen and take part. Raises OSError when the address cannot be used."""
         await self._loop.create_datagram_endpoint(lambda: self, local_addr=address)
-        for name in self.seal.peers:  # or the first question to one that never heard of this process is lost
-            self._send(name, self.seal.pack(name, None))
-        self._carry_out(self.core.start(self.clock()))
+        for name in self.authenticator.peers:  # a first request from an unknown incarnation would be dropped
+            self._send_message(name, Hello())
+        self._carry_out(self.election.start(self.clock()))
         if self.announcer is not None:
-            self.announcer.start(lambda able: self._handle(Announcer(able)))
+            self.announcer.start(lambda available: self._handle(AnnouncerAvailabilityChanged(available)))
 
     async def leave(self) -> None:
-        """Hand over, withdraw, and be gone."""
-        self._handle(Leave())
+        """Transfer the lease, withdraw the address, and close."""
+        self._handle(ShutdownRequested())
         if self.announcer is not None:
             await self.announcer.stop("planned leave")
         self.close()
 
     def close(self) -> None:
+        """Release the socket, the timer and the vote store at once."""
         if self._timer is not None:
             self._timer.cancel()
         if self._socket is not None:
             self._socket.close()
-        if self.store is not None:
-            self.store.close()
+        if self.vote_store is not None:
+            self.vote_store.close()
 
     @property
-    def holding(self) -> bool:
-        return self.clock() < self.holds_until
+    def is_holder(self) -> bool:
+        """Whether the lease is good at this moment."""
+        return self.clock() < self.lease_ends_at
 
     # ---- events -----------------------------------------------------------------------------------
 
     def connection_made(self, transport: asyncio.DatagramTransport) -> None:  # type: ignore[override]
+        """Called by asyncio once the socket is open."""
         self._socket = transport
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        found = self.seal.open(data, addr[:2])
-        if isinstance(found, Drop):
-            self._dropped(found, addr[:2])
-        elif found[1] is not None:
-            self._handle(Received(found[0], found[1]))
+        """Called by asyncio for each datagram."""
+        source = addr[:2]
+        received = self.authenticator.open(data, source)
+        if isinstance(received, DropReason):
+            self._on_dropped(received, source)
+        elif not isinstance(received.message, Hello):
+            self._handle(MessageReceived(received.sender, received.message))
 
     def error_received(self, exc: Exception) -> None:
-        """A member whose port is closed; its silence tells the core."""
+        """Called by asyncio when a member's port is closed; the election notices its silence."""
 
-    def _dropped(self, why: Drop, source: tuple[str, int]) -> None:
+    def _on_dropped(self, reason: DropReason, source: tuple[str, int]) -> None:
         now = self._loop.time()
-        if why is Drop.UNKNOWN_BOOT:
-            for name, peer in self.seal.peers.items():
-                if peer.address == source and now - self._hello.get(name, -1.0) >= HELLO_EVERY:
-                    self._hello[name] = now
-                    self._send(name, self.seal.pack(name, None))
-        if now - self._summed >= DROPS_EVERY:
-            self._summed = now
-            log.info(
-                "dropped datagrams",
-                **{d.value: n for d, n in sorted(self.seal.dropped.items(), key=lambda item: item[0].value)},
-            )
+        if reason is DropReason.UNKNOWN_INCARNATION:
+            self._send_hellos(now, source)
+        if now - self._drops_logged_at >= DROP_LOG_INTERVAL_SECONDS:
+            self._drops_logged_at = now
+            counts = {reason.value: count for reason, count in self.authenticator.dropped.items()}
+            log.info("dropped datagrams", **dict(sorted(counts.items())))
+
+    def _send_hellos(self, now: float, source: tuple[str, int]) -> None:
+        for name, peer in self.authenticator.peers.items():
+            is_due = now - self._hello_sent_at.get(name, -1.0) >= HELLO_INTERVAL_SECONDS
+            if peer.address == source and is_due:
+                self._hello_sent_at[name] = now
+                self._send_message(name, Hello())
 
     def _handle(self, event: Event) -> None:
-        self._carry_out(self.core.handle(self.clock(), event))
+        self._carry_out(self.election.handle(self.clock(), event))
 
     # ---- actions ----------------------------------------------------------------------------------
 
     def _carry_out(self, actions: list[Action]) -> None:
         for action in actions:
             match action:
-                case Tell(member, message):
-                    self._send(member, self.seal.pack(member, message))
+                case SendMessage(receiver, message):
+                    self._send_message(receiver, message)
                 case SetTimer(at):
-                    if self._timer is not None:
-                        self._timer.cancel()
-                    self._timer = self._loop.call_later(max(0.0, at - self.clock()), self._handle, Tick())
-                case Store(vote):
-                    if self.store is not None and not self._saved(self.store, vote):
+                    self._set_timer(at)
+                case StoreVote(vote):
+                    if not self._store_vote(vote):
                         return
-                case Claim(term):
-                    log.info("service address claimed", term=term)
-                    if self.announcer is not None:
-                        self.announcer.announce(term)
-                case Hold(until):
-                    self.holds_until = until
-                case Withdraw(term):
-                    self.holds_until = 0.0
-                    log.info("service address withdrawn", term=term)
-                    if self.announcer is not None:
-                        self.announcer.withdraw(term)
-                case Note(text):
-                    log.info("membership", text=text)
-
-    def _saved(self, store: VoteStore, vote: Vote) -> bool:
-        """A vote that can't be kept must not be told, nor any after it: this member is out."""
+                case AnnounceAddress(term):
+                    self._announce(term)
+                case ExtendLease(until):
+                    self.lease_ends_at = until
+                case WithdrawAddress(term):
+                    self._withdraw(term)
+                case LogEvent(event, member):
+                    log.info(event, **({"member": member} if member else {}))
+
+    def _set_timer(self, at: float) -> None:
+        if self._timer is not None:
+            self._timer.cancel()
+        delay = max(0.0, at - self.clock())
+        self._timer = self._loop.call_later(delay, self._handle, TimerExpired())
+
+    def _announce(self, term: int) -> None:
+        log.info("service address claimed", term=term)
+        if self.announcer is not None:
+            self.announcer.announce(term)
+
+    def _withdraw(self, term: int) -> None:
+        self.lease_ends_at = 0.0
+        log.info("service address withdrawn", term=term)
+        if self.announcer is not None:
+            self.announcer.withdraw(term)
+
+    def _store_vote(self, vote: Vote) -> bool:
+        """Whether what follows may be done: a vote that is not stored must not be sent, nor any after it."""
+        if self.vote_store is None:
+            return True
         try:
-            store.save(vote)
-        except StoreError as wrong:
-            log.error("the vote can't be kept; this member takes no part any more", reason=str(wrong))
-            if self.announcer is not None and self.holds_until:
+            self.vote_store.save(vote)
+        except VoteStoreError as error:
+            log.error("vote cannot be stored, member stopped", reason=str(error))
+            if self.announcer is not None and self.lease_ends_at:
                 self.announcer.withdraw(vote.term)
-            self.holds_until = 0.0
+            self.lease_ends_at = 0.0
             self.close()
             return False
         return True
 
-    def _send(self, member: str, data: bytes) -> None:
+    def _send_message(self, receiver: str, message: Message) -> None:
+        self._send(receiver, self.authenticator.seal(receiver, message))
+
+    def _send(self, receiver: str, data: bytes) -> None:
         if self._socket is not None and not self._socket.is_closing():
-            self._socket.sendto(data, self.seal.peers[member].address)
+            self._socket.sendto(data, self.authenticator.peers[receiver].address)
+
+
+def _recovered_state(vote_store: VoteStore | None) -> RecoveredState:
+    """What the vote store knows of the time before the start. Raises VoteStoreError."""
+    lowest_round = max(0, int((time.time() - ROUNDS_EPOCH) * ROUNDS_PER_SECOND))
+    lowest_term = first_term_of_round(lowest_round)
+    if vote_store is None:
+        return RecoveredState(lowest_term=lowest_term)
+    stored = vote_store.load()
+    if stored is None:  # an empty file: nothing was ever promised
+        return RecoveredState(Vote(), never_promised=True)
+    return RecoveredState(stored)
--- a/saltcourse/address_failover/vote_store.py
+++ b/saltcourse/address_failover/vote_store.py
@@ -1,8 +1,8 @@
-"""Where a member keeps its vote, for sites whose disk survives a restart: one row in an SQLite file.
+"""The durable vote of a member, for sites whose disk survives a restart: one row in an SQLite file.
 
-SQLite because it is in the standard library, is durable against power loss with ``synchronous=FULL``, and a
-write takes place only when the vote changes (never for a renewal). A file that is torn, foreign or another
-member's is an error that names it: to begin anew could mean a second vote.
+SQLite is in the standard library and durable against power loss with ``synchronous=FULL``. A write takes
+place only when the vote changes, never for a renewal. A file that is torn, foreign or another member's is
+an error: to begin anew could mean a second vote in the same term.
 """
 
 from __future__ import annotations
@@ -11,76 +11,93 @@
 import sqlite3
 from pathlib import Path
 
-from saltcourse.address_failover.messages import Vote
+from saltcourse.address_failover.errors import VoteStoreError
+from saltcourse.address_failover.vote import Vote
 
-APPLICATION, VERSION = 0x53616C74, 1  # "Salt"; PRAGMA application_id and user_version
+APPLICATION_ID = 0x53616C74  # "Salt", as SQLite's application_id
+FORMAT_VERSION = 1  # as SQLite's user_version
+# Columns keep their first names: ``voted`` is Vote.voted_for, ``promised`` is Vote.promised_to.
+CREATE_TABLE = (
+    "CREATE TABLE vote (one INTEGER PRIMARY KEY CHECK (one = 1), member TEXT NOT NULL,"
+    " term INTEGER NOT NULL, voted TEXT NOT NULL, promised TEXT NOT NULL,"
+    " digest TEXT NOT NULL) STRICT"
+)
 
 
-class StoreError(Exception):
-    """The file can't be used; the text names it and says why."""
+class VoteStore:
+    """The vote file of the member ``own_name``, held open and locked until ``close``.
 
+    The constructor and all methods raise VoteStoreError.
+    """
 
-def _digest(me: str, vote: Vote) -> str:
-    return hashlib.sha256("\0".join((me, str(vote.term), vote.voted, vote.promised)).encode()).hexdigest()
+    def __init__(self, file: Path, own_name: str) -> None:
+        self.file = file
+        self.own_name = own_name
+        try:
+            self._db = self._open()
+            self._check_format()
+        except (OSError, sqlite3.Error) as error:
+            raise VoteStoreError(f"{file}: {error}") from None
 
+    def _open(self) -> sqlite3.Connection:
+        is_new = not self.file.exists() or self.file.stat().st_size == 0
+        database = sqlite3.connect(self.file, isolation_level=None, timeout=0.0)
+        # Exclusive: two processes with one vote between them would be two votes.
+        database.execute("PRAGMA locking_mode=EXCLUSIVE")
+        database.execute("PRAGMA synchronous=FULL")
+        database.execute("BEGIN IMMEDIATE")
+        if is_new:
+            database.execute(f"PRAGMA application_id={APPLICATION_ID}")
+            database.execute(f"PRAGMA user_version={FORMAT_VERSION}")
+            database.execute(CREATE_TABLE)
+        database.execute("COMMIT")
+        return database
 
-class VoteStore:
-    """``load`` returns None on a first start. All errors are StoreError."""
+    def _check_format(self) -> None:
+        application_id = self._pragma("application_id")
+        if application_id != APPLICATION_ID:
+            raise VoteStoreError(f"{self.file}: not a vote file of this program")
+        version = self._pragma("user_version")
+        if version != FORMAT_VERSION:
+            raise VoteStoreError(f"{self.file}: format {version}, this program reads {FORMAT_VERSION}")
+        integrity = self._pragma("quick_check")
+        if integrity != "ok":
+            raise VoteStoreError(f"{self.file}: torn: {integrity}")
 
-    def __init__(self, file: Path, me: str) -> None:
-        self.file, self.me = file, me
-        try:
-            new = not file.exists() or file.stat().st_size == 0
-            self._db = sqlite3.connect(file, isolation_level=None, timeout=0.0)
-            # Exclusive: two processes with one vote between them would be two votes.
-            self._db.execute("PRAGMA locking_mode=EXCLUSIVE")
-            self._db.execute("PRAGMA synchronous=FULL")
-            self._db.execute("BEGIN IMMEDIATE")
-            if new:
-                self._db.execute(f"PRAGMA application_id={APPLICATION}")
-                self._db.execute(f"PRAGMA user_version={VERSION}")
-                self._db.execute(
-                    "CREATE TABLE vote (one INTEGER PRIMARY KEY CHECK (one = 1), member TEXT NOT NULL,"
-                    " term INTEGER NOT NULL, voted TEXT NOT NULL, promised TEXT NOT NULL,"
-                    " digest TEXT NOT NULL) STRICT"
-                )
-            self._db.execute("COMMIT")
-            application, version, checked = (
-                self._db.execute(f"PRAGMA {name}").fetchone()[0]
-                for name in ("application_id", "user_version", "quick_check")
-            )
-        except (OSError, sqlite3.Error) as wrong:
-            raise StoreError(f"{file}: {wrong}") from None
-        if application != APPLICATION:
-            raise StoreError(f"{file}: not a vote file of this program")
-        if version != VERSION:
-            raise StoreError(f"{file}: form {version}, this program reads {VERSION}")
-        if checked != "ok":
-            raise StoreError(f"{file}: torn: {checked}")
+    def _pragma(self, name: str) -> object:
+        return self._db.execute(f"PRAGMA {name}").fetchone()[0]
 
     def load(self) -> Vote | None:
+        """The vote that was stored last; None when none ever was."""
         try:
             row = self._db.execute("SELECT member, term, voted, promised, digest FROM vote").fetchone()
-        except sqlite3.Error as wrong:
-            raise StoreError(f"{self.file}: {wrong}") from None
+        except sqlite3.Error as error:
+            raise VoteStoreError(f"{self.file}: {error}") from None
         if row is None:
             return None
-        member, vote, digest = row[0], Vote(row[1], row[2], row[3]), row[4]
-        if member != self.me:
-            raise StoreError(f"{self.file}: holds the vote of {member}, not of {self.me}")
+        member, term, voted_for, promised_to, digest = row
+        vote = Vote(term, voted_for, promised_to)
+        if member != self.own_name:
+            raise VoteStoreError(f"{self.file}: holds the vote of {member}, not of {self.own_name}")
         if digest != _digest(member, vote):
-            raise StoreError(f"{self.file}: torn: the digest does not fit")
+            raise VoteStoreError(f"{self.file}: torn: the digest does not fit")
         return vote
 
     def save(self, vote: Vote) -> None:
-        """Returns when it is on the disk."""
+        """Return when the vote is on the disk."""
         try:
             self._db.execute(
                 "INSERT OR REPLACE INTO vote VALUES (1, ?, ?, ?, ?, ?)",
-                (self.me, vote.term, vote.voted, vote.promised, _digest(self.me, vote)),
+                (self.own_name, vote.term, vote.voted_for, vote.promised_to, _digest(self.own_name, vote)),
             )
-        except sqlite3.Error as wrong:
-            raise StoreError(f"{self.file}: {wrong}") from None
+        except sqlite3.Error as error:
+            raise VoteStoreError(f"{self.file}: {error}") from None
 
     def close(self) -> None:
+        """Release the file and its lock."""
         self._db.close()
+
+
+def _digest(member: str, vote: Vote) -> str:
+    text = "\0".join((member, str(vote.term), vote.voted_for, vote.promised_to))
+    return hashlib.sha256(text.encode()).hexdigest()
--- a/saltcourse/app/address_failover.py
+++ b/saltcourse/app/address_failover.py
@@ -11,22 +11,26 @@
 
 import structlog
 
-from saltcourse.address_failover.authentication import Seal
+from saltcourse.address_failover.authentication import DatagramAuthenticator
+from saltcourse.address_failover.bgp_announcer import BgpAnnouncer
 from saltcourse.address_failover.bgp_session import Peering
-from saltcourse.address_failover.host import Member
-from saltcourse.address_failover.route_announcement import Announcing, BgpAnnouncer, CommandAnnouncer
-from saltcourse.address_failover.vote_store import StoreError, VoteStore
+from saltcourse.address_failover.command_announcer import CommandAnnouncer
+from saltcourse.address_failover.errors import VoteStoreError
+from saltcourse.address_failover.host import ElectionHost
+from saltcourse.address_failover.route_announcement import AddressAnnouncer
+from saltcourse.address_failover.vote_store import VoteStore
+from saltcourse.address_failover.voters import ElectionConfig
 from saltcourse.config import ConfigError
 from saltcourse.config.operator import RELOADED, MembershipSettings
 
 log = structlog.get_logger("saltcourse")
 
 
-def member_of(told: MembershipSettings) -> Member:
-    """StoreError when the vote's file can't be used."""
+def member_of(told: MembershipSettings) -> ElectionHost:
+    """VoteStoreError when the vote's file can't be used."""
     boot = time.time_ns() // 1000
     others = {name: place for name, place in told.places.items() if name != told.me}
-    announcer: Announcing | None = None
+    announcer: AddressAnnouncer | None = None
     seed = secrets.randbits(32)  # members must not draw alike
     if told.bgp is not None and not told.witness:
         peering = Peering(told.bgp.asn, told.bgp.peer_asn, told.bgp.identifier, told.bgp.hold)
@@ -36,8 +40,9 @@
     elif told.command is not None and not told.witness:
         announcer = CommandAnnouncer(told.service_address, told.command.arguments, told.command.timeout)
     store = VoteStore(told.store_file, told.me) if told.store_file is not None else None
-    seal = Seal(told.me, boot, list(told.keys), others)
-    return Member(told.seats, seal, told.timing, seed, announcer, store)
+    authenticator = DatagramAuthenticator(told.me, boot, list(told.keys), others)
+    config = ElectionConfig(told.seats, told.me, told.timing)
+    return ElectionHost(config, authenticator, seed, announcer, store)
 
 
 class Beside:
@@ -47,13 +52,13 @@
         self, told: MembershipSettings, reread: Callable[[], MembershipSettings | None] | None = None
     ) -> None:
         self.told, self._reread = told, reread
-        self.member: Member | None = None
+        self.member: ElectionHost | None = None
 
     async def start(self) -> None:
         try:
             self.member = member_of(self.told)
             await self.member.start(self.told.places[self.told.me])
-        except StoreError as wrong:
+        except VoteStoreError as wrong:
             raise SystemExit(f"saltcourse: membership.store_file: {wrong}") from None
         except OSError as wrong:
             host, port = self.told.places[self.told.me]
@@ -77,7 +82,7 @@
         if new is None:
             log.warning("membership is switched off at the next restart")
             return
-        self.member.seal.change_keys(list(new.keys))
+        self.member.authenticator.change_keys(list(new.keys))
         log.info("reloaded", key=RELOADED, keys=len(new.keys))
         later = [
             f"membership.{f.name}"
--- a/saltcourse/config/operator_address_failover.py
+++ b/saltcourse/config/operator_address_failover.py
@@ -7,11 +7,20 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from saltcourse.address_failover.authentication import LEAST_KEY, MOST_KEYS
-from saltcourse.address_failover.messages import MOST_MEMBERS, Seat, Timing
+from saltcourse.address_failover.authentication import MAX_KEYS, MIN_KEY_LENGTH
+from saltcourse.address_failover.errors import InvalidTimingError
+from saltcourse.address_failover.terms import MAX_VOTERS
+from saltcourse.address_failover.timing import ElectionTiming
+from saltcourse.address_failover.voters import Voter
 from saltcourse.config.operator_file import OperatorFile, Place
 
 RELOADED = "membership.key_file"  # what SIGHUP takes over; all else needs a restart
+TIMING_KEYS = {  # field of ElectionTiming -> name in the section ``timing``
+    "lease_duration": "lease_s",
+    "renewal_interval": "renew_s",
+    "clock_drift": "drift",
+    "safety_margin": "guard_s",
+}
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,12 +43,12 @@
 class MembershipSettings:
     me: str
     service_address: str
-    seats: tuple[Seat, ...]
+    seats: tuple[Voter, ...]
     places: dict[str, Place]
     key_file: Path
     keys: tuple[bytes, ...]
     store_file: Path | None
-    timing: Timing
+    timing: ElectionTiming
     bgp: BgpSettings | None
     command: CommandSettings | None
 
@@ -73,7 +82,7 @@
         if not witness and not told.HasField("bgp") and not told.HasField("command"):
             self.file.wrong(key, "neither bgp nor command: this instance could not announce the address")
         store = self.file.store(f"{key}.store_file", told.store_file)
-        keys = self.file.keys(f"{key}.key_file", told.key_file, LEAST_KEY, MOST_KEYS)
+        keys = self.file.keys(f"{key}.key_file", told.key_file, MIN_KEY_LENGTH, MAX_KEYS)
         return MembershipSettings(
             me,
             service,
@@ -87,8 +96,8 @@
             self._command() if told.HasField("command") else None,
         )
 
-    def _members(self) -> tuple[tuple[Seat, ...], dict[str, Place]]:
-        seats: list[Seat] = []
+    def _members(self) -> tuple[tuple[Voter, ...], dict[str, Place]]:
+        seats: list[Voter] = []
         places: dict[str, Place] = {}
         for i, member in enumerate(self.told.member):
             key = f"membership.member[{i}]"
@@ -101,16 +110,16 @@
                 if other == place:
                     self.file.wrong(f"{key}.address", f"is {name}'s address too")
             places[member.name] = place
-            seats.append(Seat(member.name, member.priority, member.witness))
-        if not 1 <= len(seats) <= MOST_MEMBERS:
-            self.file.wrong("membership.member", f"from 1 to {MOST_MEMBERS} members, not {len(seats)}")
+            seats.append(Voter(member.name, member.priority, member.witness))
+        if not 1 <= len(seats) <= MAX_VOTERS:
+            self.file.wrong("membership.member", f"from 1 to {MAX_VOTERS} members, not {len(seats)}")
         if all(s.witness for s in seats):
             self.file.wrong("membership.member", "all are witnesses: nobody could hold the address")
         return tuple(seats), places
 
-    def _timing(self) -> Timing:
-        told, key, usual = self.told.timing, "membership.timing", Timing()
-        lease, drift, guard = usual.lease, usual.drift, usual.guard
+    def _timing(self) -> ElectionTiming:
+        told, key, usual = self.told.timing, "membership.timing", ElectionTiming()
+        lease, drift, guard = usual.lease_duration, usual.clock_drift, usual.safety_margin
         if told.HasField("lease_s"):
             lease = self.file.between(f"{key}.lease_s", told.lease_s, 0.2, 30)
         if told.HasField("drift"):
@@ -119,10 +128,11 @@
             guard = self.file.between(f"{key}.guard_s", told.guard_s, 0, lease / 4)
         renew = told.renew_s if told.HasField("renew_s") else lease / 5
         try:
-            return Timing(lease=lease, renew=renew, drift=drift, guard=guard)
-        except ValueError as wrong:
-            name, _, what = str(wrong).partition(": ")
-            self.file.wrong(f"{key}.{name}_s", what)
+            return ElectionTiming(
+                lease_duration=lease, renewal_interval=renew, clock_drift=drift, safety_margin=guard
+            )
+        except InvalidTimingError as wrong:
+            self.file.wrong(f"{key}.{TIMING_KEYS[wrong.field]}", wrong.expected)
 
     def _bgp(self, service: str) -> BgpSettings:
         told, key = self.told.bgp, "membership.bgp"
--- a/saltcourse/emulator/route_server.py
+++ b/saltcourse/emulator/route_server.py
@@ -1,5 +1,7 @@
-"""A stand-in for a route server, on loopback: takes BGP sessions, keeps a record of every announcement and
-withdrawal with its time, and tells the best path. It can be told to hang, to refuse and to die."""
+"""A stand-in for a route server on loopback: takes BGP sessions and records every change of a route.
+
+It can be made to hang and to crash.
+"""
 
 from __future__ import annotations
 
@@ -9,78 +11,121 @@
 from dataclasses import dataclass, field
 
 from saltcourse.codec import bgp
+from saltcourse.codec.bgp_decoder import MessageBuffer, decode
+
+KEEPALIVE_INTERVAL_SECONDS = 0.5
+HANG_POLL_SECONDS = 0.01
+IDENTIFIER = ipaddress.IPv4Address("127.0.0.254")
+DEFAULT_LOCAL_PREF = 100
+
+
+@dataclass(frozen=True, slots=True)
+class RouteChange:
+    """A peer announced a route to an address at ``time``, or withdrew it (None)."""
+
+    time: float
+    peer: str
+    address: bgp.Address
+    route: bgp.Route | None
 
 
 @dataclass
 class RouteServer:
+    """Routes and records name a peer by its BGP identifier."""
+
     asn: int
-    record: list[tuple[float, str, bgp.Address, bgp.Route | None]] = field(default_factory=list)
-    routes: dict[tuple[str, bgp.Address], bgp.Route] = field(default_factory=dict)  # by peer's identifier
-    hangs: bool = False  # reads nothing and says nothing, with its connections open
+    record: list[RouteChange] = field(default_factory=list)
+    routes: dict[tuple[str, bgp.Address], bgp.Route] = field(default_factory=dict)  # by peer and address
+    hangs: bool = False  # reads nothing and sends nothing, with its connections open
     port: int = 0
 
     async def start(self, port: int = 0) -> None:
+        """Listen; ``port`` 0 takes a free one."""
         self._tasks: set[asyncio.Task[None]] = set()
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", port)
         self.port = self._server.sockets[0].getsockname()[1]
 
-    def die(self) -> None:
-        """At once; connections are reset."""
+    def crash(self) -> None:
+        """End at once; connections are reset."""
         self._server.close()
         for task in list(self._tasks):
             task.cancel()
 
     def best(self, address: str) -> bgp.Route | None:
         """RFC 4271, 9.1.2.2, as far as these routes differ: LOCAL_PREF, then MED."""
-        found = [r for (_, a), r in self.routes.items() if a == ipaddress.ip_address(address)]
-        return max(found, key=lambda r: (r.local_pref or 100, -(r.med or 0)), default=None)
+        target = ipaddress.ip_address(address)
+        candidates = [route for (_, routed), route in self.routes.items() if routed == target]
+        return max(candidates, key=_preference, default=None)
 
-    def _note(self, peer: str, address: bgp.Address, route: bgp.Route | None) -> None:
-        self.record.append((asyncio.get_running_loop().time(), peer, address, route))
+    def _change(self, peer: str, address: bgp.Address, route: bgp.Route | None) -> None:
+        self.record.append(RouteChange(asyncio.get_running_loop().time(), peer, address, route))
         if route is not None:
             self.routes[peer, address] = route
         else:
             self.routes.pop((peer, address), None)
 
+    def _drop_routes(self, peer: str) -> None:
+        for owner, address in list(self.routes):
+            if owner == peer:
+                self._change(peer, address, None)
+
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         task = asyncio.current_task()
         assert task is not None
         self._tasks.add(task)
-        peer = ""
-        beat = asyncio.create_task(self._beat(writer))
-        buffer = bgp.Buffer()
+        keepalives = asyncio.create_task(self._send_keepalives(writer))
+        session = _Session(self, writer)
         try:
-            while data := await reader.read(4096):
-                while self.hangs:
-                    await asyncio.sleep(0.01)
-                buffer.feed(data)
-                while (found := buffer.next()) is not None:
-                    message = bgp.read(*found)
-                    match message:
-                        case bgp.Open():
-                            peer = str(message.identifier)
-                            mine = bgp.Open(self.asn, message.hold, ipaddress.IPv4Address("127.0.0.254"))
-                            writer.write(bgp.open_message(mine) + bgp.keepalive())
-                        case bgp.Notification():
-                            return
-                        case bgp.Update():
-                            for route in message.announced:
-                                self._note(peer, route.address, route)
-                            for address in message.withdrawn:
-                                self._note(peer, address, None)
+            await session.run(reader)
         except (OSError, bgp.BgpError):
             pass
         finally:
-            beat.cancel()
+            keepalives.cancel()
             self._tasks.discard(task)
-            for owner, address in list(self.routes):
-                if owner == peer:
-                    self._note(peer, address, None)
+            self._drop_routes(session.peer)
             with contextlib.suppress(RuntimeError):  # the loop may be closing
                 writer.transport.abort()
 
-    async def _beat(self, writer: asyncio.StreamWriter) -> None:
+    async def _send_keepalives(self, writer: asyncio.StreamWriter) -> None:
         while True:
-            await asyncio.sleep(0.5)
+            await asyncio.sleep(KEEPALIVE_INTERVAL_SECONDS)
             if not self.hangs:
-                writer.write(bgp.keepalive())
+                writer.write(bgp.encode_keepalive())
+
+
+class _Session:
+    """What one peer sends, until it closes the session."""
+
+    def __init__(self, server: RouteServer, writer: asyncio.StreamWriter) -> None:
+        self.server = server
+        self.writer = writer
+        self.peer = ""
+        self._buffer = MessageBuffer()
+
+    async def run(self, reader: asyncio.StreamReader) -> None:
+        """Take messages to the end of the session. Raises OSError and BgpError."""
+        while data := await reader.read(4096):
+            while self.server.hangs:
+                await asyncio.sleep(HANG_POLL_SECONDS)
+            self._buffer.feed(data)
+            while (frame := self._buffer.next()) is not None:
+                message = decode(frame)
+                if isinstance(message, bgp.Notification):
+                    return
+                self._receive(message)
+
+    def _receive(self, message: bgp.Message) -> None:
+        match message:
+            case bgp.Open():
+                self.peer = str(message.identifier)
+                own_open = bgp.Open(self.server.asn, message.hold_time, IDENTIFIER)
+                self.writer.write(bgp.encode_open(own_open) + bgp.encode_keepalive())
+            case bgp.Update():
+                for route in message.announced:
+                    self.server._change(self.peer, route.address, route)
+                for address in message.withdrawn:
+                    self.server._change(self.peer, address, None)
+
+
+def _preference(route: bgp.Route) -> tuple[int, int]:
+    return route.local_pref or DEFAULT_LOCAL_PREF, -(route.med or 0)
--- a/saltcourse/emulator/simnet.py
+++ b/saltcourse/emulator/simnet.py
@@ -1,7 +1,8 @@
-"""A network and its hosts in virtual time: for choices that are free of I/O and take ``handle(now, event)``.
+"""A network and its hosts in virtual time, for cores without I/O that take ``handle(now, event)``.
 
-One seed replays everything. Hosts have clocks of their own rate; links delay, lose, double and reorder, and
-are cut one way or both; hosts stop for a while, crash, and come back with or without what they stored.
+One seed replays everything. Hosts have clocks with rates of their own; links delay, lose, duplicate and
+reorder, and are cut in one direction or both; hosts stop for a while, crash, and restart with or without
+what they stored. Times are seconds, of true time where nothing else is said.
 """
 
 from __future__ import annotations
@@ -12,13 +13,16 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-MOST_AT_ONCE = 10_000  # events at one instant
-ROUNDING = 1e-9  # s
+MAX_EVENTS_AT_ONCE = 10_000  # at one instant
+ROUNDING_SECONDS = 1e-9
 
 
 @dataclass
 class Link:
-    """What every message meets; ``delay`` is a range in seconds, drawn evenly (so messages overtake)."""
+    """What befalls every message: ``delay`` is drawn evenly from a range, so messages overtake one another.
+
+    ``loss`` and ``double`` are the probabilities that a message is lost or comes twice.
+    """
 
     delay: tuple[float, float] = (0.0002, 0.004)
     loss: float = 0.0
@@ -34,15 +38,17 @@
     offset: float = 0.0
     alive: bool = False
     stopped: bool = False
-    life: int = 0  # which process runs: words to an earlier one are lost
-    waiting: list[Any] = field(default_factory=list)  # events that came while it was stopped
-    timer: int = 0  # only the newest one counts
-    disk: Any = None
+    life: int = 0  # incarnation: which process runs; timers of an earlier one are void
+    waiting: list[Any] = field(default_factory=list)  # events that came while the process was stopped
+    timer: int = 0  # number of the newest timer, which alone counts
+    disk: Any = None  # what the process has stored
 
     def clock(self, true: float) -> float:
+        """What the host's clock shows at a true time."""
         return self.offset + self.rate * true
 
     def true(self, clock: float) -> float:
+        """The true time at which the host's clock shows ``clock``."""
         return (clock - self.offset) / self.rate
 
 
@@ -63,16 +69,17 @@
         self._order = 0
 
     def at(self, when: float, do: Callable[[], None]) -> None:
+        """Call ``do`` at a time, at once where that has passed."""
         self._order += 1
         heapq.heappush(self._queue, (max(when, self.now), self._order, do))
 
     def run(self, until: float) -> None:
-        """RuntimeError when choices keep waking themselves without letting time go on."""
+        """Let time go on. Raises RuntimeError when timers keep expiring without letting it."""
         at_once = 0
         while self._queue and self._queue[0][0] <= until:
             when, _, do = heapq.heappop(self._queue)
             at_once = at_once + 1 if when == self.now else 0
-            if at_once > MOST_AT_ONCE:
+            if at_once > MAX_EVENTS_AT_ONCE:
                 raise RuntimeError(f"time stands still at {when:.6f} s")
             self.now = when
             do()
@@ -81,6 +88,7 @@
     # ---- what hosts do ----------------------------------------------------------------------------
 
     def send(self, sender: str, receiver: str, event: Any) -> None:
+        """Bring an event to another host, by the chances of the link."""
         self.sent += 1
         copies = 2 if self.random.random() < self.link.double else 1
         for _ in range(copies):
@@ -98,6 +106,7 @@
             self.give(self.hosts[receiver], event)
 
     def give(self, host: Host, event: Any) -> None:
+        """Deliver an event now, or once the host's process goes on; none to a dead one."""
         if not host.alive:
             return
         if host.stopped:
@@ -106,30 +115,33 @@
             self._deliver(host, event)
 
     def set_timer(self, host: Host, clock: float) -> None:
-        """At a time on the host's own clock; it replaces the one before."""
+        """Expire at a time on the host's own clock; it replaces the timer before it."""
         host.timer += 1
         life, timer = host.life, host.timer
 
-        def ring() -> None:
+        def expire() -> None:
             if (host.life, host.timer) == (life, timer):
                 self.give(host, self._tick)
 
-        # A clock read back from true time may fall short by a rounding, and then wake again for ever.
-        self.at(host.true(clock) + ROUNDING, ring)
+        # A clock read back from true time may fall short by a rounding, and the timer would be set again
+        # for ever.
+        self.at(host.true(clock) + ROUNDING_SECONDS, expire)
 
-    # ---- what befalls them ------------------------------------------------------------------------
+    # ---- faults ------------------------------------------------------------------------
 
     def stop(self, host: Host) -> None:
+        """Stop the host's process, as SIGSTOP does."""
         host.stopped = True
 
     def go_on(self, host: Host) -> None:
-        """What came meanwhile is found at once, in the order in which it came."""
+        """Let it go on: what came meanwhile is delivered at once, in the order in which it came."""
         host.stopped = False
         waiting, host.waiting = host.waiting, []
         for event in waiting:
             self.give(host, event)
 
     def crash(self, host: Host, keeps_disk: bool) -> None:
+        """End the host's process, and lose its disk unless ``keeps_disk``."""
         host.alive = host.stopped = False
         host.life += 1
         host.waiting = []
@@ -137,7 +149,9 @@
             host.disk = None
 
     def cut(self, one: str, other: str, both: bool = True) -> None:
+        """Lose all messages from one host to the other, and back unless ``both`` is false."""
         self.cuts |= {(one, other), (other, one)} if both else {(one, other)}
 
     def heal(self) -> None:
+        """Mend all cuts."""
         self.cuts.clear()
--- a/tests/address_failover/test_election.py
+++ b/tests/address_failover/test_election.py
@@ -12,94 +12,111 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule, run_state_machine_as_test
 
-from saltcourse.address_failover import election
-from saltcourse.address_failover.election import Election
-from saltcourse.address_failover.messages import (
-    MOST_MEMBERS,
-    Announcer,
-    Claim,
-    Hold,
-    Leave,
-    Received,
-    Seat,
-    Store,
-    Tell,
-    Tick,
-    Timing,
-    Vote,
-    Withdraw,
+from saltcourse.address_failover.actions import (
+    AnnounceAddress,
+    ExtendLease,
+    SendMessage,
+    SetTimer,
+    StoreVote,
+    WithdrawAddress,
 )
-from saltcourse.emulator.election import Broken, World, play, seats_of
+from saltcourse.address_failover.election import Election, Role
+from saltcourse.address_failover.errors import InvalidVotersError
+from saltcourse.address_failover.events import (
+    AnnouncerAvailabilityChanged,
+    MessageReceived,
+    ShutdownRequested,
+    TimerExpired,
+)
+from saltcourse.address_failover.promises import VoterPromises
+from saltcourse.address_failover.terms import term_round
+from saltcourse.address_failover.timing import ElectionTiming
+from saltcourse.address_failover.vote import RecoveredState, Vote
+from saltcourse.address_failover.voters import ElectionConfig, Voter
+from saltcourse.emulator.election import PropertyViolationError, SimulatedElection, run_schedule, voters_of
 from saltcourse.emulator.simnet import Link
 
 SCHEDULES = 2000
-THREE = seats_of(3, 1)
+THREE = voters_of(3, 1)
+
+
+class BrokenPromises(VoterPromises):
+    """Promises to whoever asks, whatever was promised before."""
+
+    def allows(self, now: float, member: str, transferred_term: int = 0) -> bool:
+        return True
 
 
 class NoLeaseWait(Election):
     """Votes for whoever asks, whatever it promised."""
 
-    def _may_promise(self, member: str, freed: int = 0) -> bool:
-        return True
+    def __init__(self, config: ElectionConfig, seed: int, now: float, recovered: RecoveredState) -> None:
+        super().__init__(config, seed, now, recovered)
+        self.promises = BrokenPromises(config.own_name, config.timing.lease_duration, now, recovered)
 
 
 class NoPreVote(Election):
-    def _seek(self) -> None:
-        self._begin(election.Phase.STANDING) if self._may_promise(self.me) else self._wait()
+    """Becomes a candidate without asking first."""
+
+    def _become_pre_candidate(self) -> None:
+        if self.promises.allows(self.now, self.own_name):
+            self._start_candidacy(Role.CANDIDATE)
+        else:
+            self._follow()
 
 
 class VoteForgotten(Election):
     """A restart knows nothing and waits for nothing."""
 
-    def __init__(self, seats: Any, me: str, timing: Timing, seed: int, now: float, *_: Any) -> None:
-        super().__init__(seats, me, timing, seed, now, None, True)
+    def __init__(self, config: ElectionConfig, seed: int, now: float, recovered: RecoveredState) -> None:
+        super().__init__(config, seed, now, RecoveredState(never_promised=True))
 
 
 BROKEN = [NoLeaseWait, NoPreVote, VoteForgotten]
 
 
 def test_no_schedule_of_faults_breaks_a_property() -> None:
-    claims = sum(len(play(seed).claims) for seed in range(SCHEDULES))
-    assert claims > SCHEDULES  # they did something
+    announcements = sum(len(run_schedule(seed).announcements) for seed in range(SCHEDULES))
+    assert announcements > SCHEDULES  # they did something
 
 
 @pytest.mark.parametrize("core", BROKEN)
 def test_schedules_find_a_broken_core(core: type[Election]) -> None:
-    with pytest.raises(Broken):
+    with pytest.raises(PropertyViolationError):
         for seed in range(SCHEDULES):
-            play(seed, core)
+            run_schedule(seed, core)
 
 
 # ---- one trouble a test -------------------------------------------------------------------------
 
 
-def world(count: int = 3, witnesses: int = 1, **changes: Any) -> World:
+def world(count: int = 3, witnesses: int = 1, **changes: Any) -> SimulatedElection:
     """Members that have settled on n0."""
-    found = World(1, seats_of(count, witnesses), Link(), **changes)
-    for seat in found.seats:
-        found.start(seat.name, fresh=True)
+    found = SimulatedElection(1, voters_of(count, witnesses), Link(), **changes)
+    for voter in found.voters:
+        found.start(voter.name, never_promised=True)
     found.net.run(1.0)
     assert found.holder() == "n0"
     return found
 
 
 def test_all_started_at_once_settle_on_the_highest_priority_in_one_claim() -> None:
-    assert [name for _, name, _ in world(5, 2).claims] == ["n0"]
+    assert [change.member for change in world(5, 2).announcements] == ["n0"]
 
 
 def test_a_planned_leave_hands_over_within_a_tenth_of_a_second() -> None:
     w = world()
-    w.tell("n0", Leave())
+    w.notify("n0", ShutdownRequested())
     w.net.run(1.1)
-    assert w.holder() == "n1" and w.claims[-1][0] - w.withdrawn[-1][0] < 0.1
+    assert w.holder() == "n1" and w.announcements[-1].time - w.withdrawals[-1].time < 0.1
 
 
 def test_a_holder_that_can_not_announce_gives_way_and_does_not_come_back_before_it_can() -> None:
     w = world()
-    w.tell("n0", Announcer(False))
+    w.notify("n0", AnnouncerAvailabilityChanged(False))
     w.net.run(3.0)
-    assert [name for _, name, _ in w.claims] == ["n0", "n1"]
-    w.tell("n0", Announcer(True))
+    assert [change.member for change in w.announcements] == ["n0", "n1"]
+    w.notify("n0", AnnouncerAvailabilityChanged(True))
     w.crash("n1", True)
     w.net.run(5.0)
     assert w.holder() == "n0"
@@ -112,10 +129,10 @@
         w.net.cuts |= {("n0", other)} if ways[0] != "others" else set()
         w.net.cuts |= {(other, "n0")} if ways[0] != "n0" else set()
     w.net.run(3.0)
-    assert w.holder() == "n1" and w.withdrawn[0][0] < w.claims[-1][0] < 3.0
+    assert w.holder() == "n1" and w.withdrawals[0].time < w.announcements[-1].time < 3.0
     w.net.heal()
     w.net.run(6.0)
-    assert w.holder() == "n1" and len(w.claims) == 2  # the healthy holder stays
+    assert w.holder() == "n1" and len(w.announcements) == 2  # the healthy holder stays
 
 
 def test_a_stopped_holder_withdraws_on_waking_before_anything_else() -> None:
@@ -124,16 +141,21 @@
     w.net.stop(host)
     w.net.run(4.0)
     assert w.holder() == "n1"
-    words = [e for e in host.waiting if isinstance(e, Received)]
+    words = [e for e in host.waiting if isinstance(e, MessageReceived)]
     actions = w.cores["n0"].handle(host.clock(4.0), words[0])
-    assert isinstance([a for a in actions if isinstance(a, Claim | Hold | Tell | Withdraw)][0], Withdraw)
+    assert isinstance(
+        [a for a in actions if isinstance(a, AnnounceAddress | ExtendLease | SendMessage | WithdrawAddress)][
+            0
+        ],
+        WithdrawAddress,
+    )
 
 
 def test_a_lost_witness_changes_nothing_and_without_a_majority_nobody_holds() -> None:
     w = world()
     w.crash("n2", True)
     w.net.run(5.0)
-    assert w.holder() == "n0" and len(w.claims) == 1
+    assert w.holder() == "n0" and len(w.announcements) == 1
     w.crash("n1", True)
     w.net.run(8.0)
     assert w.holder() is None
@@ -151,22 +173,22 @@
         w.net.run(w.net.now + 2.0)
         w.start(held)
         w.net.run(w.net.now + 2.0)
-    rounds = [term // MOST_MEMBERS for _, _, term in w.claims]
+    rounds = [term_round(change.term) for change in w.announcements]
     assert len(rounds) == 5 and rounds == sorted(set(rounds))  # ranks are made of rounds
 
 
 @pytest.mark.parametrize(
-    "seats, me, named",
+    "voters, own_name, named",
     [
-        ((Seat("a"), Seat("a")), "a", "twice"),
-        ((Seat("a"),), "b", "b is not among"),
-        ((Seat("a", witness=True),), "a", "witnesses"),
-        (tuple(Seat(f"m{i}") for i in range(65)), "m0", "64 at most"),
+        ((Voter("a"), Voter("a")), "a", "twice"),
+        ((Voter("a"),), "b", "b is not among"),
+        ((Voter("a", witness=True),), "a", "witnesses"),
+        (tuple(Voter(f"m{i}") for i in range(65)), "m0", "64 at most"),
     ],
 )
-def test_members_that_can_not_be_are_refused(seats: tuple[Seat, ...], me: str, named: str) -> None:
-    with pytest.raises(ValueError, match=named):
-        Election(seats, me, Timing(), 1, 0.0)
+def test_members_that_can_not_be_are_refused(voters: tuple[Voter, ...], own_name: str, named: str) -> None:
+    with pytest.raises(InvalidVotersError, match=named):
+        Election(ElectionConfig(voters, own_name, ElectionTiming()), 1, 0.0)
 
 
 # ---- any order of faults --------------------------------------------------------------------------
@@ -178,9 +200,11 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.world = World(3, THREE, Link(delay=(0.0, 0.05), double=0.1), drift=0.01, core=self.core)
-        for seat in THREE:
-            self.world.start(seat.name)
+        self.world = SimulatedElection(
+            3, THREE, Link(delay=(0.0, 0.05), double=0.1), drift=0.01, core=self.core
+        )
+        for voter in THREE:
+            self.world.start(voter.name)
 
     @rule(seconds=st.sampled_from([0.01, 0.1, 0.3, 0.7, 2.0]))
     def wait(self, seconds: float) -> None:
@@ -223,11 +247,11 @@
 
     @rule(which=member, able=st.booleans())
     def announcer(self, which: int, able: bool) -> None:
-        self.world.tell(f"n{which}", Announcer(able))
+        self.world.notify(f"n{which}", AnnouncerAvailabilityChanged(able))
 
     @invariant()
     def at_most_one(self) -> None:
-        assert sum(ends > self.world.net.now for ends in self.world.ends.values()) <= 1
+        assert sum(ends > self.world.net.now for ends in self.world.lease_ends.values()) <= 1
 
 
 EFFORT: dict[str, Any] = {
@@ -249,13 +273,17 @@
 @pytest.mark.parametrize("core", BROKEN)
 def test_any_order_of_faults_finds_a_broken_core(core: type[Election]) -> None:
     machine = type("BrokenMachine", (Machine,), {"core": core})
-    with pytest.raises(Broken):
+    with pytest.raises(PropertyViolationError):
         run_state_machine_as_test(machine, settings=effort(max_examples=300, **EFFORT))
 
 
 # ---- every order of a small model -----------------------------------------------------------------
 
 
+def _config(name: str) -> ElectionConfig:
+    return ElectionConfig(THREE, name, ElectionTiming())
+
+
 class Even:
     """Draws that are always in the middle, so that states are equal that look equal."""
 
@@ -269,7 +297,9 @@
     def __init__(self, core: type[Election]) -> None:
         self.now, self.restarts = 0.0, 1
         self.core = core
-        self.members = {s.name: core(THREE, s.name, Timing(), 0, 0.0, None, True) for s in THREE}
+        self.members = {
+            s.name: core(_config(s.name), 0, 0.0, RecoveredState(never_promised=True)) for s in THREE
+        }
         self.wakes: dict[str, float] = {}
         self.flight: frozenset[tuple[str, str, Any]] = frozenset()
         self.ends: dict[str, float] = {}
@@ -284,7 +314,8 @@
         new.members = {}
         for name, member in self.members.items():
             new.members[name] = twin = copy.copy(member)
-            twin.grants, twin.heard = dict(member.grants), dict(member.heard)
+            twin.grants, twin.last_received = dict(member.grants), dict(member.last_received)
+            twin.promises = copy.copy(member.promises)
         new.wakes, new.ends, new.terms = dict(self.wakes), dict(self.ends), dict(self.terms)
         new.told = dict(self.told)
         return new
@@ -296,17 +327,17 @@
             self.restarts,
             *(
                 (
-                    m.phase,
-                    m.vote,
-                    m.promised,
-                    m.promise_ends,
+                    m.role,
+                    m.promises.vote,
+                    m.promises.promise.receiver,
+                    m.promises.promise.ends_at,
                     m.term,
-                    m.lease_ends,
-                    m.next_try,
-                    m.next_ask,
-                    m.gives_up,
+                    m.lease_ends_at,
+                    m.next_candidacy_at,
+                    m.next_send_at,
+                    m.candidacy_ends_at,
                     tuple(sorted(m.grants.items())),
-                    m.abstains_until,
+                    m.promises.abstains_until,
                 )
                 for m in self.members.values()
             ),
@@ -319,36 +350,40 @@
     def take(self, kind: str, what: Any) -> None:
         if kind == "ring":
             self.now = max(self.now, self.wakes.pop(what))
-            self.carry_out(what, self.members[what].handle(self.now, Tick()))
+            self.carry_out(what, self.members[what].handle(self.now, TimerExpired()))
         elif kind == "deliver":
             self.flight -= {what}
             sender, receiver, message = what
             self.told[receiver] = self.told.get(receiver, frozenset()) | {sender}
-            self.carry_out(receiver, self.members[receiver].handle(self.now, Received(sender, message)))
+            self.carry_out(
+                receiver, self.members[receiver].handle(self.now, MessageReceived(sender, message))
+            )
         else:
             self.restarts -= 1
-            member = self.members[what] = self.core(THREE, what, Timing(), 0, self.now, None, False, 0)
+            member = self.members[what] = self.core(_config(what), 0, self.now, RecoveredState())
             member.random = Even()  # type: ignore[assignment]
             self.carry_out(what, member.start(self.now))
 
     def carry_out(self, name: str, actions: list[Any]) -> None:
         for action in actions:
             match action:
-                case Tell(member, message):
+                case SendMessage(member, message):
                     self.flight |= {(name, member, message)}
-                case Store(Vote(_, voted, _)) if voted == name and not self.told.get(name):
-                    raise Broken(f"{name} stands though nobody could have told it that it may")
-                case Claim(term):
+                case StoreVote(Vote(_, voted, _)) if voted == name and not self.told.get(name):
+                    raise PropertyViolationError(
+                        f"{name} stands though nobody could have told it that it may"
+                    )
+                case AnnounceAddress(term):
                     if self.terms.setdefault(term, name) != name or term in list(self.terms)[:-1]:
-                        raise Broken(f"a second claim of term {term}")
-                case Hold(until):
+                        raise PropertyViolationError(f"a second claim of term {term}")
+                case ExtendLease(until):
                     if any(ends > self.now for other, ends in self.ends.items() if other != name):
-                        raise Broken(f"{name} holds beside another")
+                        raise PropertyViolationError(f"{name} holds beside another")
                     self.ends[name] = until
-                case Withdraw():
+                case WithdrawAddress():
                     self.ends.pop(name, None)
         for action in actions:
-            if type(action).__name__ == "SetTimer":
+            if isinstance(action, SetTimer):
                 self.wakes[name] = action.at
 
 
@@ -386,6 +421,6 @@
 
 @pytest.mark.parametrize("core", BROKEN)
 def test_every_order_of_a_small_model_finds_a_broken_core(core: type[Election]) -> None:
-    with pytest.raises(Broken):
+    with pytest.raises(PropertyViolationError):
         explore(Small(core), 5)
         explore(holding(core), 7)
--- a/tests/address_failover/test_recorded_elections.py
+++ b/tests/address_failover/test_recorded_elections.py
@@ -12,14 +12,15 @@
 
 import pytest
 
-from saltcourse.address_failover.messages import Action, Message, Note, Tell
+from saltcourse.address_failover.actions import Action, LogEvent, SendMessage
+from saltcourse.address_failover.messages import ElectionMessage
 from saltcourse.emulator import election as emulator
 from saltcourse.emulator.simnet import Host
 
-ACTIONS, MESSAGES = get_args(Action), get_args(Message)
+ACTIONS, MESSAGES = get_args(Action), get_args(ElectionMessage)
 
 
-class RecordedWorld(emulator.World):
+class RecordedElection(emulator.SimulatedElection):
     """An election that sums up what its members do."""
 
     def __init__(self, *args: Any, **options: Any) -> None:
@@ -30,8 +31,8 @@
     def _carry_out(self, host: Host, actions: list[Action]) -> None:
         for action in actions:
             kind = ACTIONS.index(type(action))
-            values = () if isinstance(action, Note) else astuple(action)
-            message = MESSAGES.index(type(action.message)) if isinstance(action, Tell) else None
+            values = () if isinstance(action, LogEvent) else astuple(action)
+            message = MESSAGES.index(type(action.message)) if isinstance(action, SendMessage) else None
             self.actions += 1
             line = f"{self.net.now:.9f} {host.name} {kind} {message} {values!r}\n"
             self.digest.update(line.encode())
@@ -40,27 +41,32 @@
 
 @pytest.fixture(autouse=True)
 def _recorded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(emulator, "World", RecordedWorld)
+    monkeypatch.setattr(emulator, "SimulatedElection", RecordedElection)
 
 
-def recorded(seed: int) -> RecordedWorld:
-    world = emulator.play(seed)
-    assert isinstance(world, RecordedWorld)
+def recorded(seed: int) -> RecordedElection:
+    world = emulator.run_schedule(seed)
+    assert isinstance(world, RecordedElection)
     return world
 
 
 @pytest.mark.parametrize(
-    ("seed", "actions", "events", "sent", "claims", "digest"),
+    ("seed", "actions", "events", "sent", "announcements", "digest"),
     [
         (1078, 644, 264, 325, 4, "089479db7909a5de87db238e5e34033a"),
         (30112, 823, 366, 426, 2, "7da5f1bdde138395f48bd45f937326c1"),
     ],
 )
 def test_seeds_that_found_faults_give_the_same_election(
-    seed: int, actions: int, events: int, sent: int, claims: int, digest: str
+    seed: int, actions: int, events: int, sent: int, announcements: int, digest: str
 ) -> None:
     world = recorded(seed)
-    assert (world.actions, world.events, world.net.sent, len(world.claims)) == (actions, events, sent, claims)
+    assert (world.actions, world.event_count, world.net.sent, len(world.announcements)) == (
+        actions,
+        events,
+        sent,
+        announcements,
+    )
     assert world.digest.hexdigest() == digest
 
 
--- a/tests/config/test_operator.py
+++ b/tests/config/test_operator.py
@@ -53,7 +53,11 @@
 
 def test_a_good_file_is_read_and_an_empty_one_switches_nothing_on(tmp_path: Path) -> None:
     told = membership(write(tmp_path))
-    assert told.places["w"] == ("::1", 7001) and told.timing.renew == pytest.approx(0.1) and not told.witness
+    assert (
+        told.places["w"] == ("::1", 7001)
+        and told.timing.renewal_interval == pytest.approx(0.1)
+        and not told.witness
+    )
     assert told.bgp is not None and told.bgp.hold == 3 and told.store_file is None
     assert read_operator(write(tmp_path, "# nothing\n"), "p").membership is None
     fleet = read_operator(write(tmp_path, "fleet { term_s: 3 counts: true }"), "p").fleet
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -29,7 +29,9 @@
     "saltcourse.balancing": CHOICES,
     "saltcourse.shared_state": CHOICES,
     "saltcourse.gossip": CHOICES,
+    "saltcourse.address_failover.bgp_session": CHOICES,
     "saltcourse.address_failover.election": CHOICES,
+    "saltcourse.address_failover.promises": CHOICES,
     "saltcourse.balancing.actions": WORDS,
     "saltcourse.balancing.events": WORDS,
     "saltcourse.balancing.settings": WORDS,
@@ -44,8 +46,17 @@
     "saltcourse.gossip.fields": WORDS,  # the codec of records
     "saltcourse.gossip.messages": WORDS,
     "saltcourse.gossip.settings": WORDS,
-    "saltcourse.address_failover.messages": WORDS,
+    "saltcourse.address_failover.actions": WORDS,
     "saltcourse.address_failover.authentication": WORDS,  # the codec of sealed messages and keys
+    "saltcourse.address_failover.errors": WORDS,
+    "saltcourse.address_failover.events": WORDS,
+    "saltcourse.address_failover.message_codec": WORDS,
+    "saltcourse.address_failover.messages": WORDS,
+    "saltcourse.address_failover.replay_window": WORDS,
+    "saltcourse.address_failover.terms": WORDS,
+    "saltcourse.address_failover.timing": WORDS,
+    "saltcourse.address_failover.vote": WORDS,
+    "saltcourse.address_failover.voters": WORDS,
     "saltcourse.emulator": BESIDE,
 }
 ROOT = "saltcourse"  # its floor is its own file's alone: a new module or package below it names its own
