--- a/saltcourse/shared_state/codec.py
+++ b/saltcourse/shared_state/codec.py
@@ -2,9 +2,9 @@
 
     2AbQ0cHk9+srv1grp1-srv2grp2        version, incarnation, sequence, digest, then records
 
-A record is a character for its kind and a body whose length the kind says. Numbers are digits to the base of
-64, the largest first. Rules of this file: any text is a message or a ``BadMessage``; a message that was
-decoded gives the same text again.
+A record is a character for its kind and a body whose length the kind gives. Numbers are digits to the base of
+64, the most significant first. Rules of this file: any text is a message or a ``MalformedMessageError``; a
+message that was decoded gives the same text again.
 """
 
 from __future__ import annotations
@@ -15,6 +15,7 @@
 from functools import lru_cache
 from typing import Any
 
+from saltcourse.shared_state.errors import MalformedMessageError
 from saltcourse.shared_state.messages import (
     ClockReading,
     Connections,
@@ -31,11 +32,11 @@
     SnapshotRequest,
 )
 
-MAX_BYTES = 256  # of a datagram; a longer one voids a run
+MAX_BYTES = 256  # of a datagram
 VERSION = "2"
 DIGITS = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789_-"  # '-' last: for patterns
 VALUE_OF_DIGIT = {digit: value for value, digit in enumerate(DIGITS)}
-# Digits of each.
+# Lengths in digits.
 INCARNATION_LENGTH, SEQUENCE_LENGTH, DIGEST_LENGTH = 2, 3, 3
 NAME_LENGTH, NUMBER_LENGTH, CLOCK_LENGTH = 4, 3, 5
 PAIR_LENGTH = 2 * NAME_LENGTH
@@ -45,30 +46,27 @@
 SEQUENCES = 1 << 6 * SEQUENCE_LENGTH
 DIGESTS = 1 << 6 * DIGEST_LENGTH
 NUMBERS = 1 << 6 * NUMBER_LENGTH
-CLOCK_MODULUS = 1 << 6 * CLOCK_LENGTH  # units: four months
-SCALE_STEPS = 100  # of one slot
-COUNTS_CACHED = 512  # encoded numbers of connections: the same small ones are encoded again and again
-
-
-class BadMessage(Exception):
-    """A peer sent what no proxy of this version sends; the text says what."""
+CLOCK_MODULUS = 1 << 6 * CLOCK_LENGTH  # clock units: four months
+SCALE_STEPS_PER_SLOT = 100
+MAX_CACHED_COUNTS = 512  # encoded counts of connections: the same small ones are encoded again and again
 
 
 def encode_number(value: int, length: int) -> str:
-    """The last ``length`` digits: what does not fit begins again at 0."""
+    """The last ``length`` digits: numbers count modulo what fits."""
     return "".join([DIGITS[value >> shift & 63] for shift in range(6 * length - 6, -1, -6)])
 
 
 def decode_number(digits: str) -> int:
+    """The value of digits, which must all be of DIGITS."""
     value = 0
     for digit in digits:
         value = value << 6 | VALUE_OF_DIGIT[digit]
     return value
 
 
-@lru_cache(maxsize=COUNTS_CACHED)
+@lru_cache(maxsize=MAX_CACHED_COUNTS)
 def encode_count(count: int) -> str:
-    """What does not fit is told as the largest that does."""
+    """A count of connections; one that does not fit is sent as the largest that does."""
     return encode_number(min(max(0, count), NUMBERS - 1), NUMBER_LENGTH)
 
 
@@ -86,14 +84,14 @@
 
 
 def _decode_connections(text: str) -> Connections:
-    # Written out, for these are most of all records: one for each server with each heartbeat.
+    # Written out, for most records are of this type: one for each backend with each heartbeat.
     values = VALUE_OF_DIGIT
     count = values[text[-3]] << 12 | values[text[-2]] << 6 | values[text[-1]]
     return Connections(text[1 : 1 + NAME_LENGTH], count)
 
 
 def _encode_connections(record: Connections) -> str:
-    return record.server + encode_count(record.count)
+    return record.backend + encode_count(record.count)
 
 
 def _decode_ejection(text: str) -> EjectionNotice:
@@ -101,7 +99,7 @@
 
 
 def _encode_ejection(record: EjectionNotice) -> str:
-    return record.server + encode_number(record.end, CLOCK_LENGTH)
+    return record.backend + encode_number(record.end, CLOCK_LENGTH)
 
 
 FORMATS: dict[type[Record], RecordFormat] = {
@@ -114,8 +112,8 @@
     Scale: RecordFormat(
         "=",
         NUMBER_LENGTH,
-        lambda record: encode_count(round(SCALE_STEPS * record.slots)),
-        lambda text: Scale(decode_number(text[1:]) / SCALE_STEPS),
+        lambda record: encode_count(round(SCALE_STEPS_PER_SLOT * record.slots)),
+        lambda text: Scale(decode_number(text[1:]) / SCALE_STEPS_PER_SLOT),
     ),
     ResendRequest: RecordFormat(
         "?",
@@ -151,6 +149,7 @@
 
 
 def encode_record(record: Record) -> str:
+    """The kind and the body of a record."""
     form = FORMATS[type(record)]
     return form.kind + form.encode(record)
 
@@ -159,6 +158,7 @@
 
 
 def encode(message: Message) -> str:
+    """The text of a message, which may be longer than MAX_BYTES: see ``split_to_fit``."""
     return "".join(
         (
             VERSION,
@@ -171,13 +171,13 @@
 
 
 def decode(text: str) -> Message:
-    """Raises BadMessage."""
+    """A message of a peer. Raises MalformedMessageError."""
     if len(text) > MAX_BYTES or len(text) < HEADER_LENGTH:
-        raise BadMessage("too long or too short")
+        raise MalformedMessageError("too long or too short")
     if not text.startswith(VERSION):
-        raise BadMessage("another version")
+        raise MalformedMessageError("another version")
     if MESSAGE.fullmatch(text) is None:
-        raise BadMessage("a character that is no digit, an unknown record, or a part of one")
+        raise MalformedMessageError("a character that is no digit, an unknown record, or a part of one")
     header = decode_number(text[len(VERSION) : HEADER_LENGTH])  # three numbers as if they were one
     rest, digest = divmod(header, DIGESTS)
     incarnation, sequence = divmod(rest, SEQUENCES)
@@ -186,7 +186,7 @@
 
 
 def split_to_fit(records: Sequence[Record]) -> Iterator[tuple[Record, ...]]:
-    """The records in their order, in parts of which each fits into one message; at least one part."""
+    """The records in their order, in parts that each fit into one message; at least one part."""
     part: list[Record] = []
     size = HEADER_LENGTH
     for record in records:
--- /dev/null
+++ b/saltcourse/shared_state/errors.py
@@ -0,0 +1,11 @@
+"""Errors of this package; each says what was found."""
+
+from __future__ import annotations
+
+
+class SharedStateError(Exception):
+    """Base of all errors that this package raises."""
+
+
+class MalformedMessageError(SharedStateError):
+    """A peer sent what no proxy of this version sends."""
--- a/saltcourse/shared_state/messages.py
+++ b/saltcourse/shared_state/messages.py
@@ -1,36 +1,38 @@
-"""What proxies of one tier say to each other: a message is a header and records. ``codec`` has their bytes.
+"""Messages between the proxies of one tier: a header and records. ``codec`` has their bytes.
 
-Servers and groups are named by the short names of ``names``. Every number counts modulo what ``codec`` has
-room for. Times are units of the sender's own clock (``CLOCK_UNIT``), which the receiver has to compare.
+Backends and groups go by their ``short_names``. Every number counts modulo what ``codec`` has room for.
+Times are units of the sender's own clock (``CLOCK_UNIT_SECONDS``), which the receiver has to compare with
+its own.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-CLOCK_UNIT = 0.01  # s
-EntryKey = str  # of a table: the short name of a server, or of a server and a group, one behind the other
+CLOCK_UNIT_SECONDS = 0.01
+# Of a table: the short name of a backend, or of a backend and a group, one behind the other.
+EntryKey = str
 
 
 @dataclass(frozen=True, slots=True)
 class PairHeld:
-    """The sender has connections of a group at a server."""
+    """The sender has connections of a group at a backend."""
 
     pair: EntryKey
 
 
 @dataclass(frozen=True, slots=True)
 class PairReleased:
-    """The sender has no longer any connection of a group at a server."""
+    """The sender no longer has any connection of a group at a backend."""
 
     pair: EntryKey
 
 
 @dataclass(frozen=True, slots=True)
 class Connections:
-    """The sender has so many connections at a server."""
+    """The sender has ``count`` connections at a backend."""
 
-    server: EntryKey
+    backend: EntryKey
     count: int
 
 
@@ -41,33 +43,33 @@
 
 @dataclass(frozen=True, slots=True)
 class Scale:
-    """A server's whole load in slots, as the sender has learned it."""
+    """The capacity scale that the sender has learned: a backend's whole load in slots."""
 
     slots: float
 
 
 @dataclass(frozen=True, slots=True)
 class ResendRequest:
-    """Send again what followed the message of this sequence."""
+    """Asks for what followed the message of this sequence."""
 
     after: int
 
 
 @dataclass(frozen=True, slots=True)
 class SnapshotRequest:
-    """Send the whole table."""
+    """Asks for the whole table."""
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseRequest:
-    """Renew the lease of the sender's portion that is leased from you, see ``quota``."""
+    """Asks to renew the lease of the sender's portion that the receiver grants, see ``quota``."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseGrant:
-    """It is renewed, counted from the sending of the request of that number."""
+    """The lease is renewed, counted from the sending of the request of that number."""
 
     number: int
 
@@ -81,9 +83,9 @@
 
 @dataclass(frozen=True, slots=True)
 class EjectionNotice:
-    """The sender has ejected a server until then, see ``ejections``."""
+    """The sender has ejected a backend until ``end``, see ``ejections``."""
 
-    server: EntryKey
+    backend: EntryKey
     end: int
 
 
@@ -98,8 +100,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """``incarnation`` is drawn anew at each start; ``sequence`` grows by one a message; ``digest`` sums up
-    what the sender has announced of its table, this message included."""
+    """The records of one datagram.
+
+    ``incarnation`` is drawn anew at each start; ``sequence`` grows by one a message; ``digest`` is that of
+    the table as the sender has announced it, this message included.
+    """
 
     incarnation: int
     sequence: int
--- a/tests/shared_state/test_shared_state.py
+++ b/tests/shared_state/test_shared_state.py
@@ -29,8 +29,9 @@
 from saltcourse.config import PeerAddresses
 from saltcourse.emulator.simnet import Host, Link, Network
 from saltcourse.proxy.peer_link import PeerLink
-from saltcourse.shared_state.codec import MAX_BYTES, BadMessage, decode, encode
+from saltcourse.shared_state.codec import MAX_BYTES, decode, encode
 from saltcourse.shared_state.ejections import Ejections
+from saltcourse.shared_state.errors import MalformedMessageError
 from saltcourse.shared_state.messages import (
     ClockReading,
     Connections,
@@ -82,7 +83,7 @@
 def test_any_text_is_a_message_or_is_refused(text: str) -> None:
     try:
         message = decode(text)
-    except BadMessage:
+    except MalformedMessageError:
         return
     assert encode(message) == text
 
@@ -91,7 +92,7 @@
 def test_any_message_comes_as_it_was_sent(message: Message) -> None:
     text = encode(message)
     if len(text) > MAX_BYTES:
-        with pytest.raises(BadMessage):
+        with pytest.raises(MalformedMessageError):
             decode(text)
     else:
         assert decode(text) == message
@@ -275,14 +276,14 @@
         def _start(self, now: float) -> None:
             self.granted_until = self.granted_until or dict.fromkeys(self.predecessors, now)
 
-        def renew(self, now: float, sender: int, grant: LeaseGrant) -> None:
+        def receive_grant(self, now: float, sender: int, grant: LeaseGrant) -> None:
             self.open_requests = dict.fromkeys(self.open_requests, now)
-            super().renew(now, sender, grant)
+            super().receive_grant(now, sender, grant)
 
     class Greedy(SharedState):
         def __init__(self, *args: Any) -> None:
             super().__init__(*args)
-            self.leases = Hasty(self.index, self.leases.count, self.terms)
+            self.leases = Hasty(self.index, self.leases.proxy_count, self.settings)
 
     class Ageless(Ejections):
         """Counts an ejection's time from its coming."""
@@ -293,7 +294,7 @@
     class Late(SharedState):
         def __init__(self, *args: Any) -> None:
             super().__init__(*args)
-            self.ejections = Ageless(self.terms.clock_drift)
+            self.ejections = Ageless(self.settings.clock_drift)
 
     assert caught(Proud, Proxies.wrong)
     assert caught(Greedy, Proxies.overspent)
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -41,8 +41,9 @@
     "saltcourse.signals": WORDS,
     "saltcourse.metrics": WORDS,
     "saltcourse.shared_state.codec": WORDS,
+    "saltcourse.shared_state.errors": WORDS,
     "saltcourse.shared_state.messages": WORDS,
-    "saltcourse.shared_state.names": WORDS,
+    "saltcourse.shared_state.short_names": WORDS,
     "saltcourse.gossip.fields": WORDS,  # the codec of records
     "saltcourse.gossip.messages": WORDS,
     "saltcourse.gossip.settings": WORDS,
