--- a/saltcourse/address_failover/election.py
+++ b/saltcourse/address_failover/election.py
@@ -56,6 +56,7 @@
     ShutdownRequested,
     TimerExpired,
 )
+from saltcourse.address_failover.grants import Grants
 from saltcourse.address_failover.messages import (
     ElectionMessage,
     LeaseRelease,
@@ -85,7 +86,7 @@
     STOPPED = "stopped"
 
 
-RUNNING = (Role.PRE_CANDIDATE, Role.CANDIDATE)
+CANDIDACY = (Role.PRE_CANDIDATE, Role.CANDIDATE)
 
 
 class Election:
@@ -99,7 +100,6 @@
         self.own_name = config.own_name
         self.others = config.others
         self._own_index = config.own_index
-        self._majority = config.majority
         self._start_delay = config.start_delay
         self._is_witness = config.own_voter.witness
         self.random = random.Random(seed)
@@ -108,7 +108,7 @@
         self.can_announce = True
         self.term = 0  # of the candidacy or the lease
         self.transferred_term = 0  # the term of the lease that was transferred for this candidacy; 0: none
-        self.grants: dict[str, float] = {}  # voter -> when the request was sent that it last granted
+        self.grants = Grants(config.majority, config.timing.holder_lease)
         self.last_received: dict[str, float] = {}  # member -> when its last message came
         self.lease_ends_at = LONG_AGO
         self.candidacy_started_at = now
@@ -119,7 +119,7 @@
         self._actions: list[Action] = []
 
     def start(self, now: float) -> list[Action]:
-        """The actions of the beginning; to be called once."""
+        """Begin as a follower; to be called once."""
         self._begin_event(now)
         self._follow()
         return self._end_event()
@@ -156,17 +156,17 @@
     def _next_deadline(self) -> float:
         if self.role is Role.HOLDER:
             return min(self.next_send_at, self.lease_ends_at)
-        if self.role in RUNNING:
+        if self.role in CANDIDACY:
             return min(self.next_send_at, self.candidacy_ends_at)
         return self.next_candidacy_at
 
     def _check_deadlines(self) -> None:
-        """Rule 3."""
+        """Rule 3: what has expired ends before the event is looked at."""
         if self.role is Role.HOLDER and self.now >= self.lease_ends_at:
             self._actions.append(LogEvent("lease expired"))
             self._step_down()
             self._follow()
-        elif self.role in RUNNING and self.now >= self.candidacy_ends_at:
+        elif self.role in CANDIDACY and self.now >= self.candidacy_ends_at:
             self._abandon_candidacy()
 
     def _on_timer(self) -> None:
@@ -190,7 +190,7 @@
     # ---- candidacy ------------------------------------------------------------------------------------
 
     def _become_pre_candidate(self) -> None:
-        """Rule 6: ask who would vote."""
+        """Ask who would vote, which changes nothing at the others (rule 6)."""
         if not self.promises.allows(self.now, self.own_name):
             self._follow()
             return
@@ -198,7 +198,7 @@
 
     def _start_candidacy(self, role: Role) -> None:
         self.role = role
-        self.grants = {}
+        self.grants.clear()
         self.term = next_term(self.promises.vote.term, self._own_index)
         if role is Role.CANDIDATE:
             self._actions += self.promises.vote_for(self.now, self.own_name, self.term)
@@ -218,19 +218,18 @@
         if not self._answers_this_candidacy(response):
             return
         if response.granted:
-            self._record_grant(sender, response.request_sent_at)
+            self.grants.record(sender, response.request_sent_at)
             self._count_grants()
         elif self._is_overtaken_by(response.newest_term):
-            self._actions += self.promises.learn_term(
-                response.newest_term
-            )  # the next candidacy starts above it
+            # The next candidacy takes a term above it.
+            self._actions += self.promises.learn_term(response.newest_term)
             self._abandon_candidacy()
 
     def _answers_this_candidacy(self, response: VoteResponse) -> bool:
         """A pre-vote uses up no term, so only the time tells which of two rounds a response belongs to."""
         expects_pre_vote = self.role is Role.PRE_CANDIDATE
         return (
-            self.role in RUNNING
+            self.role in CANDIDACY
             and response.term == self.term
             and response.pre_vote is expects_pre_vote
             and response.request_sent_at >= self.candidacy_started_at
@@ -239,11 +238,8 @@
     def _is_overtaken_by(self, term: int) -> bool:
         return term_round(term) >= term_round(self.term) and term != self.term
 
-    def _record_grant(self, voter: str, request_sent_at: float) -> None:
-        self.grants[voter] = max(request_sent_at, self.grants.get(voter, LONG_AGO))
-
     def _count_grants(self) -> None:
-        if len(self.grants) + 1 < self._majority:
+        if not self.grants.is_majority():
             return
         if self.role is Role.PRE_CANDIDATE:
             self._start_candidacy(Role.CANDIDATE)
@@ -251,14 +247,14 @@
             self._become_holder()
 
     def _abandon_candidacy(self) -> None:
-        """Give the round up, and free those that have promised something."""
+        """Give the candidacy up, and free those that have promised something."""
         if self.role is Role.CANDIDATE:
             self._release_promises(self.term)
         self.transferred_term = 0
         self._follow()
 
     def _release_promises(self, term: int) -> None:
-        """Without it a split vote would cost a whole lease duration."""
+        """Free the voters of their promises; without it a split vote would cost a whole lease duration."""
         self._actions += [SendMessage(voter.name, LeaseRelease(term)) for voter in self.others]
         self._on_release(self.own_name, term)
 
@@ -266,7 +262,7 @@
 
     def _become_holder(self) -> None:
         self.transferred_term = 0
-        if self._granted_until() <= self.now:  # the votes took longer than they are good for
+        if self.grants.lease_end(self.now) <= self.now:  # the votes took longer than they are good for
             self._abandon_candidacy()
             return
         self.role = Role.HOLDER
@@ -274,31 +270,23 @@
         self._extend_lease()
         self._renew()
 
-    def _granted_until(self) -> float:
-        """When the promises of a majority, this member's own among them, may begin to expire (rule 2)."""
-        needed = self._majority - 1
-        if needed == 0:
-            return self.now + self.timing.holder_lease
-        newest_first = sorted(self.grants.values(), reverse=True)
-        return newest_first[needed - 1] + self.timing.holder_lease
-
     def _extend_lease(self) -> None:
-        granted_until = self._granted_until()
-        if granted_until > self.lease_ends_at:
-            self.lease_ends_at = granted_until
-            self._actions.append(ExtendLease(granted_until))
+        lease_end = self.grants.lease_end(self.now)
+        if lease_end > self.lease_ends_at:
+            self.lease_ends_at = lease_end
+            self._actions.append(ExtendLease(lease_end))
 
     def _renew(self) -> None:
         self.next_send_at = self.now + self.timing.renewal_interval
         self._actions += self.promises.give(self.now, self.own_name, self.term)
         renewal = LeaseRenewal(self.term, self.now)
         self._actions += [SendMessage(voter.name, renewal) for voter in self.others]
-        if self._majority == 1:
+        if not self.others:
             self._extend_lease()
 
     def _on_renewal_ack(self, sender: str, ack: LeaseRenewalAck) -> None:
         if self.role is Role.HOLDER and ack.term == self.term:
-            self._record_grant(sender, ack.request_sent_at)
+            self.grants.record(sender, ack.request_sent_at)
             self._extend_lease()
 
     def _step_down(self) -> None:
@@ -370,7 +358,7 @@
                 self._on_transfer(sender, term)
 
     def _owns_term(self, member: str, term: int) -> bool:
-        """Rule 5."""
+        """Whether the member may use the term (rule 5)."""
         return term_owner(term) == self.config.index_of(member)
 
     def _on_vote_request(self, sender: str, request: VoteRequest) -> None:
--- a/tests/address_failover/test_election.py
+++ b/tests/address_failover/test_election.py
@@ -314,7 +314,7 @@
         new.members = {}
         for name, member in self.members.items():
             new.members[name] = twin = copy.copy(member)
-            twin.grants, twin.last_received = dict(member.grants), dict(member.last_received)
+            twin.grants, twin.last_received = copy.deepcopy(member.grants), dict(member.last_received)
             twin.promises = copy.copy(member.promises)
         new.wakes, new.ends, new.terms = dict(self.wakes), dict(self.ends), dict(self.terms)
         new.told = dict(self.told)
@@ -336,7 +336,7 @@
                     m.next_candidacy_at,
                     m.next_send_at,
                     m.candidacy_ends_at,
-                    tuple(sorted(m.grants.items())),
+                    tuple(sorted(m.grants.request_sent_at.items())),
                     m.promises.abstains_until,
                 )
                 for m in self.members.values()
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -31,6 +31,7 @@
     "saltcourse.gossip": CHOICES,
     "saltcourse.address_failover.bgp_session": CHOICES,
     "saltcourse.address_failover.election": CHOICES,
+    "saltcourse.address_failover.grants": CHOICES,
     "saltcourse.address_failover.promises": CHOICES,
     "saltcourse.balancing.actions": WORDS,
     "saltcourse.balancing.events": WORDS,
