--- a/tests/shared_state/test_golden_messages.py
+++ b/tests/shared_state/test_golden_messages.py
@@ -27,7 +27,7 @@
     SnapshotRequest,
 )
 from saltcourse.shared_state.outbox import Outgoing
-from tests.shared_state.test_shared_state import Proxies, trouble
+from tests.shared_state.simulated_proxies import SimulatedProxies, run_with_faults
 
 GOLDEN = (  # of a site of 8 proxies within 20 s; the last two by hand
     "277AAEtPS*",
@@ -107,8 +107,8 @@
     assert site.digest.hexdigest() == "48a192a047949130711d3c34964abcf7"
 
 
-class RecordedProxies(Proxies):
-    """Proxies with scales and probes besides, that sum up what they send and what they answer the module."""
+class RecordedProxies(SimulatedProxies):
+    """Proxies with scales and health checks besides, that sum up what they send and answer."""
 
     def __init__(self, seed: int, link: Link) -> None:
         self.digest = hashlib.blake2b(digest_size=16)
@@ -140,5 +140,5 @@
 def test_proxies_in_trouble_send_and_answer_what_they_always_did(seed: int, wanted: str) -> None:
     """Losses, doubled messages, a cut, a stop and a restart."""
     proxies = RecordedProxies(seed, Link(delay=(0.0017, 0.3), loss=0.2, double=0.2))
-    trouble(proxies)
+    run_with_faults(proxies)
     assert proxies.digest.hexdigest() == wanted
--- a/tests/shared_state/test_processes.py
+++ b/tests/shared_state/test_processes.py
@@ -1,7 +1,7 @@
-"""Several processes of the program on loopback, and faults between them: judged by what the providers saw.
+"""Several processes of the program on loopback, and faults between them: judged by what the backends saw.
 
 Each proxy reaches each other one through a relay, which loses, delays and cuts. The proxies are busy with
-clients all the while, so that they want more probes than the fleet may send.
+clients all the while, so that they want more health checks than the fleet may send.
 """
 
 from __future__ import annotations
@@ -22,8 +22,9 @@
 from tests.proxy.test_process_replacement import admin_answer
 from tests.shared_state.test_shared_state import free_addresses
 
-COUNT, SERVERS = 4, 3
-TERM, PROBES = 2.0, 3.0  # s; a second that one provider gets of all proxies together
+COUNT, BACKENDS = 4, 3
+LEASE_TERM = 2.0  # s
+HEALTH_CHECKS = 3.0  # a second that one backend gets of all proxies together
 ROOT = Path(__file__).parents[2]
 
 
@@ -33,10 +34,10 @@
     def __init__(self, listens: list[tuple[str, int]]) -> None:
         self.listens, self.random = listens, random.Random(7)
         self.sockets: dict[tuple[int, int], asyncio.DatagramTransport] = {}
-        self.places: dict[tuple[int, int], tuple[str, int]] = {}
+        self.addresses: dict[tuple[int, int], tuple[str, int]] = {}
         self.loss, self.delay = 0.0, (0.0017, 0.028)
         self.cut: set[tuple[int, int]] = set()
-        self.passed = self.longest = 0
+        self.forwarded = self.longest = 0
 
     async def open(self) -> None:
         loop = asyncio.get_running_loop()
@@ -45,12 +46,12 @@
                 lambda pair=pair: _End(self, pair), local_addr=("127.0.0.1", 0)
             )  # type: ignore[misc]
             self.sockets[pair] = transport
-            self.places[pair] = transport.get_extra_info("sockname")
+            self.addresses[pair] = transport.get_extra_info("sockname")
 
-    def came(self, pair: tuple[int, int], data: bytes) -> None:
+    def forward(self, pair: tuple[int, int], data: bytes) -> None:
         self.longest = max(self.longest, len(data))
         if pair not in self.cut and self.random.random() >= self.loss:
-            self.passed += 1
+            self.forwarded += 1
             i, j = pair
             asyncio.get_running_loop().call_later(
                 self.random.uniform(*self.delay), self.sockets[j, i].sendto, data, self.listens[j]
@@ -65,14 +66,14 @@
         self.relay, self.pair = relay, pair
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        self.relay.came(self.pair, data)
+        self.relay.forward(self.pair, data)
 
 
-class Provider:
+class Backend:
     """Answers OPEN and STATS, and keeps the time of each question for its load."""
 
     def __init__(self) -> None:
-        self.probes: list[float] = []
+        self.health_checks: list[float] = []
         self.open = 0
         self.server: asyncio.Server | None = None
         self.address = ("127.0.0.1", free_port())
@@ -85,7 +86,7 @@
         with contextlib.suppress(ConnectionError):
             while line := await reader.readline():
                 if line == b"STATS\r\n":
-                    self.probes.append(asyncio.get_running_loop().time())
+                    self.health_checks.append(asyncio.get_running_loop().time())
                     writer.write(b"PONG q=0,x0=0.5\r\n")
                 elif line.startswith(b"OPEN "):
                     held = True
@@ -96,18 +97,18 @@
 
     def over_budget(self) -> bool:
         low = 0.0
-        for n, at in enumerate(self.probes):
-            level = n - PROBES * (at - self.probes[0]) * 1.02
+        for n, at in enumerate(self.health_checks):
+            level = n - HEALTH_CHECKS * (at - self.health_checks[0]) * 1.02
             low = min(low, level)
             if level + 1 - low > 2 * COUNT + 1:  # the burst; one that was on its way from before a stop
                 return True
         return False
 
 
-def write_config(folder: Path, index: int, relay: Relay, providers: list[Provider]) -> dict[str, Any]:
+def write_config(folder: Path, index: int, relay: Relay, backends: list[Backend]) -> dict[str, Any]:
     values: dict[str, Any] = json.loads(EXAMPLE.read_text())
-    told = values["settings"]
-    told.update(
+    own_settings = values["settings"]
+    own_settings.update(
         balancers=COUNT,
         self_index=index,
         zone="z",
@@ -115,21 +116,21 @@
         discovery="pushed",
         report={"how": "pull", "fields": ["q", "x0"]},
     )
-    told["limits"] |= {"peers": True, "may_probe": True}
-    told["extra"] |= {"groups": True}
+    own_settings["limits"] |= {"peers": True, "may_probe": True}
+    own_settings["extra"] |= {"groups": True}
     values.update(
         name=f"n{index}",
         listen=f"127.0.0.1:{free_port()}",
         admin=f"127.0.0.1:{free_port()}",
         discovery=f"127.0.0.1:{free_port()}",
         peer_listen="{}:{}".format(*relay.listens[index]),
-        peers=["{}:{}".format(*relay.places[index, j]) for j in range(COUNT)],
+        peers=["{}:{}".format(*relay.addresses[index, j]) for j in range(COUNT)],
         known={
             "version": 1,
             "full": True,
             "servers": [
                 {"id": f"s{i}", "state": "SERVING", "zone": "z", "addr": "{}:{}".format(*p.address)}
-                for i, p in enumerate(providers)
+                for i, p in enumerate(backends)
             ],
         },
     )
@@ -138,11 +139,11 @@
 
 
 class Fleet:
-    def __init__(self, folder: Path, relay: Relay, providers: list[Provider]) -> None:
+    def __init__(self, folder: Path, relay: Relay, backends: list[Backend]) -> None:
         self.folder = folder
-        self.values = [write_config(folder, i, relay, providers) for i in range(COUNT)]
+        self.values = [write_config(folder, i, relay, backends) for i in range(COUNT)]
         (folder / "operator.txtpb").write_text(
-            f"fleet {{ term_s: {TERM} counts: true probes_per_s: {PROBES} }}\n"
+            f"fleet {{ term_s: {LEASE_TERM} counts: true probes_per_s: {HEALTH_CHECKS} }}\n"
         )
         self.processes: list[subprocess.Popen[bytes]] = [self.run(i) for i in range(COUNT)]
 
@@ -235,45 +236,45 @@
 async def play(folder: Path) -> None:
     relay = Relay(list(free_addresses(COUNT)))
     await relay.open()
-    providers = [Provider() for _ in range(SERVERS)]
-    for provider in providers:
-        await provider.start()
-    fleet = Fleet(folder, relay, providers)
+    backends = [Backend() for _ in range(BACKENDS)]
+    for backend in backends:
+        await backend.start()
+    fleet = Fleet(folder, relay, backends)
     everyone = range(COUNT)
     try:
         for i in everyone:
             await fleet.ready(i)
         async with busy(fleet):
-            await fleet.until("peers", everyone, lambda n: n == COUNT - 1, 3 * TERM)
-            await fleet.until("pace", everyone, lambda n: n == 1000, 3 * TERM)
+            await fleet.until("peers", everyone, lambda n: n == COUNT - 1, 3 * LEASE_TERM)
+            await fleet.until("pace", everyone, lambda n: n == 1000, 3 * LEASE_TERM)
             relay.loss = 0.2
             relay.split({0}, {1, 2, 3})  # one hears nothing: given up, and its tokens inherited
-            await fleet.until("peers", [0], lambda n: n == 0, 4 * TERM)
-            await fleet.until("peers", [1, 2, 3], lambda n: n == 2, 4 * TERM)
+            await fleet.until("peers", [0], lambda n: n == 0, 4 * LEASE_TERM)
+            await fleet.until("peers", [1, 2, 3], lambda n: n == 2, 4 * LEASE_TERM)
             relay.loss = 0.5
             relay.split({0, 1}, {2, 3})  # and then half
-            await asyncio.sleep(2 * TERM)
+            await asyncio.sleep(2 * LEASE_TERM)
             relay.split()
             relay.loss = 0.1
             fleet.processes[2].send_signal(signal.SIGSTOP)
-            await asyncio.sleep(2 * TERM)  # past all that was promised to it
+            await asyncio.sleep(2 * LEASE_TERM)  # past all that was promised to it
             fleet.processes[2].send_signal(signal.SIGCONT)
             fleet.processes[1].kill()
             await asyncio.to_thread(fleet.processes[1].wait)
             fleet.processes[1] = fleet.run(1)
-            # A provider that is gone for a moment: whoever meets it first tells the others.
-            server = providers[2].server
+            # A backend that is gone for a moment: whoever meets it first tells the others.
+            server = backends[2].server
             assert server is not None
             server.close()
-            await fleet.until("judged", [0, 2, 3], lambda n: n >= 1, 3 * TERM)
-            await providers[2].start()
+            await fleet.until("judged", [0, 2, 3], lambda n: n >= 1, 3 * LEASE_TERM)
+            await backends[2].start()
             await fleet.ready(1)
         relay.loss = 0.0
         await fleet.until("judged", everyone, lambda n: n == 0, 12.0)  # the longest rest is 10 s
-        await fleet.until("peers", everyone, lambda n: n == COUNT - 1, 3 * TERM)
-        await fleet.until("pace", everyone, lambda n: n == 1000, 3 * TERM)
-        standing = sum(p.open for p in providers)
-        await fleet.until("connections", everyone, lambda n: n == standing, 3 * TERM)
+        await fleet.until("peers", everyone, lambda n: n == COUNT - 1, 3 * LEASE_TERM)
+        await fleet.until("pace", everyone, lambda n: n == 1000, 3 * LEASE_TERM)
+        standing = sum(p.open for p in backends)
+        await fleet.until("connections", everyone, lambda n: n == standing, 3 * LEASE_TERM)
         for i in everyone:
             assert (await fleet.figures(i))["svc.fleet.unreadable"] == 0
     finally:
@@ -284,12 +285,12 @@
             await asyncio.to_thread(process.wait, 10)
         for transport in relay.sockets.values():
             transport.close()
-    assert relay.passed > 100 and relay.longest <= 256
-    span = max(p.probes[-1] for p in providers) - min(p.probes[0] for p in providers)
-    for provider in providers:
-        assert not provider.over_budget()
+    assert relay.forwarded > 100 and relay.longest <= 256
+    span = max(p.health_checks[-1] for p in backends) - min(p.health_checks[0] for p in backends)
+    for backend in backends:
+        assert not backend.over_budget()
     # The budget was wanted: without one each proxy asks every half a second and more.
-    assert sum(len(p.probes) for p in providers) > 0.3 * PROBES * SERVERS * span
+    assert sum(len(p.health_checks) for p in backends) > 0.3 * HEALTH_CHECKS * BACKENDS * span
     for i in everyone:
         assert "Traceback" not in (folder / f"{i}.log").read_text()
 
--- a/tests/shared_state/test_shared_state.py
+++ b/tests/shared_state/test_shared_state.py
@@ -1,18 +1,13 @@
-"""What proxies tell each other: the codec, replicas that agree after any loss, and the socket."""
+"""Shared state: replicas that agree after any loss, bounds that hold, and what the balancing makes of it."""
 
 from __future__ import annotations
 
 import asyncio
-import random
 import socket
 from collections.abc import Callable
-from dataclasses import dataclass
-from functools import partial
 from typing import Any
 
 import pytest
-from hypothesis import given
-from hypothesis import strategies as st
 
 from saltcourse.balancing.actions import MigrateConnection, SendPeerMessage
 from saltcourse.balancing.balancer import Sign
@@ -25,31 +20,16 @@
     PeerMessageReceived,
     ResponseLatencyMeasured,
 )
-from saltcourse.balancing.settings import SharedStateSettings
 from saltcourse.config import PeerAddresses
-from saltcourse.emulator.simnet import Host, Link, Network
+from saltcourse.emulator.simnet import Link
 from saltcourse.proxy.peer_link import PeerLink
-from saltcourse.shared_state.codec import MAX_BYTES, decode, encode
+from saltcourse.shared_state.codec import MAX_BYTES
 from saltcourse.shared_state.ejections import Ejections
-from saltcourse.shared_state.errors import MalformedMessageError
-from saltcourse.shared_state.messages import (
-    ClockReading,
-    Connections,
-    EjectionNotice,
-    LeaseGrant,
-    LeaseRequest,
-    Message,
-    PairHeld,
-    PairReleased,
-    ResendRequest,
-    Reset,
-    Scale,
-    SnapshotRequest,
-)
-from saltcourse.shared_state.outbox import Outgoing
+from saltcourse.shared_state.messages import LeaseGrant
 from saltcourse.shared_state.quota import QuotaLeases
 from saltcourse.shared_state.state import SharedState
 from tests.balancing.balancer_host import Node, members, settings
+from tests.shared_state.simulated_proxies import SILENCE_SECONDS, SimulatedProxies, run_with_faults
 
 
 def free_addresses(count: int) -> tuple[tuple[str, int], ...]:
@@ -63,214 +43,34 @@
     return found
 
 
-TERMS = SharedStateSettings(share_connection_counts=True)
-SILENT = TERMS.lease_term
-NUMBER, TIME = st.integers(0, 262143), st.integers(0, 2**30 - 1)
-RECORDS = st.one_of(
-    st.sampled_from([PairHeld("srv1grp1"), PairReleased("srv1grp1"), Reset(), SnapshotRequest()]),
-    st.builds(Connections, st.just("srv1"), NUMBER),
-    st.builds(ResendRequest, NUMBER),
-    st.builds(Scale, NUMBER.map(lambda steps: steps / 100)),
-    st.builds(LeaseRequest, NUMBER),
-    st.builds(LeaseGrant, NUMBER),
-    st.builds(ClockReading, TIME),
-    st.builds(EjectionNotice, st.just("srv1"), TIME),
-)
-MESSAGES = st.builds(Message, st.integers(0, 4095), NUMBER, NUMBER, st.lists(RECORDS, max_size=20).map(tuple))
-
-
-@given(st.text(max_size=300) | st.builds(lambda m, cut: encode(m)[:cut], MESSAGES, st.integers(0, 250)))
-def test_any_text_is_a_message_or_is_refused(text: str) -> None:
-    try:
-        message = decode(text)
-    except MalformedMessageError:
-        return
-    assert encode(message) == text
-
-
-@given(MESSAGES)
-def test_any_message_comes_as_it_was_sent(message: Message) -> None:
-    text = encode(message)
-    if len(text) > MAX_BYTES:
-        with pytest.raises(MalformedMessageError):
-            decode(text)
-    else:
-        assert decode(text) == message
-
-
-@dataclass
-class Held:
-    count: int
-
-
-class Proxies:
-    """Fleets on the simulated network whose holdings change at random, judged from outside."""
-
-    def __init__(
-        self,
-        seed: int,
-        link: Link,
-        core: type[SharedState] = SharedState,
-        count: int = 4,
-        terms: SharedStateSettings = TERMS,
-    ) -> None:
-        self.random, self.core, self.count, self.terms = random.Random(seed), core, count, terms
-        hosts = [
-            Host(str(i), rate=1 + (i % 3 - 1) * self.terms.clock_drift, offset=1e5 * i) for i in range(count)
-        ]
-        self.net = Network(seed, hosts, link, self._got, None)
-        self.held = [self._empty() for _ in range(count)]
-        self.cores = [self._fresh(i) for i in range(count)]
-        self.changing = True
-        self.most = 0
-        self.paid: list[float] = []  # true times at which any proxy spent one of the server's budget
-        self.shares: list[float] = []  # of all live proxies together, at one moment each
-        self.ejections: dict[str, float] = {}  # server -> true time at which the latest ejection on it ends
-        self.outlived: list[tuple[float, str]] = []
-        for i in range(count):
-            hosts[i].alive = True
-            self.net.at(0.1 * self.random.random(), partial(self._step, i))
-
-    @staticmethod
-    def _empty() -> dict[str, Held]:
-        return {f"s{i}": Held(0) for i in range(8)}
-
-    def _fresh(self, index: int) -> SharedState:
-        told = settings(
-            proxy_count=self.count,
-            proxy_index=index,
-            peers_allowed=True,
-            has_groups=True,
-            shared_state=self.terms,
-        )
-        return self.core(told, self.random.getrandbits(12), self.held[index])
-
-    def restart(self, index: int) -> None:
-        host = self.net.hosts[str(index)]
-        self.net.crash(host, keeps_disk=False)
-        host.alive = True
-        self.held[index] = self._empty()
-        self.cores[index] = self._fresh(index)
-        self.net.at(self.net.now, partial(self._step, index))
-
-    def clock(self, index: int) -> float:
-        return self.net.hosts[str(index)].clock(self.net.now)
-
-    def _step(self, index: int) -> None:
-        host = self.net.hosts[str(index)]
-        life = host.life
-        if not host.stopped:
-            self._act(index)
-            self._send(index, self.cores[index].outgoing_messages(self.clock(index)))
-        self.net.at(self.net.now + 0.1, lambda: self._step(index) if host.life == life else None)
-
-    def _act(self, index: int) -> None:
-        core, draw, now = self.cores[index], self.random.randrange, self.clock(index)
-        if core.may_health_check(now, "s0"):
-            self.paid.append(self.net.now)
-        self.shares.append(sum(c.leases.share(self.clock(i)) for i, c in enumerate(self.cores)))
-        if self.changing and draw(10) < 3:
-            server, more = f"s{draw(8)}", draw(5) < 3
-            core.record_group(server, f"g{draw(9)}", more)
-            self.held[index][server].count = max(0, self.held[index][server].count + (1 if more else -1))
-        if self.changing and draw(100) < 2:
-            length = 0.3 + 6 * self.random.random()
-            server = f"s{draw(8)}"
-            core.announce_ejection(server, now + length)
-            self.ejections[server] = max(self.ejections.get(server, 0.0), self.net.now + 1.02 * length)
-
-    def _send(self, index: int, sends: list[Outgoing]) -> None:
-        for peer, text in sends:
-            self.most = max(self.most, len(text))
-            for other in range(self.count) if peer is None else [peer]:
-                if other != index:
-                    self.net.send(str(index), str(other), (index, text))
-
-    def _got(self, host: Host, event: Any) -> None:
-        sender, text = event
-        index = int(host.name)
-        for server in self.cores[index].receive(self.clock(index), sender, text):
-            if self.net.now > self.ejections[server] + self.net.link.delay[1]:
-                self.outlived.append((self.net.now, server))
-
-    def wrong(self) -> list[tuple[int, int]]:
-        """Whose copy of whose table differs, also in the index by which the module asks."""
-        found = []
-        for i, core in enumerate(self.cores):
-            for j, other in enumerate(self.cores):
-                indexed = {key for key, peers in core.holders.items() if j in peers}
-                if i != j and not (
-                    j in core.peers
-                    and core.peers[j].replica.entries == other.table.entries
-                    and indexed == set(other.table.entries)
-                ):
-                    found.append((i, j))
-        return found
-
-    def overspent(self, rate: float = 20.0) -> bool:
-        """More than the budget's rate and burst in any span of time, or shares that pass the whole."""
-        burst = 2.0 * self.count
-        low = 0.0
-        for n, at in enumerate(sorted(self.paid)):
-            level = n - rate * (1 + self.terms.clock_drift) * at  # spent before, less what the rate allows
-            low = min(low, level)
-            if level + 1 - low > burst + 1e-6:
-                return True
-        return max(self.shares) > 1 + 1e-9
-
-
-def trouble(proxies: Proxies) -> list[tuple[int, int]]:
-    """A cut of one proxy for longer than silence is borne, a stop of another, a restart while others are cut
-    off; then 15 s of quiet with a tenth of the messages still lost."""
-    net, last = proxies.net, proxies.count - 1
-    net.run(5.0)
-    for other in range(1, proxies.count):
-        net.cut("0", str(other), both=proxies.random.random() < 0.5)
-    net.run(9.0)
-    net.stop(net.hosts[str(last)])
-    net.run(9.0 + SILENT + 2)
-    net.heal()
-    net.go_on(net.hosts[str(last)])
-    net.run(net.now + 3)
-    proxies.restart(proxies.random.randrange(proxies.count))
-    net.cut("0", str(last // 2 + 1))
-    net.cut("1", str(last))
-    net.run(net.now + 4)
-    net.heal()
-    proxies.changing = False
-    net.link = Link(delay=(0.002, 0.03), loss=0.1)
-    net.run(net.now + 15)
-    return proxies.wrong()
-
-
 @pytest.mark.parametrize("seed", range(16))
 def test_copies_agree_budgets_hold_and_ejections_end_after_losses_cuts_stops_and_restarts(seed: int) -> None:
     link = Link(delay=(0.0017, 0.3), loss=(seed % 6) * 0.1, double=0.2)
-    proxies = Proxies(seed, link, count=3 + seed % 4)
-    assert trouble(proxies) == []
-    assert 0 < proxies.most <= MAX_BYTES
-    assert not proxies.overspent() and len(proxies.paid) > 300
-    assert not proxies.outlived
+    proxies = SimulatedProxies(seed, link, count=3 + seed % 4)
+    assert run_with_faults(proxies) == []
+    assert 0 < proxies.longest_message <= MAX_BYTES
+    assert not proxies.overspent() and len(proxies.health_checks) > 300
+    assert not proxies.outlived_ejections
 
 
-def caught(core: type[SharedState], judge: Callable[[Proxies], object]) -> bool:
+def caught(core: type[SharedState], judge: Callable[[SimulatedProxies], object]) -> bool:
     """Whether the judge finds fault with a broken core on any of some seeds."""
     for seed in range(8):
-        proxies = Proxies(seed, Link(delay=(0.0017, 0.3), loss=0.3), core)
-        trouble(proxies)
+        proxies = SimulatedProxies(seed, Link(delay=(0.0017, 0.3), loss=0.3), core)
+        run_with_faults(proxies)
         if judge(proxies):
             return True
     return False
 
 
 def test_the_judges_catch_broken_cores() -> None:
-    class Proud(SharedState):
+    class NeverRepairs(SharedState):
         """Never asks for what it has missed."""
 
         def _request_repairs(self, now: float) -> None:
             pass
 
-    class Hasty(QuotaLeases):
+    class UnsafeLeases(QuotaLeases):
         """Inherits a portion as soon as it starts; counts its own from the grant, not from the request."""
 
         def _start(self, now: float) -> None:
@@ -280,48 +80,48 @@
             self.open_requests = dict.fromkeys(self.open_requests, now)
             super().receive_grant(now, sender, grant)
 
-    class Greedy(SharedState):
+    class Overspending(SharedState):
         def __init__(self, *args: Any) -> None:
             super().__init__(*args)
-            self.leases = Hasty(self.index, self.leases.proxy_count, self.settings)
+            self.leases = UnsafeLeases(self.index, self.leases.proxy_count, self.settings)
 
-    class Ageless(Ejections):
+    class AgelessEjections(Ejections):
         """Counts an ejection's time from its coming."""
 
         def _remaining(self, now: float, origin: int, end: int) -> float:
             return 1.0
 
-    class Late(SharedState):
+    class OutlivingEjections(SharedState):
         def __init__(self, *args: Any) -> None:
             super().__init__(*args)
-            self.ejections = Ageless(self.settings.clock_drift)
+            self.ejections = AgelessEjections(self.settings.clock_drift)
 
-    assert caught(Proud, Proxies.wrong)
-    assert caught(Greedy, Proxies.overspent)
-    assert caught(Late, lambda proxies: proxies.outlived)
+    assert caught(NeverRepairs, SimulatedProxies.stale_replicas)
+    assert caught(Overspending, SimulatedProxies.overspent)
+    assert caught(OutlivingEjections, lambda proxies: proxies.outlived_ejections)
 
 
 def test_a_lost_proxy_is_given_up_its_share_inherited_and_its_connections_fade_to_a_bound() -> None:
-    proxies = Proxies(5, Link(), count=4)
+    proxies = SimulatedProxies(5, Link(), count=4)
     proxies.net.run(8.0)
     proxies.changing = False
     proxies.net.run(13.0)
     key = max(proxies.held[3], key=lambda s: proxies.held[3][s].count)
     lost, others = proxies.held[3][key].count, sum(h[key].count for h in proxies.held[:3])
-    assert lost > 1 and not proxies.wrong()
+    assert lost > 1 and not proxies.stale_replicas()
     assert proxies.cores[0].fleet_connections(proxies.clock(0), key) == lost + others
     assert all(
         core.relative_share(proxies.clock(i)) == pytest.approx(1.0) for i, core in enumerate(proxies.cores)
     )
     for other in "012":
         proxies.net.cut("3", other)
-    proxies.net.run(13.0 + SILENT + 6)
+    proxies.net.run(13.0 + SILENCE_SECONDS + 6)
     assert all(3 not in core.peers for core in proxies.cores[:3])
-    assert all(3 in pair for pair in proxies.wrong())  # nothing told for 20 s but life
+    assert all(3 in pair for pair in proxies.stale_replicas())  # nothing told for 20 s but life
     share = proxies.cores[0].relative_share(proxies.clock(0))
     assert share == pytest.approx(1.0)  # a lease lost, a portion inherited
     assert not proxies.overspent()
-    proxies.net.run(13.0 + SILENT + 6 + 600)
+    proxies.net.run(13.0 + SILENCE_SECONDS + 6 + 600)
     assert proxies.cores[0].fleet_connections(proxies.clock(0), key) == pytest.approx(
         others + min(lost, others / 3), abs=0.1
     )
