--- a/saltcourse/simulator_adapter.py
+++ b/saltcourse/simulator_adapter.py
@@ -213,7 +213,7 @@
         "msg": "place",
         "node": n,
         "job": a.request,
-        "host": a.server,
+        "host": a.backend,
         "try_for": a.timeout,
     },
     RejectRequest: lambda a, n: {"msg": "decline", "node": n, "job": a.request, "come_back": a.retry_after},
@@ -221,7 +221,7 @@
     CancelAttempt: lambda a, n: {"msg": "retract", "node": n, "job": a.request, "seq_no": a.attempt},
     MigrateConnection: lambda a, n: {"msg": "move", "node": n, "job": a.request},
     SetTimer: lambda a, n: {"msg": "wake_me", "node": n, "after": a.delay, "handle": a.token},
-    StartHealthCheck: lambda a, n: {"msg": "check", "node": n, "host": a.server},
+    StartHealthCheck: lambda a, n: {"msg": "check", "node": n, "host": a.backend},
     SendPeerMessage: lambda a, n: {
         "msg": "say",
         "node": n,
