--- /dev/null
+++ b/saltcourse/balancing/attempts.py
@@ -0,0 +1,40 @@
+"""Starting an attempt: what is recorded at its request and its backend, and in which order."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from saltcourse.balancing.actions import Action, StartAttempt
+from saltcourse.balancing.occupancy import Occupancy
+from saltcourse.balancing.outlier_ejection import HealthEvent, OutlierEjection
+from saltcourse.balancing.retries import Retries
+from saltcourse.balancing.slot_ceilings import SlotCeilings
+from saltcourse.balancing.slow_start import SlowStart
+from saltcourse.balancing.state import Backend, Request
+
+
+@dataclass(slots=True, eq=False)
+class AttemptStarter:
+    """Starts attempts at backends that were chosen."""
+
+    actions: list[Action]
+    occupancy: Occupancy
+    ceilings: SlotCeilings
+    slow_start: SlowStart
+    ejection: OutlierEjection
+    retries: Retries
+
+    def start(self, now: float, request: Request, backend: Backend) -> None:
+        """Start the request's next attempt there."""
+        request.backend = backend
+        request.started_at = now
+        request.is_in_flight = True
+        request.tried.append(backend)
+        request.attempts += 1
+        self.occupancy.add(backend, request)
+        if self.slow_start.is_warming_up(now, backend):
+            usual_slots = self.ceilings.usual_slots(backend)
+            self.slow_start.delay_next_attempt(now, backend, usual_slots, request.load)
+        self.ejection.record(now, backend, HealthEvent.ATTEMPT_STARTED, request)
+        timeout = self.retries.attempt_timeout(now, request)
+        self.actions.append(StartAttempt(request.id, backend.name, timeout))
--- a/saltcourse/balancing/backend_report.py
+++ b/saltcourse/balancing/backend_report.py
@@ -5,11 +5,16 @@
 from dataclasses import dataclass
 
 from saltcourse.balancing.events import BackendState
+from saltcourse.balancing.state import Backend, HealthState
 
 
 @dataclass(frozen=True, slots=True)
 class BackendReport:
-    """``occupancy`` and ``ceiling`` are in slots; ``reasons`` say why the backend gets nothing new now."""
+    """``occupancy`` and ``ceiling`` are in slots; ``reasons`` say why the backend gets nothing new now.
+
+    The reasons: ``draining``, ``removed`` (by the endpoint list), ``ejected``, ``eligible`` (for the probe
+    that follows an ejection), ``probing``, ``recently_rejected`` (or dropped), ``slow``, ``warming_up``.
+    """
 
     backend: str
     state: BackendState
@@ -17,3 +22,24 @@
     ceiling: float
     reasons: tuple[str, ...]
     is_avoided: bool  # draining, removed, ejected or being probed
+
+
+def report_backend(now: float, backend: Backend) -> BackendReport:
+    """What is believed of a backend now."""
+    is_ready = backend.state is BackendState.READY
+    health = backend.health.state
+    reasons = {
+        backend.state.name.lower(): not is_ready,
+        health.name.lower(): health is not HealthState.HEALTHY,
+        "recently_rejected": backend.ceilings.rejected_until > now,
+        "slow": backend.ceilings.slow_until > now,
+        "warming_up": backend.next_start_at > now,
+    }
+    return BackendReport(
+        backend=backend.name,
+        state=backend.state,
+        occupancy=backend.occupancy,
+        ceiling=backend.ceiling,
+        reasons=tuple(reason for reason, holds in reasons.items() if holds),
+        is_avoided=not is_ready or health in (HealthState.EJECTED, HealthState.PROBING),
+    )
--- /dev/null
+++ b/saltcourse/balancing/endpoint_list.py
@@ -0,0 +1,162 @@
+"""The endpoint list: which backends there are, and when discovery is called for it.
+
+The rules:
+
+- An update names what has changed, or is the complete list: a backend that a complete list omits is
+  removed.
+- A backend with a later start time is a new process: what was learned of the old one is forgotten. It gets
+  its first attempt after a random part of its slow-start interval.
+- The connections of a backend that drains, or that an update removes, are migrated before it closes them. A
+  complete list that omits a backend may be stale, and migrates nothing.
+- Where the list is polled, discovery is called at a random time after the start, so that proxies that start
+  together do not call together. A call that failed is repeated with a backoff that doubles from 1 s to 2 s
+  at most, less the time that the call took, times 0.5 to 1 at random. Every second of these calls fetches
+  the complete list instead of watching it: that may work while a watch does not. After a fetch the list is
+  watched again.
+
+Inputs: ``EndpointsUpdated`` events, start times and the current time in seconds. Output: the backends of
+the pool, timers, ``WatchEndpoints`` and ``FetchEndpoints``, ``MigrateConnection`` actions.
+
+Why: a list that is old by more than a few seconds sends clients to backends that are gone, and a discovery
+service that is called by all proxies at once answers none of them.
+"""
+
+from __future__ import annotations
+
+import random
+from dataclasses import dataclass
+
+from saltcourse.balancing.actions import Action, FetchEndpoints, SetTimer, WatchEndpoints
+from saltcourse.balancing.backend_pool import BackendPool
+from saltcourse.balancing.events import BackendState, Endpoint, EndpointsUpdated, EndpointUpdateKind
+from saltcourse.balancing.migration import Migration
+from saltcourse.balancing.settings import MAX_LIST_RETRY_DELAY_SECONDS, DiscoveryMode, Settings
+from saltcourse.balancing.slot_ceilings import SlotCeilings
+from saltcourse.balancing.slow_start import SlowStart
+from saltcourse.balancing.state import LONG_AGO, Backend
+from saltcourse.balancing.timers import ENDPOINT_LIST_TOKEN
+
+REMOTE_ZONE_FACTOR = 0.05  # what a free slot in another zone counts beside one in the proxy's own
+FIRST_CALL_SECONDS_PER_PROXY = (
+    0.2  # of the time over which proxies that start together spread their first call
+)
+RETRY_BACKOFF_INITIAL_SECONDS = 0.5  # doubles with each failure, the first included
+MIN_RETRY_BACKOFF_SECONDS = 0.3  # proxies whose calls were rejected together call again within this
+WATCH_AFTER_FETCH_SECONDS = 0.5  # from a list that was fetched to the next watch; times 0.5 to 1.5
+
+
+class DiscoveryCalls:
+    """When discovery is called, and for what."""
+
+    __slots__ = ("_actions", "_called_at", "_failures", "_is_fetching", "_random", "_settings")
+
+    def __init__(self, settings: Settings, actions: list[Action], random_source: random.Random) -> None:
+        self._settings = settings
+        self._actions = actions
+        self._random = random_source
+        self._failures = 0  # in a row
+        self._is_fetching = False  # the last call fetched the list once, and does not watch it
+        self._called_at = LONG_AGO
+
+    def start(self) -> None:
+        """Set the timer of the first call, where the list is polled."""
+        if self._settings.discovery_mode is DiscoveryMode.POLLED:
+            spread = min(
+                self._settings.poll_interval / 2, FIRST_CALL_SECONDS_PER_PROXY * self._settings.proxy_count
+            )
+            self._set_timer(spread * self._random.random())
+
+    def timer_fired(self, now: float) -> None:
+        """Call discovery."""
+        self._called_at = now
+        self._is_fetching = self._failures % 2 == 1
+        self._actions.append(FetchEndpoints() if self._is_fetching else WatchEndpoints())
+
+    def call_failed(self, now: float) -> None:
+        """Set the timer of the next call: backoff and call together stay within the poll interval."""
+        self._failures += 1
+        backoff = min(
+            self._settings.poll_interval,
+            MAX_LIST_RETRY_DELAY_SECONDS,
+            RETRY_BACKOFF_INITIAL_SECONDS * 2.0**self._failures,
+        )
+        elapsed = now - self._called_at
+        wait = max(MIN_RETRY_BACKOFF_SECONDS, backoff - elapsed)
+        self._set_timer(wait * (0.5 + self._random.random() / 2))
+
+    def list_received(self) -> None:
+        """Discovery has answered."""
+        self._failures = 0
+        if self._is_fetching:
+            self._is_fetching = False
+            self._set_timer(WATCH_AFTER_FETCH_SECONDS * (0.5 + self._random.random()))
+
+    def _set_timer(self, delay: float) -> None:
+        self._actions.append(SetTimer(delay, ENDPOINT_LIST_TOKEN))
+
+
+@dataclass(slots=True, eq=False)
+class EndpointList:
+    """Applies updates of the list to the pool of backends."""
+
+    local_zone: str
+    pool: BackendPool
+    calls: DiscoveryCalls
+    slow_start: SlowStart
+    ceilings: SlotCeilings
+    migration: Migration
+    random_source: random.Random
+
+    def apply(self, now: float, event: EndpointsUpdated) -> bool:
+        """Apply an update; returns whether more than weights may have changed."""
+        if event.kind is EndpointUpdateKind.UNAVAILABLE:
+            self.calls.call_failed(now)
+            return False
+        if event.kind is not EndpointUpdateKind.CACHED:
+            self.calls.list_received()
+        is_complete = event.kind is not EndpointUpdateKind.DELTA
+        if is_complete:
+            self._remove_missing(event.endpoints)
+        has_changed = is_complete
+        for endpoint in event.endpoints:
+            known = self.pool.backends.get(endpoint.backend)
+            if known and known.state is endpoint.state and known.started == endpoint.started:
+                known.weight = endpoint.weight  # it is read at the next tick
+                continue
+            has_changed = True
+            backend = self._add(now, endpoint) if known is None else self._change(now, known, endpoint)
+            is_removed = backend.state is BackendState.REMOVED and not is_complete
+            if backend.state is BackendState.DRAINING or is_removed:
+                self.migration.migrate_all(backend)
+        return has_changed
+
+    def _remove_missing(self, endpoints: tuple[Endpoint, ...]) -> None:
+        named = {endpoint.backend for endpoint in endpoints}
+        for backend in self.pool.backends.values():
+            if backend.name not in named:
+                backend.state = BackendState.REMOVED
+
+    def _add(self, now: float, endpoint: Endpoint) -> Backend:
+        backend = self.pool.backends[endpoint.backend] = Backend(endpoint)
+        self._set_zone_factor(backend)
+        self._delay_first_attempt(now, backend)
+        return backend
+
+    def _change(self, now: float, backend: Backend, endpoint: Endpoint) -> Backend:
+        is_restarted = endpoint.started > backend.started
+        backend.update(endpoint)
+        self._set_zone_factor(backend)
+        if is_restarted:
+            backend.reset(now)
+            self._delay_first_attempt(now, backend)
+        return backend
+
+    def _set_zone_factor(self, backend: Backend) -> None:
+        backend.is_local = backend.zone == self.local_zone
+        backend.zone_factor = 1.0 if backend.is_local else REMOTE_ZONE_FACTOR
+
+    def _delay_first_attempt(self, now: float, backend: Backend) -> None:
+        if self.slow_start.is_warming_up(now, backend):
+            draw = self.random_source.random()
+            usual_slots = self.ceilings.usual_slots(backend)
+            self.slow_start.delay_first_attempt(now, backend, usual_slots, draw)
--- /dev/null
+++ b/saltcourse/balancing/migration.py
@@ -0,0 +1,39 @@
+"""Migration: established connections are ended in good order, and their clients come back as new requests."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Iterable
+
+from saltcourse.balancing.actions import Action, MigrateConnection
+from saltcourse.balancing.state import Backend, Request
+
+
+class Migration:
+    """Asks the host to migrate connections, each once: it leaves its backend's ``connections``."""
+
+    __slots__ = ("_actions", "_random")
+
+    def __init__(self, actions: list[Action], random_source: random.Random) -> None:
+        self._actions = actions
+        self._random = random_source
+
+    def migrate(self, connections: Iterable[Request]) -> None:
+        """Migrate these connections."""
+        for connection in connections:
+            if connection.backend is not None:
+                connection.backend.connections.pop(connection.id, None)
+            self._actions.append(MigrateConnection(connection.id))
+
+    def migrate_all(self, backend: Backend) -> None:
+        """Migrate all connections of a backend."""
+        self.migrate(list(backend.connections.values()))
+
+    def migrate_share(self, connections: list[Request], share: float) -> None:
+        """Migrate a random ``share`` (0 to 1) of these connections."""
+        count = self.count_of_share(len(connections), share)
+        self.migrate(self._random.sample(connections, min(count, len(connections))))
+
+    def count_of_share(self, total: int, share: float) -> int:
+        """So many of ``total`` as make up the share: rounded at random, so that small shares count too."""
+        return int(share * total + self._random.random())
--- /dev/null
+++ b/saltcourse/balancing/placement.py
@@ -0,0 +1,107 @@
+"""Placement: the way of a request from its arrival, over its attempts, to its connection or final answer.
+
+The rules:
+
+1. A request is placed as it arrives, unless the proxy is overloaded. Where loads are reported, up to three
+   backends are drawn and health-checked first, one after another; a full one is not drawn again. The
+   placement waits a short time for each answer, and then goes by what is known.
+2. An attempt that fails is followed by another while ``retries`` allows it and the proxy is not overloaded.
+3. Whatever became of the attempt, the client is answered by its deadline.
+
+Inputs: requests, and the time in seconds. Output: ``StartAttempt``, ``StartHealthCheck``, timers and final
+answers.
+
+Why: the client waits until its deadline and no longer, and an answer that comes late is as bad as none.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from saltcourse.balancing.admission import FinalAnswers, OverloadDetector
+from saltcourse.balancing.attempts import AttemptStarter
+from saltcourse.balancing.load_reports import LoadReports
+from saltcourse.balancing.retries import Retries
+from saltcourse.balancing.selection import Selection
+from saltcourse.balancing.settings import Settings
+from saltcourse.balancing.state import Backend, Request
+from saltcourse.balancing.timers import RequestTimers
+
+MAX_LOAD_CHECKS = 3  # backends health-checked before a placement
+LOAD_CHECK_WAIT_SECONDS = 0.05  # for each answer, at most
+LOAD_CHECK_WAIT_SHARE = 5  # at most the latency objective over this
+
+
+@dataclass(slots=True, eq=False)
+class Placement:
+    """Decides on each request's next step; everything that it needs is given to it."""
+
+    settings: Settings
+    timers: RequestTimers
+    selection: Selection
+    reports: LoadReports
+    retries: Retries
+    overload: OverloadDetector
+    answers: FinalAnswers
+    attempts: AttemptStarter
+
+    def request_received(self, now: float, request: Request, time_left: float) -> None:
+        """Place a new request, or reject it under overload; its client gives up in ``time_left`` seconds."""
+        self.retries.request_received()
+        self.timers.start(request, time_left)
+        if self.overload.is_overloaded:
+            self.answers.give(request)
+        else:
+            self._place_after_load_check(now, request)
+
+    def retry(self, now: float, request: Request) -> None:
+        """Start another attempt after one has failed, or give the final answer."""
+        backend = None
+        if self.retries.may_retry(now, request) and not self.overload.is_overloaded:
+            self.retries.spend()
+            backend = self.selection.choose(now, request)
+        self._start_or_answer(now, request, backend)
+
+    def health_check_finished(self, now: float, backend: Backend) -> None:
+        """Go on with the requests that waited for this backend's check."""
+        waiting, backend.report.waiting = backend.report.waiting, []
+        for request in waiting:
+            if request.awaited is backend and not request.is_answered:
+                request.awaited = None
+                self._place_after_load_check(now, request)
+
+    def timer_fired(self, now: float, request: Request) -> None:
+        """Go on as a timer fires: the load check took too long, or the deadline has come."""
+        if request.is_answered or request.is_established:
+            return
+        if request.awaited is not None:
+            request.awaited = None
+            request.load_checks = MAX_LOAD_CHECKS
+            self._place_after_load_check(now, request)
+        elif now >= request.deadline - self.settings.time_step / 2:
+            self.answers.give(request)
+
+    def _place_after_load_check(self, now: float, request: Request) -> None:
+        if not self.settings.uses_load_reports or request.load_checks >= MAX_LOAD_CHECKS:
+            self._start_or_answer(now, request, self.selection.choose(now, request))
+            return
+        backend = self.selection.choose(now, request)
+        if backend is None:
+            self._start_or_answer(now, request, self.selection.choose(now, request))
+        elif not self.reports.request_for_placement(now, backend):
+            self._start_or_answer(now, request, backend)
+        else:
+            self._wait_for_report(request, backend)
+
+    def _wait_for_report(self, request: Request, backend: Backend) -> None:
+        request.awaited = backend
+        request.load_checks += 1
+        backend.report.waiting.append(request)
+        longest = request.request_class.latency_objective / LOAD_CHECK_WAIT_SHARE
+        self.timers.start(request, min(LOAD_CHECK_WAIT_SECONDS, longest))
+
+    def _start_or_answer(self, now: float, request: Request, backend: Backend | None) -> None:
+        if backend is None:
+            self.answers.give(request)
+        else:
+            self.attempts.start(now, request, backend)
--- a/saltcourse/balancing/settings.py
+++ b/saltcourse/balancing/settings.py
@@ -181,6 +181,11 @@
         objectives = [c.message_latency_objective for c in self.classes if c.message_latency_objective > 0]
         return min(objectives, default=math.inf) / 3
 
+    @property
+    def uses_load_reports(self) -> bool:
+        """Whether backends report their load and health checks may ask for it."""
+        return self.reports_load and self.health_checks_allowed
+
     @property
     def longest_retry_after(self) -> float:
         """Seconds that a rejected client may be asked to wait; 0 where Retry-After is not allowed."""
--- /dev/null
+++ b/saltcourse/balancing/slot_ceilings.py
@@ -0,0 +1,207 @@
+"""Slot ceilings: how many slots this proxy may fill on each backend.
+
+The rules, for each backend:
+
+- Where loads are reported, the ceiling is the occupancy plus the part of its full load that is left up to
+  the target load.
+- Else it is the common ceiling (the mean occupancy of its zone's side, local or remote, plus a few slots;
+  forgotten slowly) in proportion to the backend's capacity.
+- A backend that rejects, drops or is slow is cut: what it holds is taken as the most that it bears (the
+  learned limit). It gets nothing for a while, longer each time if it rejects or drops. The limit recovers a
+  little with each tick, and by one slot when the backend accepts a connection into its last free slot.
+
+Inputs: occupancies and limits in slots, reported loads as load over capacity, times in seconds. Output:
+``Backend.ceiling`` in slots, and the largest number of free slots of any backend.
+
+Why: the weights of the list and the connection counts of this proxy alone do not say what a backend bears
+when other proxies send to it too. Its own rejections, its latency and its reports do.
+"""
+
+from __future__ import annotations
+
+from saltcourse.balancing.capacity_estimate import CapacityEstimate
+from saltcourse.balancing.load_reports import MAX_REPORT_AGE_SECONDS, TARGET_LOAD
+from saltcourse.balancing.settings import Settings
+from saltcourse.balancing.slow_start import SlowStart
+from saltcourse.balancing.state import Backend
+from saltcourse.shared_state.state import SharedState
+
+TICK_SECONDS = 1.0  # between refreshes of small fleets; short against a connection's life
+HEADROOM_SLOTS = 2.0  # of the common ceiling above the mean occupancy, for a backend of mean capacity
+COMMON_CEILING_MEMORY_SECONDS = 60.0  # in which it is forgotten; clients return within a connection's life
+CUT_FACTOR = 0.9  # of its occupancy, to which a rejecting or dropping backend's limit is cut
+MIN_LIMIT_FACTOR = 0.5  # of the common ceiling, which a cut leaves: a backend that holds little shows little
+MIN_LIMIT_SLOTS = 0.5
+CUT_INTERVAL_SECONDS = 1.0  # between cuts: one overload drops many connections at once, and is one cut
+REJECTION_BACKOFF_INITIAL_SECONDS = 2.0  # without new connections after a rejection; doubles
+MAX_CONSECUTIVE_REJECTIONS = 3  # so that the backoff is at most 4 times the initial one
+LIMIT_RECOVERY_FACTOR = (
+    0.05  # of the common ceiling, regained a tick by the limit of a backend that is not slow
+)
+MIN_USUAL_SLOTS = 0.25  # for slow start, where hardly anything is learned
+
+
+def may_overflow(now: float, backend: Backend) -> bool:
+    """Whether a full backend may get one more: it has not recently rejected, nor reports a full load."""
+    if backend.ceilings.rejected_until > now:
+        return False
+    report = backend.report
+    return report.load < TARGET_LOAD or report.received_at < now - MAX_REPORT_AGE_SECONDS
+
+
+class SlotCeilings:
+    """The ceilings of all backends, and what they are worked out from."""
+
+    __slots__ = (
+        "_capacity",
+        "_initial_slots",
+        "_shared_state",
+        "_slow_start",
+        "_uses_load_reports",
+        "largest_free_slots",
+        "local_ceiling",
+        "remote_ceiling",
+    )
+
+    def __init__(
+        self, settings: Settings, slow_start: SlowStart, capacity: CapacityEstimate, shared_state: SharedState
+    ) -> None:
+        self._slow_start = slow_start
+        self._capacity = capacity
+        self._shared_state = shared_state
+        self._uses_load_reports = settings.uses_load_reports
+        # What this proxy's tenants may hold fits on the local backends, before anything is learned.
+        self._initial_slots = (
+            sum(tenant.connection_quota for tenant in settings.tenants) / settings.proxy_count
+        )
+        self.local_ceiling = 0.0  # the common ceiling of the proxy's own zone (slots)
+        self.remote_ceiling = 0.0  # that of other zones: this proxy sends there less
+        self.largest_free_slots = 0.0  # an upper bound for any candidate, weighted by its zone factor
+
+    def common_ceiling(self, backend: Backend) -> float:
+        """Slots of a backend of mean capacity of which nothing is learned."""
+        return self.local_ceiling if backend.is_local else self.remote_ceiling
+
+    def usual_slots(self, backend: Backend) -> float:
+        """Slots that this proxy usually fills on such a backend once it is warm."""
+        mean_slots = self.common_ceiling(backend) - HEADROOM_SLOTS + 0.5
+        return max(MIN_USUAL_SLOTS, backend.relative_capacity * mean_slots)
+
+    def refresh(self, now: float, candidates: list[Backend]) -> None:
+        """Work out capacities, common ceilings and every candidate's ceiling; once a tick and list update."""
+        self.largest_free_slots = 0.0
+        if not candidates:
+            return
+        self._refresh_capacities(now, candidates)
+        self._refresh_common_ceilings(candidates)
+        for backend in candidates:
+            self._recover(now, backend)
+            self.update(now, backend)
+
+    def _refresh_capacities(self, now: float, candidates: list[Backend]) -> None:
+        if self._uses_load_reports:
+            self._capacity.update(now, candidates)
+        mean_weight = sum(b.weight for b in candidates) / len(candidates) or 1.0
+        for backend in candidates:
+            if not self._uses_load_reports:
+                backend.relative_capacity = backend.weight / mean_weight
+            backend.current_capacity = backend.relative_capacity
+            if backend.started > 0:
+                backend.current_capacity *= self._slow_start.capacity_share(now, backend)
+
+    def _refresh_common_ceilings(self, candidates: list[Backend]) -> None:
+        local = [b for b in candidates if b.is_local]
+        remote = [b for b in candidates if not b.is_local]
+        if self.local_ceiling == 0.0 and local:
+            self.local_ceiling = self._initial_slots / len(local)
+        self.local_ceiling = self._next_common_ceiling(self.local_ceiling, local)
+        self.remote_ceiling = self._next_common_ceiling(self.remote_ceiling, remote)
+
+    def _next_common_ceiling(self, ceiling: float, backends: list[Backend]) -> float:
+        capacity = sum([b.current_capacity for b in backends])
+        mean = sum([b.occupancy for b in backends]) / capacity if capacity > 0 else 0.0
+        return max(ceiling * (1 - TICK_SECONDS / COMMON_CEILING_MEMORY_SECONDS), mean + HEADROOM_SLOTS)
+
+    def _recover(self, now: float, backend: Backend) -> None:
+        record = backend.ceilings
+        if record.learned_limit > 0 and record.slow_until <= now:
+            recovery = LIMIT_RECOVERY_FACTOR * self.common_ceiling(backend) * backend.relative_capacity
+            record.learned_limit += recovery
+
+    def update(self, now: float, backend: Backend) -> None:
+        """Work out one backend's ceiling."""
+        record = backend.ceilings
+        ceiling = self._unlimited_ceiling(now, backend)
+        if record.learned_limit > 0:
+            # Set-up work can overload a backend whose reported load is low: so its limit counts there too.
+            is_slow = record.slow_until > now
+            ceiling = min(ceiling, backend.occupancy if is_slow else record.learned_limit)
+        backend.ceiling = 0.0 if record.rejected_until > now else ceiling
+        self.note_free_slots(backend)
+
+    def _unlimited_ceiling(self, now: float, backend: Backend) -> float:
+        report = backend.report
+        if report.load < 0:
+            # Without a learned limit nothing says that it is full: what it holds is no reason to reject.
+            held = 0.0 if backend.ceilings.learned_limit > 0 else backend.occupancy
+            return max(self.common_ceiling(backend) * backend.current_capacity, held)
+        is_fresh = report.received_at > now - MAX_REPORT_AGE_SECONDS
+        load = report.load if is_fresh else self._capacity.mean_reported_load
+        mean_slots = max(HEADROOM_SLOTS, self._capacity.slots_at_full_load, self._shared_state.minimum_scale)
+        backend.slots_at_full_load = mean_slots * backend.current_capacity
+        return backend.occupancy + backend.slots_at_full_load * max(0.0, TARGET_LOAD - load)
+
+    def cut(self, now: float, backend: Backend, rejected: bool) -> None:
+        """Cut a backend that rejected or dropped (``rejected``), or is slow: it gets nothing for a while.
+
+        A slow one may still overflow. One that rejects may not, and is left alone for longer each time.
+        """
+        record = backend.ceilings
+        if now >= record.cut_at + CUT_INTERVAL_SECONDS:
+            self._cut_limit(now, backend, rejected)
+        hold = CUT_INTERVAL_SECONDS
+        if not self._uses_load_reports:
+            hold = REJECTION_BACKOFF_INITIAL_SECONDS * 2.0 ** max(0, record.consecutive_rejections - 1)
+        record.slow_until = max(record.slow_until, now + hold)
+        if rejected:
+            record.rejected_until = record.slow_until
+        backend.ceiling = 0.0 if rejected else min(backend.ceiling, backend.occupancy)
+
+    def _cut_limit(self, now: float, backend: Backend, rejected: bool) -> None:
+        record = backend.ceilings
+        record.cut_at = now
+        least = MIN_LIMIT_FACTOR * backend.current_capacity * self.common_ceiling(backend)
+        factor = CUT_FACTOR if rejected else 1.0
+        record.learned_limit = max(backend.occupancy * factor, least, MIN_LIMIT_SLOTS)
+        if rejected:
+            record.consecutive_rejections = min(record.consecutive_rejections + 1, MAX_CONSECUTIVE_REJECTIONS)
+
+    def limit_to_reported_capacity(self, backend: Backend, load: float) -> None:
+        """Limit a backend that reports ``load`` (over 1) to what makes the target load."""
+        backend.ceilings.learned_limit = backend.occupancy * TARGET_LOAD / load
+
+    def accepted(self, now: float, backend: Backend) -> None:
+        """Take in that the backend accepted a connection: into its last free slot, this adds one."""
+        record = backend.ceilings
+        if may_overflow(now, backend):
+            record.consecutive_rejections = 0
+        is_full = backend.ceiling - backend.occupancy < 1.0
+        if backend.report.load >= 0 or not is_full or record.rejected_until > now:
+            return
+        if record.learned_limit > 0:
+            record.learned_limit += 1.0
+            backend.ceiling += 1.0
+        else:
+            backend.ceiling = max(backend.ceiling, backend.occupancy) + 1.0
+        self.note_free_slots(backend)
+
+    def note_free_slots(self, backend: Backend) -> None:
+        """Keep the upper bound: the backend may have more free slots than before."""
+        free_slots = (backend.ceiling - backend.occupancy) * backend.zone_factor
+        self.largest_free_slots = max(self.largest_free_slots, free_slots)
+
+    def correct_largest_free_slots(self, candidates: list[Backend]) -> None:
+        """Replace the upper bound by the true value; costs a look at each candidate."""
+        self.largest_free_slots = max(
+            [(b.ceiling - b.occupancy) * b.zone_factor for b in candidates], default=0.0
+        )
--- a/tests/balancing/balancer_host.py
+++ b/tests/balancing/balancer_host.py
@@ -20,6 +20,7 @@
 )
 from saltcourse.balancing.settings import RequestClass, Settings
 
+ANSWER_SLACK_SECONDS = 0.01  # by which a final answer may come after the deadline
 QUICK = RequestClass("quick", latency_objective=0.3, deadline=1.2, message_latency_objective=0.06)
 
 
@@ -62,7 +63,7 @@
                 assert action.request not in self.out, "two attempts of a request at once"
                 attempt = self.sends.get(action.request, 0)
                 self.sends[action.request] = attempt + 1
-                self.out[action.request] = (attempt, action.server)
+                self.out[action.request] = (attempt, action.backend)
         return actions
 
     def run(self, seconds: float) -> None:
--- a/tests/balancing/test_balancer.py
+++ b/tests/balancing/test_balancer.py
@@ -15,7 +15,7 @@
     StartHealthCheck,
     WatchEndpoints,
 )
-from saltcourse.balancing.balancer import GROUP_SLOTS, LONGEST_BACKOFF, Balancer, Sign
+from saltcourse.balancing.balancer import Balancer
 from saltcourse.balancing.events import (
     AttemptFinished,
     AttemptStatus,
@@ -30,19 +30,23 @@
     LoadReport,
     ResponseLatencyMeasured,
 )
+from saltcourse.balancing.occupancy import GROUP_SLOTS
+from saltcourse.balancing.outlier_ejection import EJECTION_BACKOFF_MAX_SECONDS, HealthEvent
+from saltcourse.balancing.rebalancing import Rebalancing
 from saltcourse.balancing.settings import DeduplicationScope, DiscoveryMode, Idempotency, RequestClass, Tenant
+from saltcourse.balancing.slot_ceilings import may_overflow
 from tests.balancing.balancer_host import QUICK, Node, members, settings
 
 
 def test_picks_follow_free_slots() -> None:
     node = Node(seed=3)
     node.list(members(2))
-    first, second = node.balancer.servers["s0"], node.balancer.servers["s1"]
+    first, second = node.balancer.pool.backends["s0"], node.balancer.pool.backends["s1"]
     counts: Counter[str] = Counter()
     for _ in range(4000):
         first.ceiling, second.ceiling = 4.0, 2.0  # rooms 3 and 1
-        first.load, second.load, first.count, second.count = 1.0, 1.0, 1, 1
-        node.balancer.largest_room = 3.0
+        first.occupancy, second.occupancy, first.count, second.count = 1.0, 1.0, 1, 1
+        node.balancer.ceilings.largest_free_slots = 3.0
         request = node.ask()
         counts[node.server_of(request)] += 1
         node.end(request, AttemptStatus.CANCELLED, final=True)
@@ -52,12 +56,12 @@
 def test_full_ceilings_overflow_by_one_to_clean_servers_only_then_refuse() -> None:
     node = Node()
     node.list(members(2))
-    for server in node.balancer.servers.values():
-        server.load, server.count, server.ceiling, server.limit = 3.0, 3, 3.0, 3.0
-    node.balancer.servers["s0"].unclean_until = node.now + 5
+    for server in node.balancer.pool.backends.values():
+        server.occupancy, server.count, server.ceiling, server.ceilings.learned_limit = 3.0, 3, 3.0, 3.0
+    node.balancer.pool.backends["s0"].ceilings.rejected_until = node.now + 5
     request = node.ask()
     assert node.server_of(request) == "s1"
-    node.balancer.servers["s1"].unclean_until = node.now + 5
+    node.balancer.pool.backends["s1"].ceilings.rejected_until = node.now + 5
     node.ask()
     refusal = node.of(RejectRequest)[-1]
     assert refusal.request == "r2" and 0 < refusal.retry_after <= node.settings.max_retry_after
@@ -66,14 +70,14 @@
 def test_filling_the_last_slot_raises_a_learned_ceiling_and_a_refusal_cuts_it() -> None:
     node = Node()
     node.list(members(1))
-    server = node.balancer.servers["s0"]
-    server.load, server.count, server.ceiling, server.limit = 3.0, 3, 3.5, 3.5
+    server = node.balancer.pool.backends["s0"]
+    server.occupancy, server.count, server.ceiling, server.ceilings.learned_limit = 3.0, 3, 3.5, 3.5
     request = node.ask()
     node.stand(request)
-    assert server.limit == pytest.approx(4.5)
+    assert server.ceilings.learned_limit == pytest.approx(4.5)
     request = node.ask()
     node.end(request, AttemptStatus.FULL)
-    assert server.limit < 4.0 and not node.balancer._clean(server)
+    assert server.ceilings.learned_limit < 4.0 and not may_overflow(node.now, server)
 
 
 def test_occupancy_counts_sends_resumed_and_every_ending() -> None:
@@ -86,9 +90,9 @@
     for i, request in enumerate(held[:6]):
         node.end(request, statuses[i % 3], final=True)
     want = Counter(server for _, server in node.out.values())
-    for server in node.balancer.servers.values():
-        assert server.count == want[server.id]
-        assert server.load == pytest.approx(want[server.id])
+    for server in node.balancer.pool.backends.values():
+        assert server.count == want[server.name]
+        assert server.occupancy == pytest.approx(want[server.name])
 
 
 def test_a_changed_load_changes_the_occupancy() -> None:
@@ -96,12 +100,12 @@
     node.list(members(1))
     request = node.ask(load_hint=0.01)
     node.stand(request)
-    server = node.balancer.servers["s0"]
-    assert server.load == pytest.approx(1.0)
+    server = node.balancer.pool.backends["s0"]
+    assert server.occupancy == pytest.approx(1.0)
     node.give(ConnectionLoadChanged(request, 0.03))
-    assert server.load == pytest.approx(1.5)  # of a slot that is the mean of 0.01 and 0.03
+    assert server.occupancy == pytest.approx(1.5)  # of a slot that is the mean of 0.01 and 0.03
     node.end(request, AttemptStatus.OK, final=True)
-    assert server.load == 0.0
+    assert server.occupancy == 0.0
 
 
 def test_draining_and_gone_servers_get_nothing_new() -> None:
@@ -185,7 +189,7 @@
         request = node.ask()
         while request in node.out:
             node.end(request, AttemptStatus.CONNECT_FAILED)
-    assert node.balancer.ready
+    assert node.balancer.pool.candidates
 
 
 def test_cold_server_gets_its_connections_one_by_one() -> None:
@@ -208,10 +212,13 @@
 def test_a_restart_is_a_fresh_server() -> None:
     node = Node()
     node.list(members(2))
-    server = node.balancer.servers["s0"]
-    server.limit, server.failures, server.report_load = 1.0, 3, 0.99
+    server = node.balancer.pool.backends["s0"]
+    server.ceilings.learned_limit, server.health.consecutive_ejections, server.report.load = 1.0, 3, 0.99
     node.list((Endpoint("s0", started=99.0),), EndpointUpdateKind.DELTA)
-    assert (server.limit, server.failures) == (0.0, 0) and server.report_load < 0
+    assert (server.ceilings.learned_limit, server.health.consecutive_ejections) == (
+        0.0,
+        0,
+    ) and server.report.load < 0
 
 
 def test_asked_discovery_watches_early_and_asks_again_after_a_failure() -> None:
@@ -222,7 +229,7 @@
     node.list((), EndpointUpdateKind.UNAVAILABLE)
     node.run(10.0)
     assert len(node.of(FetchEndpoints)) == 1  # polled as a fallback
-    assert node.balancer.ready  # the old list goes on
+    assert node.balancer.pool.candidates  # the old list goes on
     node.list(members(3))
     node.run(5.0)
     assert len(node.of(WatchEndpoints)) == 2  # and watched again, within the time to ask
@@ -282,8 +289,8 @@
     for _ in range(30):
         request = node.ask()
         for probe in [a for t, a in node.log if isinstance(a, StartHealthCheck) and t == node.now]:
-            load = 0.95 if probe.server == "s0" else 0.3
-            node.give(HealthCheckFinished(probe.server, AttemptStatus.OK, report=LoadReport(load=load)))
+            load = 0.95 if probe.backend == "s0" else 0.3
+            node.give(HealthCheckFinished(probe.backend, AttemptStatus.OK, report=LoadReport(load=load)))
         if request in node.out:
             counts[node.server_of(request)] += 1
             node.stand(request)
@@ -304,14 +311,14 @@
     node = Node()
     node.list(members(1))
     request = node.open()
-    server = node.balancer.servers["s0"]
-    node.give(ResponseLatencyMeasured(request, QUICK.message_aim))
-    assert server.ceiling <= server.load
+    server = node.balancer.pool.backends["s0"]
+    node.give(ResponseLatencyMeasured(request, QUICK.message_latency_objective))
+    assert server.ceiling <= server.occupancy
     node.run(1.0)  # a refresh does not give it room while its messages are slow
-    assert server.ceiling <= server.load
+    assert server.ceiling <= server.occupancy
     node.give(ResponseLatencyMeasured(request, 0.001))
     node.run(2.0)
-    assert server.ceiling > server.load
+    assert server.ceiling > server.occupancy
 
 
 def test_same_events_same_actions() -> None:
@@ -330,20 +337,20 @@
 
 
 @pytest.mark.parametrize(
-    ("field", "value"),
+    ("field", "wire_name", "value"),
     [
-        ("classes", ()),
-        ("balancers", 0),
-        ("max_attempts", 0),
-        ("ask_within", -1.0),
-        ("start_share", 0.0),
-        ("tick", float("nan")),
-        ("drain_grace", -0.1),
-        ("warm_up", "long"),
+        ("classes", "classes", ()),
+        ("proxy_count", "balancers", 0),
+        ("max_attempts", "max_attempts", 0),
+        ("poll_interval", "ask_within", -1.0),
+        ("initial_capacity_share", "start_share", 0.0),
+        ("time_step", "tick", float("nan")),
+        ("max_retry_after", "max_retry_after", -0.1),
+        ("warm_up", "warm_up", "long"),
     ],
 )
-def test_invalid_settings_are_named(field: str, value: object) -> None:
-    with pytest.raises(ValueError, match=field):
+def test_invalid_settings_are_named(field: str, wire_name: str, value: object) -> None:
+    with pytest.raises(ValueError, match=wire_name):
         settings(**{field: value})
 
 
@@ -370,13 +377,13 @@
     node.list(members(2))
     held = [node.open() for _ in range(40)]
     slow = node.server_of(held[0])
-    node.give(ResponseLatencyMeasured(held[0], QUICK.message_aim))
+    node.give(ResponseLatencyMeasured(held[0], QUICK.message_latency_objective))
     moved = node.of(MigrateConnection)
     on_slow = [r for r in held if node.server_of(r) == slow]
     assert 1 <= len(moved) <= len(on_slow) / 5
     assert all(m.request in on_slow for m in moved)
-    node.balancer.largest_room = 0.0
-    node.give(ResponseLatencyMeasured(held[0], QUICK.message_aim))
+    node.balancer.ceilings.largest_free_slots = 0.0
+    node.give(ResponseLatencyMeasured(held[0], QUICK.message_latency_objective))
     assert len(node.of(MigrateConnection)) == len(moved)  # nowhere to go: they stay
 
 
@@ -390,10 +397,10 @@
     assert not node.of(MigrateConnection)
     request = node.ask()
     node.stand(request, 0.04)
-    server = node.balancer.servers[node.server_of(request)]
-    assert server.slow_until > node.now and server.ceiling <= server.load + 1
+    server = node.balancer.pool.backends[node.server_of(request)]
+    assert server.ceilings.slow_until > node.now and server.ceiling <= server.occupancy + 1
     moved = {m.request for m in node.of(MigrateConnection)}
-    assert moved and moved <= {r for r in [*held, request] if node.server_of(r) == server.id}
+    assert moved and moved <= {r for r in [*held, request] if node.server_of(r) == server.name}
 
 
 def test_a_server_that_drains_while_its_probe_is_out_is_not_chosen() -> None:
@@ -410,8 +417,8 @@
     far = tuple(Endpoint(f"f{i}", zone="far") for i in range(20))
     node.list((Endpoint("h", zone="home"), *far))
     for name in ("f0", "f1", "f2", "f3"):
-        node.balancer._sign(node.balancer.servers[name], Sign.FAILED)
-    assert [s.id for s in node.balancer.ready] == ["h"]
+        node.balancer.ejection.record(node.now, node.balancer.pool.backends[name], HealthEvent.FAILURE)
+    assert [s.name for s in node.balancer.pool.candidates] == ["h"]
 
 
 def test_all_probed_servers_full_means_refusal_not_a_blind_send() -> None:
@@ -420,8 +427,8 @@
     node.ask()
     for _ in range(3):
         for probe in [a for t, a in node.log if isinstance(a, StartHealthCheck)]:
-            if node.balancer.servers[probe.server].probing:
-                node.give(HealthCheckFinished(probe.server, AttemptStatus.OK, report=LoadReport(load=1.4)))
+            if node.balancer.pool.backends[probe.backend].report.check_in_flight:
+                node.give(HealthCheckFinished(probe.backend, AttemptStatus.OK, report=LoadReport(load=1.4)))
     assert node.of(RejectRequest) and not node.of(StartAttempt)
 
 
@@ -429,7 +436,7 @@
     node = Node()
     node.list(members(50))
     for _ in range(100):
-        node.balancer.failed = 0.0  # no storm
+        node.balancer.overload.failures = 0.0  # no storm
         request = node.ask()
         while request in node.out:
             node.end(request, AttemptStatus.FULL)
@@ -453,11 +460,11 @@
     node.list((Endpoint("h", zone="home"), Endpoint("f", zone="far")))
     for i in range(40):
         node.give(ConnectionResumed(f"old{i}", "quick", "f"))
-    home = node.balancer.servers["h"]
-    home.slow_until = node.now + 3.0
+    home = node.balancer.pool.backends["h"]
+    home.ceilings.slow_until = node.now + 3.0
     node.run(2.5)
     assert not node.of(MigrateConnection)  # home is not at ease
-    home.slow_until = 0.0
+    home.ceilings.slow_until = 0.0
     node.run(3.0)
     moved = {m.request for m in node.of(MigrateConnection)}
     assert 1 <= len(moved) <= 20 and len(moved) == len(node.of(MigrateConnection))
@@ -466,14 +473,14 @@
 def test_piled_up_work_stops_new_connections_even_under_a_low_reported_load() -> None:
     node = Node(reports_load=True, health_checks_allowed=True)
     node.list(members(2))
-    server = node.balancer.servers["s0"]
+    server = node.balancer.pool.backends["s0"]
     node.give(ConnectionResumed("old", "quick", "s0"))
-    node.give(ResponseLatencyMeasured("old", 2 * QUICK.message_aim))
+    node.give(ResponseLatencyMeasured("old", 2 * QUICK.message_latency_objective))
     node.give(HealthCheckFinished("s0", AttemptStatus.OK, report=LoadReport(load=0.2)))
-    assert server.ceiling <= server.load and not node.balancer._clean(server)
+    assert server.ceiling <= server.occupancy and not may_overflow(node.now, server)
     node.run(10.0)
     node.give(HealthCheckFinished("s0", AttemptStatus.OK, report=LoadReport(load=0.2)))
-    assert server.ceiling > server.load and node.balancer._clean(server)
+    assert server.ceiling > server.occupancy and may_overflow(node.now, server)
 
 
 def test_a_connection_dropped_young_counts_as_a_failure_and_an_old_one_does_not() -> None:
@@ -481,25 +488,24 @@
     node.list(members(3))
     young, old = node.open(), node.open()
     node.end(young, AttemptStatus.RESET, final=True)
-    assert node.balancer.failed == 1 and node.balancer.stood == 1
+    assert node.balancer.overload.failures == 1 and node.balancer.overload.successes == 1
     node.now += 10.0
     node.end(old, AttemptStatus.RESET, final=True)
-    assert node.balancer.failed == 1
+    assert node.balancer.overload.failures == 1
 
 
 def test_a_server_that_accepts_after_its_hold_starts_with_a_short_hold_again() -> None:
     node = Node()
     node.list(members(1))
-    server = node.balancer.servers["s0"]
+    server = node.balancer.pool.backends["s0"]
     for _ in range(3):
         node.now += 20.0
-        node.balancer.now = node.now
-        node.balancer._strained(server, dropped=True)
-    assert server.unclean_until - node.now == 8.0
+        node.balancer.ceilings.cut(node.now, server, rejected=True)
+    assert server.ceilings.rejected_until - node.now == 8.0
     node.run(20.0)
     node.open()
-    node.balancer._strained(server, dropped=True)
-    assert server.unclean_until - node.now == 2.0
+    node.balancer.ceilings.cut(node.now, server, rejected=True)
+    assert server.ceilings.rejected_until - node.now == 2.0
 
 
 def test_clients_of_a_server_that_leaves_are_moved_before_it_cuts_them_off() -> None:
@@ -515,7 +521,7 @@
     node.stand(late)  # its line was out already
     assert {m.request for m in node.of(MigrateConnection)} == on[leaving] | {late}
     other = next(name for name in on if name != leaving and on[name])
-    node.list(tuple(m for m in members(3) if m.server not in (other, leaving)))
+    node.list(tuple(m for m in members(3) if m.backend not in (other, leaving)))
     assert not on[other] & {
         m.request for m in node.of(MigrateConnection)
     }  # left out of a whole list: it may be stale
@@ -530,9 +536,9 @@
         if node.server_of(request) == "s0":
             node.end(request, AttemptStatus.ERROR)
         node.stand(request)
-    assert Counter(s for a in node.of(StartAttempt) for s in [a.server])["s0"] <= 3
+    assert Counter(s for a in node.of(StartAttempt) for s in [a.backend])["s0"] <= 3
     assert not node.of(RejectRequest)  # and its errors are no sign that the whole fleet is jammed
-    node.run(LONGEST_BACKOFF * 2)
+    node.run(EJECTION_BACKOFF_MAX_SECONDS * 2)
     trials = [r for r in [node.ask() for _ in range(9)] if r in node.out]
     assert [node.server_of(r) for r in trials].count("s0") <= 1 < len(trials)
 
@@ -544,7 +550,7 @@
     held = [node.open() for _ in range(10)]
     for request in held:
         node.give(ConnectionLoadChanged(request, 0.01 if request == held[0] else 0.04))
-    assert 8 < node.balancer.servers["s0"].load < 13
+    assert 8 < node.balancer.pool.backends["s0"].occupancy < 13
 
 
 def test_a_group_stays_together_while_there_is_room_and_counts_where_it_is_held() -> None:
@@ -557,11 +563,11 @@
         more = [first, *[node.ask(group="a") for _ in range(2)]]
         homes.append({node.server_of(r) for r in more})
         [home] = homes[-1]
-        server = node.balancer.servers[home]
-        assert server.load == pytest.approx(3 + GROUP_SLOTS)
+        server = node.balancer.pool.backends[home]
+        assert server.occupancy == pytest.approx(3 + GROUP_SLOTS)
         for request in more:
             node.end(request, AttemptStatus.CANCELLED, final=True)
-        assert not server.groups and server.load == 0
+        assert not server.groups and server.occupancy == 0
     assert homes[0] == homes[1]  # with other seeds: nodes agree without a word
     crowd = [nodes[0].ask(group="c") for _ in range(60)]
     held = Counter(nodes[0].server_of(r) for r in crowd if r in nodes[0].out)
@@ -597,15 +603,15 @@
     node = Node(tenants=(Tenant("t", 1.0, 90.0),))
     node.list(members(3))
     held = [node.open() for _ in range(9)]
-    server = node.balancer.servers[node.server_of(held[0])]
-    on = [r for r in held if node.server_of(r) == server.id]
+    server = node.balancer.pool.backends[node.server_of(held[0])]
+    on = [r for r in held if node.server_of(r) == server.name]
     node.end(on[0], AttemptStatus.RESET, final=True)
-    assert server.unclean_until <= node.now and server.ceiling > server.load
+    assert server.ceilings.rejected_until <= node.now and server.ceiling > server.occupancy
     node.run(2.0)
     node.end(on[1], AttemptStatus.RESET, final=True)
-    assert server.unclean_until <= node.now
+    assert server.ceilings.rejected_until <= node.now
     node.end(on[2], AttemptStatus.RESET, final=True)
-    assert server.unclean_until > node.now and server.limit > 10
+    assert server.ceilings.rejected_until > node.now and server.ceilings.learned_limit > 10
 
 
 def test_the_fullest_server_gives_up_the_stragglers_of_a_group() -> None:
@@ -625,8 +631,8 @@
     out = [r for r in [node.ask() for _ in range(30)] if node.server_of(r) == "s0"]
     for request in out[:8]:
         node.end(request, AttemptStatus.CONNECT_FAILED)
-    server = node.balancer.servers["s0"]
-    assert server.failures == 1 and node.now < server.down_until < node.now + 1
+    server = node.balancer.pool.backends["s0"]
+    assert server.health.consecutive_ejections == 1 and node.now < server.health.ejected_until < node.now + 1
 
 
 def test_a_burst_of_slow_set_ups_sheds_once_and_not_for_each() -> None:
@@ -664,9 +670,11 @@
     for name in ("s0", "s1", "s2"):
         for i in range(14):
             node.give(ConnectionResumed(f"{name}{i}", "quick", name, group=name))
-    node.balancer._sign(node.balancer.servers["s3"], Sign.FAILED)
+    node.balancer.ejection.record(node.now, node.balancer.pool.backends["s3"], HealthEvent.FAILURE)
     node.run(4.0)
-    assert node.balancer.servers["s3"].health.name == "DUE" and not node.of(MigrateConnection)
+    assert node.balancer.pool.backends["s3"].health.state.name == "ELIGIBLE" and not node.of(
+        MigrateConnection
+    )
 
 
 def told(node: Node, **loads: float) -> None:
@@ -719,7 +727,10 @@
         told(node, s0=load, s1=0.2, s2=0.2)
         node.give(ResponseLatencyMeasured("s0-t19", delay))
         node.now += 1.0
-    assert len(node.of(MigrateConnection)) <= 3 and node.balancer.servers["s0"].health.name == "USABLE"
+    assert (
+        len(node.of(MigrateConnection)) <= 3
+        and node.balancer.pool.backends["s0"].health.state.name == "HEALTHY"
+    )
 
 
 def test_two_reports_over_1_behind_failing_messages_move_all_that_is_over() -> None:
@@ -730,8 +741,10 @@
     told(node, s0=4.0)
     assert len(node.of(MigrateConnection)) == before  # one report may be bad
     told(node, s0=4.1)
-    server = node.balancer.servers["s0"]
-    assert len(node.of(MigrateConnection)) > before and server.limit == pytest.approx(server.load * 0.2)
+    server = node.balancer.pool.backends["s0"]
+    assert len(node.of(MigrateConnection)) > before and server.ceilings.learned_limit == pytest.approx(
+        server.occupancy * 0.2
+    )
 
 
 def test_a_server_out_of_the_draw_has_its_report_renewed_until_it_is_back() -> None:
@@ -740,7 +753,7 @@
     told(node, s0=1.2, s1=0.5, s2=0.5)
     asked = len(node.of(StartHealthCheck))
     node.run(4.0)
-    assert "s0" in [p.server for p in node.of(StartHealthCheck)[asked:]]
+    assert "s0" in [p.backend for p in node.of(StartHealthCheck)[asked:]]
     told(node, s0=0.1)
     assert node.server_of(node.ask(group="new")) == "s0"
 
@@ -749,7 +762,7 @@
     return tuple(Endpoint(f"s{i}", zone=f"z{i % 3}") for i in range(count))
 
 
-def test_a_group_is_not_taken_apart_to_bring_its_connections_home() -> None:
+def test_a_group_is_not_taken_apart_to_bring_its_connections_home(monkeypatch: pytest.MonkeyPatch) -> None:
     # On a day of 200 proxies in six zones this moved 5 % of all crossing connections a second, and each
     # found its group no more: the pairs of group and server grew from 570 to 840 in ten seconds.
     node = Node(has_groups=True)
@@ -757,10 +770,10 @@
     for number in range(40):
         request = node.ask(group=f"g{number % 10}")
         node.stand(request)
-    away = [r for r in node.out if node.balancer.servers[node.server_of(r)].zone != "z0"]
+    away = [r for r in node.out if node.balancer.pool.backends[node.server_of(r)].zone != "z0"]
     assert away
     node.log.clear()
-    node.balancer._gather = lambda: None  # type: ignore[method-assign]  # what else moves on a tick
+    monkeypatch.setattr(Rebalancing, "consolidate_groups", lambda self: None)  # what else moves on a tick
     node.run(20.0)
     assert not node.of(MigrateConnection)
 
--- a/tests/balancing/test_outlier_ejection.py
+++ b/tests/balancing/test_outlier_ejection.py
@@ -16,7 +16,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule, run_state_machine_as_test
 
 from saltcourse.balancing.actions import FailRequest, RejectRequest, StartAttempt
-from saltcourse.balancing.balancer import AFTER, GROUP_SLOTS, Balancer, Health, Request, Server, Sign
+from saltcourse.balancing.balancer import Balancer
 from saltcourse.balancing.events import (
     AttemptFinished,
     AttemptStatus,
@@ -29,7 +29,14 @@
     EndpointUpdateKind,
     ResponseLatencyMeasured,
 )
-from tests.balancing.balancer_host import Node, members
+from saltcourse.balancing.failure_attribution import FailureAttribution
+from saltcourse.balancing.group_affinity import GroupAffinity
+from saltcourse.balancing.occupancy import GROUP_SLOTS, Occupancy
+from saltcourse.balancing.outlier_ejection import TRANSITIONS, HealthEvent
+from saltcourse.balancing.selection import Selection
+from saltcourse.balancing.slow_start import SlowStart
+from saltcourse.balancing.state import Backend, HealthState, Request
+from tests.balancing.balancer_host import ANSWER_SLACK_SECONDS, Node, members
 
 S = AttemptStatus
 FAILS = [s for s in S if s is not S.OK]
@@ -37,12 +44,16 @@
 
 
 def test_every_state_has_an_answer_to_every_sign_and_only_a_trial_ends_as_one() -> None:
-    assert set(AFTER) == set(Sign) and all(len(row) == len(Health) for row in AFTER.values())
-    assert [(s, h) for s, row in AFTER.items() for h in Health if row[h] is Health.TRIAL] == [
-        (Sign.SENT, Health.DUE),
-        (Sign.SENT, Health.TRIAL),
-        (Sign.RESTED, Health.TRIAL),
-        (Sign.WARNED, Health.TRIAL),
+    assert set(TRANSITIONS) == set(HealthEvent) and all(
+        len(row) == len(HealthState) for row in TRANSITIONS.values()
+    )
+    assert [
+        (s, h) for s, row in TRANSITIONS.items() for h in HealthState if row[h] is HealthState.PROBING
+    ] == [
+        (HealthEvent.ATTEMPT_STARTED, HealthState.ELIGIBLE),
+        (HealthEvent.ATTEMPT_STARTED, HealthState.PROBING),
+        (HealthEvent.EJECTION_EXPIRED, HealthState.PROBING),
+        (HealthEvent.PEER_EJECTED, HealthState.PROBING),
     ]
 
 
@@ -51,9 +62,9 @@
     # ERROR and RESET once held the trial for ever: a proxy lost a server for each bad client that met one.
     node = Node()
     node.list(members(3))
-    node.balancer._sign(node.balancer.servers["s0"], Sign.FAILED)
+    node.balancer.ejection.record(node.now, node.balancer.pool.backends["s0"], HealthEvent.FAILURE)
     node.run(2.0)
-    while node.balancer.servers["s0"].health is not Health.TRIAL:
+    while node.balancer.pool.backends["s0"].health.state is not HealthState.PROBING:
         tried = node.ask()
     assert node.server_of(tried) == "s0"
     node.end(tried, how)
@@ -69,29 +80,35 @@
     node.list(members(4))
     for i in range(60):
         node.run(0.05)
-        request = node.ask(key=f"f{i}")
+        request = node.ask(flow=f"f{i}")
         while i % 2 and request in node.out:
             node.end(request, how)
         if request in node.out:
             node.stand(request)
-    for server in node.balancer.servers.values():
-        assert server.health is Health.USABLE and not server.errors and server.unclean_until <= node.now
-
-
-@pytest.mark.parametrize("flows, health", [(40, Health.RESTING), (1, Health.USABLE)])
-def test_a_server_that_errs_where_others_serve_rests_unless_on_one_flow(flows: int, health: Health) -> None:
+    for server in node.balancer.pool.backends.values():
+        assert (
+            server.health.state is HealthState.HEALTHY
+            and not server.health.error_rate
+            and server.ceilings.rejected_until <= node.now
+        )
+
+
+@pytest.mark.parametrize("flows, health", [(40, HealthState.EJECTED), (1, HealthState.HEALTHY)])
+def test_a_server_that_errs_where_others_serve_rests_unless_on_one_flow(
+    flows: int, health: HealthState
+) -> None:
     node = Node()
     node.list(members(3))
-    server = node.balancer.servers["s0"]
+    server = node.balancer.pool.backends["s0"]
     for i in range(40):
-        request = node.ask(key=f"f{i % flows}")
+        request = node.ask(flow=f"f{i % flows}")
         if node.server_of(request) == "s0":
             node.end(request, S.ERROR)
-        if server.health is Health.RESTING:
+        if server.health.state is HealthState.EJECTED:
             break
         if request in node.out:
             node.stand(request)
-    assert server.health is health
+    assert server.health.state is health
 
 
 def test_what_is_out_to_a_process_says_nothing_of_the_next_one() -> None:
@@ -102,8 +119,12 @@
     node.list(members(1, started=node.now))
     for request in old:
         node.end(request, S.RESET if request != old[-1] else S.TIMEOUT, final=True)
-    server = node.balancer.servers["s0"]
-    assert server.health is Health.USABLE and server.unclean_until <= node.now and server.count == 0
+    server = node.balancer.pool.backends["s0"]
+    assert (
+        server.health.state is HealthState.HEALTHY
+        and server.ceilings.rejected_until <= node.now
+        and server.count == 0
+    )
 
 
 class Machine(RuleBasedStateMachine):
@@ -133,14 +154,14 @@
         self.peak = max(self.peak, len(self.node.out) + GROUP_SLOTS * len(groups))
         for at, action in self.node.log[self.told :]:
             if isinstance(action, RejectRequest | FailRequest):
-                assert at <= self.owed.pop(action.request) + self.node.settings.answer_slack
+                assert at <= self.owed.pop(action.request) + ANSWER_SLACK_SECONDS
             elif isinstance(action, StartAttempt):
                 assert action.request in self.owed, "sent after its final answer"
-                assert self.states[action.server] is BackendState.READY
-                age, warm_up = at - self.started[action.server], self.node.settings.warm_up
-                if self.started[action.server] and age < warm_up:
-                    self.cold[action.server] += 1
-                    assert self.cold[action.server] <= 1 + (self.peak + 1) * age / warm_up, "cold"
+                assert self.states[action.backend] is BackendState.READY
+                age, warm_up = at - self.started[action.backend], self.node.settings.warm_up
+                if self.started[action.backend] and age < warm_up:
+                    self.cold[action.backend] += 1
+                    assert self.cold[action.backend] <= 1 + (self.peak + 1) * age / warm_up, "cold"
         self.told = len(self.node.log)
         assert all(at + 0.01 >= self.node.now for at in self.owed.values()), "no answer in time"
 
@@ -180,7 +201,7 @@
         for _ in range(count):
             name = f"r{self.node.count + 1}"
             self.owed[name], self.groups[name] = self.node.now + 1.2, group
-            assert self.node.ask(group=group, key=f"f{flow}") == name
+            assert self.node.ask(group=group, flow=f"f{flow}") == name
             self.audit()
 
     def waiting(self, pick: int | None = None) -> list[str]:
@@ -253,15 +274,15 @@
     def conserved(self) -> None:
         self.audit()
         held = Counter(server for _, server in self.node.out.values())
-        for server in self.node.balancer.servers.values():
-            here = [r for r, (_, s) in self.node.out.items() if s == server.id]
+        for server in self.node.balancer.pool.backends.values():
+            here = [r for r, (_, s) in self.node.out.items() if s == server.name]
             groups = Counter(self.groups[r] for r in here if self.groups[r])
             load = sum(self.node.balancer.requests[r].load for r in here) + GROUP_SLOTS * len(groups)
-            assert server.count == held[server.id] and server.groups == groups
-            assert server.load == pytest.approx(load, abs=1e-6)
-            assert set(server.held) <= set(here) & set(self.stands)
-            assert (server.trial is not None) == (server.health is Health.TRIAL)
-            assert server.trial is None or server.trial.id in here
+            assert server.count == held[server.name] and server.groups == groups
+            assert server.occupancy == pytest.approx(load, abs=1e-6)
+            assert set(server.connections) <= set(here) & set(self.stands)
+            assert (server.health.probe is not None) == (server.health.state is HealthState.PROBING)
+            assert server.health.probe is None or server.health.probe.id in here
 
     def teardown(self) -> None:
         """All servers answer from now on: each that is listed gets work again, and nothing is left over."""
@@ -282,8 +303,10 @@
         self.wait(2.0)
         self.conserved()
         balancer = self.node.balancer
-        assert not balancer.requests and not balancer.timers and not self.owed
-        assert not any(s.count or s.load or s.groups or s.held for s in balancer.servers.values())
+        assert not balancer.requests and not balancer.timers.waiting and not self.owed
+        assert not any(
+            s.count or s.occupancy or s.groups or s.connections for s in balancer.pool.backends.values()
+        )
 
 
 EFFORT: dict[str, Any] = {
@@ -302,45 +325,79 @@
     run_state_machine_as_test(Machine, settings=effort(max_examples=60, **EFFORT))
 
 
-class LostTrial(Balancer):
-    """What stood here once: an error or a reset did not end the trial."""
+class ProbeOutlivesErrors(FailureAttribution):
+    """What stood here once: an error or a reset did not end the probe."""
+
+    __slots__ = ()
+
+    def attempt_finished(self, now: float, request: Request, backend: Backend, status: S) -> None:
+        probe = backend.health.probe
+        super().attempt_finished(now, request, backend, status)
+        if probe is request and status in (S.ERROR, S.RESET):
+            backend.health.probe, backend.health.state = probe, HealthState.PROBING
+
+
+class LostProbe(Balancer):
+    def _create_fault_rules(self) -> None:
+        super()._create_fault_rules()
+        self._attribution = ProbeOutlivesErrors(self.ejection, self.ceilings)
+
 
-    def _judge(self, server: Server, request: Request, status: S) -> None:
-        trial = server.trial
-        super()._judge(server, request, status)
-        if trial is request and status in (S.ERROR, S.RESET):
-            server.trial, server.health = trial, Health.TRIAL
+class OccupancyOfAnswered(Occupancy):
+    __slots__ = ()
+
+    def remove(self, backend: Backend, request: Request) -> None:
+        if not request.is_answered:
+            super().remove(backend, request)
 
 
 class LostLateEnding(Balancer):
-    def _vacate(self, server: Server, request: Request) -> None:
-        if not request.answered:
-            super()._vacate(server, request)
+    def _create_capacity_rules(self) -> None:
+        super()._create_capacity_rules()
+        self._occupancy = OccupancyOfAnswered(self.ceilings, self.shared_state)
 
 
 class EndsTwice(Balancer):
-    def _on_outcome(self, event: AttemptFinished) -> None:
+    def _on_attempt_finished(self, now: float, event: AttemptFinished) -> None:
         request = self.requests.get(event.request)
         if request is not None:
             event = AttemptFinished(event.request, request.attempts - 1, event.status, 0.0, event.final)
-        super()._on_outcome(event)
+        super()._on_attempt_finished(now, event)
+
+
+class SelectionOfDraining(Selection):
+    __slots__ = ()
+
+    def is_allowed(self, now: float, request: Request, backend: Backend) -> bool:
+        return super().is_allowed(now, request, backend) or backend.state is BackendState.DRAINING
 
 
-class SendsToLeaving(Balancer):
-    def _allowed(self, request: Request, server: Server) -> bool:
-        return super()._allowed(request, server) or server.state is BackendState.DRAINING
+class SendsToDraining(Balancer):
+    def _create_request_rules(self) -> None:
+        super()._create_request_rules()
+        affinity = GroupAffinity(self.settings, self.pool, self.capacity, self.shared_state)
+        self._selection = SelectionOfDraining(self.settings, self.pool, self.ceilings, affinity, self._random)
+        self._placement.selection = self._selection
 
-    def _refresh(self) -> None:
-        super()._refresh()
-        self.ready = [s for s in self.servers.values() if s.state is not BackendState.REMOVED]
+    def _refresh(self, now: float) -> None:
+        super()._refresh(now)
+        self.pool.candidates = [b for b in self.pool.backends.values() if b.state is not BackendState.REMOVED]
 
 
-class FloodsCold(Balancer):
-    def _slow_start_gap(self, server: Server) -> float:
+class NoSlowStart(SlowStart):
+    __slots__ = ()
+
+    def start_interval(self, now: float, usual_slots: float) -> float:
         return 0.0
 
 
-@pytest.mark.parametrize("broken", [FloodsCold, LostTrial, LostLateEnding, EndsTwice, SendsToLeaving])
+class FloodsWarmingUp(Balancer):
+    def _create_capacity_rules(self) -> None:
+        super()._create_capacity_rules()
+        self._slow_start = NoSlowStart(self.settings, self.shared_state)
+
+
+@pytest.mark.parametrize("broken", [FloodsWarmingUp, LostProbe, LostLateEnding, EndsTwice, SendsToDraining])
 def test_the_check_finds_a_broken_module(broken: type[Balancer]) -> None:
     machine = type("Broken", (Machine,), {"module": broken})
     with pytest.raises((AssertionError, KeyError)):
--- a/tests/balancing/test_request_rules.py
+++ b/tests/balancing/test_request_rules.py
@@ -21,7 +21,7 @@
     ResponseLatencyMeasured,
 )
 from saltcourse.balancing.settings import DeduplicationScope, Idempotency, RequestClass
-from tests.balancing.balancer_host import Node
+from tests.balancing.balancer_host import ANSWER_SLACK_SECONDS, Node
 
 CLASSES = (
     RequestClass("safe", latency_objective=0.3, deadline=1.2, message_latency_objective=0.1),
@@ -73,16 +73,16 @@
         return actions
 
     def check_send(self, action: StartAttempt) -> None:
-        request, klass, member = action.request, self.klass[action.request], self.told[action.server]
+        request, klass, member = action.request, self.klass[action.request], self.told[action.backend]
         assert self.finished.get(request, 0) == 0, "a send after the final answer"
         assert member.state is BackendState.READY, "a send to a draining or gone server"
         assert self.sends[request] <= self.settings.max_attempts
         if request in self.ran:
             where, since = self.ran[request]
-            assert klass.effect is not Idempotency.NOT_IDEMPOTENT
-            if klass.effect is Idempotency.KEYED:
+            assert klass.idempotency is not Idempotency.NOT_IDEMPOTENT
+            if klass.idempotency is Idempotency.KEYED:
                 assert (where.zone, where.cell) == (member.zone, member.cell)
-                assert self.now < since + klass.window
+                assert self.now < since + klass.deduplication_window
         self.first_sent[request] = self.now
         limit = action.timeout if action.timeout > 0 else 1e9
         self.times_out[request] = min(self.now + limit, self.deadline[request])
@@ -92,9 +92,11 @@
         assert request not in self.standing, "an answer to a connection that stands"
         self.finished[request] = self.finished.get(request, 0) + 1
         assert self.finished[request] == 1, "two final answers"
-        assert self.now <= self.deadline[request] + self.settings.answer_slack, "too late"
+        assert self.now <= self.deadline[request] + ANSWER_SLACK_SECONDS, "too late"
         if isinstance(action, RejectRequest) and (request in self.ran or request in self.out):
-            assert self.klass[request].effect is Idempotency.IDEMPOTENT, "a refusal that promises too much"
+            assert self.klass[request].idempotency is Idempotency.IDEMPOTENT, (
+                "a refusal that promises too much"
+            )
 
     def finish(self, request: str, status: AttemptStatus) -> None:
         attempt, server = self.out[request]
@@ -131,7 +133,7 @@
 def test_rules_hold_whatever_comes(steps: list[tuple[object, ...]], probes: bool) -> None:
     judge = Judge(probes)
     fleet = tuple(Endpoint(f"s{i}", zone=f"z{i % 2}", cell=i // 2, started=1.0) for i in range(6))
-    judge.told = {m.server: m for m in fleet}
+    judge.told = {m.backend: m for m in fleet}
     judge.list(fleet, EndpointUpdateKind.CACHED)
     for name, a, b in steps:
         if name == "ask":
@@ -145,8 +147,8 @@
             old = judge.told[f"s{a}"]
             state = b if name == "state" else BackendState.READY
             started = judge.now if name == "restart" else old.started
-            member = Endpoint(old.server, state, old.zone, "", old.cell, 1.0, started)  # type: ignore[arg-type]
-            judge.told[old.server] = member
+            member = Endpoint(old.backend, state, old.zone, "", old.cell, 1.0, started)  # type: ignore[arg-type]
+            judge.told[old.backend] = member
             judge.list((member,), EndpointUpdateKind.DELTA)
         elif name == "probe":
             report = LoadReport(load=b)  # type: ignore[arg-type]
@@ -166,7 +168,7 @@
     judge.pass_time(3.0)
     for request in judge.klass:
         assert request in judge.standing or judge.finished.get(request), "a request without an answer"
-    held = {s.id: s.count for s in judge.balancer.servers.values() if s.count}
+    held = {s.name: s.count for s in judge.balancer.pool.backends.values() if s.count}
     want: dict[str, int] = {}
     for _, server in judge.out.values():
         want[server] = want.get(server, 0) + 1
--- a/tests/balancing/test_slow_start.py
+++ b/tests/balancing/test_slow_start.py
@@ -13,8 +13,8 @@
 import pytest
 
 from saltcourse.balancing.actions import MigrateConnection
-from saltcourse.balancing.balancer import Balancer
 from saltcourse.balancing.events import AttemptStatus, BackendState, Endpoint, EndpointUpdateKind
+from saltcourse.balancing.slow_start import SlowStart
 from tests.balancing.balancer_host import Node, members
 
 SERVERS, DRAINED, LIFE, STEP = 8, 5, 8.0, 0.02
@@ -59,7 +59,7 @@
     def come(self) -> None:
         node = self.random.choice(self.proxies)
         group = f"g{int(12 * self.random.random() ** 2)}" if self.groups else ""
-        request = node.ask(group=group, key=str(self.random.random()))
+        request = node.ask(group=group, flow=str(self.random.random()))
         if request in node.out:
             if node.server_of(request) == "cold":
                 self.got.append(self.now)
@@ -113,5 +113,5 @@
 
 
 def test_the_check_sees_a_ramp_that_does_not_hold(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Balancer, "_slow_start_gap", lambda self, server: 0.0)
+    monkeypatch.setattr(SlowStart, "start_interval", lambda self, now, usual_slots: 0.0)
     assert min(worst(proxies, 40.0, 0, False) for proxies in (2, 5, 20, 30)) > 1.0
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -9,7 +9,9 @@
 import pytest
 
 from saltcourse import simulator_adapter
-from saltcourse.simulator_adapter import Link, Malformed, read_settings, serve
+from saltcourse.codec.json_fields import Malformed
+from saltcourse.config.deployment_settings import read_settings
+from saltcourse.simulator_adapter import Link, serve
 
 ENV: dict[str, Any] = {
     "balancers": 2,
@@ -58,8 +60,8 @@
 
 def test_settings_are_read_and_unknown_keys_skipped() -> None:
     got = read_settings(ENV)
-    assert got.reports_load and got.max_attempts == 3 and got.start_share == 0.3
-    assert got.classes[0].message_aim == 0.06 and got.classes[0].worth == 2.0
+    assert got.reports_load and got.max_attempts == 3 and got.initial_capacity_share == 0.3
+    assert got.classes[0].message_latency_objective == 0.06 and got.classes[0].priority_weight == 2.0
 
 
 def test_a_request_is_placed_and_its_life_followed() -> None:
@@ -126,6 +128,7 @@
         (batch({"msg": "ring", "node": 3, "handle": 1.5}), "handle"),
         (batch(HELLO | {"env": ENV | {"weights": "odd"}}), "weights"),
         (batch(HELLO | {"env": ENV | {"balancers": 0}}), "balancers"),
+        (batch(HELLO | {"env": ENV | {"obligations": {"drain_grace": -0.1}}}), "drain_grace"),
         (batch(HELLO | {"env": 3}), "env"),
     ],
 )
