--- a/saltcourse/simulator_adapter.py
+++ b/saltcourse/simulator_adapter.py
@@ -1,8 +1,11 @@
-"""Carries the simulator's wire to ``saltcourse.balancing.balancer`` and back. It decides nothing.
+"""Carries the simulator's wire to the balancer and back. It decides nothing.
 
-One JSON object a line on standard input, one reply a line on standard output. Each instance has
-a Balancer of its own and they share nothing. Malformed input ends the program: a message on
-standard error and exit code 2. A fault inside a Balancer becomes that instance's fault action.
+One JSON object a line on standard input, one reply a line on standard output. Each instance is one proxy
+with a ``Balancer`` of its own, and instances share nothing. Malformed input ends the program: a message on
+standard error and exit code 2. A fault inside a ``Balancer`` becomes that instance's ``internal_error``.
+
+The wire's words are mapped to the code's terms here and nowhere else: message names in ``EVENT_READERS`` and
+``ACTION_WRITERS``, values in the tables below, field names in the functions, one for each message.
 """
 
 from __future__ import annotations
@@ -14,6 +17,7 @@
 import orjson
 
 from saltcourse.balancing.actions import (
+    Action,
     CancelAttempt,
     FailRequest,
     FetchEndpoints,
@@ -50,9 +54,9 @@
 from saltcourse.codec.lines import REPORT_FIELDS
 from saltcourse.config.deployment_settings import read_settings
 
-# The wire's words beside ours. Event and action names, and their fields, stand in the functions
-# below, one function a message.
-STATUSES = {
+Message = dict[str, Any]  # one event or action as the wire has it
+
+STATUSES = {  # "result"
     0: AttemptStatus.OK,
     13: AttemptStatus.ERROR,
     8: AttemptStatus.FULL,
@@ -62,200 +66,293 @@
     1: AttemptStatus.CANCELLED,
     9: AttemptStatus.NOT_SENT,
 }
-STATES = {
+BACKEND_STATES = {  # "lifecycle"
     "healthy": BackendState.READY,
     "cordoned": BackendState.DRAINING,
     "deregistered": BackendState.REMOVED,
 }
-LIST_KINDS = {
+UPDATE_KINDS = {  # "mode"
     "update": EndpointUpdateKind.DELTA,
     "replace": EndpointUpdateKind.SNAPSHOT,
     "restored": EndpointUpdateKind.CACHED,
     "unavailable": EndpointUpdateKind.UNAVAILABLE,
 }
-NOTE_LOAD, NOTE_DELAY = 1, 2
-MICRO, MILLI = 1e-6, 1e-3
+TOPIC_LOAD = 1  # "topic" of a change: its value is in microseconds of work per second
+TOPIC_LATENCY = 2  # its value is in milliseconds
+MICROSECONDS = 1e-6  # s
+MILLISECONDS = 1e-3  # s
+ALL_PEERS = "all"
 EXIT_MALFORMED = 2
 
 
 class Instance:
-    """One node's Balancer and the few things that the wire needs to know of it."""
+    """One proxy's balancer, and the order of the fields in its load reports."""
 
-    __slots__ = ("balancer", "fields")
+    __slots__ = ("_report_fields", "balancer")
 
-    def __init__(self, seed: int, env: dict[str, Any]) -> None:
+    def __init__(self, seed: int, env: Message) -> None:
+        """Raise ``Malformed`` for settings that are not right."""
         try:
             settings = read_settings(env)
-        except Malformed as wrong:
-            raise Malformed(f"env: {wrong}") from None
-        fields = texts(field(env, "report", dict, {}), "fields")
-        self.fields = [REPORT_FIELDS.get(name, "") for name in fields]
+        except Malformed as error:
+            raise Malformed(f"env: {error}") from None
+        report = field(env, "report", dict, {})
+        self._report_fields = [REPORT_FIELDS.get(name, "") for name in texts(report, "fields")]
         self.balancer = Balancer(settings, seed)
 
-    def report(self, message: dict[str, Any]) -> LoadReport | None:
+    def read_report(self, message: Message) -> LoadReport | None:
+        """Read a row of numbers, one for each field that the settings name; unknown fields are skipped."""
         row = message.get("server_stats")
         if row is None:
             return None
-        if not isinstance(row, list) or not all(isinstance(v, (int, float)) for v in row):
+        if not isinstance(row, list) or not all(isinstance(value, (int, float)) for value in row):
             raise Malformed(f"{message['msg']}: 'server_stats' is not a row of numbers")
-        return LoadReport(**{f: v for f, v in zip(self.fields, row, strict=False) if f})
+        named = zip(self._report_fields, row, strict=False)
+        return LoadReport(**{name: value for name, value in named if name})
+
+
+# ---- events ------------------------------------------------------------------------------------------
+
+
+def read_endpoints_updated(message: Message, _: Instance) -> Event:
+    """``backends_changed``: the endpoint list."""
+    kind = lookup(message, "mode", UPDATE_KINDS)
+    return EndpointsUpdated(
+        kind, tuple(_read_endpoint(entry) for entry in field(message, "members", list, []))
+    )
 
 
-def _member(entry: Any) -> Endpoint:
+def _read_endpoint(entry: Any) -> Endpoint:
     """One entry of a list; the hot path of a large fleet, so one test covers all the common types."""
     if not isinstance(entry, dict):
         raise Malformed("backends_changed: a member that is not an object")
     get = entry.get
-    host, state = get("host"), STATES.get(str(get("lifecycle")))
+    host, state = get("host"), BACKEND_STATES.get(str(get("lifecycle")))
     weight, started = get("nominal", 1), get("launched", 0)
     if type(host) is str and state and type(weight) in (int, float) and type(started) in (int, float):
         return Endpoint(host, state, get("az", ""), get("sku", ""), get("block", 0), weight, started)
     field(entry, "host", str)
-    lookup(entry, "lifecycle", STATES)
+    lookup(entry, "lifecycle", BACKEND_STATES)
     raise Malformed(f"backends_changed: a member with a wrong value: {entry!r}")
 
 
-def _members(message: dict[str, Any], _: Instance) -> Event:
-    kind = lookup(message, "mode", LIST_KINDS)
-    return EndpointsUpdated(kind, tuple(_member(e) for e in field(message, "members", list, [])))
-
-
-def _accept(message: dict[str, Any], _: Instance) -> Event:
+def read_request_received(message: Message, _: Instance) -> Event:
+    """``accept``: a client wants a connection."""
     get = message.get
     return RequestReceived(
-        field(message, "job", str),
-        field(message, "profile", str),
-        number(message, "patience_left"),
-        get("tenant") or "",
-        get("hint") or 0.0,
-        get("subject") or "",
-        get("channel") or "",
-        bool(get("repeat")),
-        bool(get("mid_flow")),
-        bool(get("came_back")),
+        request=field(message, "job", str),
+        request_class=field(message, "profile", str),
+        time_left=number(message, "patience_left"),
+        tenant=get("tenant") or "",
+        load_hint=get("hint") or 0.0,
+        flow=get("subject") or "",
+        group=get("channel") or "",
+        is_retry=bool(get("repeat")),
+        mid_flow=bool(get("mid_flow")),
+        came_back=bool(get("came_back")),
     )
 
 
-def _resumed(message: dict[str, Any], _: Instance) -> Event:
+def read_connection_resumed(message: Message, _: Instance) -> Event:
+    """``resumed``: a connection from before the proxy's start."""
     get = message.get
     return ConnectionResumed(
-        field(message, "job", str),
-        field(message, "profile", str),
-        field(message, "host", str),
-        get("tenant") or "",
-        get("hint") or 0.0,
-        get("channel") or "",
+        request=field(message, "job", str),
+        request_class=field(message, "profile", str),
+        backend=field(message, "host", str),
+        tenant=get("tenant") or "",
+        load_hint=get("hint") or 0.0,
+        group=get("channel") or "",
     )
 
 
-def _first(message: dict[str, Any], _: Instance) -> Event:
+def read_connection_established(message: Message, _: Instance) -> Event:
+    """``first``: the first answer, the connection is up."""
     return ConnectionEstablished(
-        field(message, "job", str), field(message, "seq_no", int), number(message, "lag", 0.0)
+        request=field(message, "job", str),
+        attempt=field(message, "seq_no", int),
+        latency=number(message, "lag", 0.0),
     )
 
 
-def _answer(message: dict[str, Any], instance: Instance) -> Event:
+def read_attempt_finished(message: Message, instance: Instance) -> Event:
+    """``answer``: the end of an attempt or of its connection."""
     return AttemptFinished(
-        field(message, "job", str),
-        field(message, "seq_no", int),
-        lookup(message, "result", STATUSES),
-        number(message, "lag", 0.0),
-        bool(message.get("finished")),
-        instance.report(message),
+        request=field(message, "job", str),
+        attempt=field(message, "seq_no", int),
+        status=lookup(message, "result", STATUSES),
+        latency=number(message, "lag", 0.0),
+        final=bool(message.get("finished")),
+        report=instance.read_report(message),
     )
 
 
-def _aborted(message: dict[str, Any], _: Instance) -> Event:
+def read_client_disconnected(message: Message, _: Instance) -> Event:
+    """``aborted``: nobody waits for an answer."""
     return ClientDisconnected(field(message, "job", str))
 
 
-def _change(message: dict[str, Any], _: Instance) -> Event | None:
-    topic, job, value = message.get("topic"), field(message, "job", str), number(message, "value")
-    if topic == NOTE_LOAD:
-        return ConnectionLoadChanged(job, value * MICRO)
-    if topic == NOTE_DELAY:
-        return ResponseLatencyMeasured(job, value * MILLI)
-    return None  # a kind of note that came later than this page
+def read_change(message: Message, _: Instance) -> Event | None:
+    """``change``: another load, or a message's latency; None for a topic that is not known."""
+    topic, request, value = message.get("topic"), field(message, "job", str), number(message, "value")
+    if topic == TOPIC_LOAD:
+        return ConnectionLoadChanged(request, value * MICROSECONDS)
+    if topic == TOPIC_LATENCY:
+        return ResponseLatencyMeasured(request, value * MILLISECONDS)
+    return None
 
 
-def _ring(message: dict[str, Any], _: Instance) -> Event:
+def read_timer_fired(message: Message, _: Instance) -> Event:
+    """``ring``: a timer has fired."""
     return TimerFired(field(message, "handle", int))
 
 
-def _probe_done(message: dict[str, Any], instance: Instance) -> Event:
+def read_health_check_finished(message: Message, instance: Instance) -> Event:
+    """``probe_done``: the end of a health check."""
     return HealthCheckFinished(
-        field(message, "host", str),
-        lookup(message, "result", STATUSES),
-        number(message, "lag", 0.0),
-        instance.report(message),
+        backend=field(message, "host", str),
+        status=lookup(message, "result", STATUSES),
+        latency=number(message, "lag", 0.0),
+        report=instance.read_report(message),
     )
 
 
-def _from_peer(message: dict[str, Any], _: Instance) -> Event:
+def read_peer_message(message: Message, _: Instance) -> Event:
+    """``from_peer``: a message of another proxy."""
     return PeerMessageReceived(field(message, "src_peer", int), field(message, "data", str))
 
 
-READERS: dict[str, Callable[[dict[str, Any], Instance], Event | None]] = {
-    "backends_changed": _members,
-    "accept": _accept,
-    "resumed": _resumed,
-    "first": _first,
-    "answer": _answer,
-    "aborted": _aborted,
-    "change": _change,
-    "ring": _ring,
-    "probe_done": _probe_done,
-    "from_peer": _from_peer,
+EVENT_READERS: dict[str, Callable[[Message, Instance], Event | None]] = {
+    "backends_changed": read_endpoints_updated,
+    "accept": read_request_received,
+    "resumed": read_connection_resumed,
+    "first": read_connection_established,
+    "answer": read_attempt_finished,
+    "aborted": read_client_disconnected,
+    "change": read_change,
+    "ring": read_timer_fired,
+    "probe_done": read_health_check_finished,
+    "from_peer": read_peer_message,
 }
 
-WRITERS: dict[type, Callable[[Any, int], dict[str, Any]]] = {
-    StartAttempt: lambda a, n: {
+
+# ---- actions -----------------------------------------------------------------------------------------
+
+
+def write_start_attempt(action: StartAttempt, node: int) -> Message:
+    """``place``: start an attempt."""
+    return {
         "msg": "place",
-        "node": n,
-        "job": a.request,
-        "host": a.backend,
-        "try_for": a.timeout,
-    },
-    RejectRequest: lambda a, n: {"msg": "decline", "node": n, "job": a.request, "come_back": a.retry_after},
-    FailRequest: lambda a, n: {"msg": "report_failure", "node": n, "job": a.request},
-    CancelAttempt: lambda a, n: {"msg": "retract", "node": n, "job": a.request, "seq_no": a.attempt},
-    MigrateConnection: lambda a, n: {"msg": "move", "node": n, "job": a.request},
-    SetTimer: lambda a, n: {"msg": "wake_me", "node": n, "after": a.delay, "handle": a.token},
-    StartHealthCheck: lambda a, n: {"msg": "check", "node": n, "host": a.backend},
-    SendPeerMessage: lambda a, n: {
+        "node": node,
+        "job": action.request,
+        "host": action.backend,
+        "try_for": action.timeout,
+    }
+
+
+def write_reject_request(action: RejectRequest, node: int) -> Message:
+    """``decline``: final answer, a retry does no harm."""
+    return {
+        "msg": "decline",
+        "node": node,
+        "job": action.request,
+        "come_back": action.retry_after,
+    }
+
+
+def write_fail_request(action: FailRequest, node: int) -> Message:
+    """``report_failure``: final answer without any promise."""
+    return {"msg": "report_failure", "node": node, "job": action.request}
+
+
+def write_cancel_attempt(action: CancelAttempt, node: int) -> Message:
+    """``retract``: give up an attempt."""
+    return {"msg": "retract", "node": node, "job": action.request, "seq_no": action.attempt}
+
+
+def write_migrate_connection(action: MigrateConnection, node: int) -> Message:
+    """``move``: end a connection in good order."""
+    return {"msg": "move", "node": node, "job": action.request}
+
+
+def write_set_timer(action: SetTimer, node: int) -> Message:
+    """``wake_me``: set a timer."""
+    return {"msg": "wake_me", "node": node, "after": action.delay, "handle": action.token}
+
+
+def write_start_health_check(action: StartHealthCheck, node: int) -> Message:
+    """``check``: start a health check."""
+    return {"msg": "check", "node": node, "host": action.backend}
+
+
+def write_send_peer_message(action: SendPeerMessage, node: int) -> Message:
+    """``say``: send to one other proxy, or to all."""
+    return {
         "msg": "say",
-        "node": n,
-        "peer": "all" if a.peer is None else a.peer,
-        "data": a.data,
-    },
-    WatchEndpoints: lambda a, n: {"msg": "subscribe", "node": n, "want": True},
-    FetchEndpoints: lambda a, n: {"msg": "get_list", "node": n},
-    Log: lambda a, n: {"msg": "trace", "node": n, "text": a.text},
+        "node": node,
+        "peer": ALL_PEERS if action.peer is None else action.peer,
+        "data": action.data,
+    }
+
+
+def write_watch_endpoints(_: WatchEndpoints, node: int) -> Message:
+    """``subscribe``: watch the endpoint list."""
+    return {"msg": "subscribe", "node": node, "want": True}
+
+
+def write_fetch_endpoints(_: FetchEndpoints, node: int) -> Message:
+    """``get_list``: fetch the endpoint list once."""
+    return {
+        "msg": "get_list",
+        "node": node,
+    }
+
+
+def write_log(action: Log, node: int) -> Message:
+    """``trace``: write a log line."""
+    return {"msg": "trace", "node": node, "text": action.text}
+
+
+ACTION_WRITERS: dict[type[Action], Callable[[Any, int], Message]] = {
+    StartAttempt: write_start_attempt,
+    RejectRequest: write_reject_request,
+    FailRequest: write_fail_request,
+    CancelAttempt: write_cancel_attempt,
+    MigrateConnection: write_migrate_connection,
+    SetTimer: write_set_timer,
+    StartHealthCheck: write_start_health_check,
+    SendPeerMessage: write_send_peer_message,
+    WatchEndpoints: write_watch_endpoints,
+    FetchEndpoints: write_fetch_endpoints,
+    Log: write_log,
 }
 
 
-class Link:
+# ---- batches -----------------------------------------------------------------------------------------
+
+
+class Adapter:
     """All instances of this process, told apart by number."""
 
     def __init__(self) -> None:
+        """Begin without instances; ``hello`` starts one."""
         self._instances: dict[int, Instance] = {}
 
     def reply(self, line: bytes) -> bytes:
-        """The reply to one batch; raises Malformed on what the wire does not allow."""
+        """The reply to one batch; raises ``Malformed`` on what the wire does not allow."""
         try:
             batch = orjson.loads(line)
-        except orjson.JSONDecodeError as wrong:
-            raise Malformed(f"a line that is not JSON: {wrong}") from None
+        except orjson.JSONDecodeError as error:
+            raise Malformed(f"a line that is not JSON: {error}") from None
         if not isinstance(batch, dict):
             raise Malformed("a batch that is not an object")
         now = number(batch, "at_time")
-        events = field(batch, "events", list)
-        actions: list[dict[str, Any]] = []
-        for message in events:
+        actions: list[Message] = []
+        for message in field(batch, "events", list):
             self._handle(now, message, actions)
         return orjson.dumps({"actions": actions})
 
-    def _handle(self, now: float, message: Any, actions: list[dict[str, Any]]) -> None:
+    def _handle(self, now: float, message: Any, actions: list[Message]) -> None:
         if not isinstance(message, dict):
             raise Malformed("an event that is not an object")
         name, node = message.get("msg"), field(message, "node", int)
@@ -268,7 +365,7 @@
         if name == "detach":
             del self._instances[node]
             return
-        reader = READERS.get(name) if isinstance(name, str) else None
+        reader = EVENT_READERS.get(name) if isinstance(name, str) else None
         if reader is None:
             raise Malformed(f"an unknown message {name!r}")
         event = reader(message, instance)
@@ -276,27 +373,28 @@
             return
         try:
             for action in instance.balancer.handle(now, event):
-                actions.append(WRITERS[type(action)](action, node))
+                actions.append(ACTION_WRITERS[type(action)](action, node))
         except Exception as fault:  # the wire's way to say that the decision code has failed
             text = f"{type(fault).__name__}: {fault}"
             actions.append({"msg": "internal_error", "node": node, "text": text})
 
 
 def serve(source: Iterable[bytes], sink: BinaryIO) -> int:
-    """Answer each line until the input ends; the exit code is returned."""
-    link = Link()
+    """Answer each line until the input ends; returns the exit code."""
+    adapter = Adapter()
     for line in source:
         try:
-            answer = link.reply(line)
-        except Malformed as wrong:
-            print(f"simulator_adapter: {wrong}", file=sys.stderr)
+            reply = adapter.reply(line)
+        except Malformed as error:
+            print(f"simulator_adapter: {error}", file=sys.stderr)
             return EXIT_MALFORMED
-        sink.write(answer + b"\n")
+        sink.write(reply + b"\n")
         sink.flush()
     return 0
 
 
 def main() -> int:
+    """Serve standard input and output; returns the exit code."""
     return serve(sys.stdin.buffer, sys.stdout.buffer)
 
 
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -11,7 +11,7 @@
 from saltcourse import simulator_adapter
 from saltcourse.codec.json_fields import Malformed
 from saltcourse.config.deployment_settings import read_settings
-from saltcourse.simulator_adapter import Link, serve
+from saltcourse.simulator_adapter import Adapter, serve
 
 ENV: dict[str, Any] = {
     "balancers": 2,
@@ -44,10 +44,10 @@
     return json.dumps({"at_time": now, "events": list(events)}).encode()
 
 
-def started(**env: Any) -> Link:
-    link = Link()
-    link.reply(batch(HELLO | {"env": ENV | env}, MEMBERS))
-    return link
+def started(**env: Any) -> Adapter:
+    adapter = Adapter()
+    adapter.reply(batch(HELLO | {"env": ENV | env}, MEMBERS))
+    return adapter
 
 
 def actions(answer: bytes) -> list[dict[str, Any]]:
@@ -55,7 +55,7 @@
 
 
 def test_empty_batch() -> None:
-    assert Link().reply(batch()) == b'{"actions":[]}'
+    assert Adapter().reply(batch()) == b'{"actions":[]}'
 
 
 def test_settings_are_read_and_unknown_keys_skipped() -> None:
@@ -65,8 +65,8 @@
 
 
 def test_a_request_is_placed_and_its_life_followed() -> None:
-    link = started(report={"how": "silent", "fields": []})
-    sent = [a for a in actions(link.reply(batch(ACCEPT))) if a["msg"] == "place"]
+    adapter = started(report={"how": "silent", "fields": []})
+    sent = [a for a in actions(adapter.reply(batch(ACCEPT))) if a["msg"] == "place"]
     assert [(a["node"], a["job"], a["host"]) for a in sent] == [(3, "rq_1", "h:1")]
     first = {"msg": "first", "node": 3, "job": "rq_1", "seq_no": 0, "host": "h:1", "lag": 0.01}
     note = {"msg": "change", "node": 3, "job": "rq_1", "seq_no": 0, "host": "h:1", "topic": 1, "value": 5000}
@@ -81,12 +81,12 @@
         "lag": 3.0,
         "finished": True,
     }
-    assert actions(link.reply(batch(first, note, other, answer))) == []
+    assert actions(adapter.reply(batch(first, note, other, answer))) == []
 
 
 def test_a_probe_report_is_read() -> None:
-    link = started()
-    probes = [a for a in actions(link.reply(batch(ACCEPT))) if a["msg"] == "check"]
+    adapter = started()
+    probes = [a for a in actions(adapter.reply(batch(ACCEPT))) if a["msg"] == "check"]
     assert probes == [{"msg": "check", "node": 3, "host": "h:1"}]
     done = {
         "msg": "probe_done",
@@ -96,19 +96,19 @@
         "lag": 0.001,
         "server_stats": [0.5, 0.4],
     }
-    assert [a["msg"] for a in actions(link.reply(batch(done)))] == ["place"]
+    assert [a["msg"] for a in actions(adapter.reply(batch(done)))] == ["place"]
 
 
 def test_detach_forgets_and_hello_starts_anew() -> None:
-    link = started()
-    link.reply(batch({"msg": "detach", "node": 3}))
+    adapter = started()
+    adapter.reply(batch({"msg": "detach", "node": 3}))
     with pytest.raises(Malformed, match="instance 3"):
-        link.reply(batch(ACCEPT))
-    link.reply(batch(HELLO))
+        adapter.reply(batch(ACCEPT))
+    adapter.reply(batch(HELLO))
 
 
 @pytest.mark.parametrize(
-    ("line", "told"),
+    ("line", "error"),
     [
         (b"{", "not JSON"),
         (b"[]", "not an object"),
@@ -134,19 +134,19 @@
 )
 def test_malformed_input_is_named_and_ends_the_program(
     line: bytes,
-    told: str,
+    error: str,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     sink = io.BytesIO()
     code = serve([batch(HELLO, MEMBERS), line, batch()], sink)
     assert code == simulator_adapter.EXIT_MALFORMED
-    assert told in capsys.readouterr().err
+    assert error in capsys.readouterr().err
     assert len(sink.getvalue().splitlines()) == 1  # nothing is said to the bad line or after it
 
 
 def test_a_fault_in_the_decisions_is_told_for_its_instance() -> None:
-    link = started()
-    got = actions(link.reply(batch(ACCEPT | {"profile": "no such class"})))
+    adapter = started()
+    got = actions(adapter.reply(batch(ACCEPT | {"profile": "no such class"})))
     assert got[-1]["msg"] == "internal_error" and "no such class" in got[-1]["text"] and got[-1]["node"] == 3
 
 
