--- a/saltcourse/balancing/actions.py
+++ b/saltcourse/balancing/actions.py
@@ -77,7 +77,7 @@
 
 @dataclass(slots=True)
 class FetchEndpoints:
-    """Ask for the whole endpoint list once."""
+    """Ask for the complete endpoint list once."""
 
 
 @dataclass(slots=True)
--- a/saltcourse/balancing/balancer.py
+++ b/saltcourse/balancing/balancer.py
@@ -153,7 +153,10 @@
     # ---- what hosts call ---------------------------------------------------------------------------
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Take one event at the host's time (s); the actions are to be carried out in their order."""
+        """Take one event at the host's time (s); the actions are to be carried out in their order.
+
+        Raises ``KeyError`` for a request class or a timer token that is not known.
+        """
         self._actions.clear()
         self.handlers[type(event)](now, event)  # type: ignore[operator]
         for peer, data in self.shared_state.outgoing_messages(now):
--- a/saltcourse/balancing/events.py
+++ b/saltcourse/balancing/events.py
@@ -15,15 +15,15 @@
 
     READY = "ready"
     DRAINING = "draining"
-    REMOVED = "gone"
+    REMOVED = "removed"
 
 
 class EndpointUpdateKind(Enum):
     """What an update of the endpoint list brings."""
 
-    DELTA = "changed"  # changed entries only
-    SNAPSHOT = "whole"  # the whole list
-    CACHED = "restored"  # a whole list from before this start, which may be stale
+    DELTA = "delta"  # changed entries only
+    SNAPSHOT = "snapshot"  # the complete list
+    CACHED = "cached"  # a complete list from before this start, which may be stale
     UNAVAILABLE = "unavailable"  # nothing: discovery could not be reached
 
 
@@ -71,7 +71,7 @@
 
 @dataclass(slots=True)
 class RequestReceived:
-    """A client wants a connection.
+    """A client asks for a connection.
 
     ``time_left``: s until the client gives up. ``load_hint``: the usual load of such a connection, 0 if not
     known. ``flow``: the client's key, the same with each of its retries. ``group``: connections that share
@@ -162,7 +162,7 @@
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer that ``SetTimer`` has set is due."""
+    """A timer that ``SetTimer`` has set has expired."""
 
     token: int
 
--- a/saltcourse/balancing/settings.py
+++ b/saltcourse/balancing/settings.py
@@ -1,7 +1,8 @@
 """The settings that the decisions are made under. Times are seconds, loads seconds of work per second.
 
-``saltcourse/config/deployment_settings.py`` reads them from the deployment's JSON and maps its field names to
-those here. A value out of range raises ``ValueError`` with the deployment's own name of the setting.
+``saltcourse/config/deployment_settings.py`` reads them from the deployment's JSON and maps its field names
+to those here. A value out of range raises ``InvalidSettingError`` with the deployment's own name of the
+setting.
 """
 
 from __future__ import annotations
@@ -11,6 +12,18 @@
 from enum import Enum
 
 
+class InvalidSettingError(ValueError):
+    """A setting has a value that it may not have.
+
+    ``setting``: its name in the deployment's settings. ``expected``: what it may be.
+    """
+
+    def __init__(self, setting: str, expected: str) -> None:
+        super().__init__(f"setting {setting}: {expected}")
+        self.setting = setting
+        self.expected = expected
+
+
 class Idempotency(Enum):
     """What repeating a request of a class may do."""
 
@@ -31,7 +44,7 @@
     """How the endpoint list reaches a proxy."""
 
     PUSHED = "pushed"
-    POLLED = "asked"
+    POLLED = "polled"
 
 
 class WeightMeaning(Enum):
@@ -48,9 +61,9 @@
 MAX_LIST_RETRY_DELAY_SECONDS = CHANGE_KNOWN_WITHIN_SECONDS - LIST_CALL_TIMEOUT_SECONDS - 0.5
 
 
-def _require(condition: bool, setting: str, wanted: str) -> None:
+def _require(condition: bool, setting: str, expected: str) -> None:
     if not condition:
-        raise ValueError(f"setting {setting}: {wanted}")
+        raise InvalidSettingError(setting, expected)
 
 
 def _is_number(value: object) -> bool:
@@ -61,8 +74,8 @@
     _require(isinstance(value, (int, float)) and _is_number(value) and value >= 0, setting, "0 or more")
 
 
-def _require_positive(value: object, setting: str, wanted: str) -> None:
-    _require(isinstance(value, (int, float)) and _is_number(value) and value > 0, setting, wanted)
+def _require_positive(value: object, setting: str, expected: str) -> None:
+    _require(isinstance(value, (int, float)) and _is_number(value) and value > 0, setting, expected)
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/balancing/test_settings.py
+++ b/tests/balancing/test_settings.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from saltcourse.balancing.settings import RequestClass
+from saltcourse.balancing.settings import InvalidSettingError, RequestClass
 from tests.balancing.balancer_host import settings
 
 
@@ -22,10 +22,11 @@
     ],
 )
 def test_invalid_settings_are_named(field: str, wire_name: str, value: object) -> None:
-    with pytest.raises(ValueError, match=wire_name):
+    with pytest.raises(InvalidSettingError, match=wire_name) as raised:
         settings(**{field: value})
+    assert raised.value.setting == wire_name
 
 
 def test_invalid_class_is_named() -> None:
-    with pytest.raises(ValueError, match="classes.x.deadline"):
+    with pytest.raises(InvalidSettingError, match="classes.x.deadline"):
         RequestClass("x", latency_objective=1.0, deadline=0.0)
