--- a/benchmarks/slopes_module.py
+++ b/benchmarks/slopes_module.py
@@ -1,4 +1,4 @@
-"""What a placement, a change of the list and a group cost in the module, driven directly."""
+"""What a placement, an update of the endpoint list and a group cost in the balancer, driven directly."""
 
 from __future__ import annotations
 
@@ -32,22 +32,24 @@
 
 
 def settings(**changes: Any) -> Settings:
+    """One class of requests, with changes."""
     return Settings((RequestClass("c", 1.0, 3.0),), **changes)
 
 
-def members(count: int) -> tuple[Endpoint, ...]:
+def endpoints(count: int) -> tuple[Endpoint, ...]:
+    """So many backends that are ready."""
     return tuple(Endpoint(f"server-{i}") for i in range(count))
 
 
 def timed(balancer: Balancer, now: float, event: Event) -> tuple[float, list[Action]]:
-    """CPU in ms of one event, and the module's actions."""
+    """CPU in ms of one event, and the balancer's actions."""
     begin = time.process_time()
     actions = balancer.handle(now, event)
     return 1e3 * (time.process_time() - begin), actions
 
 
 def place(balancer: Balancer, number: int, group: str) -> float:
-    """CPU in ms of one placement; the connection then stands."""
+    """CPU in ms of one placement; its connection is then established."""
     now, request = 10.0 + number / 100, f"r{number}"
     cpu, _ = timed(balancer, now, RequestReceived(request, "c", 3.0, group=group))
     balancer.handle(now, ConnectionEstablished(request, 0, 0.01))
@@ -55,9 +57,9 @@
 
 
 def placements(servers: int, count: int, groups: bool) -> tuple[float, float]:
-    """Mean CPU of a placement: of groups that are new here, and of the same groups again."""
+    """Mean CPU in ms of a placement: of groups that are new here, and of the same groups again."""
     balancer = Balancer(settings(has_groups=groups), 1)
-    balancer.handle(0.0, EndpointsUpdated(EndpointUpdateKind.SNAPSHOT, members(servers)))
+    balancer.handle(0.0, EndpointsUpdated(EndpointUpdateKind.SNAPSHOT, endpoints(servers)))
     names = [f"group-{i}" if groups else "" for i in range(count)]
     first = statistics.mean([place(balancer, i, name) for i, name in enumerate(names)])
     again = statistics.mean([place(balancer, count + i, name) for i, name in enumerate(names)])
@@ -65,7 +67,7 @@
 
 
 def list_costs(servers: int) -> dict[str, float]:
-    """The list's way into the module: text read, first whole list, one change, a whole list again."""
+    """CPU in ms of the list: text read, first complete list, one change, complete list again; its kB."""
     text = orjson.dumps(
         {
             "version": 1,
@@ -88,11 +90,11 @@
     begin = time.process_time()
     read_list(orjson.loads(text))
     read = 1e3 * (time.process_time() - begin)
-    balancer, whole = Balancer(settings(), 1), members(servers)
-    first, _ = timed(balancer, 0.0, EndpointsUpdated(EndpointUpdateKind.SNAPSHOT, whole))
+    balancer, complete = Balancer(settings(), 1), endpoints(servers)
+    first, _ = timed(balancer, 0.0, EndpointsUpdated(EndpointUpdateKind.SNAPSHOT, complete))
     drained = (Endpoint("server-0", BackendState.DRAINING),)
     change, _ = timed(balancer, 1.0, EndpointsUpdated(EndpointUpdateKind.DELTA, drained))
-    again, _ = timed(balancer, 2.0, EndpointsUpdated(EndpointUpdateKind.SNAPSHOT, whole))
+    again, _ = timed(balancer, 2.0, EndpointsUpdated(EndpointUpdateKind.SNAPSHOT, complete))
     return {
         "list_read": read,
         "list_first": first,
@@ -103,6 +105,7 @@
 
 
 def measure_module(results: Results, sizes: Sizes) -> None:
+    """Add what placements and lists cost by the number of backends."""
     plain = [placements(count, sizes.placements, groups=False) for count in sizes.servers]
     grouped = [placements(count, sizes.placements, groups=True) for count in sizes.servers]
     lists = [list_costs(count) for count in sizes.servers]
@@ -123,45 +126,46 @@
 
 
 def traced(work: Callable[[], Any]) -> float:
-    """kB that what ``work`` returns, and what it changed, keeps allocated."""
+    """kB that stay allocated for what ``work`` returns and what it has changed."""
     gc.collect()
     tracemalloc.start()
-    kept = work()
+    result = work()
     gc.collect()
-    held, _ = tracemalloc.get_traced_memory()
+    allocated, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    del kept
-    return held / 1e3
+    del result
+    return allocated / 1e3
 
 
 def resume(count: int, groups: bool) -> Balancer:
-    """A module that holds so many connections, each of a group of its own or of none."""
+    """A balancer with so many connections, each of a group of its own or of none."""
     balancer = Balancer(settings(has_groups=True, peers_allowed=True, proxy_count=2), 1)
-    balancer.handle(0.0, EndpointsUpdated(EndpointUpdateKind.SNAPSHOT, members(100)))
+    balancer.handle(0.0, EndpointsUpdated(EndpointUpdateKind.SNAPSHOT, endpoints(100)))
     for i in range(count):
         group = f"group-{i}" if groups else ""
         balancer.handle(1.0, ConnectionResumed(f"r{i}", "c", f"server-{i % 100}", group=group))
-    balancer.handle(20.0, ClientDisconnected("nobody"))  # what there is to tell is told
+    balancer.handle(20.0, ClientDisconnected("nobody"))  # pending peer messages go out
     return balancer
 
 
 def pairs_of_peer(count: int) -> float:
-    """kB that one peer's pairs take in this proxy's copy."""
-    told = partial(settings, proxy_count=2, peers_allowed=True, has_groups=True)
-    owner, receiver = SharedState(told(proxy_index=0), 1, {}), SharedState(told(proxy_index=1), 2, {})
+    """kB that one peer's pairs of group and backend take in this proxy's replica."""
+    shared = partial(settings, proxy_count=2, peers_allowed=True, has_groups=True)
+    owner, receiver = SharedState(shared(proxy_index=0), 1, {}), SharedState(shared(proxy_index=1), 2, {})
     for i in range(count):
         owner.record_group(f"server-{i % 100}", f"group-{i}", True)
     texts = [text for peer, text in owner.outgoing_messages(1.0) if peer is None]
 
-    def hear() -> SharedState:
+    def receive() -> SharedState:
         for text in texts:
             receiver.receive(1.1, 0, text)
         return receiver
 
-    return traced(hear)
+    return traced(receive)
 
 
 def measure_groups(results: Results, sizes: Sizes) -> None:
+    """Add what a group costs here, and a pair of a peer."""
     own = [traced(lambda n=n: resume(n, True)) - traced(lambda n=n: resume(n, False)) for n in sizes.groups]
     results.add("group_in_module", "kb", "group", sizes.groups, own)
     results.add("pair_of_peer", "kb", "pair", sizes.groups, [pairs_of_peer(n) for n in sizes.groups])
