--- a/saltcourse/balancing/balancer.py
+++ b/saltcourse/balancing/balancer.py
@@ -242,7 +242,7 @@
         return request
 
     def _request_of(self, event: ConnectionEstablished | AttemptFinished) -> Request | None:
-        """The request, if the event is of its last attempt; what is told of earlier ones comes too late."""
+        """Find the request, if the event is of its last attempt; those of earlier ones come too late."""
         request = self.requests.get(event.request)
         if request is None or request.backend is None or event.attempt != request.attempts - 1:
             return None
@@ -309,7 +309,7 @@
         backend = self.pool.backends.get(event.backend)
         if backend is None:
             return
-        backend.report.check_in_flight = False
+        self._reports.check_finished(backend)
         if event.status is AttemptStatus.OK:
             self._attribution.answered(now, backend, None)
             self._record_load_report(now, backend, event.report)
--- a/saltcourse/balancing/endpoint_list.py
+++ b/saltcourse/balancing/endpoint_list.py
@@ -37,9 +37,7 @@
 from saltcourse.balancing.timers import ENDPOINT_LIST_TOKEN
 
 REMOTE_ZONE_FACTOR = 0.05  # what a free slot in another zone counts beside one in the proxy's own
-FIRST_CALL_SECONDS_PER_PROXY = (
-    0.2  # of the time over which proxies that start together spread their first call
-)
+FIRST_CALL_SECONDS_PER_PROXY = 0.2  # over which proxies that start together spread their first call
 RETRY_BACKOFF_INITIAL_SECONDS = 0.5  # doubles with each failure, the first included
 MIN_RETRY_BACKOFF_SECONDS = 0.3  # proxies whose calls were rejected together call again within this
 WATCH_AFTER_FETCH_SECONDS = 0.5  # from a list that was fetched to the next watch; times 0.5 to 1.5
@@ -85,7 +83,7 @@
         self._set_timer(wait * (0.5 + self._random.random() / 2))
 
     def list_received(self) -> None:
-        """Discovery has answered."""
+        """Take in that discovery has answered; after a fetch the list is to be watched again."""
         self._failures = 0
         if self._is_fetching:
             self._is_fetching = False
--- a/saltcourse/balancing/group_affinity.py
+++ b/saltcourse/balancing/group_affinity.py
@@ -30,9 +30,7 @@
 from saltcourse.shared_state.state import SharedState
 
 UNEVENNESS_SLOTS = 5.0  # above the mean, up to which a backend gets more of a group that it holds
-FURTHER_BACKEND_SHARE = (
-    0.36  # of a backend's full load, free, for a group that is held elsewhere to open there
-)
+FURTHER_BACKEND_SHARE = 0.36  # of a backend's full load, free, for a group to open there as well
 EASY_LOAD = 0.45  # mean reported load under which crossing zones costs more than a group's further backend
 DIGEST_BYTES = 6
 
--- a/saltcourse/balancing/load_reports.py
+++ b/saltcourse/balancing/load_reports.py
@@ -47,7 +47,10 @@
         return report.check_in_flight
 
     def request_for_placement(self, now: float, backend: Backend) -> bool:
-        """Start a health check if a placement there should wait for one; whether one is in flight now."""
+        """Start a health check if a placement there should wait for one.
+
+        Returns whether a check is in flight now.
+        """
         is_idle = backend.report.load < BUSY_LOAD
         return self.request_if_older(
             now, backend, MAX_REPORT_AGE_SECONDS if is_idle else BUSY_REPORT_AGE_SECONDS
@@ -58,6 +61,10 @@
         backend = min(candidates, key=lambda candidate: candidate.report.refresh_at)
         self.request_if_older(now, backend, backend.report.refresh_at - backend.report.received_at)
 
+    def check_finished(self, backend: Backend) -> None:
+        """Take in that the backend's health check has ended, however it did."""
+        backend.report.check_in_flight = False
+
     def record(self, now: float, backend: Backend, load: float) -> None:
         """Take in a report that has come now."""
         report = backend.report
--- a/saltcourse/balancing/load_shedding.py
+++ b/saltcourse/balancing/load_shedding.py
@@ -76,8 +76,8 @@
             self._late_with_reports(now, backend, latency)
         elif slowness > 1 and not self._uses_load_reports:
             self._slow_without_reports(now, backend, latency, slowness)
-        elif slowness <= 1 and record.rejected_until <= now:
-            record.slow_until = now
+        elif slowness <= 1:
+            self._ceilings.end_slowness(now, backend)
 
     def _late_with_reports(self, now: float, backend: Backend, latency: float) -> None:
         # A report tells the load better than a latency does, but not that work is queued.
--- a/saltcourse/balancing/placement.py
+++ b/saltcourse/balancing/placement.py
@@ -29,7 +29,7 @@
 
 MAX_LOAD_CHECKS = 3  # backends health-checked before a placement
 LOAD_CHECK_WAIT_SECONDS = 0.05  # for each answer, at most
-LOAD_CHECK_WAIT_SHARE = 5  # at most the latency objective over this
+LOAD_CHECK_WAIT_DIVISOR = 5  # of the class's latency objective, which bounds the wait too
 
 
 @dataclass(slots=True, eq=False)
@@ -82,22 +82,21 @@
             self.answers.give(request)
 
     def _place_after_load_check(self, now: float, request: Request) -> None:
-        if not self.settings.uses_load_reports or request.load_checks >= MAX_LOAD_CHECKS:
-            self._start_or_answer(now, request, self.selection.choose(now, request))
-            return
-        backend = self.selection.choose(now, request)
+        backend = None
+        if self.settings.uses_load_reports and request.load_checks < MAX_LOAD_CHECKS:
+            backend = self.selection.choose(now, request)
+            if backend is not None and self.reports.request_for_placement(now, backend):
+                self._wait_for_report(request, backend)
+                return
         if backend is None:
-            self._start_or_answer(now, request, self.selection.choose(now, request))
-        elif not self.reports.request_for_placement(now, backend):
-            self._start_or_answer(now, request, backend)
-        else:
-            self._wait_for_report(request, backend)
+            backend = self.selection.choose(now, request)
+        self._start_or_answer(now, request, backend)
 
     def _wait_for_report(self, request: Request, backend: Backend) -> None:
         request.awaited = backend
         request.load_checks += 1
         backend.report.waiting.append(request)
-        longest = request.request_class.latency_objective / LOAD_CHECK_WAIT_SHARE
+        longest = request.request_class.latency_objective / LOAD_CHECK_WAIT_DIVISOR
         self.timers.start(request, min(LOAD_CHECK_WAIT_SECONDS, longest))
 
     def _start_or_answer(self, now: float, request: Request, backend: Backend | None) -> None:
--- a/saltcourse/balancing/selection.py
+++ b/saltcourse/balancing/selection.py
@@ -24,10 +24,8 @@
 from saltcourse.balancing.slot_ceilings import SlotCeilings, may_overflow
 from saltcourse.balancing.state import Backend, Request
 
-MAX_DRAWS = 60  # uniform draws, each accepted with free slots over the largest, before the exact scan
-SCAN_INTERVAL_SECONDS = (
-    0.1  # for which a scan that found nothing holds: a full fleet is not scanned each time
-)
+MAX_DRAWS = 60  # before the exact scan
+SCAN_INTERVAL_SECONDS = 0.1  # so that a full fleet is not scanned for every request
 OVERFLOW_SLOTS = 1.0
 NEVER_SCANNED = -1.0
 
@@ -53,7 +51,7 @@
         self._scanned_at = NEVER_SCANNED  # s; when all candidates were scanned for free slots
 
     def candidates_changed(self) -> None:
-        """Candidates or ceilings were worked out anew: the last scan holds no more."""
+        """Forget the last scan: candidates and ceilings were worked out anew."""
         self._scanned_at = NEVER_SCANNED
 
     def choose(self, now: float, request: Request) -> Backend | None:
--- a/saltcourse/balancing/slot_ceilings.py
+++ b/saltcourse/balancing/slot_ceilings.py
@@ -35,9 +35,7 @@
 CUT_INTERVAL_SECONDS = 1.0  # between cuts: one overload drops many connections at once, and is one cut
 REJECTION_BACKOFF_INITIAL_SECONDS = 2.0  # without new connections after a rejection; doubles
 MAX_CONSECUTIVE_REJECTIONS = 3  # so that the backoff is at most 4 times the initial one
-LIMIT_RECOVERY_FACTOR = (
-    0.05  # of the common ceiling, regained a tick by the limit of a backend that is not slow
-)
+LIMIT_RECOVERY_FACTOR = 0.05  # of the common ceiling, which the limit regains with each tick
 MIN_USUAL_SLOTS = 0.25  # for slow start, where hardly anything is learned
 
 
@@ -176,6 +174,11 @@
         if rejected:
             record.consecutive_rejections = min(record.consecutive_rejections + 1, MAX_CONSECUTIVE_REJECTIONS)
 
+    def end_slowness(self, now: float, backend: Backend) -> None:
+        """Take in that the backend is not slow any more, unless it has recently rejected."""
+        if backend.ceilings.rejected_until <= now:
+            backend.ceilings.slow_until = now
+
     def limit_to_reported_capacity(self, backend: Backend, load: float) -> None:
         """Limit a backend that reports ``load`` (over 1) to what makes the target load."""
         backend.ceilings.learned_limit = backend.occupancy * TARGET_LOAD / load
--- a/saltcourse/balancing/state.py
+++ b/saltcourse/balancing/state.py
@@ -1,7 +1,8 @@
 """What this proxy knows of each backend and each request. Data only: the rules are in the other modules.
 
 Loads are in slots: one slot is the mean load of a connection. Times are seconds on the host's clock. Each
-record of a backend belongs to one rule, which alone writes it; a restart of the backend resets all of them.
+record of a backend belongs to the rules that its docstring names, which alone write it; a restart of the
+backend resets all of them.
 """
 
 from __future__ import annotations
@@ -26,7 +27,7 @@
 
 @dataclass(slots=True, eq=False)
 class HealthRecord:
-    """Written by ``outlier_ejection`` and ``failure_attribution``."""
+    """Written by ``outlier_ejection``; errors and resets by ``failure_attribution``."""
 
     state: HealthState = HealthState.HEALTHY
     probe: Request | None = None  # the request whose attempt is the probe; only while PROBING
@@ -39,7 +40,7 @@
 
 @dataclass(slots=True, eq=False)
 class CeilingRecord:
-    """Written by ``slot_ceilings`` and ``load_shedding``."""
+    """Written by ``slot_ceilings``; ``late_messages`` by ``load_shedding``."""
 
     learned_limit: float = 0.0  # slots that it was seen to bear; 0 while nothing is learned
     rejected_until: float = 0.0  # it counts as having recently rejected or dropped until then
@@ -51,7 +52,10 @@
 
 @dataclass(slots=True, eq=False)
 class LoadReportRecord:
-    """Written by ``load_reports``. Reported loads are load over capacity; -1 while none was received."""
+    """Written by ``load_reports``; ``waiting`` by ``placement``.
+
+    Reported loads are load over capacity; -1 while none was received.
+    """
 
     load: float = -1.0
     previous_load: float = -1.0  # the last one that differed from ``load``
@@ -70,6 +74,7 @@
         "cell",
         "connections",
         "count",
+        "current_capacity",
         "groups",
         "health",
         "is_local",
@@ -83,7 +88,6 @@
         "slots_at_full_load",
         "started",
         "state",
-        "current_capacity",
         "weight",
         "zone",
         "zone_factor",
