--- a/tests/balancing/test_slow_start.py
+++ b/tests/balancing/test_slow_start.py
@@ -15,7 +15,9 @@
 from saltcourse.balancing.actions import MigrateConnection
 from saltcourse.balancing.events import AttemptStatus, BackendState, Endpoint, EndpointUpdateKind
 from saltcourse.balancing.slow_start import SlowStart
-from tests.balancing.balancer_host import BalancerHost, members
+from saltcourse.balancing.state import Backend
+from saltcourse.shared_state.state import SharedState
+from tests.balancing.balancer_host import BalancerHost, members, settings
 
 BACKENDS = 8
 DRAINED = 5  # of these, when another one starts
@@ -143,3 +145,17 @@
             sends.append(host.now)
     assert sends, "a backend that warms up is used"
     assert len(sends) <= 4.0 / 10.0 * 60  # no faster than fills it evenly over its warm-up
+
+
+def test_the_capacity_share_grows_evenly_over_the_warm_up() -> None:
+    proxy = settings(warm_up=10.0, initial_capacity_share=0.25)
+    slow_start = SlowStart(proxy, SharedState(proxy, 1, {}))
+    backend = Backend(Endpoint("s0", started=100.0))
+    shares = [slow_start.capacity_share(now, backend) for now in (90.0, 100.0, 104.0, 110.0, 200.0)]
+    assert shares == pytest.approx([0.25, 0.25, 0.55, 1.0, 1.0])
+    assert slow_start.is_warming_up(109.9, backend) and not slow_start.is_warming_up(110.0, backend)
+
+
+def test_a_backend_that_started_long_ago_is_warm() -> None:
+    slow_start = SlowStart(settings(), SharedState(settings(), 1, {}))
+    assert slow_start.capacity_share(100.0, Backend(Endpoint("s0"))) == 1.0
