--- a/tests/balancing/test_admission.py
+++ b/tests/balancing/test_admission.py
@@ -8,6 +8,8 @@
 
 
 def test_requests_are_rejected_at_once_under_overload() -> None:
+    # All set-ups time out, wherever they go, and more attempts would make it worse. Requests are rejected at
+    # once, until the failures are forgotten.
     host = BalancerHost()
     host.update_endpoints(members(50))
     for _ in range(200):
--- a/tests/balancing/test_endpoint_list.py
+++ b/tests/balancing/test_endpoint_list.py
@@ -33,6 +33,8 @@
 
 
 def test_polled_discovery_is_watched_early_and_called_again_after_a_failure() -> None:
+    # Discovery fails once. The proxy fetches the complete list, goes on with the old one meanwhile, and
+    # watches again as soon as it has been answered.
     host = BalancerHost(discovery_mode=DiscoveryMode.POLLED, poll_interval=10.0, proxy_count=20)
     host.update_endpoints(members(2), EndpointUpdateKind.CACHED)
     host.run(5.0)
@@ -49,6 +51,7 @@
 
 
 def test_proxies_started_together_do_not_call_discovery_together() -> None:
+    # A fleet is started at once. Calls at the same moment would be rejected by discovery.
     moments = []
     for seed in range(10):
         host = BalancerHost(seed=seed, discovery_mode=DiscoveryMode.POLLED, proxy_count=20)
--- a/tests/balancing/test_failure_attribution.py
+++ b/tests/balancing/test_failure_attribution.py
@@ -48,6 +48,8 @@
 
 @pytest.mark.parametrize("status", [AttemptStatus.ERROR, AttemptStatus.RESET])
 def test_a_request_that_is_broken_off_everywhere_is_at_fault_itself(status: AttemptStatus) -> None:
+    # Some clients send what no backend takes. Their requests fail at every backend, and none of these may be
+    # blamed for it.
     host = BalancerHost()
     host.update_endpoints(members(4))
     for i in range(60):
@@ -69,6 +71,8 @@
 def test_a_backend_that_fails_where_others_succeed_is_ejected_unless_for_one_flow(
     flows: int, health: HealthState
 ) -> None:
+    # A backend answers errors, and the retries succeed elsewhere: it is ejected. If all errors are those of
+    # one client, it is not.
     host = BalancerHost()
     host.update_endpoints(members(3))
     backend = host.backend("s0")
@@ -84,6 +88,8 @@
 
 
 def test_attempts_at_an_old_process_say_nothing_of_the_next_one() -> None:
+    # A backend is restarted. The endings of what was in flight to its old process arrive after the list has
+    # told of the new one, which is not to blame.
     host = BalancerHost()
     host.update_endpoints(members(1))
     old = [host.connect() for _ in range(4)] + [host.request()]
--- a/tests/balancing/test_load_shedding.py
+++ b/tests/balancing/test_load_shedding.py
@@ -44,6 +44,8 @@
 
 
 def test_all_connections_of_a_hung_backend_are_migrated_at_once() -> None:
+    # A backend hangs with its connections open. Waiting for each of them to fail would cost every client its
+    # deadline.
     host = BalancerHost()
     host.update_endpoints(members(3))
     held = [host.connect() for _ in range(30)]
--- a/tests/balancing/test_outlier_ejection.py
+++ b/tests/balancing/test_outlier_ejection.py
@@ -14,6 +14,8 @@
 
 
 def test_a_backend_that_cannot_be_reached_is_ejected_and_returns_by_one_probe() -> None:
+    # A backend stops, and comes back seconds later. Meanwhile nothing goes there; then a single request
+    # tries it, and only its success lets others follow.
     host = BalancerHost()
     host.update_endpoints(members(2))
     while True:
@@ -38,6 +40,8 @@
 
 
 def test_all_backends_failing_leaves_all_in_use() -> None:
+    # The proxy's own network is cut: every attempt fails. All backends stay in use, for rejecting everything
+    # would last longer than the cut.
     host = BalancerHost()
     host.update_endpoints(members(2))
     for _ in range(3):
@@ -48,6 +52,8 @@
 
 
 def test_a_remote_zone_with_failures_in_a_row_is_ejected_as_a_whole() -> None:
+    # The link to another zone is cut. After four failures in a row the other sixteen backends there are not
+    # tried one by one.
     host = BalancerHost(zone="home")
     far = tuple(Endpoint(f"f{i}", zone="far") for i in range(20))
     host.update_endpoints((Endpoint("h", zone="home"), *far))
--- a/tests/balancing/test_placement.py
+++ b/tests/balancing/test_placement.py
@@ -8,6 +8,8 @@
 
 
 def test_a_request_is_answered_at_its_deadline() -> None:
+    # The attempt does not answer. The client is answered at its deadline all the same, and once only, though
+    # the time-out of the attempt arrives after it.
     host = BalancerHost()
     host.update_endpoints(members(4))
     request = host.request(time_left=0.2)
@@ -22,6 +24,7 @@
 
 
 def test_placement_does_not_wait_for_a_health_check_that_never_returns() -> None:
+    # A backend hangs as its load is asked for. The request is placed by what is known, after a short wait.
     host = BalancerHost(reports_load=True, health_checks_allowed=True)
     host.update_endpoints(members(5))
     request = host.request()
@@ -31,6 +34,7 @@
 
 
 def test_a_backend_that_drains_while_its_health_check_is_in_flight_is_not_chosen() -> None:
+    # Two events cross: the list says that a backend drains while a placement waits for its load report.
     host = BalancerHost(reports_load=True, health_checks_allowed=True)
     host.update_endpoints(members(1))
     host.request()
--- a/tests/balancing/test_retries.py
+++ b/tests/balancing/test_retries.py
@@ -21,6 +21,7 @@
 
 
 def test_a_failed_attempt_is_retried_at_another_backend_up_to_the_maximum() -> None:
+    # No backend can be reached. Each attempt goes to another one, and the last failure rejects the request.
     host = BalancerHost()
     host.update_endpoints(members(6))
     request = host.request()
@@ -40,6 +41,8 @@
 
 
 def test_a_request_that_is_not_idempotent_and_may_have_run_fails() -> None:
+    # A payment is rejected by a full backend, which proves that it never ran, and then broken off by another
+    # one, which may have run it: no third attempt, and no promise that a repeat is harmless.
     host = BalancerHost(classes=(NOT_IDEMPOTENT,))
     host.update_endpoints(members(4))
     request = host.request(request_class="pay")
