--- a/saltcourse/emulator/gossip_quorum.py
+++ b/saltcourse/emulator/gossip_quorum.py
@@ -36,7 +36,8 @@
     Tick,
     Write,
 )
-from saltcourse.gossip.quorum import Beat, Commit, Quorum, QuorumAction
+from saltcourse.gossip.quorum import Quorum
+from saltcourse.gossip.quorum_actions import AdvanceHeartbeat, Commit, QuorumAction
 from saltcourse.gossip.settings import Timing, Voter
 
 PUBLISHED_WITHIN = 15.0  # s of true time from the moment at which a majority is connected
@@ -270,7 +271,7 @@
                 case Commit(change):
                     self.judge.committed(change, self._disks())
                     self._apply(host, self.replicas[host.name], (change,))
-                case Beat(heartbeat):
+                case AdvanceHeartbeat(heartbeat):
                     self.replicas[host.name].heartbeat = heartbeat
                 case Published() | PublishFailed():
                     self.judge.told(action)
--- a/saltcourse/gossip/acceptor.py
+++ b/saltcourse/gossip/acceptor.py
@@ -7,8 +7,8 @@
 - where a majority has accepted version v under an epoch, it has accepted or committed all versions before v
   as well, so changes are committed in order, and an acknowledgement of v counts for the versions before it.
 
-A proposal that overtook an earlier one on its way is held in memory until the earlier one has come, which is
-the same as if the network had delayed it.
+A proposal that overtook an earlier one on its way is buffered in memory until the earlier one has arrived,
+which is the same as if the network had delayed it.
 """
 
 from __future__ import annotations
@@ -19,67 +19,73 @@
 
 
 class Acceptor:
-    """Methods that change what must survive a restart return whether they did: the caller has to persist
-    ``state()`` before it tells anyone."""
+    """The part of a voter that must survive a restart.
+
+    Methods that change what must survive return whether they did: the caller has to persist ``state()``
+    before it answers anyone.
+    """
 
     def __init__(self, state: ReplicaState) -> None:
         self.promised = state.promised
         self.committed = state.committed
         self.configuration = state.configuration
         self._accepted = {entry.change.position.version: entry for entry in state.accepted}
-        self._held: dict[int, Change] = {}  # proposals of ``_held_epoch``, by version
-        self._held_epoch = 0
+        self._buffered: dict[int, Change] = {}  # proposals of ``_buffered_epoch``, by version
+        self._buffered_epoch = 0
 
     def state(self) -> ReplicaState:
+        """What is to be persisted."""
         return ReplicaState(self.promised, self.committed, self.configuration, self.accepted)
 
     @property
     def accepted(self) -> tuple[AcceptedChange, ...]:
+        """Changes behind ``committed``, in the order of their versions."""
         return tuple(self._accepted[version] for version in sorted(self._accepted))
 
     @property
     def last_accepted(self) -> int:
+        """The highest version that is accepted or committed."""
         return max(self._accepted, default=self.committed.version)
 
-    def obeys(self, epoch: int) -> bool:
+    def allows(self, epoch: int) -> bool:
         """Whether a publisher of this epoch may still propose here."""
         return epoch >= self.promised
 
     def promise(self, epoch: int) -> bool:
-        """Takes nothing of an older epoch from now on."""
+        """Accept nothing of an older epoch from now on."""
         if epoch <= self.promised:
             return False
         self.promised = epoch
         return True
 
     def promises(self, epoch: int) -> list[Promise]:
-        """The answer to ``Prepare(epoch)``: one for each accepted change, a bare one if there is none."""
+        """Answer ``Prepare(epoch)``: one for each accepted change, a bare one if there is none."""
         entries = self.accepted or (None,)
         return [Promise(epoch, self.committed, self.last_accepted, entry) for entry in entries]
 
     def propose(self, epoch: int, change: Change) -> bool:
-        """Accepts the change, and the held ones that it makes room for, unless it comes too early."""
+        """Accept the change, and the buffered ones that follow it, unless it comes too early."""
         version = change.position.version
-        if not self.obeys(epoch) or change.position.epoch > epoch:
+        if not self.allows(epoch) or change.position.epoch > epoch:
             return False
         if not 0 < version - self.committed.version <= MAX_ACCEPTED:
             return False
-        if epoch != self._held_epoch:
-            self._held.clear()
-            self._held_epoch = epoch
+        if epoch != self._buffered_epoch:
+            self._buffered.clear()
+            self._buffered_epoch = epoch
         if version > self.acknowledged(epoch):
-            self._held[version] = change
-        return self.accept_held()
-
-    def accept_held(self) -> bool:
-        """Accepts held proposals whose turn has come."""
-        epoch = self._held_epoch
-        if not self.obeys(epoch):
-            self._held.clear()
+            self._buffered[version] = change
+        return self.accept_buffered()
+
+    def accept_buffered(self) -> bool:
+        """Accept buffered proposals that now follow without a gap."""
+        epoch = self._buffered_epoch
+        if not self.allows(epoch):
+            self._buffered.clear()
         version = self.acknowledged(epoch) + 1
         changed = False
-        while version in self._held:
-            self._accepted[version] = AcceptedChange(epoch, self._held.pop(version))
+        while version in self._buffered:
+            self._accepted[version] = AcceptedChange(epoch, self._buffered.pop(version))
             version += 1
             changed = True
         if changed:
@@ -87,7 +93,7 @@
         return changed
 
     def acknowledged(self, epoch: int) -> int:
-        """The version up to which everything is committed or accepted under this epoch."""
+        """Return the version up to which everything is committed or accepted under this epoch."""
         version = self.committed.version
         while version + 1 in self._accepted and self._accepted[version + 1].epoch == epoch:
             version += 1
@@ -101,11 +107,11 @@
         return self._accepted[version].change.position
 
     def learn(self, position: Position, configuration: tuple[tuple[str, bytes], ...]) -> bool:
-        """The configuration at a newer position is known to be committed: what led to it is done with."""
+        """Take the configuration at a newer position as committed, and drop the changes up to it."""
         if position.version <= self.committed.version:
             return False
         self.committed = position
         self.configuration = configuration
         self._accepted = {v: entry for v, entry in self._accepted.items() if v > position.version}
-        self._held = {v: change for v, change in self._held.items() if v > position.version}
+        self._buffered = {v: change for v, change in self._buffered.items() if v > position.version}
         return True
--- a/saltcourse/gossip/dissemination.py
+++ b/saltcourse/gossip/dissemination.py
@@ -124,7 +124,7 @@
         self.configuration.restore(state)
         self._report(now)
 
-    def beat(self, now: float, heartbeat: Heartbeat) -> None:
+    def advance_heartbeat(self, now: float, heartbeat: Heartbeat) -> None:
         """At the publisher: a majority follows it. Headers carry the heartbeat to the others."""
         self._begin(now)
         self._monitor.observe(now, heartbeat, self.position.epoch)
--- a/saltcourse/gossip/node.py
+++ b/saltcourse/gossip/node.py
@@ -41,7 +41,8 @@
     Tally,
     Transmit,
 )
-from saltcourse.gossip.quorum import Beat, Commit, Quorum, QuorumAction
+from saltcourse.gossip.quorum import Quorum
+from saltcourse.gossip.quorum_actions import AdvanceHeartbeat, Commit, QuorumAction
 from saltcourse.gossip.send_queue import SendQueue
 from saltcourse.gossip.settings import NodeSettings
 
@@ -190,8 +191,8 @@
                 case Commit(change):
                     self._send(now, self.dissemination.commit(now, change))
                     self._collect(now)
-                case Beat(heartbeat):
-                    self.dissemination.beat(now, heartbeat)
+                case AdvanceHeartbeat(heartbeat):
+                    self.dissemination.advance_heartbeat(now, heartbeat)
                 case _:
                     self._actions.append(action)
 
--- /dev/null
+++ b/saltcourse/gossip/proposer.py
@@ -0,0 +1,141 @@
+"""The publisher's proposals under one epoch: phase 2 of Multi-Paxos, from an operator's change to its commit.
+
+First the recovered changes are proposed again, each at its first position, then operators' changes in the
+order in which they came, at most ``WINDOW`` versions ahead of what is committed. A version is committed when
+a majority has accepted it. An acknowledgement of a version counts for those before it too, because an
+acceptor accepts without gaps (see ``acceptor``).
+"""
+
+from __future__ import annotations
+
+from collections import deque
+from collections.abc import Iterable
+
+from saltcourse.gossip.acceptor import Acceptor
+from saltcourse.gossip.messages import (
+    Change,
+    MemberId,
+    Position,
+    Propose,
+    PublishError,
+    PublishFailed,
+)
+from saltcourse.gossip.publish_queue import PublishQueue
+from saltcourse.gossip.quorum_actions import ActionBatch
+from saltcourse.gossip.retry_timer import RetryTimer
+from saltcourse.gossip.sizes import ConfigurationSize
+from saltcourse.gossip.voter_set import VoterSet
+
+WINDOW = 16  # versions proposed and not yet committed
+RETRANSMITTED_CHANGES = 4  # proposals sent again to one voter at a time
+
+
+class Proposer:
+    """Begins at what its own acceptor knows to be committed. ``recovered`` are changes to propose again."""
+
+    def __init__(
+        self, epoch: int, voters: VoterSet, majority: int, acceptor: Acceptor, recovered: Iterable[Change]
+    ) -> None:
+        self._epoch = epoch
+        self._voters = voters
+        self._majority = majority
+        self._acceptor = acceptor
+        self._recovered = deque(recovered)
+        self._proposals: dict[int, Change] = {}  # not yet committed, by version
+        self._acknowledged: dict[MemberId, int] = {}  # version up to which a voter has accepted
+        self._committed = acceptor.committed.version  # the last version known to be committed
+        self._last_proposed = self._committed
+        self._size = ConfigurationSize(acceptor.configuration)  # after all that was proposed
+        self._retry = RetryTimer()
+
+    def propose_waiting(self, now: float, queue: PublishQueue, batch: ActionBatch) -> list[Change]:
+        """Fill the window; the changes that are committed by it.
+
+        Nothing is proposed before all that was committed is applied here: so commits leave in order, also
+        when ``Quorum.applied`` is called amid a list of actions.
+        """
+        if self._acceptor.committed.version != self._committed:
+            return []
+        if not self._proposals:
+            self._retry.restart(now)
+        while self._last_proposed < self._committed + WINDOW:
+            change = self._next_change(queue, batch)
+            if change is None:
+                break
+            self._propose(change, batch)
+        self._acknowledged[self._voters.me.id] = self._acceptor.acknowledged(self._epoch)
+        return self._commit_accepted()
+
+    def on_accepted(self, voter: MemberId, version: int) -> list[Change]:
+        """A voter has accepted everything up to ``version``; the changes that are committed by it."""
+        version = min(version, self._last_proposed)
+        self._acknowledged[voter] = max(version, self._acknowledged.get(voter, 0))
+        return self._commit_accepted()
+
+    def on_applied(self, position: Position) -> bool:
+        """What is committed here was learned from another member; False: this publisher was replaced.
+
+        A version may be known as committed before enough acknowledgements have come: from an earlier
+        publisher, whose change is then proposed here again, or from a newer one not yet heard of.
+        """
+        if position.version <= self._committed:
+            return True
+        proposal = self._proposals.get(position.version)
+        if proposal is None or proposal.position != position:
+            return False
+        self._committed = position.version
+        self._proposals = {v: change for v, change in self._proposals.items() if v > position.version}
+        return True
+
+    def retransmit(self, now: float, batch: ActionBatch) -> int:
+        """Once its time has come, send each voter what it has not acknowledged; the number of proposals."""
+        if not self._proposals or now < self._retry.deadline:
+            return 0
+        count = 0
+        for voter in self._voters.others:
+            for version in self._unacknowledged(voter.id)[:RETRANSMITTED_CHANGES]:
+                batch.send(voter.address, Propose(self._epoch, self._proposals[version]))
+                count += 1
+        self._retry.schedule(now)
+        return count
+
+    def next_deadline(self) -> float:
+        """When ``retransmit`` is to be called, in seconds on the caller's clock."""
+        return self._retry.deadline if self._proposals else float("inf")
+
+    def _next_change(self, queue: PublishQueue, batch: ActionBatch) -> Change | None:
+        if self._recovered:
+            return self._recovered.popleft()
+        while queue.waiting:
+            event = queue.next_waiting()
+            if self._size.fits(event.writes):
+                position = Position(self._epoch, self._last_proposed + 1)
+                queue.propose(position)
+                return Change(position, event.writes)
+            queue.reject()
+            batch.results.append(PublishFailed(event.token, PublishError.TOO_LARGE))
+        return None
+
+    def _propose(self, change: Change, batch: ActionBatch) -> None:
+        self._last_proposed = change.position.version
+        self._proposals[change.position.version] = change
+        self._size.apply(change.writes)
+        batch.must_persist |= self._acceptor.propose(self._epoch, change)
+        for voter in self._voters.others:
+            batch.send(voter.address, Propose(self._epoch, change))
+
+    def _unacknowledged(self, voter: MemberId) -> list[int]:
+        acknowledged = self._acknowledged.get(voter, 0)
+        return [version for version in sorted(self._proposals) if version > acknowledged]
+
+    def _commit_accepted(self) -> list[Change]:
+        """What a majority has accepted, in order."""
+        versions = sorted(self._acknowledged.values(), reverse=True)
+        if len(versions) < self._majority:
+            return []
+        accepted = versions[self._majority - 1]
+        changes = [self._proposals.pop(version) for version in range(self._committed + 1, accepted + 1)]
+        if changes:
+            self._committed = accepted
+            self._retry.reset()
+        return changes
--- a/saltcourse/gossip/quorum.py
+++ b/saltcourse/gossip/quorum.py
@@ -1,19 +1,23 @@
 """Agreement of the voters on a sequence of configuration changes: Multi-Paxos, free of I/O.
 
-**Epochs.** An epoch (a ballot) belongs to one voter: ``epoch % len(voters)`` is its index. A voter never uses
-an epoch twice, also not after a restart, because it persists its promise to itself before it asks the others.
+    FOLLOWING --> PREPARING --> CATCHING_UP --> PUBLISHING
+        ^             |              |              |
+        +-------------+--------------+--------------+   a newer epoch, a timeout, or a lost lease
 
-**Taking over.** A voter that wants to publish sends ``Prepare`` under a new epoch, gathers the promises of
-a majority (its own counts) and waits until the dissemination has brought it the newest version committed
-among them. Then it proposes again what may have been committed behind that version, each change at its first
-position, and after that operators' changes, at most ``WINDOW`` versions at a time. A change that a majority
-has accepted is committed.
+**Epochs.** An epoch (Paxos: a ballot) belongs to one voter: ``epoch % len(voters)`` is its index. A voter
+never uses an epoch twice, also not after a restart, because it persists its promise to itself before it asks
+the others.
 
-**Who publishes.** A voter that is asked to publish while another one does forwards nothing: it takes over
-and stays the publisher. Two operators at two voters duel only while both have work, and a randomised back-off
-ends it. Without work, a voter takes over when it has not heard a publisher for ``takeover_after``. A
-publisher that sees a newer epoch, or gets no lease for that long, steps down. Its operators' changes go on
-waiting.
+**Taking over** (phase 1). A voter that wants to publish sends ``Prepare`` under a new epoch, gathers the
+promises of a majority (its own counts) and waits until the dissemination has brought it the newest version
+committed among them. Then it becomes the publisher (Paxos: the leader): it proposes again what may have been
+committed behind that version (``recovery``), and after that operators' changes (``proposer``, phase 2).
+
+**Who publishes.** A voter that is asked to publish while another one does forwards nothing: it takes over and
+stays the publisher. Two operators at two voters duel only while both have work, and a randomised backoff ends
+it. Without work, a voter takes over when it has seen no publisher for ``takeover_after``
+(``takeover_timer``). A publisher that sees a newer epoch, or whose lease expires (``publisher_lease``), steps
+down. Its operators' changes go on waiting.
 
 **A failed publish.** ``NO_MAJORITY`` means that the change was not known to be committed in time. This voter
 no longer proposes it as a new change, but if some voter has accepted it, a later publisher may still commit
@@ -29,7 +33,6 @@
 from __future__ import annotations
 
 import random
-from collections import deque
 from collections.abc import Mapping
 from dataclasses import dataclass
 from enum import IntEnum
@@ -44,7 +47,6 @@
     LeaseGrant,
     LeaseRequest,
     MemberId,
-    Persist,
     Position,
     Prepare,
     Promise,
@@ -56,43 +58,36 @@
     QuorumMessage,
     Refused,
     ReplicaState,
-    Send,
 )
+from saltcourse.gossip.proposer import Proposer
 from saltcourse.gossip.publish_queue import PublishQueue
+from saltcourse.gossip.publisher_lease import PublisherLease
+from saltcourse.gossip.quorum_actions import ActionBatch, Commit, QuorumAction
 from saltcourse.gossip.recovery import PromiseSet
+from saltcourse.gossip.retry_timer import RetryTimer
 from saltcourse.gossip.settings import Timing, Voter
-from saltcourse.gossip.sizes import ConfigurationSize, is_encodable
+from saltcourse.gossip.sizes import is_encodable
+from saltcourse.gossip.takeover_timer import TakeoverTimer
+from saltcourse.gossip.voter_set import VoterSet
 
-WINDOW = 16  # versions proposed and not yet committed
-RETRY_AFTER = 0.3  # s without an answer; above a round trip between regions
-MAX_DOUBLINGS = 3  # of the time between tries
-CATCH_UP_TIMEOUT = 3.0  # s; who told of the missing versions may be gone, others can tell what led to them
-RETRY_CHANGES = 4  # proposals sent again to one voter at a time
-TAKEOVER_STAGGER = 0.3  # s between voters that miss the same publisher, by index, and the spread of each
+CATCH_UP_TIMEOUT_SECONDS = 3.0  # who has the missing versions may be gone, others can tell what led to them
 
 
 class Phase(IntEnum):
+    """Of a voter; the value is the figure ``quorum.phase``."""
+
     FOLLOWING = 0
-    PREPARING = 1  # asks for promises
+    PREPARING = 1  # waits for the promises of a majority
     CATCHING_UP = 2  # has them, and lacks versions that are committed
     PUBLISHING = 3
 
 
 @dataclass(frozen=True, slots=True)
-class Commit:
-    """A majority has accepted the change: it may leave the voters. Versions come in order."""
-
-    change: Change
+class Publication:
+    """What a voter has only while it is the publisher."""
 
-
-@dataclass(frozen=True, slots=True)
-class Beat:
-    """A majority follows this publisher: the heartbeat goes into the headers."""
-
-    heartbeat: Heartbeat
-
-
-QuorumAction = Persist | Send | Commit | Beat | Published | PublishFailed
+    lease: PublisherLease
+    proposer: Proposer
 
 
 class Quorum:
@@ -103,61 +98,41 @@
     ) -> None:
         self.phase = Phase.FOLLOWING
         self.acceptor = Acceptor(state)
-        self._me = me
-        self._voters = voters
-        self._index = voters.index(me)
-        self._others = tuple(voter for voter in voters if voter != me)
-        self._voter_ids = tuple(voter.id for voter in voters)
+        self._voters = VoterSet(me, voters)
         self._timing = timing
-        self._random = source
         self._queue = PublishQueue()
+        self._takeover_timer = TakeoverTimer(self._voters.index, timing.takeover_after, source)
+        self._newest_epoch = state.committed.epoch  # that was seen anywhere
+        self._heartbeat = Heartbeat()  # the newest that was seen anywhere
         # Of the epoch under which this voter prepares or publishes.
         self._epoch = 0
         self._promises = PromiseSet()
-        self._recovered: deque[Change] = deque()
-        self._proposals: dict[int, Change] = {}  # not yet committed, by version
-        self._acknowledged: dict[MemberId, int] = {}  # version up to which a voter has accepted
-        self._decided = 0  # the last version known to be committed
-        self._last_proposed = 0
-        self._projected = ConfigurationSize(())  # after all that was proposed
-        self._lease_count = 0
-        self._grants: set[MemberId] = set()
-        self._granted_at = 0.0
-        self._lease_at = 0.0
-        # Of all epochs.
-        self._newest_epoch = state.committed.epoch  # that was seen anywhere
-        self._heartbeat = Heartbeat()
-        self._takeover_at = 0.0
-        self._attempt_at = 0.0  # not before: a try for waiting changes
-        self._failures = 0  # step-downs since the last commit
-        self._retry_at = 0.0
-        self._tries = 0
+        self._prepare_retry = RetryTimer()
+        self._catch_up_deadline = 0.0
+        self._publication: Publication | None = None  # in PUBLISHING alone
+        # Figures.
         self._takeovers = 0
         self._retransmissions = 0
-        # Actions under way.
-        self._changed = False  # the acceptor's state is to be persisted
-        self._sends: list[Send] = []
-        self._beats: list[Beat] = []
-        self._commits: list[Commit] = []
-        self._results: list[Published | PublishFailed] = []
+        self._batch = ActionBatch()  # of the call under way
 
     @property
     def majority(self) -> int:
-        return len(self._voters) // 2 + 1
+        """The number of voters that must promise or accept, this one included."""
+        return self._voters.majority
 
     # ---- events -----------------------------------------------------------------------------------
 
     def start(self, now: float) -> list[QuorumAction]:
-        self._attempt_at = now
-        self._expect_publisher(now)
-        if not self._others:
+        """At the start of the process. A single voter publishes at once."""
+        self._takeover_timer.start(now)
+        if not self._voters.others:
             self._prepare(now)
         return self._take_actions()
 
     def handle(
         self, now: float, source: Address, header: Header, message: QuorumMessage
     ) -> list[QuorumAction]:
-        """A message of another voter."""
+        """A message of another voter; one from anybody else is ignored."""
         if not self._is_allowed(header.sender, message):
             return []
         match message:
@@ -174,15 +149,15 @@
             case LeaseGrant():
                 self._on_lease_grant(now, header.sender, message)
             case Refused(epoch):
-                self._see_epoch(now, epoch)
+                self._observe_epoch(now, epoch)
         return self._take_actions()
 
     def observe(self, now: float, position: Position, heartbeat: Heartbeat) -> list[QuorumAction]:
         """The newest position and heartbeat that this member has seen anywhere."""
         if heartbeat > self._heartbeat:
             self._heartbeat = heartbeat
-            self._expect_publisher(now)
-        self._see_epoch(now, max(position.epoch, heartbeat.epoch))
+            self._takeover_timer.publisher_seen(now)
+        self._observe_epoch(now, max(position.epoch, heartbeat.epoch))
         return self._take_actions()
 
     def applied(
@@ -191,59 +166,54 @@
         """The dissemination has applied what is committed up to this position."""
         if not self.acceptor.learn(position, tuple(sorted(configuration.items()))):
             return []
-        self._changed = True
-        self._tell_published(position)
-        if self.acceptor.accept_held():
-            self._acknowledge_held()
+        self._batch.must_persist = True
+        self._report_published(position)
+        if self.acceptor.accept_buffered():
+            self._acknowledge_buffered()
         if self.phase is Phase.CATCHING_UP:
             self._check_promises(now)
-        elif self.phase is Phase.PUBLISHING:
-            self._reconcile(now, position)
-            self._propose_more(now)
+        elif self._publication is not None:
+            if not self._publication.proposer.on_applied(position):
+                self._step_down(now)
+            self._propose_waiting(now)
         return self._take_actions()
 
     def publish(self, now: float, event: Publish) -> list[QuorumAction]:
+        """An operator's change. Its result is an action of this call or, in time, of a later one."""
         if not is_encodable(event.writes):
             return [PublishFailed(event.token, PublishError.TOO_LARGE)]
-        if self._queue.full:
+        if self._queue.is_full:
             return [PublishFailed(event.token, PublishError.BUSY)]
         self._queue.add(event, now + self._timing.publish_timeout)
         if self.phase is Phase.PUBLISHING:
-            self._propose_more(now)
-        elif self.phase is Phase.FOLLOWING and now >= self._attempt_at:
+            self._propose_waiting(now)
+        elif self.phase is Phase.FOLLOWING and self._takeover_timer.may_attempt(now):
             self._prepare(now)
         return self._take_actions()
 
     def tick(self, now: float) -> list[QuorumAction]:
-        self._expire(now)
+        """Do what has become ready by ``now``."""
+        self._expire_publishes(now)
         match self.phase:
             case Phase.FOLLOWING:
-                if now >= self._next_attempt():
+                if now >= self._takeover_deadline():
                     self._prepare(now)
             case Phase.PREPARING:
-                if now >= self._retry_at:
-                    self._ask_for_promises(now)
+                if now >= self._prepare_retry.deadline:
+                    self._send_prepares(now)
             case Phase.CATCHING_UP:
-                if now >= self._retry_at:
+                if now >= self._catch_up_deadline:
                     self._step_down(now)
             case Phase.PUBLISHING:
                 self._tick_publishing(now)
         return self._take_actions()
 
     def next_deadline(self) -> float:
-        due = [self._queue.next_deadline()]
-        match self.phase:
-            case Phase.FOLLOWING:
-                due.append(self._next_attempt())
-            case Phase.PREPARING | Phase.CATCHING_UP:
-                due.append(self._retry_at)
-            case Phase.PUBLISHING:
-                due.append(self._lease_at)
-                if self._proposals:
-                    due.append(self._retry_at)
-        return min(due)
+        """When ``tick`` is to be called, in seconds on the clock of ``now``."""
+        return min(self._queue.next_deadline(), self._phase_deadline())
 
     def figures(self) -> dict[str, int]:
+        """Figures of ``/_vars``, by name."""
         return {
             "quorum.phase": int(self.phase),
             "quorum.promised": self.acceptor.promised,
@@ -257,75 +227,53 @@
 
     def _is_allowed(self, sender: MemberId, message: QuorumMessage) -> bool:
         """Only voters take part, and only its owner may use an epoch."""
-        if sender not in self._voter_ids or sender == self._voter_ids[self._index]:
+        if not self._voters.is_other(sender):
             return False
         if isinstance(message, Prepare | Propose | LeaseRequest):
-            return self._voter_ids[self._owner(message.epoch)] == sender
+            return self._voters.owns(sender, message.epoch)
         return True
 
-    def _owner(self, epoch: int) -> int:
-        """Index of the voter that an epoch belongs to."""
-        return epoch % len(self._voters)
-
-    def _see_epoch(self, now: float, epoch: int) -> None:
+    def _observe_epoch(self, now: float, epoch: int) -> None:
         self._newest_epoch = max(self._newest_epoch, epoch)
         if epoch > self._epoch and self.phase is not Phase.FOLLOWING:
             self._step_down(now)
 
-    def _expect_publisher(self, now: float) -> None:
-        """One was heard just now: the time until a takeover begins anew."""
-        stagger = self._index * TAKEOVER_STAGGER + self._random.uniform(0, TAKEOVER_STAGGER)
-        self._takeover_at = now + self._timing.takeover_after + stagger
-
-    def _next_attempt(self) -> float:
-        if self._queue.waiting:
-            return min(self._attempt_at, self._takeover_at)
-        return self._takeover_at
-
     def _step_down(self, now: float) -> None:
         self.phase = Phase.FOLLOWING
-        self._recovered.clear()
-        self._proposals.clear()
-        self._acknowledged.clear()
-        self._attempt_at = now + self._random.uniform(0.5, 1.5) * _backoff(self._failures)
-        self._failures += 1
-        self._expect_publisher(now)
+        self._publication = None
+        self._takeover_timer.back_off(now)
+
+    def _takeover_deadline(self) -> float:
+        return self._takeover_timer.deadline(has_waiting=self._queue.waiting > 0)
+
+    def _phase_deadline(self) -> float:
+        if self._publication is not None:
+            return min(self._publication.lease.renewal_deadline, self._publication.proposer.next_deadline())
+        if self.phase is Phase.PREPARING:
+            return self._prepare_retry.deadline
+        if self.phase is Phase.CATCHING_UP:
+            return self._catch_up_deadline
+        return self._takeover_deadline()
 
     # ---- taking over ------------------------------------------------------------------------------
 
     def _prepare(self, now: float) -> None:
-        self._epoch = self._new_epoch()
+        self._epoch = self._voters.own_epoch_above(max(self.acceptor.promised, self._newest_epoch))
         self.phase = Phase.PREPARING
-        self._changed |= self.acceptor.promise(self._epoch)
+        self._batch.must_persist |= self.acceptor.promise(self._epoch)
         self._promises = PromiseSet()
         for promise in self.acceptor.promises(self._epoch):
-            self._promises.add(self._me.id, promise)
+            self._promises.add(self._voters.me.id, promise)
         self._takeovers += 1
-        self._tries = 0
-        self._ask_for_promises(now)
+        self._prepare_retry.reset()
+        self._send_prepares(now)
         self._check_promises(now)
 
-    def _new_epoch(self) -> int:
-        """The lowest one of this voter above all that it has seen."""
-        lowest = max(self.acceptor.promised, self._newest_epoch) + 1
-        return lowest + (self._index - lowest) % len(self._voters)
-
-    def _ask_for_promises(self, now: float) -> None:
-        for voter in self._others:
+    def _send_prepares(self, now: float) -> None:
+        for voter in self._voters.others:
             if not self._promises.is_complete(voter.id):
-                self._send(voter.address, Prepare(self._epoch))
-        self._retry_later(now)
-
-    def _on_prepare(self, now: float, source: Address, epoch: int) -> None:
-        if not self.acceptor.obeys(epoch):
-            self._send(source, Refused(self.acceptor.promised))
-            return
-        self._see_epoch(now, epoch)
-        if self.acceptor.promise(epoch):
-            self._changed = True
-            self._expect_publisher(now)  # not for each repeated try of a candidate that hears no answers
-        for promise in self.acceptor.promises(epoch):
-            self._send(source, promise)
+                self._batch.send(voter.address, Prepare(self._epoch))
+        self._prepare_retry.schedule(now)
 
     def _on_promise(self, now: float, sender: MemberId, promise: Promise) -> None:
         if promise.epoch != self._epoch or self.phase not in (Phase.PREPARING, Phase.CATCHING_UP):
@@ -338,195 +286,112 @@
             return
         if self.phase is Phase.PREPARING:
             self.phase = Phase.CATCHING_UP
-            self._retry_at = now + CATCH_UP_TIMEOUT
+            self._catch_up_deadline = now + CATCH_UP_TIMEOUT_SECONDS
         if self.acceptor.committed.version >= self._promises.committed_version:
             self._start_publishing(now)
 
     def _start_publishing(self, now: float) -> None:
-        committed = self.acceptor.committed
         self.phase = Phase.PUBLISHING
-        self._recovered = deque(self._recover(committed))
-        self._proposals.clear()
-        self._acknowledged.clear()
-        self._decided = committed.version
-        self._last_proposed = committed.version
-        self._projected = ConfigurationSize(self.acceptor.configuration)
-        self._lease_count = 0
-        self._granted_at = now
-        self._request_lease(now)
-        self._propose_more(now)
+        recovered = self._recover(self.acceptor.committed)
+        proposer = Proposer(self._epoch, self._voters, self.majority, self.acceptor, recovered)
+        lease = PublisherLease(now, self._epoch, self._voters, self.majority, self._timing)
+        self._publication = Publication(lease, proposer)
+        lease.request_renewal(now, self._batch)
+        self._propose_waiting(now)
 
     def _recover(self, committed: Position) -> list[Change]:
+        """Changes behind ``committed`` that may have been committed: they are proposed again."""
         return self._promises.recover(committed)
 
-    # ---- proposing --------------------------------------------------------------------------------
+    # ---- publishing -------------------------------------------------------------------------------
 
-    def _propose_more(self, now: float) -> None:
-        """Not before all that was committed is applied here: commits then leave in order, also when
-        ``applied`` is called amid a list of actions."""
-        if self.phase is not Phase.PUBLISHING or self.acceptor.committed.version != self._decided:
+    def _tick_publishing(self, now: float) -> None:
+        if self._publication is None:
             return
-        if not self._proposals:
-            self._tries = 0
-            self._retry_later(now)
-        while self._last_proposed < self._decided + WINDOW:
-            change = self._next_change()
-            if change is None:
-                break
-            self._propose(change)
-        self._acknowledged[self._me.id] = self.acceptor.acknowledged(self._epoch)
-        self._decide()
-
-    def _next_change(self) -> Change | None:
-        if self._recovered:
-            return self._recovered.popleft()
-        while self._queue.waiting:
-            event = self._queue.next_waiting()
-            if self._projected.fits(event.writes):
-                position = Position(self._epoch, self._last_proposed + 1)
-                self._queue.propose(position)
-                return Change(position, event.writes)
-            self._queue.refuse()
-            self._results.append(PublishFailed(event.token, PublishError.TOO_LARGE))
-        return None
-
-    def _propose(self, change: Change) -> None:
-        self._last_proposed = change.position.version
-        self._proposals[change.position.version] = change
-        self._projected.apply(change.writes)
-        self._changed |= self.acceptor.propose(self._epoch, change)
-        for voter in self._others:
-            self._send(voter.address, Propose(self._epoch, change))
-
-    def _on_propose(self, now: float, source: Address, epoch: int, change: Change) -> None:
-        if not self.acceptor.obeys(epoch):
-            self._send(source, Refused(self.acceptor.promised))
+        lease, proposer = self._publication.lease, self._publication.proposer
+        if lease.is_expired(now):
+            self._step_down(now)
             return
-        self._see_epoch(now, epoch)
-        self._expect_publisher(now)
-        self._changed |= self.acceptor.propose(epoch, change)
-        self._acknowledge(source, epoch)
+        if now >= lease.renewal_deadline:
+            lease.request_renewal(now, self._batch)
+        self._retransmissions += proposer.retransmit(now, self._batch)
 
-    def _acknowledge(self, destination: Address, epoch: int) -> None:
-        position = self.acceptor.acknowledged_position(epoch)
-        if position is not None:
-            self._send(destination, Accepted(epoch, position))
-
-    def _acknowledge_held(self) -> None:
-        epoch = self.acceptor.accepted[-1].epoch
-        self._acknowledge(self._voters[self._owner(epoch)].address, epoch)
+    def _propose_waiting(self, now: float) -> None:
+        if self._publication is not None:
+            proposer = self._publication.proposer
+            self._commit(proposer.propose_waiting(now, self._queue, self._batch))
 
     def _on_accepted(self, sender: MemberId, message: Accepted) -> None:
-        if message.epoch != self._epoch or self.phase is not Phase.PUBLISHING:
-            return
-        version = min(message.position.version, self._last_proposed)
-        self._acknowledged[sender] = max(version, self._acknowledged.get(sender, 0))
-        self._decide()
-
-    def _decide(self) -> None:
-        """Commits what a majority has accepted. An acknowledgement counts for the versions before it too."""
-        versions = sorted(self._acknowledged.values(), reverse=True)
-        if len(versions) < self.majority:
-            return
-        for version in range(self._decided + 1, versions[self.majority - 1] + 1):
-            change = self._proposals.pop(version)
-            self._commits.append(Commit(change))
-            self._tell_published(change.position)
-            self._decided = version
-            self._failures = 0
-            self._tries = 0
-
-    def _reconcile(self, now: float, position: Position) -> None:
-        """A version may be known as committed here before enough acknowledgements have come: by an earlier
-        publisher, whose change is then proposed here again, or by a newer one that was not heard of yet."""
-        if position.version <= self._decided:
-            return
-        proposal = self._proposals.get(position.version)
-        if proposal is None or proposal.position != position:
-            self._step_down(now)
-            return
-        self._decided = position.version
-        self._proposals = {v: change for v, change in self._proposals.items() if v > position.version}
+        if message.epoch == self._epoch and self._publication is not None:
+            self._commit(self._publication.proposer.on_accepted(sender, message.position.version))
 
-    # ---- lease and retries ------------------------------------------------------------------------
+    def _on_lease_grant(self, now: float, sender: MemberId, message: LeaseGrant) -> None:
+        if message.epoch == self._epoch and self._publication is not None:
+            self._publication.lease.on_grant(now, sender, message.count, self._batch)
 
-    def _tick_publishing(self, now: float) -> None:
-        if self._others and now - self._granted_at >= self._timing.takeover_after:
-            self._step_down(now)
+    def _commit(self, changes: list[Change]) -> None:
+        for change in changes:
+            self._batch.commits.append(Commit(change))
+            self._report_published(change.position)
+            self._takeover_timer.reset_backoff()
+
+    # ---- the acceptor's answers -------------------------------------------------------------------
+
+    def _on_prepare(self, now: float, source: Address, epoch: int) -> None:
+        if not self._admits(source, epoch):
+            return
+        self._observe_epoch(now, epoch)
+        if self.acceptor.promise(epoch):
+            self._batch.must_persist = True
+            # Not for each repeated Prepare of a candidate that receives no answers.
+            self._takeover_timer.publisher_seen(now)
+        for promise in self.acceptor.promises(epoch):
+            self._batch.send(source, promise)
+
+    def _on_propose(self, now: float, source: Address, epoch: int, change: Change) -> None:
+        if not self._admits(source, epoch):
             return
-        if now >= self._lease_at:
-            self._request_lease(now)
-        if self._proposals and now >= self._retry_at:
-            self._propose_again(now)
-
-    def _request_lease(self, now: float) -> None:
-        self._lease_at = now + self._timing.heartbeat_interval
-        self._lease_count += 1
-        self._grants = set()
-        for voter in self._others:
-            self._send(voter.address, LeaseRequest(self._epoch, self._lease_count))
-        self._grant(now, self._me.id)
+        self._observe_epoch(now, epoch)
+        self._takeover_timer.publisher_seen(now)
+        self._batch.must_persist |= self.acceptor.propose(epoch, change)
+        self._acknowledge(source, epoch)
 
     def _on_lease_request(self, now: float, source: Address, message: LeaseRequest) -> None:
-        if not self.acceptor.obeys(message.epoch):
-            self._send(source, Refused(self.acceptor.promised))
+        if not self._admits(source, message.epoch):
             return
-        self._see_epoch(now, message.epoch)
-        self._expect_publisher(now)
-        self._send(source, LeaseGrant(message.epoch, message.count))
+        self._observe_epoch(now, message.epoch)
+        self._takeover_timer.publisher_seen(now)
+        self._batch.send(source, LeaseGrant(message.epoch, message.count))
 
-    def _on_lease_grant(self, now: float, sender: MemberId, message: LeaseGrant) -> None:
-        current = (self._epoch, self._lease_count)
-        if self.phase is Phase.PUBLISHING and (message.epoch, message.count) == current:
-            self._grant(now, sender)
+    def _admits(self, source: Address, epoch: int) -> bool:
+        """Whether no newer epoch was promised; else the sender learns which one was."""
+        if self.acceptor.allows(epoch):
+            return True
+        self._batch.send(source, Refused(self.acceptor.promised))
+        return False
 
-    def _grant(self, now: float, voter: MemberId) -> None:
-        if voter in self._grants:
-            return
-        self._grants.add(voter)
-        if len(self._grants) == self.majority:
-            self._granted_at = now
-            self._beats.append(Beat(Heartbeat(self._epoch, self._lease_count)))
-
-    def _propose_again(self, now: float) -> None:
-        for voter in self._others:
-            acknowledged = self._acknowledged.get(voter.id, 0)
-            missing = [version for version in sorted(self._proposals) if version > acknowledged]
-            for version in missing[:RETRY_CHANGES]:
-                self._send(voter.address, Propose(self._epoch, self._proposals[version]))
-                self._retransmissions += 1
-        self._retry_later(now)
-
-    def _retry_later(self, now: float) -> None:
-        self._retry_at = now + _backoff(self._tries)
-        self._tries += 1
-
-    # ---- operators --------------------------------------------------------------------------------
-
-    def _tell_published(self, position: Position) -> None:
+    def _acknowledge(self, destination: Address, epoch: int) -> None:
+        position = self.acceptor.acknowledged_position(epoch)
+        if position is not None:
+            self._batch.send(destination, Accepted(epoch, position))
+
+    def _acknowledge_buffered(self) -> None:
+        epoch = self.acceptor.accepted[-1].epoch
+        self._acknowledge(self._voters.owner(epoch).address, epoch)
+
+    # ---- results for operators, and actions -------------------------------------------------------
+
+    def _report_published(self, position: Position) -> None:
         event = self._queue.commit(position)
         if event is not None:
-            self._results.append(Published(event.token, position))
+            self._batch.results.append(Published(event.token, position))
 
-    def _expire(self, now: float) -> None:
+    def _expire_publishes(self, now: float) -> None:
         for event in self._queue.expire(now):
-            self._results.append(PublishFailed(event.token, PublishError.NO_MAJORITY))
-
-    # ---- actions ----------------------------------------------------------------------------------
-
-    def _send(self, destination: Address, message: QuorumMessage) -> None:
-        self._sends.append(Send(destination, message))
+            self._batch.results.append(PublishFailed(event.token, PublishError.NO_MAJORITY))
 
     def _take_actions(self) -> list[QuorumAction]:
-        actions: list[QuorumAction] = []
-        if self._changed:
-            actions.append(Persist(self.acceptor.state()))
-        actions += [*self._sends, *self._beats, *self._commits, *self._results]
-        self._changed = False
-        self._sends, self._beats, self._commits, self._results = [], [], [], []
-        return actions
-
-
-def _backoff(tries: int) -> float:
-    """Seconds until the next try."""
-    return RETRY_AFTER * float(2 ** min(tries, MAX_DOUBLINGS))
+        if self._batch.is_empty:
+            return []
+        batch, self._batch = self._batch, ActionBatch()
+        return batch.in_order(self.acceptor.state() if batch.must_persist else None)
--- a/saltcourse/gossip/recovery.py
+++ b/saltcourse/gossip/recovery.py
@@ -9,14 +9,17 @@
 
 @dataclass
 class VoterPromise:
-    """What one voter has told in its promises under one epoch. It accepts nothing older after the first of
-    them, so what they tell fits together whenever each of them was sent."""
+    """What one voter has reported in its promises under one epoch.
+
+    It accepts nothing older after the first of them, so they fit together whenever each of them was sent.
+    """
 
     committed: Position = Position()
     last_accepted: int = 0
     accepted: dict[int, AcceptedChange] = field(default_factory=dict)  # by version
 
     def add(self, promise: Promise) -> None:
+        """Merge one of its messages; they may come in any order, and repeated."""
         self.committed = max(self.committed, promise.committed, key=lambda position: position.version)
         self.last_accepted = max(self.last_accepted, promise.last_accepted)
         if promise.accepted is not None:
@@ -24,6 +27,7 @@
 
     @property
     def complete(self) -> bool:
+        """Whether all that it has accepted behind ``committed`` has arrived."""
         behind = range(self.committed.version + 1, self.last_accepted + 1)
         return all(version in self.accepted for version in behind)
 
@@ -35,14 +39,16 @@
         self._voters: dict[MemberId, VoterPromise] = {}
 
     def add(self, voter: MemberId, promise: Promise) -> None:
+        """Merge one message of this voter."""
         self._voters.setdefault(voter, VoterPromise()).add(promise)
 
     def is_complete(self, voter: MemberId) -> bool:
+        """Whether this voter's promise has arrived in full."""
         return voter in self._voters and self._voters[voter].complete
 
     @property
     def count(self) -> int:
-        """Voters whose promise has come whole."""
+        """The number of voters whose promise has arrived in full."""
         return len(self._complete())
 
     @property
@@ -51,9 +57,9 @@
         return max((promise.committed.version for promise in self._complete()), default=0)
 
     def recover(self, base: Position) -> list[Change]:
-        """Changes behind the committed ``base`` that may have been committed: for each version the one
-        accepted under the highest epoch.
+        """Return the changes behind the committed ``base`` that may have been committed.
 
+        For each version that is the one accepted under the highest epoch.
         It ends before a change whose epoch is below that of the one before it. Such a change can't have been
         committed: whoever committed it would have proposed the one before it as well, and epochs do not fall
         along what one publisher proposes.
--- /dev/null
+++ b/saltcourse/gossip/voter_set.py
@@ -0,0 +1,42 @@
+"""The voters as one of them sees them: majority, and which voter an epoch belongs to."""
+
+from __future__ import annotations
+
+from saltcourse.gossip.messages import MemberId
+from saltcourse.gossip.settings import Voter
+
+
+class VoterSet:
+    """All voters, in the same order at each member; ``me`` is one of them."""
+
+    def __init__(self, me: Voter, voters: tuple[Voter, ...]) -> None:
+        self.me = me
+        self.index = voters.index(me)
+        self.others = tuple(voter for voter in voters if voter != me)
+        self._voters = voters
+        self._ids = tuple(voter.id for voter in voters)
+
+    def __len__(self) -> int:
+        return len(self._voters)
+
+    @property
+    def majority(self) -> int:
+        """The least number of voters of which any two such sets share one."""
+        return len(self._voters) // 2 + 1
+
+    def is_other(self, member: MemberId) -> bool:
+        """Whether the member is a voter and not this one."""
+        return member in self._ids and member != self._ids[self.index]
+
+    def owner(self, epoch: int) -> Voter:
+        """The only voter that may use this epoch."""
+        return self._voters[epoch % len(self._voters)]
+
+    def owns(self, member: MemberId, epoch: int) -> bool:
+        """Whether the epoch belongs to this member."""
+        return self._ids[epoch % len(self._voters)] == member
+
+    def own_epoch_above(self, epoch: int) -> int:
+        """The lowest epoch of this voter that is higher than ``epoch``."""
+        lowest = epoch + 1
+        return lowest + (self.index - lowest) % len(self._voters)
--- a/tests/gossip/fleet.py
+++ b/tests/gossip/fleet.py
@@ -256,7 +256,7 @@
         if isinstance(event, Commit):
             return dissemination.commit(now, event.change)
         if isinstance(event, Beat):
-            dissemination.beat(now, event.heartbeat)
+            dissemination.advance_heartbeat(now, event.heartbeat)
         if isinstance(event, ProbeEvent):
             own = self.index[member.record.address]
             step = self.random.randrange(1, len(self.records))
--- a/tests/gossip/test_dissemination.py
+++ b/tests/gossip/test_dissemination.py
@@ -327,14 +327,14 @@
 
 def test_heartbeats_go_forward_by_epoch_and_count_and_one_of_a_replaced_publisher_is_none() -> None:
     member = new_member()
-    member.beat(0.0, Heartbeat(2, 5))
+    member.advance_heartbeat(0.0, Heartbeat(2, 5))
     for older in (Heartbeat(1, 99), Heartbeat(2, 4), Heartbeat(2, 5), Heartbeat()):
         member.observe(1.0, A, Header(1, 0, 0, Position(), older))
         assert member.heartbeat == Heartbeat(2, 5)
-    member.beat(1.0, Heartbeat(3, 1))
+    member.advance_heartbeat(1.0, Heartbeat(3, 1))
     assert member.heartbeat == Heartbeat(3, 1)
     member.commit(2.0, change(1, epoch=7))
-    member.beat(9.0, Heartbeat(6, 100))  # its publisher ended before the change of epoch 7
+    member.advance_heartbeat(9.0, Heartbeat(6, 100))  # its publisher ended before the change of epoch 7
     assert member.heartbeat == Heartbeat(3, 1)
     run(member, 9.0, 11.0)
     assert member.freshness is Freshness.STALE
--- a/tests/gossip/test_quorum.py
+++ b/tests/gossip/test_quorum.py
@@ -37,7 +37,9 @@
     Send,
 )
 from saltcourse.gossip.publish_queue import MAX_PENDING
-from saltcourse.gossip.quorum import WINDOW, Beat, Commit, Phase, Quorum, QuorumAction
+from saltcourse.gossip.proposer import WINDOW
+from saltcourse.gossip.quorum import Phase, Quorum
+from saltcourse.gossip.quorum_actions import AdvanceHeartbeat, Commit, QuorumAction
 from saltcourse.gossip.recovery import PromiseSet
 from saltcourse.gossip.settings import Timing, Voter
 from saltcourse.gossip.sizes import ConfigurationSize, is_encodable
@@ -103,12 +105,12 @@
         versions = [version for version, entry in self._accepted.items() if entry.epoch == epoch]
         return max(versions, default=self.committed.version)
 
-    def accept_held(self) -> bool:
-        accepted = {v: AcceptedChange(self._held_epoch, change) for v, change in self._held.items()}
-        self._held.clear()
-        if not accepted or not self.obeys(self._held_epoch):
+    def accept_buffered(self) -> bool:
+        accepted = {v: AcceptedChange(self._buffered_epoch, change) for v, change in self._buffered.items()}
+        self._buffered.clear()
+        if not accepted or not self.allows(self._buffered_epoch):
             return False
-        self.promised = self._held_epoch
+        self.promised = self._buffered_epoch
         self._accepted |= accepted
         return True
 
@@ -357,14 +359,14 @@
 
 def test_a_single_voter_commits_without_a_message_and_beats() -> None:
     core = Quorum(VOTERS[0], VOTERS[:1], Timing(), random.Random(1), ReplicaState())
-    assert core.start(0.0) == [Persist(ReplicaState(promised=1)), Beat(Heartbeat(1, 1))]
+    assert core.start(0.0) == [Persist(ReplicaState(promised=1)), AdvanceHeartbeat(Heartbeat(1, 1))]
     position = Position(1, 1)
     persist, commit, told = core.publish(0.1, Publish(7, WRITES))
     assert isinstance(persist, Persist) and persist.state.accepted[0].change.position == position
     assert (commit, told) == (Commit(Change(position, WRITES)), Published(7, position))
     (persist,) = core.applied(0.1, position, dict(WRITES))
     assert persist == Persist(ReplicaState(1, position, WRITES))
-    assert core.tick(1.0) == [Beat(Heartbeat(1, 2))]
+    assert core.tick(1.0) == [AdvanceHeartbeat(Heartbeat(1, 2))]
 
 
 def test_a_single_voter_publishes_under_a_new_epoch_after_a_restart_what_it_had_accepted() -> None:
@@ -553,7 +555,7 @@
     assert hand(core, 1, LeaseGrant(5, 1)) == []
     assert hand(core, 1, LeaseGrant(5, 1)) == []  # twice is once
     assert hand(core, 2, LeaseGrant(5, 2)) == []
-    assert hand(core, 2, LeaseGrant(5, 1)) == [Beat(Heartbeat(5, 1))]
+    assert hand(core, 2, LeaseGrant(5, 1)) == [AdvanceHeartbeat(Heartbeat(5, 1))]
     assert hand(core, 3, LeaseGrant(5, 1)) == []
 
 
