--- a/saltcourse/gossip/codec.py
+++ b/saltcourse/gossip/codec.py
@@ -65,7 +65,7 @@
     Prepare,
     Promise,
     Propose,
-    Refused,
+    Rejected,
     SnapshotFetch,
     SnapshotPart,
     StatusUpdate,
@@ -312,12 +312,12 @@
     return LeaseGrant(epoch, count)
 
 
-def _encode_refused(message: Refused) -> bytes:
+def _encode_rejected(message: Rejected) -> bytes:
     return U32.pack(message.epoch)
 
 
-def _read_refused(reader: Reader) -> Refused:
-    return Refused(reader.number(U32))
+def _read_rejected(reader: Reader) -> Rejected:
+    return Rejected(reader.number(U32))
 
 
 SCHEMAS: tuple[Schema[Any], ...] = (
@@ -339,7 +339,7 @@
     Schema(35, Accepted, _encode_accepted, _read_accepted),
     Schema(36, LeaseRequest, _encode_lease_request, _read_lease_request),
     Schema(37, LeaseGrant, _encode_lease_grant, _read_lease_grant),
-    Schema(38, Refused, _encode_refused, _read_refused),
+    Schema(38, Rejected, _encode_rejected, _read_rejected),
 )
 SCHEMA_BY_TYPE: dict[type[Any], Schema[Any]] = {schema.type: schema for schema in SCHEMAS}
 SCHEMA_BY_CODE: dict[int, Schema[Any]] = {schema.code: schema for schema in SCHEMAS}
--- a/saltcourse/gossip/quorum.py
+++ b/saltcourse/gossip/quorum.py
@@ -56,7 +56,7 @@
     PublishError,
     PublishFailed,
     QuorumMessage,
-    Refused,
+    Rejected,
     ReplicaState,
 )
 from saltcourse.gossip.proposer import Proposer
@@ -148,7 +148,7 @@
                 self._on_lease_request(now, source, message)
             case LeaseGrant():
                 self._on_lease_grant(now, header.sender, message)
-            case Refused(epoch):
+            case Rejected(epoch):
                 self._observe_epoch(now, epoch)
         return self._take_actions()
 
@@ -367,7 +367,7 @@
         """Whether no newer epoch was promised; else the sender learns which one was."""
         if self.acceptor.allows(epoch):
             return True
-        self._batch.send(source, Refused(self.acceptor.promised))
+        self._batch.send(source, Rejected(self.acceptor.promised))
         return False
 
     def _acknowledge(self, destination: Address, epoch: int) -> None:
--- a/tests/gossip/golden.py
+++ b/tests/gossip/golden.py
@@ -64,7 +64,7 @@
     "accepted": m.Accepted(8, m.Position(6, 43)),
     "lease request": m.LeaseRequest(8, 100),
     "lease grant": m.LeaseGrant(8, 100),
-    "rejected": m.Refused(9),
+    "rejected": m.Rejected(9),
 }
 
 REPLICA_MEMBER = "control-1"
--- a/tests/gossip/test_codec.py
+++ b/tests/gossip/test_codec.py
@@ -93,7 +93,7 @@
     m.Accepted: st.builds(m.Accepted, u32, positions),
     m.LeaseRequest: st.builds(m.LeaseRequest, u32, u32),
     m.LeaseGrant: st.builds(m.LeaseGrant, u32, u32),
-    m.Refused: st.builds(m.Refused, u32),
+    m.Rejected: st.builds(m.Rejected, u32),
 }
 any_message = st.one_of(*MESSAGES.values())
 
--- a/tests/gossip/test_quorum.py
+++ b/tests/gossip/test_quorum.py
@@ -32,7 +32,7 @@
     Published,
     PublishError,
     PublishFailed,
-    Refused,
+    Rejected,
     ReplicaState,
     Send,
 )
@@ -405,7 +405,7 @@
     ]
     assert hand(core, 2, Prepare(5)) == [Send(VOTERS[2].address, Promise(5, Position(), 0))]
     for message in (Prepare(4), Propose(4, change(4, 1)), LeaseRequest(4, 1)):
-        assert hand(core, 1, message) == [Send(VOTERS[1].address, Refused(5))]
+        assert hand(core, 1, message) == [Send(VOTERS[1].address, Rejected(5))]
 
 
 def test_an_accepted_change_is_persisted_ahead_of_its_answer_and_told_with_a_promise() -> None:
@@ -491,7 +491,7 @@
 
 def test_a_newer_epoch_seen_in_any_way_ends_publishing_and_the_change_goes_on_waiting() -> None:
     def refused(core: Quorum) -> None:
-        hand(core, 1, Refused(4))
+        hand(core, 1, Rejected(4))
 
     def heartbeat(core: Quorum) -> None:
         core.observe(0.1, Position(), Heartbeat(4, 1))
