--- a/saltcourse/app/control_member.py
+++ b/saltcourse/app/control_member.py
@@ -14,10 +14,11 @@
 from saltcourse.config import ConfigError
 from saltcourse.config.operator_gossip import SECTION, GossipSettings
 from saltcourse.gossip.admin import GossipAnswers
-from saltcourse.gossip.host import LEAVE_GRACE, Host, PersistError, StateStore
+from saltcourse.gossip.errors import PersistError, StoreError
+from saltcourse.gossip.host import LEAVE_GRACE, Host, StateStore
 from saltcourse.gossip.member_table import Member
 from saltcourse.gossip.messages import Address, ReplicaState, Status
-from saltcourse.gossip.store import ReplicaStore, StoreError
+from saltcourse.gossip.store import ReplicaStore
 from saltcourse.metrics import Metrics
 from saltcourse.proxy.errors import ListenError
 
--- a/saltcourse/app/gossip.py
+++ b/saltcourse/app/gossip.py
@@ -16,7 +16,8 @@
 from saltcourse.config.operator_gossip import SECTION, GossipSettings
 from saltcourse.config.overlay import ConfigurationSource
 from saltcourse.gossip.admin import GossipAnswers
-from saltcourse.gossip.host import Host, PersistError, StateStore
+from saltcourse.gossip.errors import PersistError
+from saltcourse.gossip.host import Host, StateStore
 from saltcourse.gossip.messages import Applied, MemberRecord, ReplicaState
 from saltcourse.gossip.node import Node
 from saltcourse.gossip.settings import NodeSettings
--- a/saltcourse/gossip/admin.py
+++ b/saltcourse/gossip/admin.py
@@ -9,7 +9,8 @@
 import orjson
 
 from saltcourse.admin.calls import JSON, Answer
-from saltcourse.gossip.changes import BadChange, ChangeTooLarge, parse_change
+from saltcourse.gossip.changes import parse_change
+from saltcourse.gossip.errors import ChangeTooLargeError, InvalidChangeError
 from saltcourse.gossip.host import Host, PublishOutcome
 from saltcourse.gossip.messages import Position, Published, PublishError
 
@@ -78,9 +79,9 @@
             return _failure(PublishError.NOT_CONTROL)
         try:
             writes = parse_change(body)
-        except ChangeTooLarge as error:
+        except ChangeTooLargeError as error:
             return Answer(413, f"{error}\n".encode())
-        except BadChange as error:
+        except InvalidChangeError as error:
             return Answer(400, f"{error}\n".encode())
         patience = self._host.node.settings.timing.publish_timeout + PUBLISH_MARGIN
         try:
--- a/saltcourse/gossip/changes.py
+++ b/saltcourse/gossip/changes.py
@@ -5,26 +5,19 @@
 import orjson
 
 from saltcourse.gossip.codec import change_size
+from saltcourse.gossip.errors import ChangeTooLargeError, EncodeError, InvalidChangeError
 from saltcourse.gossip.fields import MAX_COUNT, encode_text
 from saltcourse.gossip.messages import MAX_CHANGE_BYTES, MAX_KEY_BYTES, Change, Position, Write
 
 
-class BadChange(Exception):
-    """Not a change; the text names what is wrong."""
-
-
-class ChangeTooLarge(BadChange):
-    """More than ``MAX_CHANGE_BYTES`` or ``MAX_COUNT`` keys."""
-
-
 def parse_change(body: bytes) -> tuple[Write, ...]:
     """Of ``{"key": "value", "deleted key": null}``."""
     try:
         entries = orjson.loads(body)
     except orjson.JSONDecodeError as error:
-        raise BadChange(f"not JSON: {error}") from None
+        raise InvalidChangeError(f"not JSON: {error}") from None
     if not isinstance(entries, dict):
-        raise BadChange("not an object of keys and values")
+        raise InvalidChangeError("not an object of keys and values")
     writes = tuple((key, _parse_value(key, value)) for key, value in entries.items())
     check_writes(writes)
     return writes
@@ -34,22 +27,24 @@
     if value is None:
         return None
     if not isinstance(value, str):
-        raise BadChange(f"{key!r}: the value must be a text, or null to delete the key")
+        raise InvalidChangeError(f"{key!r}: the value must be a text, or null to delete the key")
     return value.encode()
 
 
 def check_writes(writes: tuple[Write, ...]) -> None:
-    """``BadChange`` or ``ChangeTooLarge`` where it could not be published."""
+    """``InvalidChangeError`` or ``ChangeTooLargeError`` where it could not be published."""
     if not writes:
-        raise BadChange("no key")
+        raise InvalidChangeError("no key")
     for key, _ in writes:
         try:
             encode_text(key, MAX_KEY_BYTES)
-        except ValueError:
-            raise BadChange(f"{key!r}: a key has 1 to {MAX_KEY_BYTES} bytes, no control character") from None
+        except EncodeError:
+            raise InvalidChangeError(
+                f"{key!r}: a key has 1 to {MAX_KEY_BYTES} bytes, no control character"
+            ) from None
     if len(writes) > MAX_COUNT:
-        raise ChangeTooLarge(f"{len(writes)} keys; at most {MAX_COUNT} in one change")
+        raise ChangeTooLargeError(f"{len(writes)} keys; at most {MAX_COUNT} in one change")
     try:
         change_size(Change(Position(), writes))
-    except ValueError:
-        raise ChangeTooLarge(f"over {MAX_CHANGE_BYTES} bytes with its keys") from None
+    except EncodeError:
+        raise ChangeTooLargeError(f"over {MAX_CHANGE_BYTES} bytes with its keys") from None
--- a/saltcourse/gossip/configuration.py
+++ b/saltcourse/gossip/configuration.py
@@ -194,7 +194,7 @@
     def restore(self, state: ReplicaState) -> None:
         """At a control member's start. Its position becomes a checkpoint, whatever its version: the log
         before it is lost, and members with an empty configuration must be served also when all control
-        members have just restarted. ``ValueError`` when the state is too large to be encoded."""
+        members have just restarted. ``EncodeError`` when the state is too large to be encoded."""
         if self.relate(state.committed) is not Relation.AHEAD:
             return
         self._replace(state.committed, dict(state.configuration))
--- a/saltcourse/gossip/fields.py
+++ b/saltcourse/gossip/fields.py
@@ -1,6 +1,6 @@
 """Binary form of the records that messages are made of: texts, addresses, positions, updates and changes.
 
-Integers are big-endian. A text or value is a length and its bytes. Writers raise ``ValueError`` on a record
+Integers are big-endian. A text or value is a length and its bytes. Writers raise ``EncodeError`` on a record
 that has no binary form; ``Reader`` raises ``CodecError`` and never reads behind the end of its data.
 """
 
@@ -9,11 +9,11 @@
 import re
 import socket
 from collections.abc import Callable, Sequence
-from enum import Enum, auto
 from functools import lru_cache
 from struct import Struct
 from typing import TypeVar
 
+from saltcourse.gossip.errors import CodecError, EncodeError, Reason
 from saltcourse.gossip.messages import (
     MAX_CHANGE_BYTES,
     MAX_KEY_BYTES,
@@ -64,24 +64,6 @@
 ADDRESS_FAMILIES = {IPV4_BYTES: socket.AF_INET, IPV6_BYTES: socket.AF_INET6}
 
 
-class Reason(Enum):
-    """Why a datagram is refused, in the order in which it is found out."""
-
-    TOO_LONG = auto()  # more than ``MAX_DATAGRAM_BYTES``
-    FORM = auto()  # too short, or not of this protocol
-    VERSION = auto()  # of another version of this protocol
-    AUTHENTICATION = auto()  # made without the key, or changed on its way
-    SCHEMA = auto()  # made with the key, and yet not a message
-
-
-class CodecError(Exception):
-    """Bytes that are no message."""
-
-    def __init__(self, reason: Reason, detail: str = "") -> None:
-        super().__init__(detail or reason.name.lower())
-        self.reason = reason
-
-
 class Reader:
     """Takes records from the front of ``data``, one after the other."""
 
@@ -141,9 +123,12 @@
 
 
 def encode_text(text: str, most: int) -> bytes:
-    data = text.encode()
+    try:
+        data = text.encode()
+    except UnicodeEncodeError:
+        raise EncodeError(f"not a text that UTF-8 can hold: {text!r}") from None
     if not 0 < len(data) <= most or CONTROL_CHARACTER.search(text):
-        raise ValueError(f"not a text of 1 to {most} bytes without control characters: {text!r}")
+        raise EncodeError(f"not a text of 1 to {most} bytes without control characters: {text!r}")
     return data
 
 
@@ -151,13 +136,13 @@
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     try:
         return socket.inet_pton(family, host)
-    except OSError:
-        raise ValueError(f"not an IP address: {host!r}") from None
+    except (OSError, ValueError):  # ValueError: a character that no address has
+        raise EncodeError(f"not an IP address: {host!r}") from None
 
 
 def encode_list(records: Sequence[Record], encode: Callable[[Record], bytes]) -> bytes:
     if len(records) > MAX_COUNT:
-        raise ValueError(f"{len(records)} records in a list")
+        raise EncodeError(f"{len(records)} records in a list")
     return U8.pack(len(records)) + b"".join([encode(record) for record in records])
 
 
@@ -169,7 +154,7 @@
 def encode_member_record(record: MemberRecord) -> bytes:
     host, port = record.address
     if port == 0:
-        raise ValueError("port 0")
+        raise EncodeError("port 0")
     name = encode_text(record.name, MAX_NAME_BYTES)
     region = encode_text(record.region, MAX_LABEL_BYTES)
     zone = encode_text(record.zone, MAX_LABEL_BYTES)
@@ -203,14 +188,14 @@
     if value is None:
         return WRITE.pack(len(key), DELETED) + key
     if len(value) > MAX_VALUE_BYTES:
-        raise ValueError(f"a value of {len(value)} bytes")
+        raise EncodeError(f"a value of {len(value)} bytes")
     return WRITE.pack(len(key), len(value)) + key + value
 
 
 def encode_change(change: Change) -> bytes:
     data = encode_position(change.position) + encode_list(change.writes, encode_write)
     if len(data) > MAX_CHANGE_BYTES:
-        raise ValueError(f"a change of {len(data)} bytes")
+        raise EncodeError(f"a change of {len(data)} bytes")
     return data
 
 
--- a/saltcourse/gossip/host.py
+++ b/saltcourse/gossip/host.py
@@ -15,6 +15,7 @@
 
 import structlog
 
+from saltcourse.gossip.errors import PersistError
 from saltcourse.gossip.event_log import EventLog
 from saltcourse.gossip.messages import (
     Action,
@@ -49,10 +50,6 @@
 PublishOutcome = Published | PublishFailed
 
 
-class PersistError(Exception):
-    """A voter's state could not be kept."""
-
-
 class StateStore(Protocol):
     """Where a voter's state survives a restart."""
 
--- a/saltcourse/gossip/sizes.py
+++ b/saltcourse/gossip/sizes.py
@@ -4,7 +4,8 @@
 
 from collections.abc import Iterable
 
-from saltcourse.gossip.codec import CONFIGURATION_ITEM, change_size
+from saltcourse.gossip.codec.configuration import CONFIGURATION_ITEM, change_size
+from saltcourse.gossip.errors import EncodeError
 from saltcourse.gossip.messages import MAX_CONFIGURATION_BYTES, Change, Position, Write
 
 
@@ -12,7 +13,7 @@
     """Whether a change of these writes fits its bound and each key and value has a binary form."""
     try:
         change_size(Change(Position(), writes))
-    except ValueError:
+    except EncodeError:
         return False
     return True
 
--- a/saltcourse/gossip/store.py
+++ b/saltcourse/gossip/store.py
@@ -11,6 +11,7 @@
 import sqlite3
 from pathlib import Path
 
+from saltcourse.gossip.errors import StoreError
 from saltcourse.gossip.messages import AcceptedChange, Change, Position, ReplicaState, Write
 
 APPLICATION = 0x53616C72  # PRAGMA application_id: "Salr"
@@ -27,10 +28,6 @@
 )
 
 
-class StoreError(Exception):
-    """The file can't be used; the text names it and says why."""
-
-
 class ReplicaStore:
     """``load`` returns None on a first start. All errors are StoreError.
 
--- a/tests/gossip/test_codec.py
+++ b/tests/gossip/test_codec.py
@@ -8,14 +8,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from saltcourse.gossip import codec as codec_module
 from saltcourse.gossip import messages as m
 from saltcourse.gossip.budget import TokenBucket
 from saltcourse.gossip.codec import (
     HEADER_BYTES,
-    PREFIX,
     SCHEMAS,
-    TAG_END,
     Codec,
     CodecError,
     Reason,
@@ -24,6 +21,9 @@
     encode_configuration,
     update_size,
 )
+from saltcourse.gossip.codec.datagram import HEADER as HEADER_LAYOUT
+from saltcourse.gossip.codec.datagram import PREFIX, TAG_END
+from saltcourse.gossip.fields import MEMBER_RECORD
 
 KEY = b"k" * 32
 CODEC = Codec(KEY)
@@ -135,7 +135,7 @@
 @settings(max_examples=300, deadline=None)
 @given(st.binary(max_size=300), st.sampled_from([schema.code for schema in SCHEMAS]))
 def test_random_messages_under_the_right_tag_give_a_message_or_an_error_of_schema(body, code):
-    datagram = signed(codec_module.HEADER.pack(1, 2, 3, 4, 5, 6, 7, code) + body)
+    datagram = signed(HEADER_LAYOUT.pack(1, 2, 3, 4, 5, 6, 7, code) + body)
     try:
         header, message = CODEC.decode(datagram)
     except CodecError as error:
@@ -186,7 +186,7 @@
     assert reason_of(b"XX" + good[2:]) is Reason.FORM
     assert reason_of(good[:2] + b"\x09" + good[3:]) is Reason.VERSION
     assert reason_of(good, Codec(b"another key")) is Reason.AUTHENTICATION
-    assert reason_of(signed(codec_module.HEADER.pack(1, 2, 3, 4, 5, 6, 7, 255))) is Reason.SCHEMA
+    assert reason_of(signed(HEADER_LAYOUT.pack(1, 2, 3, 4, 5, 6, 7, 255))) is Reason.SCHEMA
 
 
 def test_nothing_is_read_before_the_tag_was_checked(monkeypatch):
@@ -224,7 +224,7 @@
 
 def record_bytes(name=b"n", region=b"r", zone=b"z", address=b"\x0a\0\0\1", port=1, flags=0, kind=16) -> bytes:
     lengths = len(name), len(region), len(zone), len(address)
-    fixed = codec_module.MEMBER_RECORD.pack(kind, flags, 0, 0, *lengths, port)
+    fixed = MEMBER_RECORD.pack(kind, flags, 0, 0, *lengths, port)
     return fixed + name + region + zone + address
 
 
@@ -248,7 +248,7 @@
     ids=str,
 )
 def test_a_bad_record_under_the_right_tag_is_refused(fields):
-    frame = codec_module.HEADER.pack(1, 2, 3, 4, 5, 6, 7, 5)
+    frame = HEADER_LAYOUT.pack(1, 2, 3, 4, 5, 6, 7, 5)
     assert CODEC.decode(signed(frame + b"\1" + record_bytes()))
     assert reason_of(signed(frame + b"\1" + record_bytes(**fields))) is Reason.SCHEMA
 
--- a/tests/gossip/test_host.py
+++ b/tests/gossip/test_host.py
@@ -17,8 +17,9 @@
 from saltcourse.app.gossip import figure_names
 from saltcourse.gossip import messages as m
 from saltcourse.gossip.codec import Codec
+from saltcourse.gossip.errors import PersistError
 from saltcourse.gossip.event_log import LOG_INTERVAL, EventLog
-from saltcourse.gossip.host import MAX_UNSENT_BYTES, Host, PersistError
+from saltcourse.gossip.host import MAX_UNSENT_BYTES, Host
 from saltcourse.gossip.node import Node
 from tests.gossip.site import EXAMPLE, KEY, Processes, Site, call, figure, until, wait_for
 
--- a/tests/gossip/test_operator.py
+++ b/tests/gossip/test_operator.py
@@ -23,7 +23,8 @@
 from saltcourse.config.overlay import DISCOVERY_KEY, SOCKETS_KEY, ConfigurationSource
 from saltcourse.gossip.messages import ReplicaState, Role
 from saltcourse.gossip.settings import Timing
-from saltcourse.gossip.store import ReplicaStore, StoreError
+from saltcourse.gossip.errors import StoreError
+from saltcourse.gossip.store import ReplicaStore
 
 ROOT = Path(__file__).parents[2]
 EXAMPLE = ROOT / "example" / "config.json"
--- a/tests/gossip/test_store.py
+++ b/tests/gossip/test_store.py
@@ -9,8 +9,9 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
+from saltcourse.gossip.errors import StoreError
 from saltcourse.gossip.messages import AcceptedChange, Change, Position, ReplicaState
-from saltcourse.gossip.store import ReplicaStore, StoreError
+from saltcourse.gossip.store import ReplicaStore
 
 
 def entry(epoch: int, version: int, *writes: tuple[str, bytes | None]) -> AcceptedChange:
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -41,6 +41,7 @@
     "saltcourse.shared_state.codec": WORDS,
     "saltcourse.shared_state.messages": WORDS,
     "saltcourse.shared_state.names": WORDS,
+    "saltcourse.gossip.errors": WORDS,
     "saltcourse.gossip.fields": WORDS,  # the codec of records
     "saltcourse.gossip.messages": WORDS,
     "saltcourse.gossip.settings": WORDS,
