--- a/saltcourse/gossip/broadcasts.py
+++ b/saltcourse/gossip/broadcasts.py
@@ -71,7 +71,7 @@
         self.transmissions += len(taken)
         return tuple([broadcast.update for _, broadcast in taken])
 
-    def heard(self, key: Key, incarnation: int, status: Status) -> None:
+    def on_duplicate(self, key: Key, incarnation: int, status: Status) -> None:
         """Another member has sent the same. While many updates wait, this counts as passing it on once:
         the more often it comes the fewer there are who lack it (Demers et al. 1987: counter and feedback).
         With few waiting nothing is gained by it, and an objection to a suspicion needs every transmission."""
--- a/saltcourse/gossip/member_table.py
+++ b/saltcourse/gossip/member_table.py
@@ -35,7 +35,7 @@
     record: MemberRecord
     since: float
     digest: int = 0  # of the record, while it has not departed
-    told_at: float = float("-inf")  # when its own record was last sent to it
+    notified_at: float = float("-inf")  # when its own record was last sent to it
 
     @property
     def status(self) -> Status:
--- a/saltcourse/gossip/membership.py
+++ b/saltcourse/gossip/membership.py
@@ -5,12 +5,20 @@
     member_table       records and their order of precedence
     failure_detector   probes and the local health score
     suspicion          timers from suspect to dead
-    zone_silence       zones that cannot be reached, which are no heap of dead members
-    own_record         objections and rivals for the name
+    zone_silence       zones that cannot be reached, as opposed to many dead members
+    own_record         refutations, and other processes of this name
     update_merging     what a claim about a member leads to
     sampling           random choices among live members
-    broadcasts         updates that ride on other messages
-    table_sync         joining and repair
+    broadcasts         updates that are piggybacked on other messages
+    rounds             probe, reconnection and gossip at constant intervals
+    table_sync         joining and anti-entropy repair
+    unknown_senders    limits for senders that are not in the table
+
+The life of a member, as another one sees it:
+
+    ALIVE -- probe failed --> SUSPECT -- timeout --> DEAD -- forget_after --> (removed)
+      ^                          |                     |
+      +------ refuted, by a higher incarnation --------+      ALIVE, SUSPECT -- Leave --> LEFT
 
 Work per message is that of its updates, work per second is constant (the probe, gossip and sync intervals).
 What grows with the fleet: see each part; all in all about 0.8 kB of memory for each member.
@@ -22,8 +30,7 @@
 import random
 from collections.abc import Mapping, Sequence
 
-from saltcourse.gossip.broadcasts import RECORDS_ROOM_BYTES, BroadcastQueue
-from saltcourse.gossip.budget import TokenBucket
+from saltcourse.gossip.broadcasts import BroadcastQueue
 from saltcourse.gossip.failure_detector import FailedProbe, FailureDetector, LocalHealth, ProbeOrder
 from saltcourse.gossip.member_table import Member, MemberTable, is_departed
 from saltcourse.gossip.messages import (
@@ -47,18 +54,17 @@
     ZoneSum,
 )
 from saltcourse.gossip.own_record import OwnRecord
+from saltcourse.gossip.rounds import GossipRound, ProbeRound, ReconnectRound
 from saltcourse.gossip.sampling import MemberSampler
 from saltcourse.gossip.settings import Timing
 from saltcourse.gossip.suspicion import SuspicionTimers, suspicion_timeout
 from saltcourse.gossip.table_sync import TableSync
+from saltcourse.gossip.unknown_senders import UnknownSenders
 from saltcourse.gossip.update_merging import UpdateMerger
 from saltcourse.gossip.zone_silence import ZoneSilence
 
-TELL_INTERVAL = 1.0  # s, between two answers with its own record to one member
-STRANGER_ACKS = 100.0  # a second, to all senders that are not in the table
-STRANGER_PAGES = 20.0  # a second, of the table to them and asked of them
-LEAVE_FANOUT = 8  # members told at once by one that leaves
-BUSY_PACE = 2.0  # times the gossip interval while many updates wait: each datagram is then full
+NOTIFY_INTERVAL_SECONDS = 1.0  # between two notices to one member of what is believed of it
+LEAVE_FANOUT = 8  # members notified at once by one that leaves
 
 
 class Membership:
@@ -83,24 +89,26 @@
         self._detector = FailureDetector(timing, source, self._health, self._merger.updates_for)
         self._sampler = MemberSampler(source, self._table, self._zones)
         self._sync = TableSync(self._table, seeds, timing, source, self.sample)
+        self._probe_round = ProbeRound(timing, self._own, self._order)
+        self._gossip_round = GossipRound(timing, self._queue, self._table, self._sampler)
+        self._reconnect_round = ReconnectRound(timing, source, self._own, self._table, self._zones)
+        self._unknown_senders = UnknownSenders()
         self._last_tick = -math.inf
-        self._probe_at = self._gossip_at = self._reconnect_at = math.inf
-        self._stranger_acks = TokenBucket(STRANGER_ACKS, STRANGER_ACKS)
-        self._stranger_pages = TokenBucket(STRANGER_PAGES, STRANGER_PAGES)
         self._was_joining = False
         self._probe_failures = 0
         self._misaddressed_pings = 0
-        self._strangers = 0
         self._stalls = 0
 
     # ---- reads ------------------------------------------------------------------------------------
 
     @property
     def me(self) -> MemberRecord:
+        """This member's own record."""
         return self._own.record
 
     @property
     def members(self) -> Mapping[MemberId, Member]:
+        """All entries of the table, this member and departed ones included."""
         return self._table.members
 
     def live(self, zone: str | None = None) -> Sequence[MemberRecord]:
@@ -112,14 +120,17 @@
         return self._sampler.sample(count)
 
     def take_received(self) -> list[ZoneSum]:
+        """Zone sums that came as updates since the last call; they belong to the aggregation."""
         received, self._merger.received_sums = self._merger.received_sums, []
         return received
 
     def take_changes(self) -> list[MemberChanged | ZoneReachability]:
+        """Changes since the last call, in order, for the host."""
         changes, self._merger.changes = self._merger.changes, []
         return changes
 
     def figures(self) -> dict[str, int]:
+        """Figures of ``/_vars``, by name."""
         statuses = self._table.status_counts
         return {
             "alive": statuses[Status.ALIVE],
@@ -147,17 +158,18 @@
             "table_full": self._merger.table_full,
             "zones_silent": self._merger.zones_silent,
             "misaddressed_pings": self._misaddressed_pings,
-            "strangers": self._strangers,
+            "strangers": self._unknown_senders.count,
             "stalls": self._stalls,
         }
 
     # ---- start and end ----------------------------------------------------------------------------
 
     def start(self, now: float) -> list[Send]:
+        """Begin the rounds, and ask the seeds for the table."""
         self._last_tick = now
-        self._probe_at = now + self._random.random() * self._timing.probe_interval
-        self._gossip_at = now + self._random.random() * self._timing.gossip_interval
-        self._reconnect_at = now + self._timing.reconnect_interval
+        self._probe_round.start(now, self._random)
+        self._gossip_round.start(now, self._random)
+        self._reconnect_round.start(now)
         self._zones.restart(now)
         self._queue.add(self._id, self.me)
         sends = self._sync.start(now)
@@ -165,7 +177,7 @@
         return sends
 
     def leave(self, now: float) -> list[Send]:
-        """The members told at once pass it on; this one objects to nothing any more."""
+        """Notify a few members, who pass it on; this one refutes nothing any more."""
         self._own.leave()
         self._detector.drop(lambda _: True)
         self._merger.publish_own(now)
@@ -173,31 +185,33 @@
         return [Send(record.address, message, Priority.MEMBERSHIP) for record in self.sample(LEAVE_FANOUT)]
 
     def broadcast(self, update: ZoneSum) -> None:
+        """Pass an update of the aggregation on to all members."""
         self._queue.add(update.zone, update)
 
     # ---- datagrams --------------------------------------------------------------------------------
 
-    def heard(self, now: float, header: Header) -> list[Send]:
-        """What the sender's being there tells, whatever it said."""
+    def observe(self, now: float, header: Header) -> list[Send]:
+        """Of every datagram, whatever its message: its sender is alive."""
         if header.sender == self._id:
-            self._heard_own_name(now, header)
+            self._observe_own_name(now, header)
             return []
-        self._zones.heard_anyone(now)
+        self._zones.on_any_contact(now)
         member = self._table.get(header.sender)
         if member is None or member.record.process != header.process:
             return []  # ``handle`` knows where it can be answered
         self._merger.merge_header(now, header.sender, member, header)
         if not is_departed(member.status):
-            self._heard_zone(now, member.record.zone)
-        return self._tell_record(now, member, member.record.address)
+            self._on_zone_contact(now, member.record.zone)
+        return self._notify_of_record(now, member, member.record.address)
 
     def handle(self, now: float, source: Address, header: Header, message: MembershipMessage) -> list[Send]:
+        """A message of this part. ``observe`` was called with its header before."""
         if header.sender == self._id and header.process == self.me.process:
             return []  # an own datagram
         sends: list[Send] = []
         is_known = self._is_known(header)
         if not is_known:
-            sends += self._meet_stranger(now, source, header)
+            sends += self._meet_unknown(now, source, header)
         if isinstance(message, Ping):
             sends += self._on_ping(now, source, header, message, is_known)
         elif isinstance(message, Ack):
@@ -209,7 +223,7 @@
         elif isinstance(message, Gossip):
             self._merger.merge_updates(now, message.updates)
         elif isinstance(message, SyncRequest):
-            if is_known or self._stranger_pages.take(now, 1):
+            if is_known or self._unknown_senders.allow_page(now):
                 sends.append(Send(source, self._sync.reply(message), Priority.BULK))
         else:
             sends += self._on_sync_reply(now, source, message)
@@ -224,13 +238,13 @@
             return []
         if is_known:
             return [Send(source, Ack(message.sequence, self._merger.updates_for(header.sender)))]
-        return [Send(source, Ack(message.sequence))] if self._stranger_acks.take(now, 1) else []
+        return [Send(source, Ack(message.sequence))] if self._unknown_senders.allow_ack(now) else []
 
     def _on_ack(self, now: float, header: Header, message: Ack) -> list[Send]:
         alive, sends = self._detector.on_ack(now, header.sender, message)
         member = self._table.get(alive) if alive is not None else None
         if member is not None and not is_departed(member.status):
-            self._heard_zone(now, member.record.zone)
+            self._on_zone_contact(now, member.record.zone)
         self._merger.merge_updates(now, message.updates)
         return sends
 
@@ -238,7 +252,7 @@
         self, now: float, source: Address, message: PingRequest, is_known: bool
     ) -> list[Send]:
         self._merger.merge_updates(now, message.updates)
-        if not is_known and not self._stranger_acks.take(now, 1):
+        if not is_known and not self._unknown_senders.allow_ack(now):
             return []
         if message.target == self._id:
             return [Send(source, Ack(message.sequence))]
@@ -248,7 +262,7 @@
         return self._detector.relay(now, source, message, target)
 
     def _on_sync_reply(self, now: float, source: Address, message: SyncReply) -> list[Send]:
-        """What a joining member reads is news to nobody else."""
+        """Records that a joining member reads are new to nobody else, so they are not passed on."""
         self._merger.merge_table(now, message.records, spread=not self._sync.is_joining)
         return self._sync.on_reply(now, source, message)
 
@@ -259,42 +273,45 @@
         member = self._table.get(header.sender)
         return member is not None and member.record.process == header.process
 
-    def _heard_own_name(self, now: float, header: Header) -> None:
+    def _observe_own_name(self, now: float, header: Header) -> None:
         if header.process == self.me.process:
             return
-        if self._own.heard_rival(now, header.incarnation, header.process):
+        if self._own.on_name_conflict(now, header.incarnation, header.process):
             self._merger.publish_own(now)
 
-    def _meet_stranger(self, now: float, source: Address, header: Header) -> list[Send]:
-        """Someone new is asked for its table, which has its record. One that bears the name of a known member
-        is told which incarnation it has to exceed."""
-        self._strangers += 1
+    def _meet_unknown(self, now: float, source: Address, header: Header) -> list[Send]:
+        """Ask a new member for its table, which has its record.
+
+        One that has the name of a known member is notified of the incarnation that it has to exceed.
+        """
+        self._unknown_senders.count += 1
         member = self._table.get(header.sender)
         if member is not None and header.incarnation <= member.record.incarnation:
-            return self._tell_record(now, member, source, even_alive=True)
-        return self._sync.compare_with(now, source) if self._stranger_pages.take(now, 1) else []
+            return self._notify_of_record(now, member, source, even_alive=True)
+        return self._sync.compare_with(now, source) if self._unknown_senders.allow_page(now) else []
 
-    def _tell_record(
+    def _notify_of_record(
         self, now: float, member: Member, destination: Address, even_alive: bool = False
     ) -> list[Send]:
-        """Tell a member what is believed of it, so that it can object."""
+        """Send a member what is believed of it, so that it can refute that."""
         if member.status is Status.ALIVE and not even_alive:
             return []
-        if now - member.told_at < TELL_INTERVAL:
+        if now - member.notified_at < NOTIFY_INTERVAL_SECONDS:
             return []
-        member.told_at = now
+        member.notified_at = now
         return [Send(destination, Gossip((member.record,)), Priority.MEMBERSHIP)]
 
-    def _heard_zone(self, now: float, zone: str) -> None:
-        if self._zones.heard(now, zone):
+    def _on_zone_contact(self, now: float, zone: str) -> None:
+        if self._zones.on_contact(now, zone):
             self._merger.release_zone(now, zone, self._detector)
 
     # ---- time -------------------------------------------------------------------------------------
 
     def next_deadline(self) -> float:
+        """When ``tick`` is to be called, in seconds on the clock of ``now``."""
         deadline = min(
-            self._probe_at,
-            self._reconnect_at,
+            self._probe_round.deadline,
+            self._reconnect_round.deadline,
             self._detector.next_deadline(),
             self._timers.next_deadline(),
             self._zones.next_deadline(),
@@ -302,36 +319,37 @@
             self._own.next_deadline(),
         )
         if self._queue.has_news_of_members and len(self._table.live_ids):
-            deadline = min(deadline, self._gossip_at)
+            deadline = min(deadline, self._gossip_round.deadline)
         return deadline
 
     def tick(self, now: float) -> list[Send]:
+        """Do what has become ready by ``now``."""
         if now - self._last_tick > self._timing.stall:
             self._resume(now)
         self._last_tick = now
-        if self._own.raise_if_due(now):
+        if self._own.raise_if_allowed(now):
             self._merger.publish_own(now)
         sends = self._tick_zones(now)
         self._end_probes(now)
         sends += self._ping_once(self._merger.expire_suspicions(now))
         sends += self._detector.tick(now, self._choose_relays)
         sends += self._tick_probe(now)
-        sends += self._tick_reconnect(now)
+        sends += self._ping_once(self._reconnect_round.targets(now))
         sends += self._sync.tick(now)
         self._end_join()
-        sends += self._tick_gossip(now)
+        sends += self._gossip_round.messages(now)
         self._table.forget_departed(now - self._timing.forget_after)
         return sends
 
     def _resume(self, now: float) -> None:
-        """This process stood still: what it missed meanwhile proves nothing."""
+        """After a stall of this process: the silence of others meanwhile proves nothing."""
         self._stalls += 1
         self._detector.drop(lambda _: True)
         self._timers.restart(now, suspicion_timeout(self._timing, self._table.size))
         self._zones.restart(now)
 
     def _end_join(self) -> None:
-        """The own record once more, now that there are members to tell."""
+        """Broadcast the own record once more, now that there are members to receive it."""
         if self._was_joining and not self._sync.is_joining and len(self._table.live_ids):
             self._was_joining = False
             self._queue.add(self._id, self.me)
@@ -350,7 +368,7 @@
             self._on_failed_probe(now, failed)
 
     def _on_failed_probe(self, now: float, failed: FailedProbe) -> None:
-        """No proof against a process or an incarnation that the probe was not sent to."""
+        """Suspect the target, unless it is another process or incarnation than the one that was probed."""
         entry = self._table.get(failed.target)
         if entry is None or is_departed(entry.status):
             return
@@ -365,42 +383,7 @@
         return self._sampler.relays(target, self._timing.indirect_probes)
 
     def _tick_probe(self, now: float) -> list[Send]:
-        if now < self._probe_at:
-            return []
-        self._probe_at = _next_time(self._probe_at, self._timing.probe_interval, now)
-        target = None if self._own.has_left else self._order.next()
+        target = self._probe_round.next_target(now)
         if target is None:
             return []
         return [self._detector.begin(now, target, self._table.members[target].record)]
-
-    def _tick_reconnect(self, now: float) -> list[Send]:
-        """One Ping to somebody dead, or into an unreachable zone, by turns at random."""
-        if now < self._reconnect_at:
-            return []
-        self._reconnect_at = _next_time(self._reconnect_at, self._timing.reconnect_interval, now)
-        candidates = []
-        if len(self._table.dead_ids):
-            candidates.append(self._table.dead_ids.choose(self._random))
-        if self._zones.unreachable:
-            zone = self._random.choice(list(self._zones.unreachable))
-            candidates.append(self._table.zones[zone].live.choose(self._random))
-        if not candidates or self._own.has_left:
-            return []
-        return self._ping_once([self._random.choice(candidates)])
-
-    def _tick_gossip(self, now: float) -> list[Send]:
-        if now < self._gossip_at or not self._queue.has_news_of_members:
-            return []
-        pace = BUSY_PACE if self._queue.is_busy else 1.0
-        self._gossip_at = now + pace * self._timing.gossip_interval
-        sends = []
-        for record in self.sample(self._timing.gossip_fanout):
-            updates = self._queue.take(RECORDS_ROOM_BYTES, self._table.size)
-            if updates:
-                sends.append(Send(record.address, Gossip(updates), Priority.MEMBERSHIP))
-        return sends
-
-
-def _next_time(due: float, interval: float, now: float) -> float:
-    """Times that were missed are not made up for."""
-    return due + interval if due + interval > now else now + interval
--- a/saltcourse/gossip/node.py
+++ b/saltcourse/gossip/node.py
@@ -123,7 +123,7 @@
         if self._is_own(header):
             self.dropped["own"] += 1
             return
-        self._send(now, self.membership.heard(now, header))
+        self._send(now, self.membership.observe(now, header))
         self._send(now, self.dissemination.observe(now, source, header))
         self._dispatch(now, source, header, message)
         self._pass_on_sums(now)
--- a/saltcourse/gossip/own_record.py
+++ b/saltcourse/gossip/own_record.py
@@ -23,7 +23,7 @@
         self.refutations = 0  # claims that this member is suspect, dead or gone
         self.name_conflicts = 0  # words of another live process of this name
         self.exhausted = 0  # claims at the highest incarnation, which cannot be overridden
-        self._outbid: int | None = None  # the incarnation to be exceeded as soon as it is allowed
+        self._to_exceed: int | None = None  # the incarnation to be exceeded as soon as it is allowed
         self._raise_at = -math.inf
         self._took_over = False  # from an earlier process of this name
 
@@ -31,46 +31,46 @@
     def has_left(self) -> bool:
         return self.record.status is Status.LEFT
 
-    def claimed(self, now: float, incarnation: int, status: Status, process: int | None) -> bool:
+    def on_claim(self, now: float, incarnation: int, status: Status, process: int | None) -> bool:
         """Something was said of this member (of a ``process``, if one was named). Has the record changed?"""
         if not self._is_contested(incarnation, status, process):
             return False
         if process is not None and process != self.record.process:
-            self._count_rival(status)
+            self._count_conflict(status)
         elif status is not Status.ALIVE:
             self.refutations += 1
         return self._exceed(now, incarnation)
 
-    def heard_rival(self, now: float, incarnation: int, process: int) -> bool:
+    def on_name_conflict(self, now: float, incarnation: int, process: int) -> bool:
         """A datagram came from another process of this name. Whether the record changed."""
         self.name_conflicts += 1
         if not self._is_contested(incarnation, Status.ALIVE, process):
             return False
         return self._exceed(now, incarnation)
 
-    def raise_if_due(self, now: float) -> bool:
+    def raise_if_allowed(self, now: float) -> bool:
         """Whether the record changed."""
-        if self._outbid is None or now < self._raise_at:
+        if self._to_exceed is None or now < self._raise_at:
             return False
-        incarnation = min(max(self._outbid, self.record.incarnation) + 1, MAX_INCARNATION)
+        incarnation = min(max(self._to_exceed, self.record.incarnation) + 1, MAX_INCARNATION)
         self.record = replace(self.record, incarnation=incarnation)
-        self._outbid = None
+        self._to_exceed = None
         self._raise_at = now + RAISE_INTERVAL
         return True
 
     def leave(self) -> None:
-        self._outbid = None
+        self._to_exceed = None
         self.record = replace(self.record, status=Status.LEFT)
 
     def next_deadline(self) -> float:
-        return math.inf if self._outbid is None else self._raise_at
+        return math.inf if self._to_exceed is None else self._raise_at
 
     def _exceed(self, now: float, incarnation: int) -> bool:
         if self.record.incarnation >= MAX_INCARNATION:
             self.exhausted += 1
             return False
-        self._outbid = max(self._outbid or 0, incarnation)
-        return self.raise_if_due(now)
+        self._to_exceed = max(self._to_exceed or 0, incarnation)
+        return self.raise_if_allowed(now)
 
     def _is_contested(self, incarnation: int, status: Status, process: int | None) -> bool:
         if self.has_left:
@@ -79,7 +79,7 @@
             return incarnation > self.record.incarnation
         return status is not Status.ALIVE or (process is not None and process != self.record.process)
 
-    def _count_rival(self, status: Status) -> None:
+    def _count_conflict(self, status: Status) -> None:
         """The record of a process that has ended is overridden once and does not come back."""
         if self._took_over and status is Status.ALIVE:
             self.name_conflicts += 1
--- /dev/null
+++ b/saltcourse/gossip/rounds.py
@@ -0,0 +1,114 @@
+"""What a member does at constant intervals: probe the next member, look for lost ones, send updates.
+
+Each class says when its next round is (``deadline``, in seconds on the member's clock) and what that round
+does. Rounds that were missed while the process did not run are not made up for.
+"""
+
+from __future__ import annotations
+
+import math
+import random
+
+from saltcourse.gossip.broadcasts import RECORDS_ROOM_BYTES, BroadcastQueue
+from saltcourse.gossip.failure_detector import ProbeOrder
+from saltcourse.gossip.member_table import MemberTable
+from saltcourse.gossip.messages import Gossip, MemberId, Priority, Send
+from saltcourse.gossip.own_record import OwnRecord
+from saltcourse.gossip.sampling import MemberSampler
+from saltcourse.gossip.settings import Timing
+from saltcourse.gossip.zone_silence import ZoneSilence
+
+BUSY_INTERVAL_FACTOR = 2.0  # of the gossip interval while many updates wait: each datagram is then full
+
+
+class ProbeRound:
+    """Chooses one member to probe in each ``probe_interval``."""
+
+    def __init__(self, timing: Timing, own: OwnRecord, order: ProbeOrder) -> None:
+        self.deadline = math.inf
+        self._interval = timing.probe_interval
+        self._own = own
+        self._order = order
+
+    def start(self, now: float, source: random.Random) -> None:
+        """First round at a random time within one interval, so that members do not probe in step."""
+        self.deadline = now + source.random() * self._interval
+
+    def next_target(self, now: float) -> MemberId | None:
+        """None: it is too early, there is nobody, or this member has left."""
+        if now < self.deadline:
+            return None
+        self.deadline = _next_round(self.deadline, self._interval, now)
+        return None if self._own.has_left else self._order.next()
+
+
+class ReconnectRound:
+    """Chooses one lost member to ping in each ``reconnect_interval``.
+
+    Somebody dead, or somebody in an unreachable zone, by turns at random: so the two parts of a healed cut
+    find each other.
+    """
+
+    def __init__(
+        self, timing: Timing, source: random.Random, own: OwnRecord, table: MemberTable, zones: ZoneSilence
+    ) -> None:
+        self.deadline = math.inf
+        self._interval = timing.reconnect_interval
+        self._random = source
+        self._own = own
+        self._table = table
+        self._zones = zones
+
+    def start(self, now: float) -> None:
+        """First round after one interval."""
+        self.deadline = now + self._interval
+
+    def targets(self, now: float) -> list[MemberId]:
+        """At most one member."""
+        if now < self.deadline:
+            return []
+        self.deadline = _next_round(self.deadline, self._interval, now)
+        candidates = []
+        if len(self._table.dead_ids):
+            candidates.append(self._table.dead_ids.choose(self._random))
+        if self._zones.unreachable:
+            zone = self._random.choice(list(self._zones.unreachable))
+            candidates.append(self._table.zones[zone].live.choose(self._random))
+        if not candidates or self._own.has_left:
+            return []
+        return [self._random.choice(candidates)]
+
+
+class GossipRound:
+    """Sends waiting updates to a few random members in each ``gossip_interval``, while there are any."""
+
+    def __init__(
+        self, timing: Timing, queue: BroadcastQueue, table: MemberTable, sampler: MemberSampler
+    ) -> None:
+        self.deadline = math.inf
+        self._interval = timing.gossip_interval
+        self._fanout = timing.gossip_fanout
+        self._queue = queue
+        self._table = table
+        self._sampler = sampler
+
+    def start(self, now: float, source: random.Random) -> None:
+        """First round at a random time within one interval."""
+        self.deadline = now + source.random() * self._interval
+
+    def messages(self, now: float) -> list[Send]:
+        """One message for each chosen member, filled up with updates."""
+        if now < self.deadline or not self._queue.has_news_of_members:
+            return []
+        factor = BUSY_INTERVAL_FACTOR if self._queue.is_busy else 1.0
+        self.deadline = now + factor * self._interval
+        sends = []
+        for record in self._sampler.sample(self._fanout):
+            updates = self._queue.take(RECORDS_ROOM_BYTES, self._table.size)
+            if updates:
+                sends.append(Send(record.address, Gossip(updates), Priority.MEMBERSHIP))
+        return sends
+
+
+def _next_round(deadline: float, interval: float, now: float) -> float:
+    return deadline + interval if deadline + interval > now else now + interval
--- a/saltcourse/gossip/suspicion.py
+++ b/saltcourse/gossip/suspicion.py
@@ -2,7 +2,7 @@
 
 A suspect is asked directly before it is declared dead: its objection may have missed this member, as an
 epidemic broadcast misses one in a hundred. Cost that grows with the fleet: one timer for each suspect, none
-for members alive; and len(ASK_AT) Pings of each member for each death in the fleet.
+for members alive; and len(PING_FRACTIONS) Pings of each member for each death in the fleet.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from saltcourse.gossip.messages import MemberId
 from saltcourse.gossip.settings import Timing
 
-ASK_AT = (0.4, 0.6, 0.8)  # of a suspicion's time
+PING_FRACTIONS = (0.4, 0.6, 0.8)  # of a suspicion's time
 _HEAP_SLACK = 64  # stopped timers left in the heap before it is built anew
 
 
@@ -27,18 +27,18 @@
 class Suspicion:
     started_at: float
     timeout: float
-    asked: int = 0
+    pings: int = 0
 
     @property
     def deadline(self) -> float:
         """Of the next step: to ask, or to declare it dead."""
-        share = ASK_AT[self.asked] if self.asked < len(ASK_AT) else 1.0
+        share = PING_FRACTIONS[self.pings] if self.pings < len(PING_FRACTIONS) else 1.0
         return self.started_at + share * self.timeout
 
 
 @dataclass(slots=True)
-class DueSuspicions:
-    to_ask: list[MemberId] = field(default_factory=list)
+class ReadySuspicions:
+    to_ping: list[MemberId] = field(default_factory=list)
     expired: list[MemberId] = field(default_factory=list)
 
 
@@ -70,20 +70,20 @@
             self._suspicions[member] = Suspicion(now, timeout)
         self._rebuild()
 
-    def take_due(self, now: float) -> DueSuspicions:
+    def take_ready(self, now: float) -> ReadySuspicions:
         """The timers of those expired are gone."""
-        due = DueSuspicions()
+        ready = ReadySuspicions()
         while self.next_deadline() <= now:
             _, member = heapq.heappop(self._heap)
             suspicion = self._suspicions[member]
-            if suspicion.asked < len(ASK_AT):
-                suspicion.asked += 1
+            if suspicion.pings < len(PING_FRACTIONS):
+                suspicion.pings += 1
                 self._push(member)
-                due.to_ask.append(member)
+                ready.to_ping.append(member)
             else:
                 del self._suspicions[member]
-                due.expired.append(member)
-        return due
+                ready.expired.append(member)
+        return ready
 
     def next_deadline(self) -> float:
         while self._heap:
--- a/saltcourse/gossip/update_merging.py
+++ b/saltcourse/gossip/update_merging.py
@@ -97,14 +97,14 @@
             record = with_status(held, update.incarnation, update.status)
             self._replace(now, update.member, entry, record, spread=True)
         else:
-            self._queue.heard(update.member, update.incarnation, update.status)
+            self._queue.on_duplicate(update.member, update.incarnation, update.status)
 
     def _merge_record(self, now: float, member: MemberId, record: MemberRecord, spread: bool) -> None:
         entry = self._table.get(member)
         is_own = member == self._table.own_id
         if entry is not None and not is_own and not overrides(record, entry.record):
             if spread:
-                self._queue.heard(member, record.incarnation, record.status)
+                self._queue.on_duplicate(member, record.incarnation, record.status)
             return
         if not is_valid(record):
             self.invalid_records += 1
@@ -119,7 +119,7 @@
 
     def _merge_claim(self, now: float, incarnation: int, status: Status, process: int | None) -> None:
         """Something that is said of this member itself."""
-        if not self._own.claimed(now, incarnation, status, process):
+        if not self._own.on_claim(now, incarnation, status, process):
             return
         if status is not Status.ALIVE:
             self._health.change(1)
@@ -133,19 +133,19 @@
         record = entry.record
         if record.status is Status.ALIVE:
             self.suspicions += 1
-            is_told = self._zones.is_reachable(record.zone)
+            is_spread = self._zones.is_reachable(record.zone)
             suspect = with_status(record, record.incarnation, Status.SUSPECT)
-            self._store(now, member, entry, suspect, spread=is_told)
+            self._store(now, member, entry, suspect, spread=is_spread)
 
     def expire_suspicions(self, now: float) -> list[MemberId]:
         """Declare those suspects dead that have not objected in time; the others given are to be asked."""
-        due = self._timers.take_due(now)
-        for member in due.expired:
+        ready = self._timers.take_ready(now)
+        for member in ready.expired:
             self.deaths += 1
             entry = self._table.members[member]
             dead = with_status(entry.record, entry.record.incarnation, Status.DEAD)
             self._store(now, member, entry, dead, spread=True)
-        return due.to_ask
+        return ready.to_ping
 
     def publish_own(self, now: float) -> None:
         """In full: who has missed an earlier process of this name learns its address by it."""
@@ -231,7 +231,7 @@
         if record.status is Status.SUSPECT and self._zones.is_reachable(record.zone):
             self._timers.start(now, member, suspicion_timeout(self._timing, self._table.size))
         if record.status is Status.DEAD:
-            self._zones.died(record.zone)
+            self._zones.on_death(record.zone)
 
 
 def _restarts_timer(before: MemberRecord, record: MemberRecord) -> bool:
--- a/saltcourse/gossip/zone_silence.py
+++ b/saltcourse/gossip/zone_silence.py
@@ -37,7 +37,7 @@
 class ZoneWatch:
     """What is known of one zone besides its members."""
 
-    heard_at: float
+    last_contact_at: float
     checks: int = 0  # Pings sent since then
     checked: set[MemberId] = field(default_factory=set)  # to whom
     checked_at: float = 0.0  # when the last one was, that went to somebody new
@@ -45,7 +45,7 @@
     reachable: bool = True
 
     def restart(self, now: float) -> None:
-        self.heard_at = now
+        self.last_contact_at = now
         self.checks = self.deaths = 0
         self.checked.clear()
 
@@ -58,27 +58,27 @@
         self._random = source
         self._table = table
         self._zones: dict[str, ZoneWatch] = {}
-        self._heard_anyone_at = 0.0
+        self._last_contact_at = 0.0
         self._evaluate_at = 0.0
         self.unreachable: dict[str, None] = {}  # in the order in which they fell silent
 
     def restart(self, now: float) -> None:
         """At the start, and after a time in which this process did not run: silence until now is none."""
-        self._heard_anyone_at = now
+        self._last_contact_at = now
         for zone in self._zones.values():
             zone.restart(now)
 
-    # ---- what is heard ----------------------------------------------------------------------------
+    # ---- events -----------------------------------------------------------------------------------
 
     def member_added(self, now: float, zone: str) -> None:
         if zone not in self._zones:
             self._zones[zone] = ZoneWatch(now)
 
-    def heard_anyone(self, now: float) -> None:
-        self._heard_anyone_at = now
+    def on_any_contact(self, now: float) -> None:
+        self._last_contact_at = now
 
-    def heard(self, now: float, name: str) -> bool:
-        """A live member of the zone is heard. Whether the zone has become reachable by it."""
+    def on_contact(self, now: float, name: str) -> bool:
+        """A live member of the zone has answered or sent. Whether the zone has become reachable by it."""
         zone = self._zones.get(name)
         if zone is None:
             return False
@@ -88,7 +88,7 @@
         self.unreachable.pop(name, None)
         return released
 
-    def died(self, name: str) -> None:
+    def on_death(self, name: str) -> None:
         """A suspect of the zone was declared dead."""
         zone = self._zones.get(name)
         if zone is not None:
@@ -99,7 +99,7 @@
 
     def is_isolated(self, now: float) -> bool:
         """Whether this member hears nobody at all."""
-        return len(self._table.live_ids) > 0 and now - self._heard_anyone_at > self._silence
+        return len(self._table.live_ids) > 0 and now - self._last_contact_at > self._silence
 
     # ---- time -------------------------------------------------------------------------------------
 
@@ -112,14 +112,14 @@
         isolated = self.is_isolated(now)
         silent = []
         checks: list[MemberId] = []
-        if now - self._heard_anyone_at > self._silence / 2:
+        if now - self._last_contact_at > self._silence / 2:
             checks += self._choose_anyone()
         for name, zone in self._zones.items():
             if not zone.reachable:
                 continue
             if isolated or self._is_silent(now, name, zone):
                 silent.append(name)
-            elif self._is_doubtful(now, name, zone) and len(checks) < MAX_CHECKS_PER_TICK:
+            elif self._needs_check(now, name, zone) and len(checks) < MAX_CHECKS_PER_TICK:
                 checks += self._choose_check(now, name, zone)
         for name in silent:
             self._zones[name].reachable = False
@@ -127,7 +127,7 @@
         return silent, checks
 
     def _is_silent(self, now: float, name: str, zone: ZoneWatch) -> bool:
-        if now - zone.heard_at <= self._silence:
+        if now - zone.last_contact_at <= self._silence:
             return False
         index = self._table.zones[name]
         gone = len(index.suspects) + zone.deaths
@@ -144,9 +144,9 @@
         had_time = now - zone.checked_at >= self._answer_time
         return had_time and zone.checks >= wanted and asked >= min(wanted, others)
 
-    def _is_doubtful(self, now: float, name: str, zone: ZoneWatch) -> bool:
+    def _needs_check(self, now: float, name: str, zone: ZoneWatch) -> bool:
         gone = len(self._table.zones[name].suspects) + zone.deaths
-        return gone > 0 and now - zone.heard_at > self._silence / 2
+        return gone > 0 and now - zone.last_contact_at > self._silence / 2
 
     def _choose_check(self, now: float, name: str, zone: ZoneWatch) -> list[MemberId]:
         """Nobody, more often than not, where the zone is small: the whole fleet does the same now."""
--- a/tests/gossip/test_broadcasts.py
+++ b/tests/gossip/test_broadcasts.py
@@ -28,7 +28,7 @@
 def test_in_a_busy_queue_an_update_that_others_send_too_is_passed_on_less() -> None:
     queue = filled(BUSY_QUEUE + 10)
     for _ in range(LIMIT):
-        queue.heard(5, 1, Status.SUSPECT)
+        queue.on_duplicate(5, 1, Status.SUSPECT)
     assert len(queue) == BUSY_QUEUE + 9
 
 
@@ -36,14 +36,14 @@
 def test_another_claim_about_the_same_member_does_not_count(heard: tuple[int, int, Status]) -> None:
     queue = filled(BUSY_QUEUE + 10)
     for _ in range(LIMIT):
-        queue.heard(*heard)
+        queue.on_duplicate(*heard)
     assert len(queue) == BUSY_QUEUE + 10
 
 
 def test_in_a_quiet_queue_every_transmission_is_made() -> None:
     queue = filled(BUSY_QUEUE - 1)
     for _ in range(LIMIT):
-        queue.heard(5, 1, Status.SUSPECT)
+        queue.on_duplicate(5, 1, Status.SUSPECT)
     assert len(queue) == BUSY_QUEUE - 1
 
 
--- a/tests/gossip/test_membership.py
+++ b/tests/gossip/test_membership.py
@@ -25,7 +25,7 @@
 from saltcourse.gossip.codec import Codec, update_size
 from saltcourse.gossip.failure_detector import MAX_HEALTH, MAX_RELAYED_PROBES, NACK_FRACTION
 from saltcourse.gossip.member_table import MAX_INCARNATION, MemberTable, overrides
-from saltcourse.gossip.membership import STRANGER_ACKS, STRANGER_PAGES, Membership
+from saltcourse.gossip.membership import Membership
 from saltcourse.gossip.messages import (
     MAX_DATAGRAM_BYTES,
     SYNC_BUCKETS,
@@ -50,6 +50,7 @@
 )
 from saltcourse.gossip.settings import Timing
 from saltcourse.gossip.suspicion import SuspicionTimers
+from saltcourse.gossip.unknown_senders import ACKS_PER_SECOND, PAGES_PER_SECOND
 from saltcourse.gossip.zone_silence import ZoneSilence
 
 TIMING = Timing()
@@ -90,7 +91,7 @@
 
     def receive(self, sender: MemberRecord, message: Any, source: Any = None) -> list[Send]:
         header = header_of(sender)
-        sends = self.membership.heard(self.now, header)
+        sends = self.membership.observe(self.now, header)
         sends += self.membership.handle(self.now, source or sender.address, header, message)
         self.sends += sends
         return sends
@@ -239,7 +240,7 @@
         if host.stopped:
             host.waiting.append(partial(self._arrive, source, host, header, message))
             return
-        sends = host.membership.heard(self.now, header)
+        sends = host.membership.observe(self.now, header)
         sends += host.membership.handle(self.now, source, header, message)
         self._send(host, sends)
 
@@ -648,7 +649,7 @@
     for number in range(1_000):
         answers += lone.receive(record_of(1000 + number), SyncRequest(0))
         answers += lone.receive(record_of(1000 + number), PingRequest(1, record_of(1).id))
-    assert len(answers) <= STRANGER_ACKS + 2 * STRANGER_PAGES
+    assert len(answers) <= ACKS_PER_SECOND + 2 * PAGES_PER_SECOND
     assert len(lone.membership.members) == 2
     assert lone.figure("strangers") >= 2_000
 
