--- a/saltcourse/gossip/admin.py
+++ b/saltcourse/gossip/admin.py
@@ -1,4 +1,4 @@
-"""What a member answers at the admin address: its view of the fleet, the configuration, and publishing."""
+"""Calls of the admin address that a member answers: its view of the fleet, the configuration, publishing."""
 
 from __future__ import annotations
 
@@ -37,6 +37,7 @@
         self._host = host
 
     def members(self) -> Answer:
+        """Members with their status, and connections by zone."""
         node = self._host.node
         now = self._host.now()
         zones = {
@@ -60,6 +61,7 @@
         return _json(200, {"members": members, "zones": zones})
 
     def configuration(self) -> Answer:
+        """The configuration in force here; values that are no UTF-8 in base64."""
         dissemination = self._host.node.dissemination
         values: dict[str, str] = {}
         binary: dict[str, str] = {}
@@ -75,6 +77,7 @@
         return _json(200, found)
 
     async def publish(self, body: bytes) -> Answer:
+        """Publish a change (see ``parse_change``); the answer comes within the publish timeout."""
         if self._host.node.quorum is None:
             return _failure(PublishError.NOT_CONTROL)
         try:
@@ -83,9 +86,9 @@
             return Answer(413, f"{error}\n".encode())
         except InvalidChangeError as error:
             return Answer(400, f"{error}\n".encode())
-        patience = self._host.node.settings.timing.publish_timeout + PUBLISH_MARGIN
+        timeout_s = self._host.node.settings.timing.publish_timeout + PUBLISH_MARGIN
         try:
-            async with asyncio.timeout(patience):
+            async with asyncio.timeout(timeout_s):
                 return _outcome(await self._host.publish(writes))
         except TimeoutError:
             return _failure(PublishError.NO_MAJORITY)
--- a/saltcourse/gossip/aggregation.py
+++ b/saltcourse/gossip/aggregation.py
@@ -32,7 +32,7 @@
 from saltcourse.gossip.settings import Timing
 
 FAN_IN = 8
-CHILD_INTERVALS = 3  # a child that was not heard for so many tally intervals falls out
+CHILD_INTERVALS = 3  # a child that sent nothing for so many tally intervals falls out
 SUM_LIFETIME = 30.0  # s without a renewal, then a zone's sum is forgotten
 MAX_ZONES = 256
 MAX_COUNT = 2**32 - 1  # of members, connections and sequences
@@ -40,15 +40,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Subtree:
-    """What a child told last, and when."""
+    """What a child sent last, and when."""
 
     members: int
     connections: int
-    heard_at: float
+    received_at: float
 
 
 @dataclass(frozen=True, slots=True)
 class KnownSum:
+    """The newest sum of one zone."""
+
     update: ZoneSum
     received_at: float
 
@@ -80,16 +82,16 @@
         self._tally_at = -math.inf
 
     def set_count(self, connections: int) -> None:
-        """How many client connections this proxy holds now."""
+        """Set the number of client connections of this proxy."""
         self._connections = min(max(connections, 0), MAX_COUNT)
 
     def handle(self, now: float, header: Header, message: Tally) -> None:
-        """Tallies of others than the children are passed over: they belong to another place in the tree."""
+        """Keep a child's tally. Those of others are ignored: they belong to another place in the tree."""
         if message.zone == self._zone and header.sender in self._place.children:
             self._subtrees[header.sender] = Subtree(message.members, message.connections, now)
 
     def receive(self, now: float, update: ZoneSum) -> bool:
-        """Whether it is newer than what was known, so that it is to be passed on."""
+        """Keep a sum. Whether it is newer than what was known, so that it is to be passed on."""
         self._forget_old(now)
         known = self._sums.get(update.zone)
         if known is None and len(self._sums) >= MAX_ZONES:
@@ -107,12 +109,16 @@
         return {zone: known.update for zone, known in self._sums.items()}
 
     def next_deadline(self) -> float:
+        """When ``tick`` is to be called, in seconds on the clock of ``now``."""
         return self._tally_at
 
     def tick(
         self, now: float, me: MemberRecord, zone_members: Sequence[MemberRecord]
     ) -> tuple[list[Send], ZoneSum | None]:
-        """``zone_members``: the live ones of this member's zone, without it. The sum: at the root only."""
+        """Send the subtree's tally to the parent; at the root, return the zone's sum to be broadcast.
+
+        ``zone_members``: the live ones of this member's zone, without it.
+        """
         if now < self._tally_at:
             return [], None
         self._tally_at = now + self._interval * self._random.uniform(0.9, 1.1)
@@ -123,11 +129,11 @@
         tally = self._sum_subtree(now)
         parent = self._place.parent
         if parent is None:
-            return [], self._publish_if_due(now, tally)
+            return [], self._publish_if_time(now, tally)
         return [Send(parent.address, tally, Priority.MEMBERSHIP), *self._correct_root(parent)], None
 
     def _update_place(self, me: MemberRecord, zone_members: Sequence[MemberRecord]) -> None:
-        """The same sequence has the same members: ``Membership.live`` makes a new one for each change."""
+        """Skip where the sequence is the same: ``Membership.live`` makes a new one for each change."""
         if zone_members is self._zone_members:
             return
         self._zone_members = zone_members
@@ -141,14 +147,14 @@
         members = 1
         connections = self._connections
         for child, subtree in list(self._subtrees.items()):
-            if subtree.heard_at < oldest:
+            if subtree.received_at < oldest:
                 del self._subtrees[child]
                 continue
             members += subtree.members
             connections += subtree.connections
         return Tally(self._zone, min(members, MAX_COUNT), min(connections, MAX_COUNT))
 
-    def _publish_if_due(self, now: float, tally: Tally) -> ZoneSum | None:
+    def _publish_if_time(self, now: float, tally: Tally) -> ZoneSum | None:
         if now < self._publish_at:
             return None
         self._publish_at = now + self._sum_interval
@@ -166,7 +172,7 @@
         return update
 
     def _correct_root(self, parent: MemberRecord) -> list[Send]:
-        """A root that is new here learns from its children which sequence it has to go on from."""
+        """Send a root that is new here the newest sum, from whose sequence it has to go on."""
         if not self._root_is_behind:
             return []
         self._root_is_behind = False
--- a/saltcourse/gossip/broadcasts.py
+++ b/saltcourse/gossip/broadcasts.py
@@ -1,7 +1,7 @@
 """Updates on their way through the fleet: each is passed on a number of times, those passed on least first.
 
-Cost that grows with the fleet: one entry for each member with news, about 300 bytes, at most MAX_QUEUED; the
-number of times that an update is passed on grows with the logarithm of the fleet.
+Cost that grows with the fleet: one entry for each member with a new update, about 300 bytes, at most
+MAX_QUEUED; the number of times that an update is passed on grows with the logarithm of the fleet.
 """
 
 from __future__ import annotations
@@ -22,6 +22,8 @@
 
 @dataclass(slots=True)
 class Broadcast:
+    """One update, and how often it was passed on."""
+
     update: Update
     size: int  # encoded
     transmissions: int = 0
@@ -41,6 +43,7 @@
         self._sums = 0  # of the broadcasts
 
     def __len__(self) -> int:
+        """Count the updates that wait."""
         return len(self._broadcasts)
 
     @property
@@ -50,10 +53,11 @@
 
     @property
     def is_busy(self) -> bool:
+        """Whether more wait than a few datagrams hold."""
         return len(self._broadcasts) >= BUSY_QUEUE
 
     def add(self, key: Key, update: Update) -> None:
-        """Replaces an older update of the same member or zone."""
+        """Put in an update; it replaces an older one of the same member or zone."""
         self._discard(key)
         if len(self._broadcasts) >= MAX_QUEUED:
             self._drop_one()
@@ -61,7 +65,7 @@
         self.queued += 1
 
     def take(self, room: int, fleet: int) -> tuple[Update, ...]:
-        """Updates of at most ``room`` bytes for one datagram; each counts as passed on once more."""
+        """Return updates of at most ``room`` bytes for one datagram; each counts as passed on once more."""
         if not self._broadcasts:
             return ()
         taken = self._select(room)
@@ -72,9 +76,12 @@
         return tuple([broadcast.update for _, broadcast in taken])
 
     def on_duplicate(self, key: Key, incarnation: int, status: Status) -> None:
-        """Another member has sent the same. While many updates wait, this counts as passing it on once:
-        the more often it comes the fewer there are who lack it (Demers et al. 1987: counter and feedback).
-        With few waiting nothing is gained by it, and an objection to a suspicion needs every transmission."""
+        """Another member has sent the same update.
+
+        While many updates wait, this counts as passing it on once: the more often it comes the fewer there
+        are who lack it (Demers et al. 1987: counter and feedback). With few waiting nothing is gained by it,
+        and a refutation needs every transmission.
+        """
         if not self.is_busy:
             return
         broadcast = self._broadcasts.get(key)
--- a/saltcourse/gossip/budget.py
+++ b/saltcourse/gossip/budget.py
@@ -6,8 +6,10 @@
 
 
 class TokenBucket:
-    """Fills with ``rate`` tokens a second up to ``burst``. Times are seconds of one monotonic clock; one that
-    goes back counts as standing still."""
+    """Fills with ``rate`` tokens a second up to ``burst``.
+
+    Times are seconds of one monotonic clock; one that goes back counts as stopped.
+    """
 
     def __init__(self, rate: float, burst: float) -> None:
         if rate <= 0 or burst <= 0:
@@ -25,8 +27,10 @@
         return True
 
     def force(self, now: float, amount: float) -> None:
-        """Spends ``amount`` in any case. The debt ends at ``burst``, so that it is paid back within
-        ``burst / rate`` seconds."""
+        """Spend ``amount`` in any case.
+
+        The debt ends at ``burst``, so that it is paid back within ``burst / rate`` seconds.
+        """
         self._tokens = max(self.available(now) - amount, -self.burst)
 
     def available(self, now: float) -> float:
--- a/saltcourse/gossip/configuration.py
+++ b/saltcourse/gossip/configuration.py
@@ -37,7 +37,7 @@
 
 
 class Outcome(Enum):
-    """What became of a change or checkpoint. Nothing but ``APPLIED`` alters the state."""
+    """What came of a change or checkpoint. Nothing but ``APPLIED`` alters the state."""
 
     APPLIED = auto()
     DUPLICATE = auto()
@@ -56,7 +56,7 @@
 
 
 def digest_of(data: bytes) -> int:
-    """64 bits."""
+    """Return a digest of 64 bits."""
     return int.from_bytes(hashlib.blake2b(data, digest_size=DIGEST_BYTES).digest(), "big")
 
 
@@ -70,6 +70,7 @@
 
     @classmethod
     def of(cls, position: Position, data: bytes) -> Checkpoint:
+        """Make the checkpoint of encoded bytes, with their digest."""
         return cls(position, data, digest_of(data))
 
 
@@ -88,19 +89,24 @@
     # ---- reading ------------------------------------------------------------------------------------
 
     def __getitem__(self, key: str) -> bytes:
+        """Return the value of a key. KeyError when it has none."""
         return self._values[key]
 
     def __iter__(self) -> Iterator[str]:
+        """Iterate over the keys."""
         return iter(self._values)
 
     def __len__(self) -> int:
+        """Count the keys."""
         return len(self._values)
 
     @property
     def newest_checkpoint(self) -> Checkpoint | None:
+        """None before the first checkpoint."""
         return self._checkpoints[-1] if self._checkpoints else None
 
     def checkpoint_at(self, position: Position) -> Checkpoint | None:
+        """None when there is none at this position, or it is not kept any more."""
         for checkpoint in self._checkpoints:
             if checkpoint.position == position:
                 return checkpoint
@@ -118,6 +124,7 @@
         return None
 
     def relate(self, position: Position) -> Relation:
+        """Compare a position with this member's own."""
         mine = self.position
         if position == mine:
             return Relation.KNOWN
@@ -129,6 +136,7 @@
         return Relation.KNOWN if position.epoch <= self._log_base.epoch else Relation.CONFLICT
 
     def is_ahead(self, position: Position) -> bool:
+        """Whether the position is later in the same sequence."""
         return self.relate(position) is Relation.AHEAD
 
     def changes_after(self, version: int) -> list[Change] | None:
@@ -144,6 +152,7 @@
         return keys
 
     def figures(self) -> dict[str, int]:
+        """Figures of ``/_vars``, by name."""
         return {
             "epoch": self.position.epoch,
             "version": self.position.version,
@@ -154,7 +163,7 @@
 
     # ---- changing -----------------------------------------------------------------------------------
 
-    def judge(self, change: Change) -> Outcome:
+    def check(self, change: Change) -> Outcome:
         """What ``apply`` would do with it."""
         relation = self.relate(change.position)
         if relation is not Relation.AHEAD:
@@ -164,7 +173,8 @@
         return Outcome.APPLIED if self._fits(change) else Outcome.TOO_LARGE
 
     def apply(self, change: Change) -> Outcome:
-        outcome = self.judge(change)
+        """Apply a committed change whole, if it follows directly; the outcome says why not."""
+        outcome = self.check(change)
         if outcome is not Outcome.APPLIED:
             return outcome
         for key, value in change.writes:
@@ -192,9 +202,12 @@
         return Outcome.APPLIED
 
     def restore(self, state: ReplicaState) -> None:
-        """At a control member's start. Its position becomes a checkpoint, whatever its version: the log
-        before it is lost, and members with an empty configuration must be served also when all control
-        members have just restarted. ``EncodeError`` when the state is too large to be encoded."""
+        """Take over a control member's stored state at its start.
+
+        Its position becomes a checkpoint, whatever its version: the log before it is lost, and members with
+        an empty configuration must be served also when all control members have just restarted.
+        ``EncodeError`` when the state is too large to be encoded.
+        """
         if self.relate(state.committed) is not Relation.AHEAD:
             return
         self._replace(state.committed, dict(state.configuration))
--- a/saltcourse/gossip/dissemination.py
+++ b/saltcourse/gossip/dissemination.py
@@ -41,7 +41,7 @@
 from saltcourse.gossip.snapshot_receiver import SnapshotReceiver
 
 ANNOUNCE_INTERVAL_S = 0.05  # between rounds of announcements
-TICK_INTERVAL_S = 1.0  # at most between ticks, so that standing still is noticed
+TICK_INTERVAL_S = 1.0  # at most between ticks, so that a stall of this process is noticed
 HEARTBEAT_FANOUT = 1  # members that a new heartbeat is passed on to: with none, some wait for over 5 s
 
 DisseminationAction = Applied | FreshnessChanged
@@ -62,16 +62,17 @@
         self._server = ChangeServer(self.configuration, self._counters)
         self._fetcher = Fetcher(timing, random, sample, self.configuration, self._counters)
         self._snapshots = SnapshotReceiver(timing, self.configuration, self._fetcher, self._counters)
-        self._announcement_due = False
+        self._announcement_pending = False
         self._last_announcement = float("-inf")
         self._last_tick = 0.0
         self._deadline = 0.0
-        self._expected_call = float("inf")  # by when a tick is due: much later, this process stood still
+        self._expected_call = float("inf")  # by when a tick is expected: much later, this process has stalled
         self._reported_position = Position()
         self._actions: list[DisseminationAction] = []
 
     @property
     def position(self) -> Position:
+        """Of the configuration in force here."""
         return self.configuration.position
 
     @property
@@ -96,6 +97,7 @@
     def handle(
         self, now: float, source: Address, header: Header, message: ConfigurationMessage
     ) -> list[Send]:
+        """A message of this part. ``observe`` was called with its header before."""
         self._begin(now)
         if isinstance(message, Fetch):
             sends = self._server.changes(source, message)
@@ -108,12 +110,12 @@
         return sends + self._end(now)
 
     def commit(self, now: float, change: Change) -> list[Send]:
-        """At a control member: the change is decided. One that this member is not ready for is fetched."""
+        """Apply a change that the quorum has committed. One that does not follow directly is fetched."""
         self._begin(now)
         sends: list[Send] = []
         outcome = self._apply(change)
         if outcome is Outcome.APPLIED:
-            self._announcement_due = True
+            self._announcement_pending = True
         elif outcome is Outcome.GAP:
             sends = self._fetch_unless_busy(now, None)
         return sends + self._end(now)
@@ -131,19 +133,23 @@
         self._report(now)
 
     def tick(self, now: float) -> list[Send]:
+        """Do what has become ready by ``now``."""
         self._begin(now)
         self._last_tick = now
         sends = self._fetcher.tick(now) + self._snapshots.tick(now)
         return sends + self._end(now)
 
     def next_deadline(self) -> float:
+        """When ``tick`` is to be called, in seconds on the clock of ``now``."""
         return self._deadline
 
     def take_actions(self) -> list[DisseminationAction]:
+        """Actions since the last call, in order, for the host."""
         actions, self._actions = self._actions, []
         return actions
 
     def figures(self) -> dict[str, int]:
+        """Figures of ``/_vars``, by name."""
         figures = self.configuration.figures()
         figures["freshness"] = int(self.freshness)
         figures["sources"] = self._fetcher.source_count
@@ -154,7 +160,7 @@
     def _begin(self, now: float) -> None:
         if now > self._expected_call + self._timing.stall:
             self._counters["standstills"] += 1
-            self._monitor.stood_still(now)
+            self._monitor.on_stall(now)
 
     def _end(self, now: float) -> list[Send]:
         sends = self._announce(now)
@@ -162,7 +168,7 @@
         return sends
 
     def _report(self, now: float) -> None:
-        """Tell what this call has changed."""
+        """Add an action for each thing that this call has changed."""
         self._fetcher.prune(now)
         if self.position != self._reported_position:
             self._reported_position = self.position
@@ -181,7 +187,7 @@
             self._fetcher.next_deadline(),
             self._snapshots.next_deadline(),
         )
-        if self._announcement_due:
+        if self._announcement_pending:
             deadline = min(deadline, self._last_announcement + ANNOUNCE_INTERVAL_S)
         return deadline
 
@@ -192,7 +198,7 @@
         for change in message.changes:
             self._apply(change)
         if self.position != before:
-            self._announcement_due = True  # also amid a burst: others may fetch from here
+            self._announcement_pending = True  # also amid a burst: others may fetch from here
         return self._fetcher.continue_after(now, source)
 
     def _apply(self, change: Change) -> Outcome:
@@ -206,9 +212,9 @@
         return self._fetcher.fetch(now, source)
 
     def _announce(self, now: float) -> list[Send]:
-        if not self._announcement_due or now < self._last_announcement + ANNOUNCE_INTERVAL_S:
+        if not self._announcement_pending or now < self._last_announcement + ANNOUNCE_INTERVAL_S:
             return []
-        self._announcement_due = False
+        self._announcement_pending = False
         self._last_announcement = now
         self._counters["announcement_rounds"] += 1
         return self._send_header(self._timing.announce_fanout)
--- a/saltcourse/gossip/event_log.py
+++ b/saltcourse/gossip/event_log.py
@@ -1,5 +1,7 @@
-"""Log lines about a member's events, summed up: at most one of each kind in ``LOG_INTERVAL``, however many
-members come and go."""
+"""Log lines about a member's events, summed up.
+
+At most one line of each kind in ``LOG_INTERVAL``, however many members come and go.
+"""
 
 from __future__ import annotations
 
@@ -26,7 +28,7 @@
 
 
 class EventLog:
-    """Collects events from the first one on, and writes them down ``LOG_INTERVAL`` later."""
+    """Collects events from the first one on, and logs them ``LOG_INTERVAL`` later."""
 
     def __init__(self) -> None:
         self._members: dict[str, MemberChanged] = {}  # the last change of each
@@ -38,6 +40,7 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def record(self, event: Reported) -> None:
+        """Collect an event; it is logged within ``LOG_INTERVAL``."""
         match event:
             case MemberChanged():
                 self._members[event.name] = event
@@ -53,7 +56,7 @@
             self._timer = asyncio.get_running_loop().call_later(LOG_INTERVAL, self.flush)
 
     def flush(self) -> None:
-        """Writes down at once what was collected."""
+        """Log at once what was collected."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
--- a/saltcourse/gossip/failure_detector.py
+++ b/saltcourse/gossip/failure_detector.py
@@ -48,6 +48,7 @@
         return 1 + self.score
 
     def change(self, by: int) -> None:
+        """Add to the score, which stays between 0 and MAX_HEALTH."""
         self.score = min(max(self.score + by, 0), MAX_HEALTH)
 
 
@@ -77,6 +78,8 @@
 
 @dataclass(frozen=True, slots=True)
 class FailedProbe:
+    """An own probe that ended without an Ack. ``missing_nacks``: relays that sent none either."""
+
     target: MemberId
     process: int
     incarnation: int
@@ -132,6 +135,7 @@
     # ---- own probes -------------------------------------------------------------------------------
 
     def begin(self, now: float, target: MemberId, record: MemberRecord) -> Send:
+        """Begin an own probe with a direct Ping; relays are asked when it stays unanswered."""
         factor = self._health.factor
         sequence = self._draw_sequence()
         relays_at = now + self._timing.probe_timeout * factor
@@ -145,8 +149,10 @@
         return Send(record.address, Ping(self._draw_sequence(), target, self._piggyback(target)))
 
     def on_ack(self, now: float, sender: MemberId, message: Ack) -> tuple[MemberId | None, list[Send]]:
-        """The target of an own probe that it proves to be alive; and the Ack passed on, if it is of a
-        relayed one. Whoever was not asked proves nothing."""
+        """Return the target of an own probe that the Ack proves to be alive, and what is to be relayed.
+
+        An Ack of a member that was not asked proves nothing.
+        """
         probe = self._probes.get(message.sequence)
         if probe is not None:
             return self._end_probe(sender, message.sequence, probe), []
@@ -165,6 +171,7 @@
         return probe.target
 
     def on_nack(self, sender: MemberId, message: Nack) -> None:
+        """A relay reports that the target has not answered it: the relay itself is well."""
         probe = self._probes.get(message.sequence)
         if probe is not None and probe.relays is not None and sender in probe.relays:
             probe.nacks.add(sender)
@@ -172,6 +179,7 @@
     # ---- probes for others ------------------------------------------------------------------------
 
     def relay(self, now: float, source: Address, message: PingRequest, target: Member) -> list[Send]:
+        """Ping the target of a PingRequest; ignored when too many of these run."""
         if len(self._relayed) >= MAX_RELAYED_PROBES:
             self.relays_refused += 1
             return []
@@ -184,7 +192,7 @@
     # ---- time -------------------------------------------------------------------------------------
 
     def tick(self, now: float, choose_relays: Callable[[MemberId], list[MemberRecord]]) -> list[Send]:
-        """Ask relays, and answer for those that stayed silent."""
+        """Ask relays, and send a Nack for relayed probes whose target stayed silent."""
         sends = []
         for sequence, probe in self._probes.items():
             if probe.relays is None and probe.relays_at <= now < probe.ends_at:
--- a/saltcourse/gossip/fetching.py
+++ b/saltcourse/gossip/fetching.py
@@ -1,4 +1,4 @@
-"""Asks other members for the changes that this one lacks, one request at a time."""
+"""Fetches the changes that this member lacks from others, one request at a time."""
 
 from __future__ import annotations
 
@@ -26,8 +26,10 @@
 
 
 class Fetcher:
-    """At most one request is in flight. After its timeout another member is asked, as long as a higher
-    position is known."""
+    """At most one request is in flight.
+
+    After its timeout another member is asked, as long as a higher position is known.
+    """
 
     def __init__(
         self,
@@ -46,6 +48,7 @@
 
     @property
     def waiting(self) -> bool:
+        """Whether a request is in flight."""
         return self._pending is not None
 
     @property
@@ -55,6 +58,7 @@
 
     @property
     def source_count(self) -> int:
+        """The number of members known to be ahead."""
         return len(self._sources)
 
     def note(self, now: float, source: Address, position: Position) -> None:
@@ -79,8 +83,10 @@
         return [Send(server, Fetch(after), Priority.CONFIGURATION)]
 
     def retry_later(self, now: float, avoid: Address) -> None:
-        """Ask another member than ``avoid`` after a pause: one that always gives a wrong answer must not be
-        asked without end."""
+        """Ask another member than ``avoid`` after a pause.
+
+        So one that always gives a wrong answer is not asked without end.
+        """
         after = self._configuration.position
         self._pending = PendingFetch(avoid, after, after, now + self._timeout)
 
@@ -99,9 +105,11 @@
         return avoid
 
     def continue_after(self, now: float, source: Address) -> list[Send]:
-        """Changes of ``source`` were taken: fetch again at once if there are more, from any member that has
-        announced some, so that a burst is not served by its publisher alone. Only after progress, so that
-        answers of no use can not keep up a loop."""
+        """Fetch again at once if there are more changes, now that those of ``source`` were applied.
+
+        From any member that has announced some, so that a burst is not served by its publisher alone. Only
+        after progress, so that useless answers can't keep up a loop.
+        """
         if not self._is_answered(source):
             return []
         self._pending = None
@@ -111,6 +119,7 @@
         return self.fetch(now)
 
     def tick(self, now: float) -> list[Send]:
+        """Ask another member when the request in flight has timed out."""
         pending = self._pending
         if pending is None or now < pending.deadline:
             return []
@@ -122,6 +131,7 @@
         return self.fetch(now, avoid=pending.server)
 
     def next_deadline(self) -> float:
+        """When ``tick`` is to be called, in seconds on the clock of ``now``."""
         expiry = self._sources.next_deadline()
         return expiry if self._pending is None else min(expiry, self._pending.deadline)
 
--- a/saltcourse/gossip/fields.py
+++ b/saltcourse/gossip/fields.py
@@ -74,6 +74,7 @@
         self.offset = offset
 
     def unpack(self, layout: Struct) -> tuple[int, ...]:
+        """Take the numbers of a fixed layout."""
         start = self.offset
         end = start + layout.size
         if end > len(self.data):
@@ -82,9 +83,11 @@
         return layout.unpack_from(self.data, start)
 
     def number(self, layout: Struct) -> int:
+        """Take one number."""
         return self.unpack(layout)[0]
 
     def raw(self, length: int) -> bytes:
+        """Take so many bytes."""
         start = self.offset
         end = start + length
         if end > len(self.data):
@@ -93,6 +96,7 @@
         return self.data[start:end]
 
     def text(self, length: int, most: int) -> str:
+        """Take a text of ``length`` bytes in UTF-8, 1 to ``most``, without control characters."""
         if not 0 < length <= most:
             raise CodecError(Reason.SCHEMA, f"a text of {length} bytes")
         try:
@@ -104,6 +108,7 @@
         return text
 
     def address(self, length: int, port: int) -> Address:
+        """Take the bytes of an IP address, in the system's canonical text."""
         family = ADDRESS_FAMILIES.get(length)
         if family is None:
             raise CodecError(Reason.SCHEMA, f"an address of {length} bytes")
@@ -112,9 +117,11 @@
         return socket.inet_ntop(family, self.raw(length)), port
 
     def records(self, read: Callable[[Reader], Record]) -> tuple[Record, ...]:
+        """Take a list of up to ``MAX_COUNT`` records."""
         return tuple([read(self) for _ in range(self.number(U8))])
 
     def end(self) -> None:
+        """``CodecError`` unless all bytes were taken."""
         if self.offset != len(self.data):
             raise CodecError(Reason.SCHEMA, "bytes behind the end")
 
@@ -123,6 +130,7 @@
 
 
 def encode_text(text: str, most: int) -> bytes:
+    """Return 1 to ``most`` bytes of UTF-8 without control characters."""
     try:
         data = text.encode()
     except UnicodeEncodeError:
@@ -133,6 +141,7 @@
 
 
 def encode_address(host: str) -> bytes:
+    """Return the 4 or 16 bytes of an IP address."""
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     try:
         return socket.inet_pton(family, host)
@@ -141,17 +150,20 @@
 
 
 def encode_list(records: Sequence[Record], encode: Callable[[Record], bytes]) -> bytes:
+    """Return the count of the records and their bytes."""
     if len(records) > MAX_COUNT:
         raise EncodeError(f"{len(records)} records in a list")
     return U8.pack(len(records)) + b"".join([encode(record) for record in records])
 
 
 def encode_position(position: Position) -> bytes:
+    """Return 8 bytes."""
     return POSITION.pack(position.epoch, position.version)
 
 
 @lru_cache(maxsize=RECORD_CACHE_SIZE)
 def encode_member_record(record: MemberRecord) -> bytes:
+    """Return the bytes of a full record. Cached: one record is sent many times over."""
     host, port = record.address
     if port == 0:
         raise EncodeError("port 0")
@@ -174,6 +186,7 @@
 
 
 def encode_update(update: Update) -> bytes:
+    """Return the bytes of an update, which begin with its kind."""
     if isinstance(update, StatusUpdate):
         return STATUS_UPDATE.pack(update.status, update.member, update.incarnation)
     if isinstance(update, MemberRecord):
@@ -183,6 +196,7 @@
 
 
 def encode_write(write: Write) -> bytes:
+    """Return the bytes of one key and its value, or of its deletion."""
     name, value = write
     key = encode_text(name, MAX_KEY_BYTES)
     if value is None:
@@ -193,6 +207,7 @@
 
 
 def encode_change(change: Change) -> bytes:
+    """Return at most ``MAX_CHANGE_BYTES`` bytes."""
     data = encode_position(change.position) + encode_list(change.writes, encode_write)
     if len(data) > MAX_CHANGE_BYTES:
         raise EncodeError(f"a change of {len(data)} bytes")
@@ -200,6 +215,7 @@
 
 
 def encode_accepted_change(accepted: AcceptedChange) -> bytes:
+    """Return the bytes of the epoch and the change."""
     return U32.pack(accepted.epoch) + encode_change(accepted.change)
 
 
@@ -207,11 +223,13 @@
 
 
 def read_position(reader: Reader) -> Position:
+    """Read what ``encode_position`` writes."""
     epoch, version = reader.unpack(POSITION)
     return Position(epoch, version)
 
 
 def read_update(reader: Reader) -> Update:
+    """Read what ``encode_update`` writes."""
     if reader.offset >= len(reader.data):
         raise CodecError(Reason.SCHEMA, "ends before an update")
     kind = reader.data[reader.offset]
@@ -226,7 +244,7 @@
 
 
 def read_member_record(reader: Reader) -> MemberRecord:
-    """One record comes many times over while it goes through the fleet: its bytes are decoded once."""
+    """Read one record. It comes many times over while it spreads: its bytes are decoded once."""
     start = reader.offset
     *_, name, region, zone, address, _ = reader.unpack(MEMBER_RECORD)
     reader.raw(name + region + zone + address)
@@ -235,6 +253,7 @@
 
 @lru_cache(maxsize=RECORD_CACHE_SIZE)
 def decode_member_record(data: bytes) -> MemberRecord:
+    """Decode exactly one record; cached by its bytes."""
     reader = Reader(data)
     kind, flags, incarnation, process, name, region, zone, address, port = reader.unpack(MEMBER_RECORD)
     role = flags >> ROLE_SHIFT
@@ -254,11 +273,13 @@
 
 
 def read_zone_sum(reader: Reader) -> ZoneSum:
+    """Read the update of kind ``ZONE_SUM_KIND``."""
     _, sequence, members, connections, length = reader.unpack(ZONE_SUM)
     return ZoneSum(reader.text(length, MAX_LABEL_BYTES), sequence, members, connections)
 
 
 def read_write(reader: Reader) -> Write:
+    """Read what ``encode_write`` writes."""
     key_length, value_length = reader.unpack(WRITE)
     key = reader.text(key_length, MAX_KEY_BYTES)
     if value_length == DELETED:
@@ -267,6 +288,7 @@
 
 
 def read_change(reader: Reader) -> Change:
+    """Read what ``encode_change`` writes."""
     start = reader.offset
     change = Change(read_position(reader), reader.records(read_write))
     if reader.offset - start > MAX_CHANGE_BYTES:
@@ -275,4 +297,5 @@
 
 
 def read_accepted_change(reader: Reader) -> AcceptedChange:
+    """Read what ``encode_accepted_change`` writes."""
     return AcceptedChange(reader.number(U32), read_change(reader))
--- a/saltcourse/gossip/freshness.py
+++ b/saltcourse/gossip/freshness.py
@@ -1,36 +1,39 @@
-"""Whether this member may lack news, by the publisher's heartbeat that all headers carry."""
+"""Whether this member may be behind, by the publisher's heartbeat that all headers carry."""
 
 from __future__ import annotations
 
 from saltcourse.gossip.messages import Freshness, Heartbeat
 from saltcourse.gossip.settings import Timing
 
-WAKE_GRACE_S = 0.5  # after standing still, datagrams of before are read: their heartbeats prove nothing
+WAKE_GRACE_S = 0.5  # after a stall, datagrams of before are read: their heartbeats prove nothing
 
 
 class FreshnessMonitor:
-    """Keeps the highest heartbeat and when it came."""
+    """Keeps the highest heartbeat and when it was received."""
 
     def __init__(self, timing: Timing) -> None:
         self.heartbeat = Heartbeat()
         self._stale_after = timing.stale_after
-        self._fresh_until: float | None = None  # None: no heartbeat since the start or since standing still
-        self._distrust_until = float("-inf")
+        self._fresh_until: float | None = None  # None: no heartbeat since the start or since a stall
+        self._ignore_until = float("-inf")
 
     def observe(self, now: float, heartbeat: Heartbeat, epoch: int) -> bool:
-        """Whether it is higher than all before. ``epoch`` is that of the configuration's position: a
-        publisher of an older one has been replaced, and what it still sends is no news."""
+        """Take a heartbeat. Whether it is higher than all before.
+
+        ``epoch`` is that of the configuration's position: a publisher of an older one has been replaced, and
+        what it still sends is not new.
+        """
         if heartbeat <= self.heartbeat or heartbeat.epoch < epoch:
             return False
         self.heartbeat = heartbeat
-        if now >= self._distrust_until:
+        if now >= self._ignore_until:
             self._fresh_until = now + self._stale_after
         return True
 
-    def stood_still(self, now: float) -> None:
+    def on_stall(self, now: float) -> None:
         """This process did not run for a while; it is stale until the next new heartbeat."""
         self._fresh_until = None
-        self._distrust_until = now + WAKE_GRACE_S
+        self._ignore_until = now + WAKE_GRACE_S
 
     def freshness(self, now: float, behind: bool) -> Freshness:
         """``STALE`` also where a higher version is known: there may be still higher ones."""
--- a/saltcourse/gossip/host.py
+++ b/saltcourse/gossip/host.py
@@ -1,7 +1,7 @@
 """A ``Node`` on a real UDP socket: datagrams and time become events, its actions are carried out in order.
 
 It decides nothing. The clock is CLOCK_BOOTTIME, which also counts while the machine is suspended, so that a
-member that wakes up knows how long it heard nothing.
+member that wakes up knows how long it received nothing.
 """
 
 from __future__ import annotations
@@ -54,18 +54,23 @@
     """Where a voter's state survives a restart."""
 
     def save(self, state: ReplicaState) -> None:
-        """Returns when it is on the disk; ``PersistError`` when it can't be."""
+        """Returns when it is on the disk; ``PersistError`` when it can't be stored."""
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Release the file."""
 
 
 def boot_clock() -> float:
+    """Seconds since the machine booted, suspension included."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class Host(asyncio.DatagramProtocol):
-    """``store`` is a voter's; ``on_applied`` is called for each new configuration, ``on_failure`` when the
-    store has failed and this member has ended for it."""
+    """A ``Node`` on a real UDP socket, with its timer.
+
+    ``store`` is a voter's; ``on_applied`` is called for each new configuration, ``on_failure`` when the store
+    has failed and this member has ended for it.
+    """
 
     def __init__(
         self,
@@ -92,14 +97,14 @@
         self._leaving = False
 
     async def start(self, address: Address) -> None:
-        """OSError when the address can't be had."""
+        """Bind the socket and start the node. OSError when the address can't be bound."""
         await self._loop.create_datagram_endpoint(lambda: self, local_addr=address)
         self.started_at = self._clock()
         self._carry_out(self.node.start(self.started_at))
         self._arm()
 
     def leave(self) -> None:
-        """Says goodbye at once, and closes ``LEAVE_GRACE`` later."""
+        """Announce the departure at once, and close ``LEAVE_GRACE`` later."""
         if self._leaving:
             return
         self._leaving = True
@@ -108,6 +113,7 @@
         self._loop.call_later(LEAVE_GRACE, self.close)
 
     def close(self) -> None:
+        """Close socket, timer and store at once; publishers that wait are answered."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -122,15 +128,17 @@
 
     @property
     def is_open(self) -> bool:
+        """Whether the socket is bound."""
         return self._transport is not None
 
-    # ---- what the program tells it ----------------------------------------------------------------
+    # ---- calls of the program ---------------------------------------------------------------------
 
     def report_connections(self, connections: int) -> None:
+        """Set the number of this proxy's client connections."""
         self._handle(ConnectionCount(connections))
 
     async def publish(self, writes: tuple[Write, ...]) -> PublishOutcome:
-        """Returns within the node's ``publish_timeout``."""
+        """Publish a change. Returns within the node's ``publish_timeout``."""
         token = next(self._tokens)
         if not self.is_open or self._leaving:
             return PublishFailed(token, PublishError.NO_MAJORITY)
@@ -143,26 +151,30 @@
             self._publishing.pop(token, None)
 
     def figures(self) -> dict[str, int]:
+        """Figures of ``/_vars``, by name."""
         found = self.node.figures(self._clock())
         found |= {f"datagrams.{what}": count for what, count in sorted(self.datagrams.items())}
         return found
 
     def now(self) -> float:
+        """Seconds on the node's clock."""
         return self._clock()
 
     # ---- events -----------------------------------------------------------------------------------
 
     def connection_made(self, transport: asyncio.DatagramTransport) -> None:  # type: ignore[override]
+        """asyncio has bound the socket."""
         # asyncio sets aside this much memory for each datagram that it reads; by default 256 KiB.
         transport.max_size = MAX_RECEIVE_BYTES  # type: ignore[attr-defined]
         self._transport = transport
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
+        """asyncio has read a datagram."""
         self.datagrams["received"] += 1
         self._handle(Received(addr[:2], data))
 
     def error_received(self, exc: Exception) -> None:
-        """A destination that can't be reached, or whose port is closed; its silence tells the node."""
+        """A destination can't be reached, or its port is closed; its silence is what the node sees."""
         self.datagrams["errors"] += 1
 
     def _tick(self) -> None:
@@ -177,7 +189,7 @@
         self._arm()
 
     def _arm(self) -> None:
-        """One timer for the node's next deadline. One for an earlier time is left: it costs a tick."""
+        """Set one timer to the node's next deadline. One for an earlier time is left: it costs a tick."""
         if not self.is_open:
             return
         deadline = self.node.next_deadline()
@@ -220,13 +232,16 @@
         self._transport.sendto(datagram, destination)
 
     def _persist(self, state: ReplicaState) -> bool:
-        """What can't be kept must not be told, nor anything after it: this member ends."""
+        """Store a voter's state.
+
+        What can't be stored must not be sent, nor anything after it: this member ends.
+        """
         if self._store is None:
             return True
         try:
             self._store.save(state)
         except PersistError as error:
-            log.error("gossip state can't be kept; this member takes no part any more", reason=str(error))
+            log.error("gossip state could not be stored; this member stops", reason=str(error))
             self.close()
             if self._on_failure is not None:
                 self._on_failure(error)
@@ -239,6 +254,6 @@
             waiting.set_result(outcome)
 
     def _abandon_publishing(self) -> None:
-        """What is under way may still be committed by the others: its publisher is told so."""
+        """Answer the publishers that wait: others may still commit what is under way."""
         for token in list(self._publishing):
             self._settle(token, PublishFailed(token, PublishError.NO_MAJORITY))
--- a/saltcourse/gossip/member_table.py
+++ b/saltcourse/gossip/member_table.py
@@ -39,15 +39,17 @@
 
     @property
     def status(self) -> Status:
+        """Of the record."""
         return self.record.status
 
 
 def is_departed(status: Status) -> bool:
+    """Whether a member of this status counts as gone."""
     return status >= Status.DEAD
 
 
 def with_status(record: MemberRecord, incarnation: int, status: Status) -> MemberRecord:
-    """As ``dataclasses.replace``, at a third of its time: it is called for each update that is news."""
+    """As ``dataclasses.replace``, at a third of its time: it is called for each new update."""
     name, address, region, zone, role = record.name, record.address, record.region, record.zone, record.role
     return MemberRecord(name, address, region, zone, role, incarnation, record.process, status)
 
@@ -81,20 +83,25 @@
         self._places: dict[MemberId, int] = {}
 
     def __len__(self) -> int:
+        """Count the ids."""
         return len(self._ids)
 
     def __iter__(self) -> Iterator[MemberId]:
+        """Iterate in no particular but a reproducible order."""
         return iter(self._ids)
 
     def __contains__(self, member: object) -> bool:
+        """Whether the id is in the set."""
         return member in self._places
 
     def add(self, member: MemberId) -> None:
+        """Insert an id, if it is not in the set."""
         if member not in self._places:
             self._places[member] = len(self._ids)
             self._ids.append(member)
 
     def discard(self, member: MemberId) -> None:
+        """Remove an id, if it is in the set."""
         place = self._places.pop(member, None)
         if place is None:
             return
@@ -134,17 +141,21 @@
         self.store(0.0, self.own_id, me)
 
     def __len__(self) -> int:
+        """Count all records, the own one included."""
         return len(self.members)
 
     def get(self, member: MemberId) -> Member | None:
+        """None when the member is not known."""
         return self.members.get(member)
 
     def id_of(self, record: MemberRecord) -> MemberId:
+        """Return the id of a record, without hashing a name that is known."""
         member = self._ids.get(record.name)
         return record.id if member is None else member
 
     @property
     def own(self) -> MemberRecord:
+        """This member's own record."""
         return self.members[self.own_id].record
 
     @property
@@ -155,7 +166,7 @@
     # ---- changes ----------------------------------------------------------------------------------
 
     def has_room(self) -> bool:
-        """For one more member; the one that departed first gives way if it must."""
+        """Whether one more member can be stored; the one that departed first gives way if it must."""
         if len(self.members) < MAX_MEMBERS:
             return True
         oldest = next(iter(self._departed), None)
@@ -180,6 +191,7 @@
         self._index(member, entry)
 
     def remove(self, member: MemberId) -> None:
+        """Forget a member. KeyError when it is not known."""
         entry = self.members.pop(member)
         self._unindex(member, entry)
         del self._ids[entry.record.name]
@@ -304,14 +316,19 @@
 
 
 def _digest(member: MemberId, record: MemberRecord) -> int:
-    """XORed into its bucket. Alive and suspect are the same here: a suspicion passes by itself. Departed
-    members are left out, so that tables which forget them at different times agree."""
+    """Return a member's part of its bucket's digest, into which it is XORed.
+
+    Alive and suspect are the same here: a suspicion ends by itself. Departed members are left out, so that
+    tables which forget them at different times agree.
+    """
     return _mix(member + (record.process << 32 | record.incarnation) * _MULTIPLIERS[0])
 
 
 def _mix(value: int) -> int:
-    """The finalizer of SplitMix64: each bit of the result depends on each of the value, and equal changes of
-    two values do not cancel each other when the results are XORed."""
+    """Return the finalizer of SplitMix64: each bit of the result depends on each of the value.
+
+    So equal changes of two values do not cancel each other when the results are XORed.
+    """
     value &= _WORD
     value = (value ^ value >> 30) * _MULTIPLIERS[1] & _WORD
     value = (value ^ value >> 27) * _MULTIPLIERS[2] & _WORD
--- a/saltcourse/gossip/node.py
+++ b/saltcourse/gossip/node.py
@@ -78,15 +78,16 @@
     # ---- events -----------------------------------------------------------------------------------
 
     def start(self, now: float) -> list[Action]:
+        """At the start of the process: restore a voter's state, and join the fleet."""
         if self._state is not None:
             self.dissemination.restore(now, self._state)
         self._send(now, self.membership.start(now))
         if self.quorum is not None:
-            self._follow(now, self.quorum.start(now))
+            self._carry_out(now, self.quorum.start(now))
         return self._finish(now)
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Takes the event and does whatever else is due."""
+        """Take the event and do whatever else has become ready."""
         match event:
             case Received(source, datagram):
                 self._receive(now, source, datagram)
@@ -100,14 +101,14 @@
         return self._finish(now)
 
     def next_deadline(self) -> float:
-        """When something is due next, on the clock of ``now``."""
-        due = [self.membership.next_deadline(), self.dissemination.next_deadline()]
+        """When ``handle`` is to be called with a ``Tick``, in seconds on the clock of ``now``."""
+        deadlines = [self.membership.next_deadline(), self.dissemination.next_deadline()]
         if self._is_proxy():
-            due.append(self.aggregation.next_deadline())
+            deadlines.append(self.aggregation.next_deadline())
         if self.quorum is not None:
-            due.append(self.quorum.next_deadline())
-        due.append(self._budget_deadline())
-        return min(due)
+            deadlines.append(self.quorum.next_deadline())
+        deadlines.append(self._budget_deadline())
+        return min(deadlines)
 
     # ---- what comes in ----------------------------------------------------------------------------
 
@@ -117,8 +118,8 @@
         self._budget.force(now, size)
         try:
             header, message = self._codec.decode(datagram)
-        except CodecError as wrong:
-            self.dropped[wrong.reason.name.lower()] += 1
+        except CodecError as error:
+            self.dropped[error.reason.name.lower()] += 1
             return
         if self._is_own(header):
             self.dropped["own"] += 1
@@ -146,7 +147,7 @@
         if self.quorum is None or header.sender not in self._voter_ids:
             self.dropped["not_voter"] += 1
             return
-        self._follow(now, self.quorum.handle(now, source, header, message))
+        self._carry_out(now, self.quorum.handle(now, source, header, message))
 
     def _pass_on_sums(self, now: float) -> None:
         for update in self.membership.take_received():
@@ -157,9 +158,9 @@
         if self.quorum is None:
             self._actions.append(PublishFailed(event.token, PublishError.NOT_CONTROL))
         else:
-            self._follow(now, self.quorum.publish(now, event))
+            self._carry_out(now, self.quorum.publish(now, event))
 
-    # ---- what is due ------------------------------------------------------------------------------
+    # ---- time -------------------------------------------------------------------------------------
 
     def _tick(self, now: float) -> None:
         if now >= self.membership.next_deadline():
@@ -169,7 +170,7 @@
         if self._is_proxy() and now >= self.aggregation.next_deadline():
             self._tick_aggregation(now)
         if self.quorum is not None and now >= self.quorum.next_deadline():
-            self._follow(now, self.quorum.tick(now))
+            self._carry_out(now, self.quorum.tick(now))
 
     def _tick_aggregation(self, now: float) -> None:
         me = self.membership.me
@@ -181,10 +182,10 @@
     def _is_proxy(self) -> bool:
         return self.settings.me.role is Role.PROXY
 
-    # ---- the quorum's decisions -------------------------------------------------------------------
+    # ---- the quorum's actions ---------------------------------------------------------------------
 
-    def _follow(self, now: float, decided: Iterable[QuorumAction]) -> None:
-        for action in decided:
+    def _carry_out(self, now: float, actions: Iterable[QuorumAction]) -> None:
+        for action in actions:
             match action:
                 case Send():
                     self._send(now, [action])
@@ -197,12 +198,12 @@
                     self._actions.append(action)
 
     def _collect(self, now: float) -> None:
-        """Takes what the dissemination has done, and shows the quorum the newest configuration in force."""
+        """Take the dissemination's actions, and show the quorum the newest configuration in force."""
         taken = self.dissemination.take_actions()
         self._actions.extend(taken)
         if self.quorum is not None and any(isinstance(action, Applied) for action in taken):
             part = self.dissemination
-            self._follow(now, self.quorum.applied(now, part.position, part.configuration))
+            self._carry_out(now, self.quorum.applied(now, part.position, part.configuration))
 
     # ---- what goes out ----------------------------------------------------------------------------
 
@@ -210,7 +211,7 @@
         self._collect(now)
         if self.quorum is not None:
             newest = self.dissemination.position, self.dissemination.heartbeat
-            self._follow(now, self.quorum.observe(now, *newest))
+            self._carry_out(now, self.quorum.observe(now, *newest))
         self._send_waiting(now)
         self._actions.extend(self.membership.take_changes())
         actions, self._actions = self._actions, []
@@ -230,7 +231,10 @@
                 self._budget.force(now, self._transmit(send))
 
     def _transmit(self, send: Send) -> int:
-        """Bytes that it takes from the budget. The header tells what holds now, not when it was queued."""
+        """Encode a message; return the bytes that it takes from the budget.
+
+        The header has what holds now, not what held when the message was queued.
+        """
         datagram = self._codec.encode(self._header(), send.message)
         self._actions.append(Transmit(send.destination, datagram))
         size = len(datagram) + PACKET_OVERHEAD_BYTES
@@ -252,7 +256,7 @@
         by_status = Counter(member.status for member in self.membership.members.values())
         found = {f"members.{status.name.lower()}": by_status[status] for status in Status}
         sums = self.aggregation.sums(now)
-        found |= {f"zone.{zone}.connections": told.connections for zone, told in sums.items()}
+        found |= {f"zone.{zone}.connections": update.connections for zone, update in sums.items()}
         found |= {
             "position.epoch": self.dissemination.position.epoch,
             "position.version": self.dissemination.position.version,
--- a/saltcourse/gossip/own_record.py
+++ b/saltcourse/gossip/own_record.py
@@ -1,4 +1,4 @@
-"""The own record: objections to what others claim of this member, and rivals for its name.
+"""The own record: refutation of what others claim of this member, and other processes of its name.
 
 At most one raise of the incarnation each RAISE_INTERVAL, whatever is claimed: two live processes of one name
 outbid each other at that pace and no faster.
@@ -29,10 +29,11 @@
 
     @property
     def has_left(self) -> bool:
+        """Whether this member has announced that it ends."""
         return self.record.status is Status.LEFT
 
     def on_claim(self, now: float, incarnation: int, status: Status, process: int | None) -> bool:
-        """Something was said of this member (of a ``process``, if one was named). Has the record changed?"""
+        """A claim about this member (about a ``process``, if it has one). Whether the record changed."""
         if not self._is_contested(incarnation, status, process):
             return False
         if process is not None and process != self.record.process:
@@ -49,7 +50,7 @@
         return self._exceed(now, incarnation)
 
     def raise_if_allowed(self, now: float) -> bool:
-        """Whether the record changed."""
+        """Raise the incarnation where a claim demands it, if it is time. Whether the record changed."""
         if self._to_exceed is None or now < self._raise_at:
             return False
         incarnation = min(max(self._to_exceed, self.record.incarnation) + 1, MAX_INCARNATION)
@@ -59,10 +60,12 @@
         return True
 
     def leave(self) -> None:
+        """Become LEFT; no claim is refuted from now on."""
         self._to_exceed = None
         self.record = replace(self.record, status=Status.LEFT)
 
     def next_deadline(self) -> float:
+        """When ``raise_if_allowed`` is to be called, in seconds on the clock of ``now``."""
         return math.inf if self._to_exceed is None else self._raise_at
 
     def _exceed(self, now: float, incarnation: int) -> bool:
@@ -80,7 +83,7 @@
         return status is not Status.ALIVE or (process is not None and process != self.record.process)
 
     def _count_conflict(self, status: Status) -> None:
-        """The record of a process that has ended is overridden once and does not come back."""
+        """Count no conflict for the record of a process that has ended: it is overridden once."""
         if self._took_over and status is Status.ALIVE:
             self.name_conflicts += 1
         self._took_over = True
--- a/saltcourse/gossip/proposer.py
+++ b/saltcourse/gossip/proposer.py
@@ -76,7 +76,7 @@
         """What is committed here was learned from another member; False: this publisher was replaced.
 
         A version may be known as committed before enough acknowledgements have come: from an earlier
-        publisher, whose change is then proposed here again, or from a newer one not yet heard of.
+        publisher, whose change is then proposed here again, or from a newer one not yet known.
         """
         if position.version <= self._committed:
             return True
--- a/saltcourse/gossip/sampling.py
+++ b/saltcourse/gossip/sampling.py
@@ -13,6 +13,8 @@
 
 
 class MemberSampler:
+    """Prefers members that are likely to answer."""
+
     def __init__(self, source: random.Random, table: MemberTable, zones: ZoneSilence) -> None:
         self._random = source
         self._table = table
--- a/saltcourse/gossip/send_queue.py
+++ b/saltcourse/gossip/send_queue.py
@@ -1,4 +1,4 @@
-"""Messages that wait for the byte budget, by priority: bounded, and without two that say the same."""
+"""Messages that wait for the byte budget, by priority: bounded, and without duplicates."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from saltcourse.gossip.messages import Changes, Fetch, Gossip, Priority, Send
 
 MAX_WAITING = {Priority.CONFIGURATION: 64, Priority.MEMBERSHIP: 8, Priority.BULK: 8}  # the oldest give way
-REPLACEABLE = (Changes, Fetch, Gossip)  # a newer one to the same member says all of the older
+REPLACEABLE = (Changes, Fetch, Gossip)  # a newer one to the same member has all of the older
 
 
 @dataclass(frozen=True, slots=True)
@@ -20,13 +20,15 @@
 
 
 class SendQueue:
-    """A configuration message takes the place of an older one of its kind to the same member: who gets no
-    answer in time asks again, and must not be answered once for each of its questions.
+    """Bounded queues by priority.
+
+    A configuration message takes the place of an older one of its kind to the same member: who gets no answer
+    in time asks again, and must not be answered once for each request.
 
     Of answers with changes, the one to the member that is furthest ahead goes first, and those that have
     waited for ``answer_lifetime`` (s) are dropped, since their members have asked others meanwhile. A server
     that can't serve all at once so brings a few to the front, who serve the rest; one that gave a little to
-    everybody would remain the only one with news.
+    everybody would remain the only one with new changes.
     """
 
     def __init__(self, answer_lifetime: float) -> None:
@@ -38,9 +40,11 @@
         self.dropped = 0
 
     def __bool__(self) -> bool:
+        """Whether a message waits."""
         return any(self._queues.values())
 
     def push(self, now: float, send: Send) -> None:
+        """Add a message; the oldest of its priority is dropped at the bound."""
         queue = self._queues[send.priority]
         queue[self._key(send)] = _Waiting(send, now)
         if len(queue) > MAX_WAITING[send.priority]:
--- a/saltcourse/gossip/serving.py
+++ b/saltcourse/gossip/serving.py
@@ -45,7 +45,7 @@
         self._counters = counters
 
     def changes(self, source: Address, message: Fetch) -> list[Send]:
-        """Nothing for a member that is not behind this one."""
+        """Answer a fetch; nothing for a member that is not behind this one."""
         relation = self._configuration.relate(message.after)
         if relation is Relation.CONFLICT:
             self._counters["fetch_conflict"] += 1
@@ -58,8 +58,11 @@
         return [Send(source, Changes(fitting(changes)), Priority.CONFIGURATION)]
 
     def snapshot_part(self, source: Address, message: SnapshotFetch) -> list[Send]:
-        """Where that checkpoint is not kept any more: the first part of the newest, so that the receiver
-        knows of it."""
+        """Answer a request for one part of a snapshot.
+
+        Where that checkpoint is not kept any more: the first part of the newest, so that the receiver learns
+        of it.
+        """
         checkpoint = self._configuration.checkpoint_at(message.position)
         offset = message.offset
         if checkpoint is None:
--- a/saltcourse/gossip/sizes.py
+++ b/saltcourse/gossip/sizes.py
@@ -1,4 +1,4 @@
-"""Encoded sizes of changes and configurations, to refuse what is too large before it is proposed."""
+"""Encoded sizes of changes and configurations, to reject what is too large before it is proposed."""
 
 from __future__ import annotations
 
@@ -32,6 +32,7 @@
         return self._total - replaced + sum(sizes.values()) <= MAX_CONFIGURATION_BYTES
 
     def apply(self, writes: Iterable[Write]) -> None:
+        """Take over the writes of a change."""
         for key, value in writes:
             self._total -= self._items.pop(key, 0)
             if value is not None:
--- a/saltcourse/gossip/snapshot_receiver.py
+++ b/saltcourse/gossip/snapshot_receiver.py
@@ -1,4 +1,4 @@
-"""Takes snapshots in: checks each part, keeps the one transfer under way, applies what is whole."""
+"""Receives snapshots: checks each part, keeps the one transfer under way, applies it when it is complete."""
 
 from __future__ import annotations
 
@@ -12,8 +12,11 @@
 
 
 class SnapshotReceiver:
-    """A transfer begins with the first part that answers a fetch. One that nobody serves any more is given
-    up: its parts are kept until a new fetch shows what the others have."""
+    """At most one transfer.
+
+    It begins with the first part that answers a fetch. One that nobody serves any more is given up: its parts
+    are kept until a new fetch shows what the others have.
+    """
 
     def __init__(
         self, timing: Timing, configuration: Configuration, fetcher: Fetcher, counters: Counter[str]
@@ -30,6 +33,7 @@
         return self._active_transfer is not None
 
     def receive(self, now: float, source: Address, part: SnapshotPart) -> list[Send]:
+        """Take one part; a part that is rejected is counted by its reason."""
         fault = self._fault_of(part)
         if fault is None:
             return self._accept(now, source, part)
@@ -39,6 +43,7 @@
         return self.tick(now)
 
     def tick(self, now: float) -> list[Send]:
+        """Request missing parts that are ready to be requested; end a transfer that is no longer needed."""
         transfer = self._transfer
         if transfer is None:
             return []
@@ -49,6 +54,7 @@
         return sends + self._fetch_more(now) if transfer.given_up else sends
 
     def next_deadline(self) -> float:
+        """When ``tick`` is to be called, in seconds on the clock of ``now``."""
         transfer = self._active_transfer
         return INFINITY if transfer is None else transfer.next_deadline()
 
--- a/saltcourse/gossip/snapshots.py
+++ b/saltcourse/gossip/snapshots.py
@@ -24,7 +24,7 @@
 
 
 class PartFault(Enum):
-    """Why a part is refused."""
+    """Why a part is rejected."""
 
     KNOWN = auto()  # this member is as far already
     STALE_EPOCH = auto()
@@ -39,7 +39,7 @@
 
 
 def part_of(checkpoint: Checkpoint, offset: int) -> SnapshotPart | None:
-    """``None`` where no part begins at ``offset``. An empty checkpoint is one empty part."""
+    """Return the part at an offset; None where none begins there. An empty checkpoint is one empty part."""
     size = len(checkpoint.data)
     if offset not in part_offsets(size):
         return None
@@ -55,6 +55,7 @@
 
 
 def part_offsets(size: int) -> range:
+    """Return the offsets of all parts of a snapshot of this size."""
     return range(0, max(size, 1), SNAPSHOT_PART_BYTES)
 
 
@@ -68,12 +69,15 @@
         self._parts: dict[int, bytes] = {}  # by offset
 
     def offsets(self) -> range:
+        """Return the offsets of all its parts."""
         return part_offsets(self.size)
 
     def is_of(self, part: SnapshotPart) -> bool:
+        """Whether a part belongs to this snapshot."""
         return (part.position, part.size, part.digest) == (self.position, self.size, self.digest)
 
     def has(self, offset: int) -> bool:
+        """Whether the part at this offset was received."""
         return offset in self._parts
 
     def add(self, part: SnapshotPart) -> None:
@@ -82,22 +86,25 @@
 
     @property
     def whole(self) -> bool:
+        """Whether all parts were received."""
         return len(self._parts) == len(self.offsets())
 
     def checkpoint(self) -> Checkpoint:
-        """What was received; its digest is worked out anew and may differ from the claimed one."""
+        """Return what was received; its digest is computed anew and may differ from the claimed one."""
         data = b"".join(self._parts[offset] for offset in self.offsets())
         return Checkpoint.of(self.position, data)
 
 
 @dataclass(frozen=True, slots=True)
 class PartRequest:
+    """A request in flight."""
+
     server: Address
     deadline: float
 
 
 class SnapshotTransfer:
-    """Asks for the missing parts of one snapshot, at a constant pace, of one server until that one fails."""
+    """Requests the missing parts of one snapshot, at a constant pace, of one server until that one fails."""
 
     def __init__(
         self, now: float, timing: Timing, first: SnapshotPart, source: Address, choose_server: ChooseServer
@@ -141,6 +148,7 @@
         self._leave_server(source)
 
     def tick(self, now: float) -> list[Send]:
+        """Leave a server whose answer has timed out, and request the next parts."""
         for offset, request in list(self._outstanding.items()):
             if now >= request.deadline:
                 self._ask_again(offset)
@@ -151,6 +159,7 @@
         return sends
 
     def next_deadline(self) -> float:
+        """When ``tick`` is to be called, in seconds on the clock of ``now``."""
         timeout = min((request.deadline for request in self._outstanding.values()), default=INFINITY)
         return min(timeout, self._next_request_at) if self._may_request() else timeout
 
--- a/saltcourse/gossip/sources.py
+++ b/saltcourse/gossip/sources.py
@@ -1,7 +1,7 @@
 """Members that announced a higher version than this member's: whom to ask for it.
 
-At most ``MAX_SOURCES`` are remembered, those heard last; a claim that is not repeated expires. So a claim
-that nobody can satisfy is forgotten.
+At most ``MAX_SOURCES`` are remembered, the last ones that announced; a claim that is not repeated expires. So
+a claim that nobody can satisfy is forgotten.
 """
 
 from __future__ import annotations
@@ -17,21 +17,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Claim:
+    """A position that a member has announced, and until when it counts."""
+
     position: Position
     expires: float
 
 
 class Sources:
+    """Claims by the address of their member."""
+
     def __init__(self, lifetime: float, random: Random) -> None:
         """``lifetime``: seconds for which a claim counts when it is not repeated."""
         self._lifetime = lifetime
         self._random = random
-        self._claims: dict[Address, Claim] = {}  # in the order in which they were last heard
+        self._claims: dict[Address, Claim] = {}  # in the order of their last announcements
 
     def __len__(self) -> int:
+        """Count the claims."""
         return len(self._claims)
 
     def note(self, now: float, address: Address, position: Position) -> None:
+        """A member has announced a position ahead of this member's."""
         self._claims.pop(address, None)
         self._claims[address] = Claim(position, now + self._lifetime)
         if len(self._claims) > MAX_SOURCES:
@@ -48,6 +54,7 @@
         }
 
     def position_of(self, address: Address) -> Position | None:
+        """None when the member has no claim."""
         claim = self._claims.get(address)
         return claim.position if claim is not None else None
 
--- a/saltcourse/gossip/store.py
+++ b/saltcourse/gossip/store.py
@@ -44,6 +44,7 @@
             raise self._error(str(error)) from None
 
     def load(self) -> ReplicaState | None:
+        """Return what was saved last; None on a first start."""
         try:
             row = self._db.execute("SELECT member, promised, epoch, version, digest FROM replica").fetchone()
             if row is None:
@@ -63,7 +64,7 @@
         return state
 
     def save(self, state: ReplicaState) -> None:
-        """Returns when it is on the disk."""
+        """Write the state; it is on the disk when this returns."""
         if self._saved is None:
             self.load()
         saved = self._saved or ReplicaState()
@@ -83,6 +84,7 @@
         self._saved = state
 
     def close(self) -> None:
+        """Release the file."""
         self._db.close()
 
     # ---- the file ---------------------------------------------------------------------------------
@@ -168,8 +170,11 @@
 
 
 def _digest(member: str, state: ReplicaState) -> str:
-    """Of all that the tables hold. Each text and value has its length before it, so that none runs into the
-    next; -1 stands for a deleted key."""
+    """Return a digest of all that the tables hold.
+
+    Each text and value has its length before it, so that none runs into the next; -1 stands for a deleted
+    key.
+    """
     digest = hashlib.sha256()
 
     def add_number(number: int) -> None:
--- a/saltcourse/gossip/suspicion.py
+++ b/saltcourse/gossip/suspicion.py
@@ -1,6 +1,6 @@
-"""Timers of suspicions: who is dead when, unless it objects.
+"""Timers of suspicions: who is declared dead when, unless it refutes the suspicion.
 
-A suspect is asked directly before it is declared dead: its objection may have missed this member, as an
+A suspect is pinged directly before it is declared dead: its refutation may have missed this member, as an
 epidemic broadcast misses one in a hundred. Cost that grows with the fleet: one timer for each suspect, none
 for members alive; and len(PING_FRACTIONS) Pings of each member for each death in the fleet.
 """
@@ -19,25 +19,29 @@
 
 
 def suspicion_timeout(timing: Timing, fleet: int) -> float:
-    """Seconds that a suspect has to object; news need longer to pass through a larger fleet."""
+    """Seconds that a suspect has to refute it; updates need longer to pass through a larger fleet."""
     return timing.suspicion_multiplier * max(1.0, math.log10(fleet)) * timing.probe_interval
 
 
 @dataclass(slots=True)
 class Suspicion:
+    """A suspicion that has begun. Times in seconds."""
+
     started_at: float
     timeout: float
     pings: int = 0
 
     @property
     def deadline(self) -> float:
-        """Of the next step: to ask, or to declare it dead."""
+        """Of the next step: to ping the suspect, or to declare it dead."""
         share = PING_FRACTIONS[self.pings] if self.pings < len(PING_FRACTIONS) else 1.0
         return self.started_at + share * self.timeout
 
 
 @dataclass(slots=True)
 class ReadySuspicions:
+    """Suspects whose next step has come."""
+
     to_ping: list[MemberId] = field(default_factory=list)
     expired: list[MemberId] = field(default_factory=list)
 
@@ -50,28 +54,32 @@
         self._heap: list[tuple[float, MemberId]] = []
 
     def __len__(self) -> int:
+        """Count the suspicions."""
         return len(self._suspicions)
 
     def __contains__(self, member: object) -> bool:
+        """Whether the member is suspect and its timer runs."""
         return member in self._suspicions
 
     def start(self, now: float, member: MemberId, timeout: float) -> None:
+        """Begin a suspicion, or begin it anew; ``timeout`` in seconds."""
         self._suspicions[member] = Suspicion(now, timeout)
         self._push(member)
         if len(self._heap) > 2 * len(self._suspicions) + _HEAP_SLACK:
             self._rebuild()
 
     def stop(self, member: MemberId) -> None:
+        """End a suspicion, if there is one."""
         self._suspicions.pop(member, None)
 
     def restart(self, now: float, timeout: float) -> None:
-        """All of them, from now on."""
+        """Begin all suspicions anew."""
         for member in self._suspicions:
             self._suspicions[member] = Suspicion(now, timeout)
         self._rebuild()
 
     def take_ready(self, now: float) -> ReadySuspicions:
-        """The timers of those expired are gone."""
+        """Return the suspects to ping and those to declare dead; the timers of the latter are gone."""
         ready = ReadySuspicions()
         while self.next_deadline() <= now:
             _, member = heapq.heappop(self._heap)
@@ -86,6 +94,7 @@
         return ready
 
     def next_deadline(self) -> float:
+        """When ``take_ready`` is to be called, in seconds on the clock of ``now``."""
         while self._heap:
             deadline, member = self._heap[0]
             suspicion = self._suspicions.get(member)
--- a/saltcourse/gossip/table_sync.py
+++ b/saltcourse/gossip/table_sync.py
@@ -48,6 +48,8 @@
 
 
 class TableSync:
+    """The comparison under way, if any, and the times of the next ones."""
+
     def __init__(
         self,
         table: MemberTable,
@@ -77,6 +79,7 @@
     # ---- asking -----------------------------------------------------------------------------------
 
     def start(self, now: float) -> list[Send]:
+        """Ask the seeds for the whole table."""
         self._sync_at = now + self._jittered(FIRST_SYNC)
         self._seed_at = now + self._jittered(SEED_INTERVAL)
         return self._join(now) if self._seeds else []
@@ -89,6 +92,7 @@
         return [self._request(peer, self._session)]
 
     def tick(self, now: float) -> list[Send]:
+        """Begin comparisons and repeat requests that have become ready."""
         sends: list[Send] = []
         if self._is_alone() and self._join_at <= now:
             sends += self._join(now)
@@ -104,6 +108,7 @@
         return sends
 
     def next_deadline(self) -> float:
+        """When ``tick`` is to be called, in seconds on the clock of ``now``."""
         deadline = min(self._sync_at, self._seed_at)
         if self._session is not None:
             deadline = min(deadline, self._session.deadline)
@@ -125,7 +130,7 @@
         return self.compare_with(now, peers[0].address) if peers else []
 
     def _ask_absent_seed(self, now: float) -> list[Send]:
-        """Looks through the live members, once in SEED_INTERVAL."""
+        """Compare with a seed that is not a live member. Looks through these, once in SEED_INTERVAL."""
         if not self._seeds:
             return []
         seed = self._random.choice(self._seeds)
@@ -157,7 +162,7 @@
     # ---- answering --------------------------------------------------------------------------------
 
     def reply(self, message: SyncRequest) -> SyncReply:
-        """One page. Who wants the whole table has no use for departed members."""
+        """Return one page. Who wants the whole table has no use for departed members."""
         room = RECORDS_ROOM_BYTES
         records: list[MemberRecord] = []
         buckets = self._table.differing_buckets(message.digests)
@@ -172,16 +177,17 @@
         return self._page(records, False)
 
     def _page(self, records: list[MemberRecord], more: bool) -> SyncReply:
-        """Suspicions travel as broadcasts alone: one that has been settled since must not come back here."""
+        """Leave suspicions out: they travel as broadcasts alone, or one settled since would come back."""
         self.pages_sent += 1
-        told = [_without_suspicion(record) for record in records]
-        return SyncReply(tuple(told), more)
+        return SyncReply(tuple([_without_suspicion(record) for record in records]), more)
 
-    # ---- what is answered -------------------------------------------------------------------------
+    # ---- replies ----------------------------------------------------------------------------------
 
     def on_reply(self, now: float, source: Address, message: SyncReply) -> list[Send]:
-        """Go on with the next page. The caller has merged the records of this one. A reply that was not asked
-        for, or that came before, moves nothing."""
+        """Go on with the next page. The caller has merged the records of this one.
+
+        A reply that was not requested, or that came before, has no effect.
+        """
         session = self._session
         if session is None or source not in session.peers:
             return []
--- a/saltcourse/gossip/update_merging.py
+++ b/saltcourse/gossip/update_merging.py
@@ -1,8 +1,8 @@
-"""What claims about members lead to: the table, the timers, the broadcasts and the changes told outside.
+"""What claims about members lead to: changes of the table, timers, broadcasts and actions.
 
-Every claim, whether it came in a message or from this member's own probes, goes through ``UpdateMerger``.
-The cost of a claim does not grow with the fleet. A zone that falls silent or is heard again costs one step
-for each of its suspects, once.
+Every claim, whether it came in a message or from this member's own probes, goes through ``UpdateMerger``. The
+cost of a claim does not grow with the fleet. A zone that falls silent or answers again costs one step for
+each of its suspects, once.
 """
 
 from __future__ import annotations
@@ -63,6 +63,7 @@
     # ---- claims in messages -----------------------------------------------------------------------
 
     def merge_updates(self, now: float, updates: tuple[Update, ...]) -> None:
+        """Merge the updates of a message. Zone sums are kept for the aggregation."""
         for update in updates:
             if isinstance(update, StatusUpdate):
                 self._merge_status(now, update)
@@ -72,15 +73,18 @@
                 self.received_sums.append(update)
 
     def merge_table(self, now: float, records: tuple[MemberRecord, ...], spread: bool) -> None:
-        """Records of another member's table. Departed members that are not known stay unknown: they would be
-        remembered for ever, by one member after the other."""
+        """Merge records of another member's table.
+
+        Departed members that are not known stay unknown: they would be remembered for ever, by one member
+        after the other.
+        """
         for record in records:
             member = self._table.id_of(record)
             if member in self._table.members or not is_departed(record.status):
                 self._merge_record(now, member, record, spread)
 
     def merge_header(self, now: float, member: MemberId, entry: Member, header: Header) -> None:
-        """The process of a known record was heard itself: it lives, at its header's incarnation."""
+        """The process of a known record has sent a datagram: it is alive, at its header's incarnation."""
         if header.incarnation > entry.record.incarnation:
             raised = with_status(entry.record, header.incarnation, Status.ALIVE)
             self._replace(now, member, entry, raised, spread=True)
@@ -118,7 +122,7 @@
             self.table_full += 1
 
     def _merge_claim(self, now: float, incarnation: int, status: Status, process: int | None) -> None:
-        """Something that is said of this member itself."""
+        """Merge a claim about this member itself."""
         if not self._own.on_claim(now, incarnation, status, process):
             return
         if status is not Status.ALIVE:
@@ -128,7 +132,7 @@
     # ---- this member's own claims -----------------------------------------------------------------
 
     def suspect(self, now: float, member: MemberId) -> None:
-        """A live member did not answer."""
+        """A live member did not answer a probe."""
         entry = self._table.members[member]
         record = entry.record
         if record.status is Status.ALIVE:
@@ -138,7 +142,7 @@
             self._store(now, member, entry, suspect, spread=is_spread)
 
     def expire_suspicions(self, now: float) -> list[MemberId]:
-        """Declare those suspects dead that have not objected in time; the others given are to be asked."""
+        """Declare suspects dead that have not refuted it in time; return others to be pinged."""
         ready = self._timers.take_ready(now)
         for member in ready.expired:
             self.deaths += 1
@@ -148,22 +152,24 @@
         return ready.to_ping
 
     def publish_own(self, now: float) -> None:
-        """In full: who has missed an earlier process of this name learns its address by it."""
+        """Broadcast the own record in full: who missed an earlier process learns the address by it."""
         self._table.store(now, self._table.own_id, self._own.record)
         self._queue.add(self._table.own_id, self._own.record)
 
     # ---- zones ------------------------------------------------------------------------------------
 
     def hold_zone(self, zone: str) -> None:
-        """A zone fell silent: its suspicions stand still, and this member adds none. Those of others it still
-        passes on: who knows of too few would take the zone for reachable."""
+        """A zone fell silent: its suspicions stand still, and this member adds none.
+
+        Those of others it still passes on: who knows of too few would take the zone for reachable.
+        """
         self.zones_silent += 1
         self.changes.append(ZoneReachability(zone, False))
         for member in self._table.zones[zone].suspects:
             self._timers.stop(member)
 
     def release_zone(self, now: float, zone: str, detector: FailureDetector) -> None:
-        """A silent zone was heard. Probing finds out which of its members are not there."""
+        """A silent zone answered. Probing finds out which of its members are gone."""
         self.changes.append(ZoneReachability(zone, True))
         detector.drop(lambda member: self._is_in_zone(member, zone))
         for member in list(self._table.zones[zone].suspects):
@@ -178,7 +184,7 @@
     # ---- updates for others -----------------------------------------------------------------------
 
     def updates_for(self, receiver: MemberId) -> tuple[Update, ...]:
-        """Broadcasts to ride on a message. A receiver that is not held for alive learns that first."""
+        """Return updates to piggyback. A receiver that is not believed alive gets its own record first."""
         room = RECORDS_ROOM_BYTES
         member = self._table.get(receiver)
         if member is None or not self._is_accused(member.record):
@@ -194,8 +200,10 @@
     def _replace(
         self, now: float, member: MemberId, entry: Member, record: MemberRecord, spread: bool
     ) -> None:
-        """Take over what another member says, where it overrides what is held. Who says that a member of a
-        silent zone is dead cannot know either."""
+        """Take over a claim of another member that overrides the record here.
+
+        Who claims that a member of a silent zone is dead cannot know either.
+        """
         if record.status is not Status.DEAD or self._zones.is_reachable(record.zone):
             self._store(now, member, entry, record, spread)
             return
@@ -206,7 +214,7 @@
     def _store(
         self, now: float, member: MemberId, entry: Member | None, record: MemberRecord, spread: bool
     ) -> None:
-        """Keep a record, with all that follows. ``entry`` is what is held of the member."""
+        """Store a record, with all that follows. ``entry`` is the member's present one."""
         before = None if entry is None else entry.record
         self._table.store(now, member, record)
         status = record.status
--- a/saltcourse/gossip/voter_set.py
+++ b/saltcourse/gossip/voter_set.py
@@ -17,6 +17,7 @@
         self._ids = tuple(voter.id for voter in voters)
 
     def __len__(self) -> int:
+        """Count the voters."""
         return len(self._voters)
 
     @property
--- a/saltcourse/gossip/zone_silence.py
+++ b/saltcourse/gossip/zone_silence.py
@@ -1,16 +1,16 @@
-"""Tells a zone that cannot be reached from a heap of dead members.
-
-A zone is unreachable when nothing was heard of any of its members for ``zone_silence``, and there is more
-to it than a few dead ones: at least two members, and a fifth of the zone, are suspect or were declared dead
-since its last word. In a large fleet a small zone may well say nothing for a while. So, while a member of a
-silent zone is suspect, others of it are sent Pings, and FRACTION_CHECKS of these have to stay unanswered
-too; after ZONE_CHECKS unanswered ones a single suspect is enough. As many different members must have been
-asked, or all that are left. A member that hears nobody at all takes every zone for unreachable: it is cut off
-itself.
-
-Cost that grows with the number of zones: one record each, below 1 kB. While suspicions stand, at most
-MAX_CHECKS_PER_TICK Pings at each look; CHECKS_PER_MEMBER in a probe interval arrive at each member of the
-zone, from the whole fleet.
+"""Distinguishes a zone that cannot be reached from many dead members.
+
+A zone is unreachable when nothing was received from any of its members for ``zone_silence``, and there is
+more to it than a few dead ones: at least two members, and a fifth of the zone, are suspect or were declared
+dead since its last contact. In a large fleet a small zone may well send nothing for a while. So, while a
+member of a silent zone is suspect, others of it are sent Pings, and FRACTION_CHECKS of these have to stay
+unanswered too; after ZONE_CHECKS unanswered ones a single suspect is enough. As many different members must
+have been pinged, or all that are left. A member that receives nothing at all takes every zone for
+unreachable: it is cut off itself.
+
+Cost that grows with the number of zones: one record each, below 1 kB. While suspicions are open, at most
+MAX_CHECKS_PER_TICK Pings at each evaluation; CHECKS_PER_MEMBER in a probe interval arrive at each member of
+the zone, from the whole fleet.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 SILENT_MEMBERS = 2
 FRACTION_CHECKS = 2  # unanswered, together with the fraction: one may go to another dead member
 ZONE_CHECKS = 4  # unanswered, in place of the fraction
-CHECKS_PER_MEMBER = 20.0  # each probe interval, at each member of a zone that is in doubt
+CHECKS_PER_MEMBER = 20.0  # each probe interval, at each member of a zone that may be silent
 MAX_CHECKED = 16  # members remembered for each zone
 CHECKS_PER_INTERVAL = 2  # looks at the zones in each probe interval
 MAX_CHECKS_PER_TICK = 4  # zones
@@ -45,12 +45,15 @@
     reachable: bool = True
 
     def restart(self, now: float) -> None:
+        """The zone has answered: what was counted against it is void."""
         self.last_contact_at = now
         self.checks = self.deaths = 0
         self.checked.clear()
 
 
 class ZoneSilence:
+    """What this member knows of each zone's silence."""
+
     def __init__(self, timing: Timing, source: random.Random, table: MemberTable) -> None:
         self._silence = timing.zone_silence
         self._answer_time = timing.probe_interval  # that a check has
@@ -71,10 +74,12 @@
     # ---- events -----------------------------------------------------------------------------------
 
     def member_added(self, now: float, zone: str) -> None:
+        """A live member of this zone was stored."""
         if zone not in self._zones:
             self._zones[zone] = ZoneWatch(now)
 
     def on_any_contact(self, now: float) -> None:
+        """A datagram of any member was received."""
         self._last_contact_at = now
 
     def on_contact(self, now: float, name: str) -> bool:
@@ -95,16 +100,17 @@
             zone.deaths += 1
 
     def is_reachable(self, name: str) -> bool:
+        """Whether the zone is not held for silent."""
         return name not in self.unreachable
 
     def is_isolated(self, now: float) -> bool:
-        """Whether this member hears nobody at all."""
+        """Whether this member has received nothing from anybody for ``zone_silence``."""
         return len(self._table.live_ids) > 0 and now - self._last_contact_at > self._silence
 
     # ---- time -------------------------------------------------------------------------------------
 
     def evaluate(self, now: float) -> tuple[list[str], list[MemberId]]:
-        """Zones that have fallen silent, and members to be pinged to find out about others."""
+        """Return zones that have fallen silent, and members to ping to find out about others."""
         if now < self._evaluate_at:
             return [], []
         self._evaluate_at = now + self._check_interval
@@ -149,7 +155,7 @@
         return gone > 0 and now - zone.last_contact_at > self._silence / 2
 
     def _choose_check(self, now: float, name: str, zone: ZoneWatch) -> list[MemberId]:
-        """Nobody, more often than not, where the zone is small: the whole fleet does the same now."""
+        """Return one member to ping; often none where the zone is small: the whole fleet does the same."""
         live = self._table.zones[name].live
         share = CHECKS_PER_MEMBER / CHECKS_PER_INTERVAL * len(live) / self._table.size
         if self._random.random() >= share:
@@ -170,7 +176,7 @@
         return [chosen]
 
     def _choose_anyone(self) -> list[MemberId]:
-        """Somebody who should answer: hearing nobody may be chance in a small fleet that is half cut off."""
+        """Return a member that should answer: silence may be chance in a small fleet that is half cut off."""
         for _ in range(CHECK_TRIES if len(self._table.live_ids) else 0):
             member = self._table.live_ids.choose(self._random)
             record = self._table.members[member].record
@@ -186,4 +192,5 @@
                 self.unreachable.pop(name, None)
 
     def next_deadline(self) -> float:
+        """When ``evaluate`` is to be called, in seconds on the clock of ``now``."""
         return self._evaluate_at
--- a/tests/gossip/test_dissemination.py
+++ b/tests/gossip/test_dissemination.py
@@ -811,17 +811,17 @@
 class GapTwin(Configuration):
     """Broken: applies a change also where the one before it is missing."""
 
-    def judge(self, change: Change) -> Outcome:
-        outcome = super().judge(change)
+    def check(self, change: Change) -> Outcome:
+        outcome = super().check(change)
         return Outcome.APPLIED if outcome is Outcome.GAP else outcome
 
 
 class OlderTwin(Configuration):
     """Broken: applies a change of an earlier position over a later one."""
 
-    def judge(self, change: Change) -> Outcome:
+    def check(self, change: Change) -> Outcome:
         older = change.position.version < self.position.version
-        return Outcome.APPLIED if older else super().judge(change)
+        return Outcome.APPLIED if older else super().check(change)
 
 
 class Schedule:
--- a/tests/gossip/test_host.py
+++ b/tests/gossip/test_host.py
@@ -245,7 +245,7 @@
         loop = asyncio.get_running_loop()
         assert await asyncio.wait_for(loop.sock_recv(receiver, 100), 5.0) == b"before"
         assert str(failures[0]) == "disk full" and store.closed and not host.is_open
-        assert any("can't be kept" in line["event"] for line in logs)
+        assert any("gossip state could not be stored" in line["event"] for line in logs)
         host.report_connections(2)
         assert node.events == [m.ConnectionCount(1)]  # it has ended
         await asyncio.sleep(0.05)
--- a/tests/gossip/test_model.py
+++ b/tests/gossip/test_model.py
@@ -493,15 +493,15 @@
 
 def patched_outcomes(monkeypatch: pytest.MonkeyPatch, outcome: Outcome) -> None:
     """Changes that are to be refused for this reason are applied."""
-    judge = Configuration.judge
+    check = Configuration.check
 
     def broken(self: Configuration, change: Change) -> Outcome:
-        found = judge(self, change)
+        found = check(self, change)
         older = change.position < self.position
         applies = found is outcome and (older or outcome is not Outcome.DUPLICATE)
         return Outcome.APPLIED if applies else found
 
-    monkeypatch.setattr(Configuration, "judge", broken)
+    monkeypatch.setattr(Configuration, "check", broken)
 
 
 def test_schedules_find_a_node_that_goes_back(monkeypatch: pytest.MonkeyPatch) -> None:
