--- /dev/null
+++ b/saltcourse/emulator/gossip_quorum/world.py
@@ -0,0 +1,279 @@
+"""Voters, their disks and the checker on the simulated network.
+
+A small stand-in for the dissemination brings committed changes to voters that lack them. It copies only from
+members that have applied them, over the same faulty network.
+"""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from typing import Any
+
+from saltcourse.emulator.gossip_quorum.checker import InvariantChecker, apply_change
+from saltcourse.emulator.simnet import Host, Link, Network
+from saltcourse.gossip.messages import (
+    Change,
+    Header,
+    Heartbeat,
+    Persist,
+    Position,
+    Publish,
+    Published,
+    PublishFailed,
+    QuorumMessage,
+    ReplicaState,
+    Send,
+    Tick,
+    Write,
+)
+from saltcourse.gossip.quorum import Quorum
+from saltcourse.gossip.quorum_actions import AdvanceHeartbeat, Commit, QuorumAction
+from saltcourse.gossip.settings import Timing, Voter
+
+PROBE_INTERVAL_SECONDS = 1.0  # between headers that a member sends unasked, as the failure detector does
+FETCH_TIMEOUT_SECONDS = 0.2  # until a member that is still behind asks again
+CHANGES_IN_REPLY = 8
+PORT = 4_000
+NEVER = float("inf")
+
+
+@dataclass(frozen=True, slots=True)
+class Datagram:
+    """On the simulated network; without a message it is a probe."""
+
+    sender: str
+    header: Header
+    message: QuorumMessage | None = None
+
+
+@dataclass(frozen=True, slots=True)
+class FetchChanges:
+    """A member asks for the changes behind a version."""
+
+    sender: str
+    after: int  # version
+
+
+@dataclass(frozen=True, slots=True)
+class FetchedChanges:
+    """The answer, where the log goes back far enough."""
+
+    changes: tuple[Change, ...]
+
+
+@dataclass(frozen=True, slots=True)
+class FetchedSnapshot:
+    """The answer where it does not."""
+
+    position: Position
+    configuration: dict[str, bytes]
+
+
+@dataclass
+class Replica:
+    """One process of a voter: the core under test, and the stand-in for its dissemination."""
+
+    quorum: Quorum
+    position: Position
+    configuration: dict[str, bytes]
+    heartbeat: Heartbeat = Heartbeat()
+    log: dict[int, Change] = field(default_factory=dict)  # applied in this process, by version
+    probe_at: float = 0.0
+    fetch_at: float = 0.0  # not before, while it is behind
+    newest_version: int = 0  # that any header has announced
+    source: str = ""  # the last member whose header announced something newer than what is applied
+
+
+class World:
+    """Voters, their disks and the checker. ``core`` is the class under test, or a broken one."""
+
+    def __init__(
+        self,
+        seed: int,
+        count: int,
+        link: Link,
+        core: type[Quorum] = Quorum,
+        link_between: Callable[[str, str], Link] | None = None,
+    ) -> None:
+        self.random = random.Random(seed)
+        self.core = core
+        self.timing = Timing()
+        self.voters = tuple(Voter(f"v{i}", (f"10.0.0.{i + 1}", PORT)) for i in range(count))
+        self.names = [voter.name for voter in self.voters]
+        hosts = [Host(name, offset=self.random.uniform(0, 1e4)) for name in self.names]
+        self.net = Network(seed, hosts, link, self._deliver, Tick())
+        self.replicas: dict[str, Replica] = {}
+        self.checker = InvariantChecker(count // 2 + 1)
+        self.crash_after: dict[str, int] = {}  # host -> actions until it crashes amid a list
+        self.takeovers = 0
+        self._link_between = link_between
+        self._addresses = {voter.address: voter.name for voter in self.voters}
+        self._ids = {voter.name: voter.id for voter in self.voters}
+        self._by_name = {voter.name: voter for voter in self.voters}
+        self._tokens = 0
+
+    # ---- what happens to voters -------------------------------------------------------------------
+
+    def start(self, name: str) -> None:
+        """Start a process of this voter with what its disk has."""
+        host = self.net.hosts[name]
+        host.alive, host.stopped = True, False
+        state = host.disk or ReplicaState()
+        source = random.Random(self.random.getrandbits(32))
+        quorum = self.core(self._by_name[name], self.voters, self.timing, source, state)
+        replica = Replica(quorum, state.committed, dict(state.configuration))
+        self.replicas[name] = replica
+        self._carry_out(host, quorum.start(host.clock(self.net.now)))
+        self._set_timer(host)
+
+    def crash(self, name: str) -> None:
+        """Kill the process; the disk stays."""
+        self.crash_after.pop(name, None)
+        self.net.crash(self.net.hosts[name], keeps_disk=True)
+
+    def publish(self, name: str, token: int | None = None) -> int:
+        """Give an operator's change to this voter; returns its token."""
+        if token is None:
+            self._tokens += 1
+            token = self._tokens
+        writes: tuple[Write, ...] = ((f"key{token % 7}", str(token).encode()),)
+        self.checker.submitted[token] = writes
+        self.net.give(self.net.hosts[name], Publish(token, writes))
+        return token
+
+    # ---- events -----------------------------------------------------------------------------------
+
+    def _deliver(self, host: Host, event: Any) -> None:
+        replica = self.replicas[host.name]
+        life = host.life
+        now = host.clock(self.net.now)
+        match event:
+            case Datagram():
+                self._observe(replica, event)
+                if event.message is not None:
+                    source = self._by_name[event.sender].address
+                    actions = replica.quorum.handle(now, source, event.header, event.message)
+                    self._carry_out(host, actions)
+            case FetchChanges(sender, after):
+                self._serve_fetch(host, replica, sender, after)
+            case FetchedChanges(changes):
+                replica.fetch_at = now
+                self._apply(host, replica, changes)
+            case FetchedSnapshot(position, configuration):
+                replica.fetch_at = now
+                if position.version > replica.position.version:
+                    replica.position = position
+                    replica.configuration = dict(configuration)
+                    self._show_applied(host, replica)
+            case Publish():
+                self._carry_out(host, replica.quorum.publish(now, event))
+        if host.life == life:
+            self._follow_up(host, replica, now)
+
+    def _follow_up(self, host: Host, replica: Replica, now: float) -> None:
+        """Do what a node does after each event."""
+        life = host.life
+        if now >= replica.quorum.next_deadline():
+            self._carry_out(host, replica.quorum.tick(now))
+        if host.life != life:
+            return
+        if now >= self._fetch_deadline(replica):
+            replica.fetch_at = now + FETCH_TIMEOUT_SECONDS
+            self._send(host, replica.source, FetchChanges(host.name, replica.position.version))
+        if now >= replica.probe_at:
+            replica.probe_at = now + PROBE_INTERVAL_SECONDS
+            other = self.random.choice([name for name in self.names if name != host.name] or [host.name])
+            self._send(host, other, Datagram(host.name, self._header(host.name)))
+        self._carry_out(host, replica.quorum.observe(now, replica.position, replica.heartbeat))
+        if host.life == life:
+            self._set_timer(host)
+
+    def _set_timer(self, host: Host) -> None:
+        if host.alive:
+            replica = self.replicas[host.name]
+            deadlines = (replica.quorum.next_deadline(), replica.probe_at, self._fetch_deadline(replica))
+            self.net.set_timer(host, min(deadlines))
+
+    def _carry_out(self, host: Host, actions: list[QuorumAction]) -> None:
+        life = host.life
+        for action in actions:
+            if self._crashes_now(host) or host.life != life:
+                return
+            match action:
+                case Persist(state):
+                    host.disk = state
+                case Send(destination, message):
+                    datagram = Datagram(host.name, self._header(host.name), message)  # type: ignore[arg-type]
+                    self._send(host, self._addresses[destination], datagram)
+                case Commit(change):
+                    self.checker.on_commit(change, self._disks())
+                    self._apply(host, self.replicas[host.name], (change,))
+                case AdvanceHeartbeat(heartbeat):
+                    self.replicas[host.name].heartbeat = heartbeat
+                case Published() | PublishFailed():
+                    self.checker.on_result(action)
+
+    def _crashes_now(self, host: Host) -> bool:
+        """Whether the planned crash amid a list of actions has come: the rest of the list is lost."""
+        if host.name not in self.crash_after:
+            return False
+        self.crash_after[host.name] -= 1
+        if self.crash_after[host.name] > 0:
+            return False
+        self.crash(host.name)
+        return True
+
+    def _disks(self) -> list[ReplicaState]:
+        return [host.disk or ReplicaState() for host in self.net.hosts.values()]
+
+    # ---- the stand-in for the dissemination -------------------------------------------------------
+
+    def _header(self, name: str) -> Header:
+        replica = self.replicas[name]
+        return Header(self._ids[name], 0, 0, replica.position, replica.heartbeat)
+
+    def _send(self, host: Host, receiver: str, event: Any) -> None:
+        if self._link_between is not None:
+            self.net.link = self._link_between(host.name, receiver)
+        self.net.send(host.name, receiver, event)
+
+    def _observe(self, replica: Replica, datagram: Datagram) -> None:
+        header = datagram.header
+        replica.heartbeat = max(replica.heartbeat, header.heartbeat)
+        replica.newest_version = max(replica.newest_version, header.position.version)
+        if header.position.version > replica.position.version:
+            replica.source = datagram.sender
+
+    def _fetch_deadline(self, replica: Replica) -> float:
+        return replica.fetch_at if replica.newest_version > replica.position.version else NEVER
+
+    def _serve_fetch(self, host: Host, replica: Replica, sender: str, after: int) -> None:
+        if after >= replica.position.version:
+            return
+        last = min(replica.position.version, after + CHANGES_IN_REPLY)
+        versions = range(after + 1, last + 1)
+        if all(version in replica.log for version in versions):
+            changes = tuple(replica.log[version] for version in versions)
+            self._send(host, sender, FetchedChanges(changes))
+        else:
+            self._send(host, sender, FetchedSnapshot(replica.position, dict(replica.configuration)))
+
+    def _apply(self, host: Host, replica: Replica, changes: tuple[Change, ...]) -> None:
+        """Apply changes that follow; the quorum is shown the last one only, as by a node."""
+        before = replica.position
+        for change in changes:
+            if change.position.version == replica.position.version + 1:
+                replica.configuration = dict(replica.configuration)
+                apply_change(replica.configuration, change)
+                replica.position = change.position
+                replica.log[change.position.version] = change
+        if replica.position != before:
+            self._show_applied(host, replica)
+
+    def _show_applied(self, host: Host, replica: Replica) -> None:
+        position, configuration = replica.position, replica.configuration
+        self.checker.on_applied(position, configuration)
+        actions = replica.quorum.applied(host.clock(self.net.now), position, configuration)
+        self._carry_out(host, actions)
--- a/tests/gossip/golden.py
+++ b/tests/gossip/golden.py
@@ -13,7 +13,7 @@
 from enum import Enum
 from typing import Any
 
-from saltcourse.emulator import gossip_quorum
+from saltcourse.emulator.gossip_quorum import schedule as quorum_schedule
 from saltcourse.emulator.gossip.schedule import Schedule
 from saltcourse.emulator.simnet import Network
 from saltcourse.gossip import messages as m
@@ -155,8 +155,8 @@
     """One random schedule of faults for voters alone: each message, and what was committed and told."""
     history = History()
     with sends_recorded(history):
-        world = gossip_quorum.play(seed)
-    history.add(world.judge.changes, world.judge.results)
+        world = quorum_schedule.play(seed)
+    history.add(world.checker.changes, world.checker.results)
     return history.digest()
 
 
--- a/tests/gossip/test_quorum.py
+++ b/tests/gossip/test_quorum.py
@@ -10,7 +10,9 @@
 
 import pytest
 
-from saltcourse.emulator.gossip_quorum import Broken, Stuck, World, play
+from saltcourse.emulator.gossip_quorum.schedule import play
+from saltcourse.emulator.gossip_quorum.world import World
+from saltcourse.emulator.invariants import InvariantError, LivenessError
 from saltcourse.emulator.simnet import Link
 from saltcourse.gossip.acceptor import MAX_ACCEPTED, Acceptor
 from saltcourse.gossip.codec import Codec, encode_configuration
@@ -163,20 +165,20 @@
 
 
 def test_no_schedule_of_faults_breaks_a_property() -> None:
-    committed = sum(len(play(seed).judge.changes) for seed in range(SCHEDULES))
+    committed = sum(len(play(seed).checker.changes) for seed in range(SCHEDULES))
     assert committed > 10 * SCHEDULES  # they did something
 
 
 @pytest.mark.parametrize("core", BROKEN)
 def test_schedules_find_a_broken_core(core: type[Quorum]) -> None:
     """By a property of safety: that it may also get stuck does not count."""
-    with pytest.raises(Broken) as found:
+    with pytest.raises(InvariantError) as found:
         for seed in range(SCHEDULES_TO_FIND):
             try:
                 play(seed, core)
-            except Stuck:
+            except LivenessError:
                 continue
-    assert found.type is Broken
+    assert found.type is InvariantError
 
 
 # ---- voters on a sound network ----------------------------------------------------------------------
@@ -199,7 +201,7 @@
 
 
 def published(w: World) -> int:
-    return sum(isinstance(result, Published) for result in w.judge.results.values())
+    return sum(isinstance(result, Published) for result in w.checker.results.values())
 
 
 def burst_time(w: World, name: str, count: int) -> float:
@@ -207,7 +209,7 @@
     start = w.net.now
     for _ in range(count):
         w.publish(name)
-    while len(w.judge.results) < count:
+    while len(w.checker.results) < count:
         w.net.run(w.net.now + 0.005)
     assert published(w) == count
     return w.net.now - start
@@ -256,7 +258,7 @@
     w = world(link=Link(delay=(0.0, 0.15), loss=0.1))
     tokens = [w.publish("v2") for _ in range(40)]
     w.net.run(5.0)
-    versions = [w.judge.results[token].position.version for token in tokens]  # type: ignore[union-attr]
+    versions = [w.checker.results[token].position.version for token in tokens]  # type: ignore[union-attr]
     assert versions == list(range(1, 41))
 
 
@@ -278,7 +280,7 @@
     for _ in range(2):
         token = w.publish("v0")
         w.net.run(w.net.now + Timing().publish_timeout + 0.1)
-        assert w.judge.results[token] == PublishFailed(token, PublishError.NO_MAJORITY)
+        assert w.checker.results[token] == PublishFailed(token, PublishError.NO_MAJORITY)
 
 
 def test_a_majority_that_comes_in_time_lets_the_waiting_publish_through() -> None:
@@ -289,7 +291,7 @@
     w.net.run(2.0)
     w.start("v3")
     w.net.run(4.0)
-    assert isinstance(w.judge.results[token], Published)
+    assert isinstance(w.checker.results[token], Published)
 
 
 def test_a_voter_far_behind_catches_up_before_it_publishes() -> None:
@@ -299,7 +301,7 @@
     w.start("v2")
     token = w.publish("v2")
     w.net.run(w.net.now + 2.0)
-    assert w.judge.results[token] == Published(token, w.judge.changes[50].position)
+    assert w.checker.results[token] == Published(token, w.checker.changes[50].position)
 
 
 # ---- how long a burst takes -------------------------------------------------------------------------
