--- /dev/null
+++ b/tests/gossip/dissemination_schedule.py
@@ -0,0 +1,105 @@
+"""A random schedule of faults for a fleet that disseminates changes, and then a quiet time in which all must
+agree.
+"""
+
+from __future__ import annotations
+
+from random import Random
+
+from saltcourse.emulator.simnet import Link
+from saltcourse.gossip.configuration import (
+    Configuration,
+)
+from saltcourse.gossip.messages import (
+    Freshness,
+)
+from saltcourse.gossip.settings import Timing
+from tests.gossip.dissemination_fleet import Fleet, Violation
+
+
+class Schedule:
+    """Members with loss, doubling and reordering; cuts, standstills, crashes and late joiners."""
+
+    members = 9
+    voters = 3
+    length = 25.0
+
+    def __init__(self, seed: int, configuration: type[Configuration]) -> None:
+        self.random = Random(seed)
+        delay = self.random.choice([(0.0002, 0.004), (0.001, 0.3)])  # the latter reorders much
+        link = Link(delay=delay, loss=self.random.choice([0.0, 0.01, 0.1]), double=0.1)
+        timing = Timing(snapshot_bytes_per_s=20_000.0)
+        self.fleet = Fleet(
+            seed, self.members, link=link, voters=self.voters, timing=timing, configuration=configuration
+        )
+        self.fleet.commit_loss = 0.3
+
+    def play(self) -> Fleet:
+        fleet = self.fleet
+        for index in range(self.members):
+            if index < self.voters or self.random.random() < 0.6:
+                fleet.start(index)
+        fleet.beat_every(1.0, self.length + 40.0)
+        while fleet.net.now < self.length:
+            self.random.choice(
+                [self.publish, self.publish, self.cut, self.standstill, self.crash, self.join]
+            )()
+            fleet.net.run(fleet.net.now + self.random.uniform(0.0, 1.5))
+        self.quiet()
+        return fleet
+
+    def publish(self) -> None:
+        if self.random.random() < 0.2:
+            self.fleet.epoch += 1
+        for _ in range(self.random.choice([1, 5, 40])):
+            key = f"key{self.random.randrange(30):02}"
+            value = None if self.random.random() < 0.2 else self.random.randbytes(self.random.randrange(300))
+            self.fleet.publish((key, value))
+            if self.random.random() < 0.5:
+                self.fleet.net.run(self.fleet.net.now + 0.02)
+
+    def cut(self) -> None:
+        if self.fleet.net.cuts:
+            self.fleet.net.heal()
+        else:
+            self.fleet.isolate(set(self.random.sample(range(self.members), self.random.randrange(1, 5))))
+
+    def standstill(self) -> None:
+        host = self.random.choice(self.fleet.hosts)
+        if host.stopped:
+            self.fleet.net.go_on(host)
+        elif host.alive:
+            self.fleet.net.stop(host)
+
+    def crash(self) -> None:
+        index = self.random.randrange(self.members)
+        if self.fleet.hosts[index].alive:
+            self.fleet.crash(index)
+
+    def join(self) -> None:
+        for index, host in enumerate(self.fleet.hosts):
+            if not host.alive:
+                self.fleet.start(index)
+                return
+
+    def settled(self) -> bool:
+        fresh = all(member.dissemination.freshness is Freshness.CURRENT for member in self.fleet.live())
+        return fresh and self.fleet.agreed()
+
+    def quiet(self) -> None:
+        """All is mended; within half a minute all must agree."""
+        self.fleet.net.heal()
+        for index, host in enumerate(self.fleet.hosts):
+            if host.stopped:
+                self.fleet.net.go_on(host)
+            if not host.alive:
+                self.fleet.start(index)
+        end = self.fleet.net.now + 30.0
+        while not self.settled() and self.fleet.net.now < end:
+            self.fleet.net.run(self.fleet.net.now + 0.5)
+        for member in self.fleet.live():
+            found = member.dissemination
+            if found.position != self.fleet.position:
+                raise Violation(f"{member.record.name} is still at {found.position} of {self.fleet.position}")
+            if found.freshness is not Freshness.CURRENT:
+                raise Violation(f"{member.record.name} is {found.freshness.name}")
--- a/tests/gossip/golden.py
+++ b/tests/gossip/golden.py
@@ -13,14 +13,14 @@
 from enum import Enum
 from typing import Any
 
-from saltcourse.emulator.gossip_quorum import schedule as quorum_schedule
 from saltcourse.emulator.gossip.schedule import Schedule
+from saltcourse.emulator.gossip_quorum import schedule as quorum_schedule
 from saltcourse.emulator.simnet import Network
 from saltcourse.gossip import messages as m
 from saltcourse.gossip.codec import SCHEMA_BY_TYPE
 from saltcourse.gossip.configuration import Configuration
 from saltcourse.gossip.node import Node
-from tests.gossip import test_dissemination, test_membership
+from tests.gossip import dissemination_schedule, membership_fleet
 
 KEY = bytes(range(32))
 HEADER = m.Header(0x0123456789ABCDEF, 3, 0xCAFEBABE, m.Position(7, 42), m.Heartbeat(7, 99))
@@ -164,7 +164,7 @@
     """One random schedule of faults for the dissemination alone: each message, and each last state."""
     history = History()
     with sends_recorded(history):
-        fleet = test_dissemination.Schedule(seed, Configuration).play()
+        fleet = dissemination_schedule.Schedule(seed, Configuration).play()
     for member in fleet.live():
         history.add(member.record.name, member.applied, member.freshness, member.sent_bytes)
     return history.digest()
@@ -173,14 +173,14 @@
 def membership_history(seed: int) -> str:
     """Membership alone, with loss, a crash, a departure and a cut of regions: each message and change."""
     history = History()
-    fleet = test_membership.fleet_of(24, seed, loss=0.05, double=0.05, settle=0.0)
+    fleet = membership_fleet.fleet_of(24, seed, loss=0.05, double=0.05, settle=0.0)
     fleet.log = []
     fleet.run(12.0)
     fleet.crash(fleet.hosts[5])
     leaving = fleet.hosts[7]
     fleet._send(leaving, leaving.membership.leave(fleet.now))
     fleet.run(20.0)
-    fleet.is_cut = test_membership.cut_regions
+    fleet.is_cut = membership_fleet.cut_regions
     fleet.run(50.0)
     fleet.is_cut = lambda sender, receiver: False
     fleet.run(80.0)
--- a/tests/gossip/test_codec.py
+++ b/tests/gossip/test_codec.py
@@ -9,7 +9,6 @@
 from hypothesis import strategies as st
 
 from saltcourse.gossip import messages as m
-from saltcourse.gossip.budget import TokenBucket
 from saltcourse.gossip.codec import (
     HEADER_BYTES,
     SCHEMAS,
@@ -315,39 +314,6 @@
         decode_configuration(twice)
 
 
-def test_a_bucket_spends_what_it_holds_and_fills_at_its_rate():
-    bucket = TokenBucket(rate=100, burst=50)
-    assert bucket.available(10.0) == 50
-    assert bucket.take(10.0, 50) and not bucket.take(10.0, 1)
-    assert not bucket.take(10.125, 13) and bucket.take(10.125, 12.5)
-    assert bucket.available(99.0) == 50
-
-
-def test_a_buckets_debt_is_bounded_and_paid_back():
-    bucket = TokenBucket(rate=100, burst=50)
-    bucket.force(0.0, 1_000)
-    assert bucket.available(0.0) == -50
-    assert not bucket.take(0.5, 1)
-    assert bucket.take(1.0, 50)
-
-
-def test_a_bucket_tells_when_it_has_a_token_again():
-    bucket = TokenBucket(rate=100, burst=50)
-    assert bucket.available_at() < 0
-    bucket.force(10.0, 80)
-    assert bucket.available_at() == pytest.approx(10.31)
-    assert bucket.available(bucket.available_at()) == pytest.approx(1)
-    assert bucket.available_at() == pytest.approx(10.31)
-
-
-def test_a_clock_that_goes_back_gives_a_bucket_nothing():
-    bucket = TokenBucket(rate=100, burst=50)
-    assert bucket.take(10.0, 50)
-    assert bucket.available(5.0) == 0
-    assert bucket.available(10.0) == 0
-    assert bucket.available(10.2) == pytest.approx(20)
-
-
 def test_a_datagram_costs_little():
     """A guard against a slip of an order of magnitude, not a measurement: the time is the best of several."""
     message = m.Ping(1, 2, tuple(m.StatusUpdate(number, 1, m.Status.SUSPECT) for number in range(10)))
--- a/tests/gossip/test_model.py
+++ b/tests/gossip/test_model.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from saltcourse.emulator.gossip.object_count import count_elements
 from saltcourse.emulator.gossip.network import Faults
+from saltcourse.emulator.gossip.object_count import count_elements
 from saltcourse.emulator.gossip.scenario import (
     AGREED_WITHIN,
     TAKEOVER_WITHIN,
--- a/tests/gossip/test_operator.py
+++ b/tests/gossip/test_operator.py
@@ -21,9 +21,9 @@
 from saltcourse.config.operator import read_operator
 from saltcourse.config.operator_gossip import GossipSettings
 from saltcourse.config.overlay import DISCOVERY_KEY, SOCKETS_KEY, ConfigurationSource
+from saltcourse.gossip.errors import StoreError
 from saltcourse.gossip.messages import ReplicaState, Role
 from saltcourse.gossip.settings import Timing
-from saltcourse.gossip.errors import StoreError
 from saltcourse.gossip.store import ReplicaStore
 
 ROOT = Path(__file__).parents[2]
--- a/tests/gossip/test_quorum.py
+++ b/tests/gossip/test_quorum.py
@@ -38,8 +38,8 @@
     ReplicaState,
     Send,
 )
-from saltcourse.gossip.publish_queue import MAX_PENDING
 from saltcourse.gossip.proposer import WINDOW
+from saltcourse.gossip.publish_queue import MAX_PENDING
 from saltcourse.gossip.quorum import Phase, Quorum
 from saltcourse.gossip.quorum_actions import AdvanceHeartbeat, Commit, QuorumAction
 from saltcourse.gossip.recovery import PromiseSet
