--- /dev/null
+++ b/tests/gossip/test_model_members.py
@@ -0,0 +1,121 @@
+"""Members in hard cases: addresses and names used again, late joiners, bad datagrams, clocks that jump."""
+
+from __future__ import annotations
+
+from saltcourse.emulator.gossip.network import Faults
+from saltcourse.emulator.gossip.scenario import (
+    AGREED_WITHIN,
+    change_in_force,
+    formed,
+    publish_until_answered,
+    publisher_of,
+    publishes,
+    traffic_per_s,
+    within,
+)
+from saltcourse.emulator.gossip.world import KEY, PORT, Member, World
+from saltcourse.gossip.codec import Codec
+from saltcourse.gossip.messages import (
+    MAX_DATAGRAM_BYTES,
+    PACKET_OVERHEAD_BYTES,
+    Freshness,
+    Gossip,
+    Header,
+    Position,
+    ReplicaState,
+    Role,
+    member_id,
+)
+from saltcourse.gossip.node import BURST_SECONDS
+from tests.gossip.node_fleet import (
+    BYTES_PER_S,
+)
+
+BURST_SLACK = 2 * (MAX_DATAGRAM_BYTES + PACKET_OVERHEAD_BYTES)  # probes beyond the budget, a last answer
+HOUR = 3_600.0
+
+
+def test_an_address_is_used_again_by_another_member() -> None:
+    world = formed(22, 5)
+    old = world.members["proxy-4"]
+    world.crash("proxy-4")
+    world.members.pop("proxy-4")
+    world.add("successor", Member("successor", old.place, old.address, old.role))
+    world.start("successor")
+    within(world, 20.0, lambda: world.disagreement() or publishes(world), "all agree")
+    change_in_force(world, publish_until_answered(world, publisher_of(world)))
+
+
+def test_a_late_joiner_gets_a_large_configuration_paced_and_then_the_changes_behind_it() -> None:
+    world = World(23, 5)
+    values = tuple((f"large/{i:02}", bytes([i]) * 800) for i in range(75))
+    state = ReplicaState(promised=5, committed=Position(5, 200), configuration=values)
+    for voter in world.voters:
+        world.network.fleet[voter.name].disk = state
+    world.start_all()
+    within(world, 25.0, lambda: world.disagreement() or publishes(world), "all agree")
+    publisher = publisher_of(world)
+    world.add("late", Member("late", world.members["proxy-1"].place, ("10.9.0.1", PORT), Role.PROXY))
+    world.start("late")
+    begun = world.network.now
+    for second in range(20):
+        world.run(1.0)
+        elapsed = world.network.now - begun
+        assert world.network.records["late"].total < BYTES_PER_S * (BURST_SECONDS + elapsed) + BURST_SLACK
+        if second in (2, 5):
+            world.publish(publisher)
+        if not world.disagreement() and second > 5:
+            break
+    assert not world.disagreement()
+    assert 4.0 < world.network.now - begun < 20.0  # paced, and done
+    assert world.processes["late"].freshness is Freshness.CURRENT
+
+
+def test_datagrams_doubled_reordered_cut_short_and_changed_do_no_harm() -> None:
+    faults = Faults(delay=(0.0, 0.5), loss=0.02, double=0.3, truncate=0.03, flip=0.03)
+    world = formed(24, 5, faults)
+    for _ in range(8):
+        world.publish(publisher_of(world))
+        world.run(2.0)
+    assert any(p.node.dropped["authentication"] for p in world.processes.values())
+    faults.delay, faults.truncate, faults.flip, faults.loss = (0.03, 0.06), 0.0, 0.0, 0.01
+    within(world, AGREED_WITHIN, lambda: world.disagreement() or publishes(world), "all agree")
+
+
+def test_strangers_with_another_key_or_version_are_counted_and_stay_strangers() -> None:
+    world = formed(25, 5)
+    world.add("stranger", Member("stranger", world.members["proxy-1"].place, ("10.9.0.2", PORT), Role.PROXY))
+    world.start("stranger", key=b"another key")
+    good = Codec(KEY).encode(Header(member_id("proxy-1"), 1, 1), Gossip())
+    for place in range(4):
+        other = bytearray(good)
+        other[place] += 1
+        world.network.inject("proxy-0", ("192.0.2.7", 9), bytes(other))
+    world.run(15.0)
+    world.crash("stranger")
+    world.members.pop("stranger")
+    assert not world.disagreement()
+    dropped = world.processes["proxy-0"].node.dropped
+    assert dropped["version"] + dropped["form"] + dropped["authentication"] >= 4
+
+
+def test_a_monotonic_clock_that_jumps_by_hours_at_a_restart() -> None:
+    world = formed(26, 5)
+    for host, jump in (("proxy-3", 5 * HOUR), (publisher_of(world), -3 * HOUR), ("control-3", 9 * HOUR)):
+        clock = world.network.fleet[host].offset
+        world.restart(host, clock_offset=clock + jump)
+        within(world, 20.0, lambda: world.disagreement() or publishes(world), "all agree")
+    change_in_force(world, publish_until_answered(world, publisher_of(world)))
+
+
+def test_two_live_processes_of_one_name_end_in_one() -> None:
+    world = formed(27, 7)
+    twin = world.members["proxy-2"]
+    world.add("twin", Member("proxy-2", twin.place, ("10.9.0.3", PORT), twin.role))
+    world.start("twin")
+    busiest = max(traffic_per_s(world, 20.0).values())
+    assert busiest < BYTES_PER_S
+    change_in_force(world, publish_until_answered(world, publisher_of(world)))
+    world.crash("twin")
+    world.members.pop("twin")
+    within(world, 20.0, lambda: world.disagreement() or publishes(world), "all agree")
