--- a/saltcourse/gossip/sizes.py
+++ b/saltcourse/gossip/sizes.py
@@ -1,10 +1,11 @@
-"""Encoded sizes of changes and configurations, to refuse what is too large before it is proposed."""
+"""Encoded sizes of changes and configurations, to reject what is too large before it is proposed."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 
-from saltcourse.gossip.codec import CONFIGURATION_ITEM, change_size
+from saltcourse.gossip.codec.configuration import CONFIGURATION_ITEM, change_size
+from saltcourse.gossip.errors import EncodeError
 from saltcourse.gossip.messages import MAX_CONFIGURATION_BYTES, Change, Position, Write
 
 
@@ -12,7 +13,7 @@
     """Whether a change of these writes fits its bound and each key and value has a binary form."""
     try:
         change_size(Change(Position(), writes))
-    except ValueError:
+    except EncodeError:
         return False
     return True
 
@@ -31,6 +32,7 @@
         return self._total - replaced + sum(sizes.values()) <= MAX_CONFIGURATION_BYTES
 
     def apply(self, writes: Iterable[Write]) -> None:
+        """Take over the writes of a change."""
         for key, value in writes:
             self._total -= self._items.pop(key, 0)
             if value is not None:
--- a/saltcourse/gossip/store.py
+++ b/saltcourse/gossip/store.py
@@ -11,6 +11,7 @@
 import sqlite3
 from pathlib import Path
 
+from saltcourse.gossip.errors import StoreError
 from saltcourse.gossip.messages import AcceptedChange, Change, Position, ReplicaState, Write
 
 APPLICATION = 0x53616C72  # PRAGMA application_id: "Salr"
@@ -27,10 +28,6 @@
 )
 
 
-class StoreError(Exception):
-    """The file can't be used; the text names it and says why."""
-
-
 class ReplicaStore:
     """``load`` returns None on a first start. All errors are StoreError.
 
@@ -47,6 +44,7 @@
             raise self._error(str(error)) from None
 
     def load(self) -> ReplicaState | None:
+        """Return what was saved last; None on a first start."""
         try:
             row = self._db.execute("SELECT member, promised, epoch, version, digest FROM replica").fetchone()
             if row is None:
@@ -66,7 +64,7 @@
         return state
 
     def save(self, state: ReplicaState) -> None:
-        """Returns when it is on the disk."""
+        """Write the state; it is on the disk when this returns."""
         if self._saved is None:
             self.load()
         saved = self._saved or ReplicaState()
@@ -86,6 +84,7 @@
         self._saved = state
 
     def close(self) -> None:
+        """Release the file."""
         self._db.close()
 
     # ---- the file ---------------------------------------------------------------------------------
@@ -171,8 +170,11 @@
 
 
 def _digest(member: str, state: ReplicaState) -> str:
-    """Of all that the tables hold. Each text and value has its length before it, so that none runs into the
-    next; -1 stands for a deleted key."""
+    """Return a digest of all that the tables hold.
+
+    Each text and value has its length before it, so that none runs into the next; -1 stands for a deleted
+    key.
+    """
     digest = hashlib.sha256()
 
     def add_number(number: int) -> None:
--- a/saltcourse/gossip/zone_silence.py
+++ b/saltcourse/gossip/zone_silence.py
@@ -1,16 +1,16 @@
-"""Tells a zone that cannot be reached from a heap of dead members.
-
-A zone is unreachable when nothing was heard of any of its members for ``zone_silence``, and there is more
-to it than a few dead ones: at least two members, and a fifth of the zone, are suspect or were declared dead
-since its last word. In a large fleet a small zone may well say nothing for a while. So, while a member of a
-silent zone is suspect, others of it are sent Pings, and FRACTION_CHECKS of these have to stay unanswered
-too; after ZONE_CHECKS unanswered ones a single suspect is enough. As many different members must have been
-asked, or all that are left. A member that hears nobody at all takes every zone for unreachable: it is cut off
-itself.
-
-Cost that grows with the number of zones: one record each, below 1 kB. While suspicions stand, at most
-MAX_CHECKS_PER_TICK Pings at each look; CHECKS_PER_MEMBER in a probe interval arrive at each member of the
-zone, from the whole fleet.
+"""Distinguishes a zone that cannot be reached from many dead members.
+
+A zone is unreachable when nothing was received from any of its members for ``zone_silence``, and there is
+more to it than a few dead ones: at least two members, and a fifth of the zone, are suspect or were declared
+dead since its last contact. In a large fleet a small zone may well send nothing for a while. So, while a
+member of a silent zone is suspect, others of it are sent Pings, and FRACTION_CHECKS of these have to stay
+unanswered too; after ZONE_CHECKS unanswered ones a single suspect is enough. As many different members must
+have been pinged, or all that are left. A member that receives nothing at all takes every zone for
+unreachable: it is cut off itself.
+
+Cost that grows with the number of zones: one record each, below 1 kB. While suspicions are open, at most
+MAX_CHECKS_PER_TICK Pings at each evaluation; CHECKS_PER_MEMBER in a probe interval arrive at each member of
+the zone, from the whole fleet.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 SILENT_MEMBERS = 2
 FRACTION_CHECKS = 2  # unanswered, together with the fraction: one may go to another dead member
 ZONE_CHECKS = 4  # unanswered, in place of the fraction
-CHECKS_PER_MEMBER = 20.0  # each probe interval, at each member of a zone that is in doubt
+CHECKS_PER_MEMBER = 20.0  # each probe interval, at each member of a zone that may be silent
 MAX_CHECKED = 16  # members remembered for each zone
 CHECKS_PER_INTERVAL = 2  # looks at the zones in each probe interval
 MAX_CHECKS_PER_TICK = 4  # zones
@@ -37,7 +37,7 @@
 class ZoneWatch:
     """What is known of one zone besides its members."""
 
-    heard_at: float
+    last_contact_at: float
     checks: int = 0  # Pings sent since then
     checked: set[MemberId] = field(default_factory=set)  # to whom
     checked_at: float = 0.0  # when the last one was, that went to somebody new
@@ -45,12 +45,15 @@
     reachable: bool = True
 
     def restart(self, now: float) -> None:
-        self.heard_at = now
+        """The zone has answered: what was counted against it is void."""
+        self.last_contact_at = now
         self.checks = self.deaths = 0
         self.checked.clear()
 
 
 class ZoneSilence:
+    """What this member knows of each zone's silence."""
+
     def __init__(self, timing: Timing, source: random.Random, table: MemberTable) -> None:
         self._silence = timing.zone_silence
         self._answer_time = timing.probe_interval  # that a check has
@@ -58,27 +61,29 @@
         self._random = source
         self._table = table
         self._zones: dict[str, ZoneWatch] = {}
-        self._heard_anyone_at = 0.0
+        self._last_contact_at = 0.0
         self._evaluate_at = 0.0
         self.unreachable: dict[str, None] = {}  # in the order in which they fell silent
 
     def restart(self, now: float) -> None:
         """At the start, and after a time in which this process did not run: silence until now is none."""
-        self._heard_anyone_at = now
+        self._last_contact_at = now
         for zone in self._zones.values():
             zone.restart(now)
 
-    # ---- what is heard ----------------------------------------------------------------------------
+    # ---- events -----------------------------------------------------------------------------------
 
     def member_added(self, now: float, zone: str) -> None:
+        """A live member of this zone was stored."""
         if zone not in self._zones:
             self._zones[zone] = ZoneWatch(now)
 
-    def heard_anyone(self, now: float) -> None:
-        self._heard_anyone_at = now
+    def on_any_contact(self, now: float) -> None:
+        """A datagram of any member was received."""
+        self._last_contact_at = now
 
-    def heard(self, now: float, name: str) -> bool:
-        """A live member of the zone is heard. Whether the zone has become reachable by it."""
+    def on_contact(self, now: float, name: str) -> bool:
+        """A live member of the zone has answered or sent. Whether the zone has become reachable by it."""
         zone = self._zones.get(name)
         if zone is None:
             return False
@@ -88,23 +93,24 @@
         self.unreachable.pop(name, None)
         return released
 
-    def died(self, name: str) -> None:
+    def on_death(self, name: str) -> None:
         """A suspect of the zone was declared dead."""
         zone = self._zones.get(name)
         if zone is not None:
             zone.deaths += 1
 
     def is_reachable(self, name: str) -> bool:
+        """Whether the zone is not held for silent."""
         return name not in self.unreachable
 
     def is_isolated(self, now: float) -> bool:
-        """Whether this member hears nobody at all."""
-        return len(self._table.live_ids) > 0 and now - self._heard_anyone_at > self._silence
+        """Whether this member has received nothing from anybody for ``zone_silence``."""
+        return len(self._table.live_ids) > 0 and now - self._last_contact_at > self._silence
 
     # ---- time -------------------------------------------------------------------------------------
 
     def evaluate(self, now: float) -> tuple[list[str], list[MemberId]]:
-        """Zones that have fallen silent, and members to be pinged to find out about others."""
+        """Return zones that have fallen silent, and members to ping to find out about others."""
         if now < self._evaluate_at:
             return [], []
         self._evaluate_at = now + self._check_interval
@@ -112,14 +118,14 @@
         isolated = self.is_isolated(now)
         silent = []
         checks: list[MemberId] = []
-        if now - self._heard_anyone_at > self._silence / 2:
+        if now - self._last_contact_at > self._silence / 2:
             checks += self._choose_anyone()
         for name, zone in self._zones.items():
             if not zone.reachable:
                 continue
             if isolated or self._is_silent(now, name, zone):
                 silent.append(name)
-            elif self._is_doubtful(now, name, zone) and len(checks) < MAX_CHECKS_PER_TICK:
+            elif self._needs_check(now, name, zone) and len(checks) < MAX_CHECKS_PER_TICK:
                 checks += self._choose_check(now, name, zone)
         for name in silent:
             self._zones[name].reachable = False
@@ -127,7 +133,7 @@
         return silent, checks
 
     def _is_silent(self, now: float, name: str, zone: ZoneWatch) -> bool:
-        if now - zone.heard_at <= self._silence:
+        if now - zone.last_contact_at <= self._silence:
             return False
         index = self._table.zones[name]
         gone = len(index.suspects) + zone.deaths
@@ -144,12 +150,12 @@
         had_time = now - zone.checked_at >= self._answer_time
         return had_time and zone.checks >= wanted and asked >= min(wanted, others)
 
-    def _is_doubtful(self, now: float, name: str, zone: ZoneWatch) -> bool:
+    def _needs_check(self, now: float, name: str, zone: ZoneWatch) -> bool:
         gone = len(self._table.zones[name].suspects) + zone.deaths
-        return gone > 0 and now - zone.heard_at > self._silence / 2
+        return gone > 0 and now - zone.last_contact_at > self._silence / 2
 
     def _choose_check(self, now: float, name: str, zone: ZoneWatch) -> list[MemberId]:
-        """Nobody, more often than not, where the zone is small: the whole fleet does the same now."""
+        """Return one member to ping; often none where the zone is small: the whole fleet does the same."""
         live = self._table.zones[name].live
         share = CHECKS_PER_MEMBER / CHECKS_PER_INTERVAL * len(live) / self._table.size
         if self._random.random() >= share:
@@ -170,7 +176,7 @@
         return [chosen]
 
     def _choose_anyone(self) -> list[MemberId]:
-        """Somebody who should answer: hearing nobody may be chance in a small fleet that is half cut off."""
+        """Return a member that should answer: silence may be chance in a small fleet that is half cut off."""
         for _ in range(CHECK_TRIES if len(self._table.live_ids) else 0):
             member = self._table.live_ids.choose(self._random)
             record = self._table.members[member].record
@@ -186,4 +192,5 @@
                 self.unreachable.pop(name, None)
 
     def next_deadline(self) -> float:
+        """When ``evaluate`` is to be called, in seconds on the clock of ``now``."""
         return self._evaluate_at
