--- a/benchmarks/slopes_module.py
+++ b/benchmarks/slopes_module.py
@@ -27,7 +27,7 @@
     RequestReceived,
 )
 from saltcourse.balancing.settings import RequestClass, Settings
-from saltcourse.codec.endpoint_list import read_list
+from saltcourse.codec.endpoint_list import read_endpoint_update
 from saltcourse.shared_state.state import SharedState
 
 
@@ -86,7 +86,7 @@
         }
     )
     begin = time.process_time()
-    read_list(orjson.loads(text))
+    read_endpoint_update(orjson.loads(text))
     read = 1e3 * (time.process_time() - begin)
     balancer, whole = Balancer(settings(), 1), members(servers)
     first, _ = timed(balancer, 0.0, EndpointsUpdated(EndpointUpdateKind.SNAPSHOT, whole))
--- a/saltcourse/balancing/drain_schedule.py
+++ b/saltcourse/balancing/drain_schedule.py
@@ -1,10 +1,10 @@
-"""When each standing connection of a proxy that is emptied is told MOVE: choices only, no I/O, no clock.
+"""When each established connection of a draining proxy is migrated: no I/O, no clock.
 
-Moved clients come back through the front to the other proxies (or to the process that replaces this
-one), and each of those sets their connections up again. All at once, they find set-ups slow and
-ceilings that grow a slot at a time, and many are refused. So the moves are spread evenly over the
-time that the rules leave: at each look, what still stands is moved in proportion to the time that
-is left, and whatever stands at the end is moved then.
+Migrated clients come back through the front to the other proxies (or to the process that replaces this one),
+and each of those sets their connections up again. All at once, they find slow set-ups and ceilings that grow
+a slot at a time, and many are rejected. So the migrations are spread evenly over the time that the drain
+leaves: at each check, the connections that are still established are migrated in proportion to the time
+left, and whatever is established at the end is migrated then.
 """
 
 from __future__ import annotations
@@ -13,16 +13,18 @@
 from dataclasses import dataclass
 
 
-@dataclass(slots=True)
-class DrainPlan:
-    begin: float  # s: the first moves
-    end: float  # s: all that stands is moved by then
+@dataclass(frozen=True, slots=True)
+class DrainSchedule:
+    """Spreads migrations between ``begin`` and ``end`` (s, on the clock that ``due`` is given)."""
 
-    def due(self, now: float, standing: int, step: float) -> int:
-        """How many of the ``standing`` connections are moved now; the next look comes ``step`` later."""
-        if standing <= 0 or now < self.begin:
+    begin: float  # the first migrations
+    end: float  # all are migrated by then
+
+    def due(self, now: float, established: int, interval: float) -> int:
+        """How many of the ``established`` connections to migrate now; the next check is in ``interval`` s."""
+        if established <= 0 or now < self.begin:
             return 0
-        left = self.end - now
-        if left <= step:
-            return standing
-        return min(standing, math.ceil(standing * step / left))
+        time_left = self.end - now
+        if time_left <= interval:
+            return established
+        return min(established, math.ceil(established * interval / time_left))
--- a/saltcourse/balancing/response_latency.py
+++ b/saltcourse/balancing/response_latency.py
@@ -1,118 +1,166 @@
-"""What messages take at each provider, measured from the lines that pass: no I/O, no clock.
+"""Response latency of each backend, measured from the lines that pass: no I/O, no clock.
 
-The module learns of a slow provider by delay notes: one a second for each provider while a message
-takes over a third of the shortest aim, on one of its connections, and one more when it is back
-under. Real providers send such a note, where they send any, as a ``LOAD X`` line like that of a load, and
-only the size of the figure tells which it is. Read as a load it makes a crowded provider look empty.
+The balancer learns of a slow backend by latency reports: one a second for each backend while a message takes
+over a third of the shortest latency objective on one of its connections, and one more when it is back under.
 
-Besides, the proxy takes the time from a consumer's line to the provider's next line. A line that has not been
-answered yet has taken at least its age. A provider whose echo does not queue behind its work shows nothing by
-that while it is merely crowded. One that hangs leaves lines unanswered, and their age tells of it.
+Two sources are read:
+
+1. Real backends send their latency, where they send any, as a ``LOAD X`` line like that of a load, and only
+   the size of the figure tells which it is. Read as a load it makes a crowded backend look empty.
+2. The time from a client's line to the backend's next line. A line that has not been answered yet has taken
+   at least its age. A backend whose echo does not queue behind its work shows nothing by that while it is
+   merely crowded; one that hangs leaves lines unanswered, and their age tells of it.
+
+Costs: ``silent_connections``, ``hung_backends`` and ``latency_reports`` walk over all connections.
 """
 
 from __future__ import annotations
 
 from collections import Counter
+from dataclasses import dataclass
 from statistics import median
 
-NOTE_EVERY = 1.0  # s between the notes on one provider
-HUNG_AFTER = 0.7  # s without any line back on several connections; sound providers answer in milliseconds
-HUNG_LINES = 2  # connections whose unanswered lines make a provider look hung; fewer if it has fewer
-TOLD_MOST = 1000.0  # ms; a lower figure is no load: that is in microseconds of work a second, 1,900 and more
-SILENT_AFTER = 4.0  # s without a line back; clients speak every 2 s and 7 s are allowed
+REPORT_INTERVAL_SECONDS = 1.0  # between the latency reports on one backend
+HUNG_AFTER_SECONDS = 0.7  # without any line back on several connections; healthy backends answer in ms
+HUNG_CONNECTIONS = 2  # whose unanswered lines make a backend look hung; fewer if it has fewer
+MAX_LATENCY_MILLISECONDS = 1000.0  # of a LOAD line: loads are in us of work per second, 1,900 and more
+SILENT_AFTER_SECONDS = 4.0  # without a line back; clients speak every 2 s and 7 s are allowed
 
 
-class DelayMeter:
-    """Round trips of the standing connections, by provider."""
+@dataclass(frozen=True, slots=True)
+class LatencyReport:
+    """The latency (s) of a backend, reported on one of its connections."""
 
-    def __init__(self, slow: float) -> None:
-        self.slow = slow  # a third of the shortest aim
-        self.provider: dict[str, str] = {}  # connection -> where it stands
-        self.asked: dict[str, float] = {}  # connection -> when its oldest unanswered line was sent
-        self.trips: dict[str, list[float]] = {}  # provider -> round trips since the last look
-        self.told_last: dict[str, tuple[float, float]] = {}  # provider -> when, and the ms
-        self.noted: set[str] = set()  # providers whose last note said slow
-        self.heard: dict[str, float] = {}  # provider -> when it last answered a line (unasked ones not)
+    request: str
+    latency: float
 
-    def stands(self, request: str, provider: str) -> None:
-        self.provider[request] = provider
 
-    def ended(self, request: str) -> None:
-        self.provider.pop(request, None)
-        self.asked.pop(request, None)
+@dataclass(frozen=True, slots=True)
+class _LatencyLine:
+    """The last ``LOAD`` line of a backend that told a latency."""
+
+    received: float = 0.0
+    milliseconds: float = 0.0
 
-    def line_sent(self, request: str, now: float) -> None:
-        self.asked.setdefault(request, now)
 
-    def line_back(self, request: str, now: float) -> None:
-        asked = self.asked.pop(request, None)
-        if asked is not None and request in self.provider:
-            self.heard[self.provider[request]] = now
-            self.trips.setdefault(self.provider[request], []).append(now - asked)
+NO_LATENCY_LINE = _LatencyLine()
 
-    def told(self, request: str, figure: float, now: float) -> float | None:
-        """The delay in seconds that the figure of a ``LOAD`` line tells; None when it tells a load.
 
-        What is piled up grows by no more than a second of work a second, so that the first note of a spell is
-        short; only after such a one may a longer delay be meant by a figure that could be a very small load.
+class ResponseLatencyMeter:
+    """Round trips of the established connections, by backend.
+
+    ``slow`` is the latency (s) over which a backend is reported; infinity when backends never send theirs.
+    """
+
+    def __init__(self, slow: float) -> None:
+        self.slow = slow
+        self.backend_of: dict[str, str] = {}  # by connection
+        self.unanswered_since: dict[str, float] = {}  # connection -> when its oldest unanswered line was sent
+        self.round_trips: dict[str, list[float]] = {}  # backend -> since the last reports (s)
+        self.latency_lines: dict[str, _LatencyLine] = {}  # by backend
+        self.reported_slow: set[str] = set()  # backends whose last report was over ``slow``
+        self.last_answer: dict[str, float] = {}  # backend -> when it last answered a line
+
+    def connection_established(self, request: str, backend: str) -> None:
+        """Count the connection's lines for this backend from now on."""
+        self.backend_of[request] = backend
+
+    def connection_ended(self, request: str) -> None:
+        """Forget a connection that has ended or is migrated."""
+        self.backend_of.pop(request, None)
+        self.unanswered_since.pop(request, None)
+
+    def line_sent(self, request: str, now: float) -> None:
+        """A line of the client went to its backend."""
+        self.unanswered_since.setdefault(request, now)
+
+    def line_received(self, request: str, now: float) -> None:
+        """A line of the backend, other than LOAD, came back; it answers all lines before it."""
+        sent = self.unanswered_since.pop(request, None)
+        backend = self.backend_of.get(request)
+        if sent is not None and backend is not None:
+            self.last_answer[backend] = now
+            self.round_trips.setdefault(backend, []).append(now - sent)
+
+    def latency_of_load_line(self, request: str, figure: float, now: float) -> float | None:
+        """The latency (s) that the figure of a ``LOAD`` line tells; None when it tells a load.
+
+        A backlog grows by no more than a second of work per second, so the first latency line of a spell
+        is short; only after such a one may a longer latency be meant by a figure that could be a small load.
         """
-        provider = self.provider.get(request)
-        if provider is None or self.slow == float("inf"):
+        backend = self.backend_of.get(request)
+        if backend is None or self.slow == float("inf"):
             return None
-        at, before = self.told_last.get(provider, (0.0, 0.0))
-        longer = min(before, TOLD_MOST) if now - at < 2 * NOTE_EVERY else 0.0
-        if figure >= TOLD_MOST + longer:
+        last = self.latency_lines.get(backend, NO_LATENCY_LINE)
+        in_spell = now - last.received < 2 * REPORT_INTERVAL_SECONDS
+        growth = min(last.milliseconds, MAX_LATENCY_MILLISECONDS) if in_spell else 0.0
+        if figure >= MAX_LATENCY_MILLISECONDS + growth:
             return None
-        self.told_last[provider] = now, figure
+        self.latency_lines[backend] = _LatencyLine(now, figure)
         return figure / 1000
 
-    def silent(self, now: float) -> list[str]:
-        """The connections that bring nothing back."""
-        return [r for r, asked in self.asked.items() if now - asked >= SILENT_AFTER and r in self.provider]
+    def silent_connections(self, now: float) -> list[str]:
+        """The connections on which a line has not been answered for ``SILENT_AFTER_SECONDS``."""
+        return [
+            request
+            for request, sent in self.unanswered_since.items()
+            if now - sent >= SILENT_AFTER_SECONDS and request in self.backend_of
+        ]
 
-    def hung(self, now: float) -> list[tuple[str, float]]:
-        """A connection and the delay for each provider that has stopped answering all at once.
+    def hung_backends(self, now: float) -> list[LatencyReport]:
+        """One report for each backend that has stopped answering on several connections at once.
 
-        None while no provider answers: then it is this program, or its network, that stands still.
+        None while no backend answers: then this proxy, or its network, stands still.
         """
-        since = now - HUNG_AFTER
-        if not any(at > since for at in self.heard.values()):
+        limit = now - HUNG_AFTER_SECONDS
+        if not any(answered > limit for answered in self.last_answer.values()):
             return []
         waiting: dict[str, list[tuple[float, str]]] = {}
-        for request, asked in self.asked.items():
-            provider = self.provider.get(request)
-            if provider is not None and self.heard.get(provider, 0.0) < asked <= since:
-                waiting.setdefault(provider, []).append((asked, request))
-        held = Counter(self.provider.values())
-        return [
-            (request, now - asked)
-            for provider, lines in waiting.items()
-            for asked, request in [min(lines)]
-            if len(lines) >= min(HUNG_LINES, held[provider])
-        ]
-
-    def notes(self, now: float) -> list[tuple[str, float]]:
-        """Once a second: a connection and the delay for each provider on which there is something to say."""
-        trips, self.trips = self.trips, {}
-        one: dict[str, str] = {}
-        for request, provider in self.provider.items():
-            one[provider] = request
-            age = now - self.asked.get(request, now)
-            if age > self.slow:
-                trips.setdefault(provider, []).append(age)
-        found = []
-        for provider, request in one.items():
-            if provider not in trips:
+        for request, sent in self.unanswered_since.items():
+            backend = self.backend_of.get(request)
+            if backend is not None and self.last_answer.get(backend, 0.0) < sent <= limit:
+                waiting.setdefault(backend, []).append((sent, request))
+        connections = Counter(self.backend_of.values())
+        reports = []
+        for backend, lines in waiting.items():
+            if len(lines) >= min(HUNG_CONNECTIONS, connections[backend]):
+                sent, request = min(lines)
+                reports.append(LatencyReport(request, now - sent))
+        return reports
+
+    def latency_reports(self, now: float) -> list[LatencyReport]:
+        """The reports that are due, to be asked for every ``REPORT_INTERVAL_SECONDS``.
+
+        One for each backend that is slow, and one for each that was reported slow and is not any more.
+        """
+        one_request = {backend: request for request, backend in self.backend_of.items()}
+        round_trips = self._take_round_trips(now)
+        reports = []
+        for backend, request in one_request.items():
+            if backend not in round_trips:
                 continue
-            delay = median(trips[provider])
-            if delay > self.slow:
-                self.noted.add(provider)
-            elif provider in self.noted:
-                self.noted.discard(provider)
+            latency = median(round_trips[backend])
+            was_reported_slow = backend in self.reported_slow
+            if latency > self.slow:
+                self.reported_slow.add(backend)
+            elif was_reported_slow:
+                self.reported_slow.discard(backend)
             else:
                 continue
-            found.append((request, delay))
-        self.noted.intersection_update(one)
-        self.told_last = {provider: told for provider, told in self.told_last.items() if provider in one}
-        self.heard = {provider: at for provider, at in self.heard.items() if provider in one}
-        return found
+            reports.append(LatencyReport(request, latency))
+        self._forget_backends_except(one_request)
+        return reports
+
+    def _take_round_trips(self, now: float) -> dict[str, list[float]]:
+        """The round trips since the last reports, with the ages of unanswered lines that are slow already."""
+        round_trips, self.round_trips = self.round_trips, {}
+        for request, backend in self.backend_of.items():
+            age = now - self.unanswered_since.get(request, now)
+            if age > self.slow:
+                round_trips.setdefault(backend, []).append(age)
+        return round_trips
+
+    def _forget_backends_except(self, connected: dict[str, str]) -> None:
+        self.reported_slow.intersection_update(connected)
+        self.latency_lines = {b: line for b, line in self.latency_lines.items() if b in connected}
+        self.last_answer = {b: answered for b, answered in self.last_answer.items() if b in connected}
--- a/saltcourse/cli/main.py
+++ b/saltcourse/cli/main.py
@@ -150,7 +150,7 @@
     click.echo(
         f"{config.name}: listens on {config.listen[0]}:{config.listen[1]}, asks discovery at "
         f"{config.discovery[0]}:{config.discovery[1]}; {len(config.settings.classes)} classes, "
-        f"{len(config.known.members)} known providers, {config.limits.sockets} sockets"
+        f"{len(config.known.endpoints)} known providers, {config.limits.sockets} sockets"
     )
     if settings is not None and settings.membership is not None:
         told = settings.membership
--- a/saltcourse/codec/endpoint_list.py
+++ b/saltcourse/codec/endpoint_list.py
@@ -1,4 +1,8 @@
-"""Discovery's list, in JSON, as the module's members and as addresses."""
+"""Discovery's endpoint list: from JSON to the balancer's endpoints and their addresses.
+
+The page's words: a server is a backend here, ``servers`` are the endpoints, ``full`` tells a snapshot from a
+delta, and the states SERVING, DRAINING and DELETED are ``BackendState``'s.
+"""
 
 from __future__ import annotations
 
@@ -8,6 +12,7 @@
 import orjson
 
 from saltcourse.balancing.events import BackendState, Endpoint
+from saltcourse.codec.errors import AddressError, EndpointListError
 
 STATES = {
     "SERVING": BackendState.READY,
@@ -17,72 +22,80 @@
 Address = tuple[str, int]
 
 
-class BadList(Exception):
-    """The list is not what discovery promises; the text names what is wrong."""
-
-
 @dataclass(frozen=True, slots=True)
-class Listing:
-    """A whole list or the changes to one. ``addresses`` hold for this proxy alone."""
+class EndpointUpdate:
+    """A snapshot of the endpoint list, or the changes to one.
+
+    ``addresses`` are by backend name and hold for this proxy alone.
+    """
 
     version: int
-    full: bool
-    members: tuple[Endpoint, ...]
+    is_snapshot: bool
+    endpoints: tuple[Endpoint, ...]
     addresses: dict[str, Address]
 
 
 def read_address(value: object) -> Address:
-    """``host:port``; raises ValueError."""
+    """Parse ``host:port``; raises ``AddressError``, a ``ValueError``."""
     host, colon, port = value.rpartition(":") if isinstance(value, str) else ("", "", "")
     if not (colon and host and port.isascii() and port.isdigit() and 0 < int(port[:6]) < 65536):
-        raise ValueError("not host:port")
+        raise AddressError("not host:port")
     return host.strip("[]"), int(port)
 
 
-def _value(entry: dict[str, Any], key: str, kind: type | tuple[type, ...], default: Any) -> Any:
-    value = entry.get(key, default)
-    if not isinstance(value, kind) or isinstance(value, bool):
-        raise BadList(f"servers: '{key}' is missing or of the wrong type")
-    return value
-
-
-def read_list(value: object) -> Listing:
-    """A list as parsed from JSON, checked."""
+def read_endpoint_update(value: object) -> EndpointUpdate:
+    """Check and convert an update as parsed from JSON; raises ``EndpointListError``."""
     if not isinstance(value, dict):
-        raise BadList("not an object")
-    version, full, entries = value.get("version"), value.get("full"), value.get("servers")
+        raise EndpointListError("not an object")
+    version, is_snapshot, entries = value.get("version"), value.get("full"), value.get("servers")
     if not isinstance(version, int) or isinstance(version, bool) or version < 0:
-        raise BadList("'version' is not a whole number")
-    if not isinstance(full, bool) or not isinstance(entries, list):
-        raise BadList("'full' or 'servers' is missing or of the wrong type")
-    members, addresses = [], {}
+        raise EndpointListError("'version' is not a whole number")
+    if not isinstance(is_snapshot, bool) or not isinstance(entries, list):
+        raise EndpointListError("'full' or 'servers' is missing or of the wrong type")
+    endpoints, addresses = [], {}
     for entry in entries:
-        if not isinstance(entry, dict):
-            raise BadList("servers: an entry that is not an object")
-        name, state = _value(entry, "id", str, None), STATES.get(str(entry.get("state")))
-        if state is None:
-            raise BadList("servers: 'state' is missing or unknown")
-        members.append(
-            Endpoint(
-                name,
-                state,
-                _value(entry, "zone", str, ""),
-                _value(entry, "kind", str, ""),
-                _value(entry, "cell", int, 0),
-                float(_value(entry, "weight", (int, float), 1.0)),
-                _value(entry, "started_ms", (int, float), 0) / 1000,
-            )
-        )
-        if "addr" in entry or state is not BackendState.REMOVED:
-            try:
-                addresses[name] = read_address(entry.get("addr"))
-            except ValueError:
-                raise BadList("servers: 'addr' is not host:port") from None
-    return Listing(version, full, tuple(members), addresses)
-
-
-def parse_list(body: bytes | bytearray) -> Listing:
+        endpoint = _read_endpoint(entry)
+        endpoints.append(endpoint)
+        if "addr" in entry or endpoint.state is not BackendState.REMOVED:
+            addresses[endpoint.backend] = _read_endpoint_address(entry)
+    return EndpointUpdate(version, is_snapshot, tuple(endpoints), addresses)
+
+
+def decode_endpoint_update(body: bytes | bytearray) -> EndpointUpdate:
+    """Decode the body of discovery's response; raises ``EndpointListError``."""
     try:
-        return read_list(orjson.loads(body))
-    except orjson.JSONDecodeError as wrong:
-        raise BadList(f"not JSON: {wrong}") from None
+        return read_endpoint_update(orjson.loads(body))
+    except orjson.JSONDecodeError as error:
+        raise EndpointListError(f"not JSON: {error}") from None
+
+
+def _read_endpoint(entry: object) -> Endpoint:
+    if not isinstance(entry, dict):
+        raise EndpointListError("servers: an entry that is not an object")
+    backend = _field(entry, "id", str, None)
+    state = STATES.get(str(entry.get("state")))
+    if state is None:
+        raise EndpointListError("servers: 'state' is missing or unknown")
+    return Endpoint(
+        backend=backend,
+        state=state,
+        zone=_field(entry, "zone", str, ""),
+        kind=_field(entry, "kind", str, ""),
+        cell=_field(entry, "cell", int, 0),
+        weight=float(_field(entry, "weight", (int, float), 1.0)),
+        started=_field(entry, "started_ms", (int, float), 0) / 1000,
+    )
+
+
+def _read_endpoint_address(entry: dict[str, Any]) -> Address:
+    try:
+        return read_address(entry.get("addr"))
+    except AddressError:
+        raise EndpointListError("servers: 'addr' is not host:port") from None
+
+
+def _field(entry: dict[str, Any], key: str, kind: type | tuple[type, ...], default: Any) -> Any:
+    value = entry.get(key, default)
+    if not isinstance(value, kind) or isinstance(value, bool):
+        raise EndpointListError(f"servers: '{key}' is missing or of the wrong type")
+    return value
--- a/saltcourse/codec/http.py
+++ b/saltcourse/codec/http.py
@@ -1,96 +1,118 @@
-"""As much of HTTP/1.1 as discovery needs: one GET on a connection of its own, and the answer to it."""
+"""As much of HTTP/1.1 as discovery needs: one GET on a connection of its own, and its response.
 
-from __future__ import annotations
+The response passes through three states:
+
+    HEAD --blank line--> BODY --Content-Length reached, last chunk, or end of a body without a length--> done
+"""
 
-LONGEST_HEAD = 16 * 1024
-LONGEST_BODY = 8 * 1024 * 1024  # tens of thousands of providers
-END = b"\r\n"
+from __future__ import annotations
 
+from saltcourse.codec.errors import HttpResponseError
 
-class BadAnswer(Exception):
-    """Discovery's answer cannot be used; the text says why."""
+MAX_HEAD_BYTES = 16 * 1024
+MAX_BODY_BYTES = 8 * 1024 * 1024  # tens of thousands of backends
+LINE_END = b"\r\n"
+HEAD_END = LINE_END + LINE_END
 
 
-def get(host: str, target: str) -> bytes:
+def get_request(host: str, target: str) -> bytes:
+    """A GET request for ``target`` after which the server is to close the connection."""
     return (
         f"GET {target} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\nConnection: close\r\n\r\n"
     ).encode()
 
 
-class Answer:
-    """Grows with what is fed to it until ``done``; then ``body`` is whole."""
+class ResponseParser:
+    """Collects a response from the bytes fed to it until ``done``; then ``body`` is complete."""
 
     def __init__(self) -> None:
         self.status = 0
         self.body = bytearray()
         self.done = False
-        self._raw = bytearray()
-        self._length: int | None = None
-        self._chunked = False
+        self._received = bytearray()  # not parsed yet
+        self._content_length: int | None = None
+        self._is_chunked = False
         self._in_body = False
 
     def feed(self, data: memoryview | bytes) -> None:
-        self._raw += data
+        """Take in received bytes; raises ``HttpResponseError``."""
+        self._received += data
         if not self._in_body:
-            self._read_head()
+            self._parse_head()
         if self._in_body and not self.done:
-            self._read_body()
-        if len(self.body) + len(self._raw) > LONGEST_BODY + LONGEST_HEAD:
-            raise BadAnswer("an answer that is too long")
+            self._parse_body()
+        if len(self.body) + len(self._received) > MAX_BODY_BYTES + MAX_HEAD_BYTES:
+            raise HttpResponseError("a response that is too long")
+
+    def feed_eof(self) -> None:
+        """The connection has ended, which completes only a body that has no other mark of its end.
 
-    def ended(self) -> None:
-        """The connection has ended: that is right only where nothing else marks the body's end."""
-        if self._in_body and self._length is None and not self._chunked:
+        Raises ``HttpResponseError`` when the response is incomplete.
+        """
+        if self._in_body and self._content_length is None and not self._is_chunked:
             self.done = True
         if not self.done:
-            raise BadAnswer("the connection ended within an answer")
+            raise HttpResponseError("the connection ended within a response")
 
-    def _read_head(self) -> None:
-        stop = self._raw.find(END + END)
+    def _parse_head(self) -> None:
+        stop = self._received.find(HEAD_END)
         if stop < 0:
-            if len(self._raw) > LONGEST_HEAD:
-                raise BadAnswer("a head that is too long")
+            if len(self._received) > MAX_HEAD_BYTES:
+                raise HttpResponseError("a head that is too long")
             return
-        lines = bytes(self._raw[:stop]).split(END)
-        del self._raw[: stop + 4]
-        first = lines[0].split(b" ", 2)
-        if len(first) < 2 or not first[0].startswith(b"HTTP/1.") or not first[1].isdigit():
-            raise BadAnswer("not an HTTP/1.1 status line")
-        self.status = int(first[1])
-        for line in lines[1:]:
-            name, _, value = line.partition(b":")
-            name, value = name.strip().lower(), value.strip()
-            if name == b"content-length":
-                if not value.isdigit():
-                    raise BadAnswer("a Content-Length that is no number")
-                self._length = int(value)
-            elif name == b"transfer-encoding":
-                self._chunked = value.lower() == b"chunked"
+        status_line, *headers = bytes(self._received[:stop]).split(LINE_END)
+        del self._received[: stop + len(HEAD_END)]
+        self._parse_status_line(status_line)
+        for header in headers:
+            self._parse_header(header)
         self._in_body = True
 
-    def _read_body(self) -> None:
-        if self._chunked:
-            self._read_chunks()
+    def _parse_status_line(self, line: bytes) -> None:
+        words = line.split(b" ", 2)
+        if len(words) < 2 or not words[0].startswith(b"HTTP/1.") or not words[1].isdigit():
+            raise HttpResponseError("not an HTTP/1.1 status line")
+        self.status = int(words[1])
+
+    def _parse_header(self, line: bytes) -> None:
+        name, _, value = line.partition(b":")
+        name, value = name.strip().lower(), value.strip()
+        if name == b"content-length":
+            if not value.isdigit():
+                raise HttpResponseError("a Content-Length that is no number")
+            self._content_length = int(value)
+        elif name == b"transfer-encoding":
+            self._is_chunked = value.lower() == b"chunked"
+
+    def _parse_body(self) -> None:
+        if self._is_chunked:
+            self._parse_chunks()
             return
-        self.body += self._raw
-        self._raw.clear()
-        if self._length is not None and len(self.body) >= self._length:
-            del self.body[self._length :]
+        self.body += self._received
+        self._received.clear()
+        if self._content_length is not None and len(self.body) >= self._content_length:
+            del self.body[self._content_length :]
             self.done = True
 
-    def _read_chunks(self) -> None:
+    def _parse_chunks(self) -> None:
         while not self.done:
-            stop = self._raw.find(END)
+            stop = self._received.find(LINE_END)
             if stop < 0:
                 return
-            try:
-                size = int(bytes(self._raw[:stop]).split(b";")[0], 16)
-            except ValueError:
-                raise BadAnswer("a chunk without a size") from None
-            if size < 0:
-                raise BadAnswer("a chunk of negative size")
-            if len(self._raw) < stop + 2 + size + 2:
+            size = _chunk_size(bytes(self._received[:stop]))
+            start = stop + len(LINE_END)
+            end = start + size + len(LINE_END)
+            if len(self._received) < end:
                 return
-            self.body += self._raw[stop + 2 : stop + 2 + size]
-            del self._raw[: stop + 2 + size + 2]
+            self.body += self._received[start : start + size]
+            del self._received[:end]
             self.done = size == 0
+
+
+def _chunk_size(line: bytes) -> int:
+    try:
+        size = int(line.split(b";")[0], 16)
+    except ValueError:
+        raise HttpResponseError("a chunk without a size") from None
+    if size < 0:
+        raise HttpResponseError("a chunk of negative size")
+    return size
--- a/saltcourse/codec/lines.py
+++ b/saltcourse/codec/lines.py
@@ -1,7 +1,24 @@
-"""The line protocol of consumers and providers: CRLF lines of at most 4 KiB, and their meanings.
-
-A ``LineBuffer`` is read into directly, and hands out slices of itself; whoever needs a line beyond
-the next ``fill`` copies it.
+"""The line protocol of clients and backends: CRLF lines of at most 4 KiB, and what they mean.
+
+The protocol's words are mapped to the terms of the code here and nowhere else:
+
+    OPEN id key fields     a request                        OpenRequest
+      c=, t=, g=             request class, tenant, group
+      d=                     ms until the client gives up   time_left
+      h=                     expected load                  load_hint
+      r=1, again=1           a retry; came back after BUSY or MOVE
+      at=                    established at this backend before the proxy's start
+    UP receipt             the backend takes the connection
+    BUSY [ms]              rejected, with a Retry-After in ms
+    ERR                    failed
+    MOVE                   the client is to reconnect: the connection is migrated
+    BYE                    the backend ends the connection in good order
+    LOAD x                 the connection's load, in microseconds of work per second
+    PING, STATS            health check, the latter asks for a load report
+    PONG [fields], NO      healthy, perhaps with a load report; no health check is answered now
+
+A ``LineBuffer`` is read into directly and hands out slices of itself; whoever needs a line beyond
+the next read copies it.
 """
 
 from __future__ import annotations
@@ -10,12 +27,21 @@
 from dataclasses import dataclass
 
 from saltcourse.balancing.events import LoadReport
-
-MICRO = 1e-6  # LOAD tells microseconds of work a second
-LONGEST_LINE = 4096  # bytes, CRLF included
-LONGEST_WAIT_MS = 60_000  # no client waits longer than a minute for UP: a larger `d` is a mistake,
-LONGEST_RESUME_MS = 86_400_000  # but on a connection from before the start, which may come at its leisure
-END = b"\r\n"
+from saltcourse.codec.errors import ProtocolError
+
+MICRO = 1e-6  # LOAD is in microseconds of work per second
+MAX_LINE_BYTES = 4096  # CRLF included
+MAX_TIMEOUT_MILLISECONDS = 60_000  # no client waits longer for UP: a larger `d` is a mistake
+MAX_RESUME_TIMEOUT_MILLISECONDS = 86_400_000  # of a connection from before the proxy's start
+MAX_TIMEOUT_DIGITS = 12
+LINE_END = b"\r\n"
+OPEN_PREFIX = b"OPEN "
+LOAD_PREFIX = b"LOAD "
+UP, BUSY, ERR, MOVE, BYE = b"UP", b"BUSY", b"ERR", b"MOVE", b"BYE"
+PING, PONG, STATS, NO = b"PING", b"PONG", b"STATS", b"NO"
+MOVE_LINE = MOVE + LINE_END
+FAIL_LINE = ERR + LINE_END
+PONG_LINE = PONG + LINE_END
 REPORT_FIELDS = {  # the simulator's word for a field and the sockets' own, where they differ
     "rif": "inflight",
     "inflight": "inflight",
@@ -26,157 +52,191 @@
     "x0": "load",
     "x1": "backlog",
 }
-PING, PONG, STATS, NO = b"PING", b"PONG", b"STATS", b"NO"
-MOVE_LINE, FAIL_LINE, PONG_LINE = b"MOVE\r\n", b"ERR\r\n", b"PONG\r\n"
-
-
-class BadLine(Exception):
-    """A peer sent what the protocol does not allow; the text says what."""
 
 
 class LineBuffer:
-    """A fixed buffer with what has been read and not yet passed on."""
+    """A fixed buffer of what has been read and not yet passed on."""
 
-    __slots__ = ("_bytes", "_start", "_end", "_seen")
+    __slots__ = ("_bytes", "_start", "_end", "_searched")
 
-    def __init__(self, size: int = 2 * LONGEST_LINE) -> None:
+    def __init__(self, size: int = 2 * MAX_LINE_BYTES) -> None:
         self._bytes = bytearray(size)
         self._start = self._end = 0
-        self._seen = 0  # up to here no line end was found, so it is not looked for again
+        self._searched = 0  # no line end stands before this index
 
-    def room(self) -> memoryview:
+    def free_space(self) -> memoryview:
         """Where the next bytes are to be read into; empty when the buffer is full."""
         if self._start:
             kept = self._end - self._start
             self._bytes[:kept] = self._bytes[self._start : self._end]
-            self._start, self._end, self._seen = 0, kept, max(0, self._seen - self._start)
+            self._searched = max(0, self._searched - self._start)
+            self._start, self._end = 0, kept
         return memoryview(self._bytes)[self._end :]
 
-    def filled(self, count: int) -> None:
+    def commit(self, count: int) -> None:
+        """Count in the bytes that were read into the free space."""
         self._end += count
 
     @property
-    def pending(self) -> bool:
+    def has_data(self) -> bool:
+        """Whether anything has been read and not yet taken out."""
         return self._end > self._start
 
-    def line(self) -> memoryview | None:
-        """The first whole line with its CRLF, taken out of the buffer; None when there is none yet."""
-        found = self._bytes.find(END, max(self._start, self._seen - 1), self._end)
+    def next_line(self) -> memoryview | None:
+        """Take out the first whole line, with its CRLF; None when there is none yet.
+
+        Raises ``ProtocolError`` for a line over ``MAX_LINE_BYTES``.
+        """
+        found = self._bytes.find(LINE_END, max(self._start, self._searched - 1), self._end)
         if found < 0:
-            self._seen = self._end
-            if self._end - self._start >= LONGEST_LINE:
-                raise BadLine("a line over 4 KiB")
+            self._searched = self._end
+            if self._end - self._start >= MAX_LINE_BYTES:
+                raise ProtocolError("a line over 4 KiB")
             return None
-        stop = found + len(END)
-        if stop - self._start > LONGEST_LINE:
-            raise BadLine("a line over 4 KiB")
+        stop = found + len(LINE_END)
+        if stop - self._start > MAX_LINE_BYTES:
+            raise ProtocolError("a line over 4 KiB")
         line = memoryview(self._bytes)[self._start : stop]
-        self._start = self._seen = stop
+        self._start = self._searched = stop
         return line
 
-    def rest(self) -> memoryview:
-        """All that is left, a part of a line perhaps; taken out of the buffer."""
-        left = memoryview(self._bytes)[self._start : self._end]
-        self._start = self._seen = self._end
-        return left
+    def take_remaining(self) -> memoryview:
+        """Take out all that is left, perhaps a part of a line."""
+        remaining = memoryview(self._bytes)[self._start : self._end]
+        self._start = self._searched = self._end
+        return remaining
 
 
 @dataclass(frozen=True, slots=True)
-class OpenLine:
-    """A client's first line: what it asks for, and the line itself, cut around the figure of ``d``."""
+class OpenRequest:
+    """A client's OPEN line: what it asks for, and the line itself, cut around the figure of ``d``.
+
+    ``time_left`` is in seconds; ``key`` is the same with each of the client's retries. ``resume_backend`` is
+    empty, or names the backend at which the connection was established before this proxy's start.
+    """
 
     request: str
     key: str
-    klass: str
-    wait: float  # s
+    request_class: str
+    time_left: float
     tenant: str
     group: str
     load_hint: float
-    repeat: bool
+    is_retry: bool
     came_back: bool
-    at: str
-    head: bytes
-    tail: bytes
+    resume_backend: str
+    before_timeout: bytes
+    after_timeout: bytes
+
+    def with_timeout(self, seconds: float) -> bytes:
+        """The line for a backend: as the client sent it, but for how long the proxy will wait."""
+        milliseconds = max(1, math.floor(seconds * 1000))
+        return b"%s%d%s" % (self.before_timeout, milliseconds, self.after_timeout)
 
-    def with_wait(self, seconds: float) -> bytes:
-        """The line as a provider is to get it: unchanged but for how long the proxy will wait."""
-        return b"%s%d%s" % (self.head, max(1, math.floor(seconds * 1000)), self.tail)
 
+def parse_open(line: memoryview) -> OpenRequest:
+    """Parse a whole OPEN line; it is copied, for it is sent with every attempt.
 
-def read_open(line: memoryview) -> OpenLine:
-    """Parse a whole OPEN line; it is copied, for it is sent on with every attempt."""
+    Raises ``ProtocolError``.
+    """
     raw = bytes(line)
-    if not raw.startswith(b"OPEN "):  # what floods in is mostly no OPEN line at all
-        raise BadLine("not an OPEN line")
+    if not raw.startswith(OPEN_PREFIX):  # what floods in is mostly no OPEN line at all
+        raise ProtocolError("not an OPEN line")
     try:
         text = raw.decode()
     except UnicodeDecodeError:
-        raise BadLine("a line that is not UTF-8") from None
+        raise ProtocolError("a line that is not UTF-8") from None
     words = text[:-2].split(" ")
     if len(words) != 4 or not all(words):
-        raise BadLine("not an OPEN line of four words")
-    values: dict[str, str] = {}
-    for pair in words[3].split(","):
+        raise ProtocolError("not an OPEN line of four words")
+    fields = _parse_fields(words[3])
+    timeout = _timeout_digits(fields)
+    if "c" not in fields:
+        raise ProtocolError("OPEN: no 'c'")
+    load_hint = _parse_load_hint(fields)
+    timeout_start = _timeout_index(raw)
+    return OpenRequest(
+        request=words[1],
+        key=words[2],
+        request_class=fields["c"],
+        time_left=int(timeout) / 1000,
+        tenant=fields.get("t", ""),
+        group=fields.get("g", ""),
+        load_hint=load_hint,
+        is_retry=fields.get("r") == "1",
+        came_back=fields.get("again") == "1",
+        resume_backend=fields.get("at", ""),
+        before_timeout=raw[:timeout_start],
+        after_timeout=raw[timeout_start + len(timeout) :],
+    )
+
+
+def _parse_fields(text: str) -> dict[str, str]:
+    """``name=value`` pairs with commas between them; raises ``ProtocolError``."""
+    fields: dict[str, str] = {}
+    for pair in text.split(","):
         name, equals, value = pair.partition("=")
-        if not equals or name in values:
-            raise BadLine(f"OPEN: '{name[:20]}' has no value or stands twice")
-        values[name] = value
-    wait = values.get("d", "")
-    longest = LONGEST_RESUME_MS if values.get("at") else LONGEST_WAIT_MS
-    if not (wait.isascii() and wait.isdigit()) or len(wait) > 12 or not 0 < int(wait) <= longest:
-        raise BadLine("OPEN: 'd' is not a sound number of milliseconds")
-    if "c" not in values:
-        raise BadLine("OPEN: no 'c'")
+        if not equals or name in fields:
+            raise ProtocolError(f"OPEN: '{name[:20]}' has no value or stands twice")
+        fields[name] = value
+    return fields
+
+
+def _timeout_digits(fields: dict[str, str]) -> str:
+    """The figure of ``d`` as it stands in the line; raises ``ProtocolError``."""
+    digits = fields.get("d", "")
+    longest = MAX_RESUME_TIMEOUT_MILLISECONDS if fields.get("at") else MAX_TIMEOUT_MILLISECONDS
+    is_number = digits.isascii() and digits.isdigit() and len(digits) <= MAX_TIMEOUT_DIGITS
+    if not is_number or not 0 < int(digits) <= longest:
+        raise ProtocolError("OPEN: 'd' is not a sound number of milliseconds")
+    return digits
+
+
+def _parse_load_hint(fields: dict[str, str]) -> float:
+    """The figure of ``h``, 0 where there is none; raises ``ProtocolError``."""
     try:
-        hint = float(values.get("h", "0"))
+        hint = float(fields.get("h", "0"))
     except ValueError:
         hint = math.nan
     if not (math.isfinite(hint) and hint >= 0):
-        raise BadLine("OPEN: 'h' is not a number of 0 or more")
-    listed = raw.rindex(b" ") + 1
-    start = listed if raw.startswith(b"d=", listed) else raw.index(b",d=", listed) + 1
-    start += 2
-    return OpenLine(
-        request=words[1],
-        key=words[2],
-        klass=values["c"],
-        wait=int(wait) / 1000,
-        tenant=values.get("t", ""),
-        group=values.get("g", ""),
-        load_hint=hint,
-        repeat=values.get("r") == "1",
-        came_back=values.get("again") == "1",
-        at=values.get("at", ""),
-        head=raw[:start],
-        tail=raw[start + len(wait) :],
-    )
+        raise ProtocolError("OPEN: 'h' is not a number of 0 or more")
+    return hint
+
+
+def _timeout_index(raw: bytes) -> int:
+    """Where the figure of ``d`` begins in a line that is known to have one."""
+    fields_start = raw.rindex(b" ") + 1
+    if raw.startswith(b"d=", fields_start):
+        return fields_start + len(b"d=")
+    return raw.index(b",d=", fields_start) + len(b",d=")
 
 
 def busy_line(retry_after: float) -> bytes:
-    """A refusal; the client is told in whole milliseconds when to come again."""
+    """A rejection; the client is told in whole milliseconds when to come again (``retry_after`` in s)."""
     return b"BUSY %d\r\n" % round(retry_after * 1000) if retry_after > 0 else b"BUSY\r\n"
 
 
 def word_of(line: memoryview) -> bytes:
-    """A line's first word, which tells what the line is."""
+    """The first word of a line, which tells what the line is."""
     return bytes(line[:-2]).split(b" ", 1)[0]
 
 
-def load_of(line: memoryview) -> float | None:
-    """The figure of a ``LOAD X`` line; None when this is another line or X is no figure."""
-    if bytes(line[:5]) != b"LOAD ":
+def parse_load(line: memoryview) -> float | None:
+    """The figure of a ``LOAD X`` line; None when it is another line or X is no figure."""
+    if bytes(line[: len(LOAD_PREFIX)]) != LOAD_PREFIX:
         return None
     try:
-        value = float(bytes(line[5:-2]))
+        value = float(bytes(line[len(LOAD_PREFIX) : -2]))
     except ValueError:
         return None
     return value if math.isfinite(value) and value >= 0 else None
 
 
-def report_of(line: memoryview) -> LoadReport | None:
+def parse_load_report(line: memoryview) -> LoadReport | None:
     """The load report behind a line's first word, ``PONG q=2,x0=0.61``; None where none follows.
 
-    A field of another name, or a figure that is none, is passed over: it must not void the others."""
+    A field of another name, or a value that is no figure, is passed over: the others still count.
+    """
     values: dict[str, float] = {}
     for pair in bytes(line[:-2]).partition(b" ")[2].decode("latin-1").split(","):
         name, _, figure = pair.partition("=")
--- a/saltcourse/config/__init__.py
+++ b/saltcourse/config/__init__.py
@@ -17,7 +17,8 @@
 import orjson
 
 from saltcourse.balancing.settings import Settings
-from saltcourse.codec.endpoint_list import Address, BadList, Listing, read_address, read_list
+from saltcourse.codec.endpoint_list import Address, EndpointUpdate, read_address, read_endpoint_update
+from saltcourse.codec.errors import EndpointListError
 from saltcourse.codec.json_fields import Malformed, is_finite_number
 from saltcourse.config.deployment_settings import read_settings
 
@@ -55,7 +56,7 @@
     discovery: Address
     seed: int
     limits: Limits
-    known: Listing
+    known: EndpointUpdate
     settings: Settings
     tells_delay: bool
     admin: Address | None = None  # the operators' address; none, and nobody can call
@@ -127,8 +128,8 @@
     except Malformed as wrong:
         raise ConfigError(f"'settings': {wrong}") from None
     try:
-        known = read_list(values.get("known", {"version": 0, "full": True, "servers": []}))
-    except BadList as wrong:
+        known = read_endpoint_update(values.get("known", {"version": 0, "full": True, "servers": []}))
+    except EndpointListError as wrong:
         raise ConfigError(f"'known': {wrong}") from None
     extra = _object(settings.get("extra"), "settings.extra")
     return Config(
--- a/saltcourse/proxy/attempt.py
+++ b/saltcourse/proxy/attempt.py
@@ -10,7 +10,8 @@
 
 from saltcourse.balancing.events import AttemptStatus, HealthCheckFinished, LoadReport
 from saltcourse.codec.endpoint_list import Address
-from saltcourse.codec.lines import NO, PING, PONG, STATS, BadLine, load_of, report_of, word_of
+from saltcourse.codec.errors import ProtocolError
+from saltcourse.codec.lines import NO, PING, PONG, STATS, parse_load, parse_load_report, word_of
 from saltcourse.proxy.actor import Actor
 from saltcourse.proxy.clock import Clock
 from saltcourse.proxy.messages import CallEnded, CallUp, ToInvocation
@@ -122,7 +123,7 @@
             return (AttemptStatus.TIMEOUT if self._ran() else AttemptStatus.CONNECT_FAILED), False
         except PeerReset:
             return (AttemptStatus.RESET if self._ran() else AttemptStatus.CONNECT_FAILED), True
-        except BadLine:
+        except ProtocolError:
             return AttemptStatus.ERROR, False
         except NotWanted:
             return AttemptStatus.NOT_SENT, False
@@ -146,7 +147,7 @@
                 raise NotWanted
             await peer.write(self._line)
             while (line := await self._next_line()) is not None:
-                load = load_of(line)
+                load = parse_load(line)
                 if load is None:
                     break
                 self._on_line(line)  # a provider that tells the load before it has answered
@@ -154,7 +155,7 @@
 
     async def _next_line(self) -> memoryview | None:
         assert self.peer is not None
-        while (line := self.peer.buffer.line()) is None:
+        while (line := self.peer.buffer.next_line()) is None:
             if not await self.peer.fill():
                 return None
         return line
@@ -171,12 +172,12 @@
                 word = word_of(line)
                 self._on_line(line)
                 await self.owner.deliver(line)
-            rest = self.peer.buffer.rest()
+            rest = self.peer.buffer.take_remaining()
             if len(rest) and not self.silenced:
                 await self.owner.deliver(rest)
         except PeerReset:
             return AttemptStatus.RESET, True
-        except BadLine:
+        except ProtocolError:
             return AttemptStatus.RESET, True
         if word == b"BYE":
             return AttemptStatus.OK, False
@@ -213,7 +214,7 @@
             status = AttemptStatus.TIMEOUT
         except PeerReset:
             status = AttemptStatus.CONNECT_FAILED
-        except BadLine:
+        except ProtocolError:
             status = AttemptStatus.ERROR
         self._told(HealthCheckFinished(self._server, status, self._clock.now() - began, report))
 
@@ -221,13 +222,13 @@
         peer = self._peer = Peer(open_socket(address))
         await peer.connect(address)
         await peer.write((STATS if self._stats else PING) + b"\r\n")
-        while (line := peer.buffer.line()) is None:
+        while (line := peer.buffer.next_line()) is None:
             if not await peer.fill():
                 return AttemptStatus.RESET, None
         word = word_of(line)
         if word == NO:
             return AttemptStatus.NOT_SENT, None
-        return (AttemptStatus.OK if word == PONG else AttemptStatus.ERROR), report_of(line)
+        return (AttemptStatus.OK if word == PONG else AttemptStatus.ERROR), parse_load_report(line)
 
     def cleanup(self) -> None:
         if self._peer is not None:
--- a/saltcourse/proxy/client_connection.py
+++ b/saltcourse/proxy/client_connection.py
@@ -26,17 +26,17 @@
 )
 from saltcourse.balancing.settings import Settings
 from saltcourse.codec.endpoint_list import Address
+from saltcourse.codec.errors import ProtocolError
 from saltcourse.codec.lines import (
     FAIL_LINE,
     MICRO,
     MOVE_LINE,
     PING,
     PONG_LINE,
-    BadLine,
-    OpenLine,
+    OpenRequest,
     busy_line,
-    load_of,
-    read_open,
+    parse_load,
+    parse_open,
     word_of,
 )
 from saltcourse.metrics import Metrics
@@ -110,7 +110,7 @@
     def claim(self, request: str) -> None:
         """Ids are new with every connection: whoever uses one that is open must not touch its owner."""
         if request in self._open:
-            raise BadLine("OPEN: an id that is open")
+            raise ProtocolError("OPEN: an id that is open")
         self._open.add(request)
 
     def release(self, request: str) -> None:
@@ -130,7 +130,7 @@
         super().__init__("consumer")
         self.peer, self.host = peer, host
         self.stage = Stage.OPENING
-        self.opened: OpenLine | None = None
+        self.opened: OpenRequest | None = None
         self.request = ""
         self.deadline = 0.0
         self.call: InvokerCall | None = None
@@ -186,7 +186,7 @@
         self.host.doorstep.came(self)
         try:
             self.opened = await self._first_line()
-        except BadLine as wrong:
+        except ProtocolError as wrong:
             self.host.bad_line(str(wrong))
             self._opens_no_more()
             await dismiss(self.peer, FAIL_LINE, DISMISS_TIME, DISMISS_BYTES)
@@ -197,11 +197,13 @@
             return
         self._opens_no_more()
         if self.host.short():
-            self.host.figures.reply(self.opened.klass, "overload")
+            self.host.figures.reply(self.opened.request_class, "overload")
             busy = busy_line(self.host.settings.longest_retry_after)
             await dismiss(self.peer, busy, DISMISS_TIME, DISMISS_BYTES)
             return
-        wait = min(self.opened.wait, RESUME_TIME) if self.opened.at else self.opened.wait
+        wait = (
+            min(self.opened.time_left, RESUME_TIME) if self.opened.resume_backend else self.opened.time_left
+        )
         wait = max(0.001, min(wait, self.host.answer_by - self.host.clock.now()))
         self.deadline = self.host.clock.now() + wait
         self.stage = Stage.WAITING
@@ -209,7 +211,7 @@
         loop = asyncio.get_running_loop()
         guard = loop.call_later(wait + OVERDUE, self.tell, Forfeit("no answer in time"))
         try:
-            if self.opened.at:
+            if self.opened.resume_backend:
                 self._resume(self.opened)
             else:
                 self.host.tell_decider(Arrived(self, self._event(self.opened, wait)))
@@ -219,7 +221,7 @@
             guard.cancel()
             self._released.set()
 
-    async def _first_line(self) -> OpenLine | None:
+    async def _first_line(self) -> OpenRequest | None:
         """The OPEN line; the front's PINGs before it are answered. None when the client has left."""
         self._leave_in(FIRST_LINE_TIME)
         while (line := await self._next_line()) is not None and word_of(line) == PING:
@@ -228,7 +230,7 @@
                 continue
             await self.peer.write(PONG_LINE)
             self.host.doorstep.came(self)
-            if not self.peer.buffer.pending:
+            if not self.peer.buffer.has_data:
                 self._rests = True
                 self._leave_in(PING_TIME)
                 if not await self.peer.fill():
@@ -237,22 +239,22 @@
             self._leave_in(FIRST_LINE_TIME)
         if line is None:
             return None
-        opened = read_open(line)
-        if opened.klass not in self.host.classes:
-            raise BadLine("OPEN: a class that is not in the settings")
-        if self.peer.buffer.pending:
+        opened = parse_open(line)
+        if opened.request_class not in self.host.classes:
+            raise ProtocolError("OPEN: a class that is not in the settings")
+        if self.peer.buffer.has_data:
             # The client has to wait for its answer. Of many commands at once no provider may see the others,
             # and to serve the first alone would look to the client as if one of those had run.
-            raise BadLine("OPEN: more than one line at once")
+            raise ProtocolError("OPEN: more than one line at once")
         self.host.claim(opened.request)
         self.request = opened.request
         return opened
 
     async def _next_line(self) -> memoryview | None:
         """None when the client has ended; once we leave, what it says is thrown away."""
-        while (line := None if self._leaving else self.peer.buffer.line()) is None:
+        while (line := None if self._leaving else self.peer.buffer.next_line()) is None:
             if self._leaving:
-                self.peer.buffer.rest()
+                self.peer.buffer.take_remaining()
             if not await self.peer.fill():
                 return None
         return line
@@ -283,7 +285,7 @@
         loop = asyncio.get_running_loop()
         if again and self.peer.has_unread():
             self._leave_at = loop.call_later(CROSSING, self._time_is_up, False)
-        elif self.peer.buffer.pending and loop.time() < self._rest_of_line:
+        elif self.peer.buffer.has_data and loop.time() < self._rest_of_line:
             self._leave_at = loop.call_at(self._rest_of_line, self._time_is_up)
         else:
             self.leave()
@@ -314,16 +316,16 @@
             self._leave_in(0.0 if self._rests else quiet)
 
     @staticmethod
-    def _event(opened: OpenLine, patience: float) -> RequestReceived:
+    def _event(opened: OpenRequest, patience: float) -> RequestReceived:
         return RequestReceived(
             opened.request,
-            opened.klass,
+            opened.request_class,
             patience,
             opened.tenant,
             opened.load_hint,
             opened.key,
             opened.group,
-            opened.repeat,
+            opened.is_retry,
             False,
             opened.came_back,
         )
@@ -333,19 +335,23 @@
         reset = False
         try:
             while True:
-                if self.peer.buffer.pending:
-                    if self.stage is Stage.WAITING and self.opened is not None and not self.opened.at:
+                if self.peer.buffer.has_data:
+                    if (
+                        self.stage is Stage.WAITING
+                        and self.opened is not None
+                        and not self.opened.resume_backend
+                    ):
                         self.tell(Forfeit("the client did not wait for its answer"))
                     await self._released.wait()
-                while (line := self.peer.buffer.line()) is not None:
+                while (line := self.peer.buffer.next_line()) is not None:
                     await self._to_provider(line)
                 if not await self.peer.fill():
                     break
             if self._released.is_set():
-                await self._to_provider(self.peer.buffer.rest())
+                await self._to_provider(self.peer.buffer.take_remaining())
         except PeerReset:
             reset = True
-        except BadLine as wrong:
+        except ProtocolError as wrong:
             log.info("bad line from a client", reason=str(wrong))
             reset = True
         self.tell(ClientEnded(reset))
@@ -407,7 +413,7 @@
             place.attempt,
             place.server,
             place.address,
-            self.opened.with_wait(timeout),
+            self.opened.with_timeout(timeout),
             max(0.0, timeout),
             self.host.settings.connect_timeout,
             self._line_passed,
@@ -421,7 +427,7 @@
         self.host.figures.dispatched()
 
     def _line_passed(self, line: memoryview) -> None:
-        load = load_of(line)
+        load = parse_load(line)
         if load is None:
             self.host.tell_decider(LineBack(self.request, self.host.clock.now()))
         else:
@@ -433,17 +439,17 @@
             return
         self.stage = Stage.STANDING
         if self.opened is not None:
-            self.host.figures.reply(self.opened.klass, "success")
+            self.host.figures.reply(self.opened.request_class, "success")
         with contextlib.suppress(PeerReset):  # the reader tells of it
             await self.peer.write(line)
-        if self.opened is not None and self.opened.at:
+        if self.opened is not None and self.opened.resume_backend:
             self.host.tell_decider(
                 Resumed(
                     self,
                     ConnectionResumed(
                         self.request,
-                        self.opened.klass,
-                        self.opened.at,
+                        self.opened.request_class,
+                        self.opened.resume_backend,
                         self.opened.tenant,
                         self.opened.load_hint,
                         self.opened.group,
@@ -465,7 +471,7 @@
             else:
                 await part(self.peer, self._reader, PART_TIME)
         elif self.stage is Stage.WAITING:
-            if self.opened is not None and self.opened.at:
+            if self.opened is not None and self.opened.resume_backend:
                 await self._resume_failed(status)
             elif self.peer.has_ended():  # no further attempt is even asked for
                 self.stage = Stage.ENDED
@@ -476,7 +482,7 @@
     async def _client_ended(self, reset: bool) -> None:
         standing, self.stage = self.stage is Stage.STANDING, Stage.ENDED
         if not standing:
-            if not (self.opened is not None and self.opened.at):
+            if not (self.opened is not None and self.opened.resume_backend):
                 self.host.tell_decider(ClientDisconnected(self.request))
             if self.call is not None:
                 self.call.close()
@@ -509,7 +515,7 @@
         """The final answer. The attempt that is out, if any, is given up first."""
         self.stage = Stage.ENDED
         if self.opened is not None:
-            self.host.figures.reply(self.opened.klass, outcome)
+            self.host.figures.reply(self.opened.request_class, outcome)
         if self.call is not None:
             self.call.close()
         self._settle(AttemptStatus.CANCELLED)
@@ -534,8 +540,10 @@
 
     # ---- connections from before this program's start ---------------------------------------------
 
-    def _resume(self, opened: OpenLine) -> None:
-        self._place(Place(self.request, opened.at, 0, 0.0, self.host.address_of(opened.at)))
+    def _resume(self, opened: OpenRequest) -> None:
+        self._place(
+            Place(self.request, opened.resume_backend, 0, 0.0, self.host.address_of(opened.resume_backend))
+        )
 
     async def _resume_failed(self, status: AttemptStatus) -> None:
         """It has one place to go to, and the server may only just be coming up as well."""
--- a/saltcourse/proxy/discovery_client.py
+++ b/saltcourse/proxy/discovery_client.py
@@ -14,7 +14,8 @@
 from saltcourse.balancing.events import EndpointUpdateKind
 from saltcourse.balancing.settings import CHANGE_KNOWN_WITHIN_SECONDS, LIST_CALL_TIMEOUT_SECONDS
 from saltcourse.codec import http
-from saltcourse.codec.endpoint_list import Address, BadList, Listing, parse_list
+from saltcourse.codec.endpoint_list import Address, EndpointUpdate, decode_endpoint_update
+from saltcourse.codec.errors import EndpointListError, HttpResponseError
 from saltcourse.proxy.actor import Actor, spawn
 from saltcourse.proxy.attempt import NoSocket, open_socket
 from saltcourse.proxy.messages import Listed
@@ -67,7 +68,7 @@
             elif isinstance(asked, FetchEndpoints):
                 self._begin(self._fetch(), "list call")
             elif self._watching:  # a call is out already, and news will come by it
-                self._told(Listed(EndpointUpdateKind.DELTA, Listing(self._version, False, (), {})))
+                self._told(Listed(EndpointUpdateKind.DELTA, EndpointUpdate(self._version, False, (), {})))
             else:
                 self._watching = True
                 self._begin(self._watch(), "watch")
@@ -125,13 +126,13 @@
             except Refused:
                 break
             self._tell(listing, held)
-            if not silent and not listing.members and loop.time() - begun < SOON:
+            if not silent and not listing.endpoints and loop.time() - begun < SOON:
                 await asyncio.sleep(SOON)  # a service that does not wait must not be called in a spin
             silent = False
         self._watching = False
         self._told(Listed(EndpointUpdateKind.UNAVAILABLE))
 
-    def _tell(self, listing: Listing, held: int) -> None:
+    def _tell(self, listing: EndpointUpdate, held: int) -> None:
         """``held`` is the version that was held when the call was made.
 
         An answer under the version held now, but not under that one, is late: another call's answer crossed
@@ -140,39 +141,43 @@
         if held <= listing.version < self._version:
             return
         began_anew = listing.version < held
-        self._version = 0 if began_anew and not listing.full else listing.version
-        if began_anew and not listing.full:
+        self._version = 0 if began_anew and not listing.is_snapshot else listing.version
+        if began_anew and not listing.is_snapshot:
             return
-        self._told(Listed(EndpointUpdateKind.SNAPSHOT if listing.full else EndpointUpdateKind.DELTA, listing))
+        self._told(
+            Listed(EndpointUpdateKind.SNAPSHOT if listing.is_snapshot else EndpointUpdateKind.DELTA, listing)
+        )
 
-    async def _call(self, target: str, wait: float, patience: float = LIST_CALL_TIMEOUT_SECONDS) -> Listing:
+    async def _call(
+        self, target: str, wait: float, patience: float = LIST_CALL_TIMEOUT_SECONDS
+    ) -> EndpointUpdate:
         try:
             async with asyncio.timeout(wait + patience):
                 answer = await self._get(target)
             if answer.status != 200:
-                raise BadList(f"status {answer.status}")
-            return parse_list(answer.body)
+                raise EndpointListError(f"status {answer.status}")
+            return decode_endpoint_update(answer.body)
         except TimeoutError:
             log.info("list call fell silent", seconds=wait + patience)
             raise Silent from None
-        except (OSError, NoSocket, http.BadAnswer, BadList) as wrong:
+        except (OSError, NoSocket, HttpResponseError, EndpointListError) as wrong:
             log.info("list call failed", reason=str(wrong) or type(wrong).__name__)
             raise Refused from None
 
-    async def _get(self, target: str) -> http.Answer:
+    async def _get(self, target: str) -> http.ResponseParser:
         host, port = self._address
         stream = IOStream(open_socket(self._address), read_chunk_size=CHUNK)
-        answer = http.Answer()
+        answer = http.ResponseParser()
         try:
             await stream.connect(self._address)
-            await stream.write(http.get(f"{host}:{port}", target))
+            await stream.write(http.get_request(f"{host}:{port}", target))
             while not answer.done:
                 try:
                     answer.feed(await stream.read_bytes(CHUNK, partial=True))
                 except StreamClosedError:
                     if stream.error is not None:
                         raise
-                    answer.ended()
+                    answer.feed_eof()
         finally:
             stream.close()
         return answer
--- a/saltcourse/proxy/dispatcher.py
+++ b/saltcourse/proxy/dispatcher.py
@@ -27,7 +27,7 @@
     WatchEndpoints,
 )
 from saltcourse.balancing.balancer import Balancer
-from saltcourse.balancing.drain_schedule import DrainPlan
+from saltcourse.balancing.drain_schedule import DrainSchedule
 from saltcourse.balancing.events import (
     AttemptFinished,
     AttemptStatus,
@@ -43,9 +43,9 @@
     ResponseLatencyMeasured,
     TimerFired,
 )
-from saltcourse.balancing.response_latency import NOTE_EVERY, DelayMeter
+from saltcourse.balancing.response_latency import REPORT_INTERVAL_SECONDS, ResponseLatencyMeter
 from saltcourse.balancing.settings import Settings
-from saltcourse.codec.endpoint_list import Address, Listing
+from saltcourse.codec.endpoint_list import Address, EndpointUpdate
 from saltcourse.codec.lines import MICRO
 from saltcourse.proxy.actor import Actor
 from saltcourse.proxy.attempt import ProbeCall
@@ -85,7 +85,7 @@
         settings: Settings,
         seed: int,
         clock: Clock,
-        known: Listing,
+        known: EndpointUpdate,
         ask_directory: Callable[[WatchEndpoints | FetchEndpoints], None],
         tells_delay: bool,
         say: Callable[[SendPeerMessage], None],
@@ -96,11 +96,11 @@
         self.members: dict[str, Endpoint] = {}
         self.invocations: dict[str, Invocation] = {}
         self.standing: dict[str, ConnectionResumed] = {}
-        self._plan: DrainPlan | None = None  # when standing connections are moved; None: nothing is
+        self._plan: DrainSchedule | None = None  # when standing connections are moved; None: nothing is
         self._known, self._ask, self._seed, self._say = known, ask_directory, seed, say
         self._sends: dict[str, tuple[int, str]] = {}  # request -> number and server of its last attempt
         self._arrived: dict[str, RequestReceived] = {}
-        self._meter = DelayMeter(settings.slow_message if tells_delay else float("inf"))
+        self._meter = ResponseLatencyMeter(settings.slow_message if tells_delay else float("inf"))
         self._noted = 0.0
         self._looked = clock.now()
         # Since the last sum: (provider, status) of each outcome, and ("", action) of each answer and move.
@@ -121,7 +121,7 @@
             case LineSent(request, at):
                 self._meter.line_sent(request, at)
             case LineBack(request, at):
-                self._meter.line_back(request, at)
+                self._meter.line_received(request, at)
             case Arrived(invocation, event):
                 if event.request in self.invocations:  # ids are new with every connection
                     invocation.tell(FailRequest(event.request))
@@ -144,7 +144,7 @@
                     self._sends.pop(request, None)
                     self._ended(request)
             case MoveAll(on, begin, end):
-                self._plan = DrainPlan(begin, end) if on else None
+                self._plan = DrainSchedule(begin, end) if on else None
                 self._pace()
             case ConnectionEstablished():
                 self._established(message)
@@ -158,20 +158,20 @@
                     self._ended_how[self._sends[message.request][1], message.status.value] += 1
                 self._handle(message)
             case ConnectionLoadChanged(request, load):
-                delay = self._meter.told(request, load / MICRO, self.clock.now())
+                delay = self._meter.latency_of_load_line(request, load / MICRO, self.clock.now())
                 self._handle(message if delay is None else ResponseLatencyMeasured(request, delay))
             case _:
                 self._handle(message)
 
-    def _listed(self, kind: EndpointUpdateKind, listing: Listing | None) -> None:
+    def _listed(self, kind: EndpointUpdateKind, listing: EndpointUpdate | None) -> None:
         if listing is None:
             self._handle(EndpointsUpdated(kind))
             return
         self.addresses.update(listing.addresses)
         if kind is not EndpointUpdateKind.DELTA:
             self.members = {}
-        self.members.update((m.backend, m) for m in listing.members)
-        self._handle(EndpointsUpdated(kind, listing.members))
+        self.members.update((m.backend, m) for m in listing.endpoints)
+        self._handle(EndpointsUpdated(kind, listing.endpoints))
 
     def targets(self) -> tuple[int, int]:
         """Providers in the list, and those of them that the module avoids now (draining, resting, tried)."""
@@ -212,32 +212,32 @@
 
     def _stands(self, connection: ConnectionResumed) -> None:
         self.standing[connection.request] = connection
-        self._meter.stands(connection.request, connection.backend)
+        self._meter.connection_established(connection.request, connection.backend)
 
     def _ended(self, request: str) -> None:
         self.standing.pop(request, None)
-        self._meter.ended(request)
+        self._meter.connection_ended(request)
 
     def _look(self) -> None:
         """What the module is told of by notes elsewhere is measured here; silence is ended here, for
         a connection that brings nothing back must not wait for a decision."""
         now = self.clock.now()
         late, self._looked = now - self._looked > LOOK_EVERY + LATE, now
-        for request in self._meter.silent(now):
+        for request in self._meter.silent_connections(now):
             log.info("connection brings nothing back", request=request)
             self._move(request)
         if not late:  # else lines that came meanwhile may not have been read yet
-            for request, delay in self._meter.hung(now):
+            for report in self._meter.hung_backends(now):
                 log.info(
                     "provider has stopped answering",
-                    id=self.standing[request].backend,
-                    seconds=round(delay, 2),
+                    id=self.standing[report.request].backend,
+                    seconds=round(report.latency, 2),
                 )
-                self._handle(ResponseLatencyMeasured(request, delay))
-        if now - self._noted >= NOTE_EVERY:
+                self._handle(ResponseLatencyMeasured(report.request, report.latency))
+        if now - self._noted >= REPORT_INTERVAL_SECONDS:
             self._noted = now
-            for request, delay in self._meter.notes(now):
-                self._handle(ResponseLatencyMeasured(request, delay))
+            for report in self._meter.latency_reports(now):
+                self._handle(ResponseLatencyMeasured(report.request, report.latency))
         self._pace()
         if now - self._summed >= SUM_EVERY:
             self._summed = now
--- a/saltcourse/proxy/messages.py
+++ b/saltcourse/proxy/messages.py
@@ -13,7 +13,7 @@
     Event,
     RequestReceived,
 )
-from saltcourse.codec.endpoint_list import Address, Listing
+from saltcourse.codec.endpoint_list import Address, EndpointUpdate
 
 
 class Attempt(Protocol):
@@ -115,7 +115,7 @@
 @dataclass(slots=True)
 class Listed:
     kind: EndpointUpdateKind
-    listing: Listing | None = None
+    listing: EndpointUpdate | None = None
 
 
 @dataclass(slots=True)
--- a/saltcourse/proxy/stream.py
+++ b/saltcourse/proxy/stream.py
@@ -17,7 +17,7 @@
 from tornado.iostream import IOStream
 
 from saltcourse.codec.endpoint_list import Address
-from saltcourse.codec.lines import LONGEST_LINE, LineBuffer
+from saltcourse.codec.lines import MAX_LINE_BYTES, LineBuffer
 
 WRITE_LIMIT = 64 * 1024  # bytes waiting for one peer; writers await each write, so little gathers
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
@@ -89,7 +89,10 @@
     @staticmethod
     def _wrap(sock: socket.socket) -> _HalfStream:
         return _HalfStream(
-            sock, max_buffer_size=WRITE_LIMIT, read_chunk_size=LONGEST_LINE, max_write_buffer_size=WRITE_LIMIT
+            sock,
+            max_buffer_size=WRITE_LIMIT,
+            read_chunk_size=MAX_LINE_BYTES,
+            max_write_buffer_size=WRITE_LIMIT,
         )
 
     @property
@@ -132,9 +135,9 @@
         """Read what is there into the buffer; False once the peer has ended its side."""
         stream = self._stream
         try:
-            room = self.buffer.room()
+            room = self.buffer.free_space()
             self._read = cast("asyncio.Future[int]", stream.read_into(cast(bytearray, room), partial=True))
-            self.buffer.filled(await self._read)
+            self.buffer.commit(await self._read)
         except OSError as wrong:
             if stream.ended:
                 return False
@@ -217,9 +220,9 @@
         async with asyncio.timeout(seconds):
             await peer.write(line)
             peer.finish()
-            peer.buffer.rest()
+            peer.buffer.take_remaining()
             while await peer.fill():
-                most -= len(peer.buffer.rest())
+                most -= len(peer.buffer.take_remaining())
                 if most <= 0:
                     await asyncio.sleep(seconds)
     peer.close()
--- /dev/null
+++ b/tests/codec/test_lines.py
@@ -0,0 +1,70 @@
+"""The line protocol: the buffer, OPEN lines, loads and load reports."""
+
+from __future__ import annotations
+
+import pytest
+
+from saltcourse.balancing.events import LoadReport
+from saltcourse.codec.errors import ProtocolError
+from saltcourse.codec.lines import LineBuffer, busy_line, parse_load, parse_load_report, parse_open
+
+OPEN = b"OPEN 9b1f 7f3a c=live-feed,t=acme,zd=7,d=2000,g=5c0f\r\n"
+
+
+def fill(buffer: LineBuffer, data: bytes) -> None:
+    space = buffer.free_space()
+    space[: len(data)] = data
+    buffer.commit(len(data))
+
+
+def test_lines_come_out_whole_however_they_came_in() -> None:
+    buffer, text, found = LineBuffer(16), b"one\r\ntwo\r\n\r\nthree\r\nfo", []
+    for i in range(len(text)):
+        fill(buffer, text[i : i + 1])
+        while (line := buffer.next_line()) is not None:
+            found.append(bytes(line))
+    assert found == [b"one\r\n", b"two\r\n", b"\r\n", b"three\r\n"]
+    assert bytes(buffer.take_remaining()) == b"fo"
+
+
+def test_a_line_may_have_4096_bytes_and_no_more() -> None:
+    buffer = LineBuffer()
+    fill(buffer, b"x" * 4094 + b"\r\n")
+    line = buffer.next_line()
+    assert line is not None and len(line) == 4096
+    fill(buffer, b"x" * 4095 + b"\r\n")
+    with pytest.raises(ProtocolError):
+        buffer.next_line()
+
+
+def test_the_open_line_is_forwarded_unchanged_but_for_d() -> None:
+    opened = parse_open(memoryview(OPEN))
+    fields = (opened.request_class, opened.tenant, opened.group, opened.time_left)
+    assert fields == ("live-feed", "acme", "5c0f", 2.0)
+    assert opened.with_timeout(0.3129) == OPEN.replace(b",d=2000", b",d=312")
+    first = parse_open(memoryview(b"OPEN a b d=5,c=q\r\n"))
+    assert first.with_timeout(1) == b"OPEN a b d=1000,c=q\r\n"
+
+
+def test_busy_lines_and_load_lines() -> None:
+    assert busy_line(0.25) == b"BUSY 250\r\n" and busy_line(0) == b"BUSY\r\n"
+    assert parse_load(memoryview(b"LOAD 65000.5\r\n")) == 65000.5
+    assert parse_load(memoryview(b"LOAD much\r\n")) is None
+    assert parse_load(memoryview(b"UPLOAD 1\r\n")) is None
+
+
+@pytest.mark.parametrize(
+    ("line", "want"),
+    [
+        (b"PONG q=3,x0=0.61\r\n", LoadReport(queue=3, load=0.61)),
+        (b"BYE inflight=7,queue=2,util=0.61\r\n", LoadReport(inflight=7, queue=2, utilisation=0.61)),
+        (b"PONG x0=nan,q=-1,odd=4,x1=2,q\r\n", LoadReport(backlog=2)),
+        (b"PONG x0=,\xff=1\r\n", None),
+        (b"PONG\r\n", None),
+        (b"BYE \r\n", None),
+    ],
+)
+def test_a_load_report_is_read_and_what_is_no_figure_is_passed_over(
+    line: bytes, want: LoadReport | None
+) -> None:
+    assert parse_load_report(memoryview(line)) == want
--- a/tests/config/test_deployment_settings.py
+++ b/tests/config/test_deployment_settings.py
@@ -160,7 +160,7 @@
     except ConfigError:
         return
     balancer = Balancer(config.settings, config.seed)
-    balancer.handle(0.0, EndpointsUpdated(EndpointUpdateKind.CACHED, config.known.members))
+    balancer.handle(0.0, EndpointsUpdated(EndpointUpdateKind.CACHED, config.known.endpoints))
 
 
 @hypothesis_settings(max_examples=400, deadline=None, derandomize=True)
--- a/tests/proxy/exchange_player.py
+++ b/tests/proxy/exchange_player.py
@@ -27,7 +27,7 @@
 from typing import Any
 
 from saltcourse.balancing.settings import DiscoveryMode, Settings
-from saltcourse.codec.endpoint_list import read_list
+from saltcourse.codec.endpoint_list import read_endpoint_update
 from saltcourse.config import Config, ConfigError, Limits
 from saltcourse.proxy.messages import MoveAll
 from saltcourse.proxy.server import ProxyServer
@@ -108,7 +108,7 @@
         servers = [self.entry(i, s.getsockname()[1]) for i, s in enumerate(self.doors.values())]
         for i in range(count, count + dead):
             servers.append(self.entry(i, 1))  # nothing listens there
-        known = read_list({"version": 1, "full": True, "servers": servers})
+        known = read_endpoint_update({"version": 1, "full": True, "servers": servers})
         self.config = Config(
             "test",
             ("127.0.0.1", 0),
--- a/tests/proxy/running_proxy.py
+++ b/tests/proxy/running_proxy.py
@@ -16,7 +16,7 @@
 from structlog.testing import capture_logs
 
 from saltcourse.balancing.settings import DiscoveryMode, RequestClass
-from saltcourse.codec.endpoint_list import read_list
+from saltcourse.codec.endpoint_list import read_endpoint_update
 from saltcourse.config import Config, Limits
 from saltcourse.proxy.client_connection import Consumer
 from saltcourse.proxy.server import Phase, ProxyServer
@@ -66,7 +66,9 @@
         self.files = len(os.listdir("/proc/self/fd"))
         self.doors = [listening() for _ in range(servers)]
         self.discovery = listening()
-        known = read_list({"version": 1, "full": True, "servers": [self.entry(i) for i in range(servers)]})
+        known = read_endpoint_update(
+            {"version": 1, "full": True, "servers": [self.entry(i) for i in range(servers)]}
+        )
         told = settings(
             **{
                 "classes": (klass,),
--- a/tests/proxy/test_exchanges.py
+++ b/tests/proxy/test_exchanges.py
@@ -19,7 +19,7 @@
 @pytest.mark.parametrize("title", SECTIONS)
 def test_exchange(title: str, monkeypatch: pytest.MonkeyPatch) -> None:
     if "nothing back" in title:
-        monkeypatch.setattr(delay, "SILENT_AFTER", 0.1)
+        monkeypatch.setattr(delay, "SILENT_AFTER_SECONDS", 0.1)
     if "in time" in title:
         monkeypatch.setattr(consumer, "FIRST_LINE_TIME", 0.1)
     if "falls silent" in title:
--- a/tests/proxy/test_race_conditions.py
+++ b/tests/proxy/test_race_conditions.py
@@ -439,7 +439,7 @@
                 await rest(client)
             if stage.startswith("half"):
                 await client.send("OPEN a b c=qu", b"")
-                await until(lambda: client.consumer.peer.buffer.pending)  # type: ignore[attr-defined]
+                await until(lambda: client.consumer.peer.buffer.has_data)  # type: ignore[attr-defined]
             if stage in ("waiting", "standing"):
                 await client.send(OPEN.format(5000), b"\r\n")
                 provider = await stand.taken()
@@ -470,7 +470,7 @@
         async with Stand(klass=SHORT) as stand:
             client = await stand.client()
             await client.send("OPEN a b c=quick,d=60", b"")
-            await until(lambda: client.consumer.peer.buffer.pending)  # type: ignore[attr-defined]
+            await until(lambda: client.consumer.peer.buffer.has_data)  # type: ignore[attr-defined]
             stand.life.leave.set()
             await until(lambda: stand.life.phase is Phase.MOVING)
             await client.send("000", b"\r\n")
