--- a/saltcourse/admin/server.py
+++ b/saltcourse/admin/server.py
@@ -17,7 +17,7 @@
 
 from saltcourse.admin.calls import NO_SUCH_PATH, Answer, Ask, Reader, answer_bytes
 from saltcourse.codec.endpoint_list import Address
-from saltcourse.proxy.stream import listening
+from saltcourse.proxy.sockets import start_listening
 
 CALL_TIME = 2.0  # s for a whole call; operators' tools send it at once
 WRITE_TIME = 0.5  # s for the answer to be taken
@@ -64,7 +64,7 @@
 
     def start(self) -> None:
         """OSError when the address cannot be had."""
-        self._listener = listening(self.address, BACKLOG, self._take)
+        self._listener = start_listening(self.address, BACKLOG, self._take)
 
     def bound(self) -> Address:
         assert self._listener is not None
--- a/saltcourse/metrics.py
+++ b/saltcourse/metrics.py
@@ -1,39 +1,42 @@
-"""The figures that operators read at the admin address, counted where each event happens.
+"""The metrics that operators read at the admin address, counted where each event happens.
 
-Every process counts from 0. Counters only ever grow; gauges are read when the figures are asked for,
-so that they cannot drift from what the program holds. The text is statsd's line format, one figure a
-line: ``svc.replies.C.success:812|c`` and ``svc.concurrent:14|g``.
+Every process counts from 0. Counters only ever grow; gauges are read when the metrics are asked for, so that
+they cannot drift from what the program holds. The text is statsd's line format, one metric a line:
+``svc.replies.C.success:812|c`` and ``svc.concurrent:14|g``.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable
 
-OUTCOMES = ("success", "overload", "error")  # brought up, refused with BUSY, failed with FAIL
+OUTCOMES = ("success", "overload", "error")  # established (UP), rejected (BUSY), failed (ERR)
 
 
 class Metrics:
-    """Counters of one process; ``gauges`` gives the figures that are read off the program's state."""
+    """Counters of one process; ``gauges`` gives the values that are read off the program's state."""
 
-    def __init__(self, classes: Iterable[str]) -> None:
-        self.replies: dict[str, dict[str, int]] = {c: dict.fromkeys(OUTCOMES, 0) for c in classes}
+    def __init__(self, request_classes: Iterable[str]) -> None:
+        self.replies: dict[str, dict[str, int]] = {
+            request_class: dict.fromkeys(OUTCOMES, 0) for request_class in request_classes
+        }
         self.dispatches = 0
         self.gauges: Callable[[], dict[str, int]] = dict
 
-    def reply(self, klass: str, outcome: str) -> None:
-        """One final answer to a client of class ``klass``; classes that the settings lack are not kept."""
-        counts = self.replies.get(klass)
+    def count_reply(self, request_class: str, outcome: str) -> None:
+        """One final answer to a client; classes that the settings lack are not kept."""
+        counts = self.replies.get(request_class)
         if counts is not None:
             counts[outcome] += 1
 
-    def dispatched(self) -> None:
-        """An attempt's first line was written whole to a provider."""
+    def count_dispatch(self) -> None:
+        """An attempt's OPEN line was written whole to a backend."""
         self.dispatches += 1
 
     def text(self) -> bytes:
+        """All metrics in statsd's line format."""
         lines = [
-            f"svc.replies.{klass}.{outcome}:{count}|c"
-            for klass, counts in self.replies.items()
+            f"svc.replies.{request_class}.{outcome}:{count}|c"
+            for request_class, counts in self.replies.items()
             for outcome, count in counts.items()
         ]
         lines.append(f"svc.dispatches:{self.dispatches}|c")
--- a/saltcourse/proxy/attempt.py
+++ b/saltcourse/proxy/attempt.py
@@ -1,235 +1,202 @@
-"""Provider side: one actor for each invoker call (an attempt), and one for each probe."""
+"""One attempt of a request at one backend, from the connect to the end of the connection.
+
+    connecting ──► OPEN written ──► answered UP ──► relaying ──► ended
+        │              │                │
+        └──────────────┴── time up, reset, BUSY, ERR, given up ──► ended
+
+Rules:
+
+1. The owner learns of UP at most once and of the end exactly once, also after ``close``: the balancer needs
+   one outcome for each attempt that it has started.
+2. The OPEN line is written only while the owner still wants an answer, which is checked before the connect
+   and again before the write.
+3. The outcome says whether the request may have run: it may have when the kernel took the line's last byte.
+4. Only whole lines go to the client, so that MOVE can be put between any two of them.
+"""
 
 from __future__ import annotations
 
 import asyncio
-import errno
-import socket
 from collections.abc import Callable
+from dataclasses import dataclass
 from typing import Protocol
 
-from saltcourse.balancing.events import AttemptStatus, HealthCheckFinished, LoadReport
+from saltcourse.balancing.events import AttemptStatus
 from saltcourse.codec.endpoint_list import Address
 from saltcourse.codec.errors import ProtocolError
-from saltcourse.codec.lines import NO, PING, PONG, STATS, parse_load, parse_load_report, word_of
+from saltcourse.codec.lines import BUSY, BYE, ERR, MOVE, UP, parse_load, word_of
 from saltcourse.proxy.actor import Actor
 from saltcourse.proxy.clock import Clock
-from saltcourse.proxy.messages import CallEnded, CallUp, ToInvocation
-from saltcourse.proxy.stream import Peer, PeerReset
+from saltcourse.proxy.errors import AttemptAbandonedError, ConnectionLostError, OutOfSocketsError
+from saltcourse.proxy.messages import AttemptEnded, AttemptEstablished, ConnectionMessage
+from saltcourse.proxy.sockets import open_socket
+from saltcourse.proxy.stream import SocketStream
 
-PROBE_TIME = 0.3  # s for a probe and its answer
 STATUS_OF_ANSWER = {
-    b"BUSY": AttemptStatus.FULL,
-    b"ERR": AttemptStatus.ERROR,
-    b"MOVE": AttemptStatus.CANCELLED,
-    b"BYE": AttemptStatus.OK,
+    BUSY: AttemptStatus.FULL,
+    ERR: AttemptStatus.ERROR,
+    MOVE: AttemptStatus.CANCELLED,
+    BYE: AttemptStatus.OK,
 }
-SHORT = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)  # of what a socket needs
+STATUS_OF_LAST_LINE = {BYE: AttemptStatus.OK, MOVE: AttemptStatus.CANCELLED}  # of an established connection
 
 
-class NoSocket(Exception):
-    """This process has no descriptor left for another socket."""
+class AttemptOwner(Protocol):
+    """The client connection, as its attempt sees it."""
 
+    def send(self, message: ConnectionMessage) -> None:
+        """Put a message into its mailbox."""
 
-class NotWanted(Exception):
-    """Nobody waits for the answer any more: the line must not be sent."""
+    async def deliver(self, line: memoryview) -> None:
+        """Write a backend's line to the client; awaited, so that a slow client slows its backend."""
 
+    def wants_answer(self) -> bool:
+        """Whether the client still waits for an answer: an attempt may begin."""
 
-def open_socket(address: Address) -> socket.socket:
-    family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
-    try:
-        return socket.socket(family, socket.SOCK_STREAM)
-    except OSError as wrong:
-        if wrong.errno in SHORT:
-            raise NoSocket from None
-        raise
+    def open_line_sent(self) -> None:
+        """The attempt's OPEN line has been written whole."""
 
 
-class CallOwner(Protocol):
-    """The consumer, as its call sees it."""
+@dataclass(frozen=True, slots=True)
+class AttemptRequest:
+    """What an attempt is to do: send ``open_line`` to the backend and wait for its answer.
 
-    def tell(self, message: ToInvocation) -> None: ...
+    ``timeout`` is for the whole attempt up to the answer, ``connect_timeout`` for its connect alone (s).
+    """
 
-    async def deliver(self, line: memoryview) -> None: ...
+    number: int
+    backend: str
+    address: Address | None
+    open_line: bytes
+    timeout: float
+    connect_timeout: float
 
-    def wanted(self) -> bool:
-        """An answer is still waited for: an attempt may begin."""
 
-    def dispatched(self) -> None:
-        """The attempt's first line has been written whole."""
+@dataclass(frozen=True, slots=True)
+class AttemptOutcome:
+    """How an attempt ended, and whether the backend reset the connection."""
 
+    status: AttemptStatus
+    reset: bool = False
 
-class InvokerCall(Actor[None]):
-    """One attempt. It tells its owner of UP at most once, and of its end exactly once.
 
-    The end is told also after ``close``, so that the module hears one outcome for each send.
-    """
+class BackendAttempt(Actor[None]):
+    """Runs one attempt; ``on_line`` is called with each line of the backend but its answer."""
 
     def __init__(
         self,
-        owner: CallOwner,
+        owner: AttemptOwner,
         clock: Clock,
-        attempt: int,
-        server: str,
-        address: Address | None,
-        line: bytes,
-        timeout: float,
-        connect_timeout: float,
+        request: AttemptRequest,
         on_line: Callable[[memoryview], None],
     ) -> None:
-        super().__init__(f"call to {server}")
-        self.owner, self.clock, self.attempt, self.server = owner, clock, attempt, server
-        self.began = clock.now()
-        self.peer: Peer | None = None
-        self.stood = asyncio.Event()  # the owner has passed UP on, and lines may follow
-        self.silenced = False  # the client has been told to move: nothing may follow that
-        self._address, self._line, self._on_line = address, line, on_line
-        self._timeout, self._connect_timeout = timeout, connect_timeout
+        super().__init__(f"attempt at {request.backend}")
+        self.number, self.backend = request.number, request.backend
+        self.started = clock.now()
+        self.stream: SocketStream | None = None
+        self.may_relay = asyncio.Event()  # the owner has passed UP on, and lines may follow
+        self.is_muted = False  # the client was sent MOVE: nothing may follow that
+        self._owner = owner
+        self._request = request
+        self._on_line = on_line
         self._given_up = False
 
     async def run(self) -> None:
-        status, reset = await self._attempt()
+        """Make the attempt, relay its connection, and tell the owner how it ended."""
+        outcome = await self._attempt()
+        status = outcome.status
         if self._given_up:
-            status = AttemptStatus.CANCELLED if self._ran() else AttemptStatus.NOT_SENT
-        self.owner.tell(CallEnded(self, status, reset))
+            status = AttemptStatus.CANCELLED if self._may_have_run() else AttemptStatus.NOT_SENT
+        self._owner.send(AttemptEnded(self, status, outcome.reset))
 
     def cleanup(self) -> None:
-        if self.peer is not None:
-            self.peer.close()
+        """Close the connection."""
+        if self.stream is not None:
+            self.stream.close()
 
     def close(self) -> None:
         """Give the attempt up, at once: the next one must not overlap with it."""
         self._given_up = True
-        if self.peer is not None:
-            self.peer.close()
-
-    def _ran(self) -> bool:
-        """It may have run: the kernel has taken the line's last byte. Which coroutine heard of that first
-        tells nothing: a time-out or a reset may cross the end of a write that went in parts."""
-        return self.peer is not None and self.peer.sent >= len(self._line)
-
-    async def _attempt(self) -> tuple[AttemptStatus, bool]:
-        if self._given_up or not self.owner.wanted():  # before this coroutine had its first turn
-            return AttemptStatus.NOT_SENT, False
-        if self._address is None:
-            return AttemptStatus.CONNECT_FAILED, False
+        if self.stream is not None:
+            self.stream.close()
+
+    def _may_have_run(self) -> bool:
+        """Whether the kernel has taken the OPEN line's last byte.
+
+        Which coroutine learned of that first says nothing: a time-out or a reset may cross the end of a write
+        that went in parts.
+        """
+        return self.stream is not None and self.stream.bytes_sent >= len(self._request.open_line)
+
+    async def _attempt(self) -> AttemptOutcome:
+        if self._given_up or not self._owner.wants_answer():  # before this coroutine had its first turn
+            return AttemptOutcome(AttemptStatus.NOT_SENT)
+        address = self._request.address
+        if address is None:
+            return AttemptOutcome(AttemptStatus.CONNECT_FAILED)
         try:
-            self.peer = Peer(open_socket(self._address))
-        except NoSocket:
-            return AttemptStatus.NOT_SENT, False
+            self.stream = stream = SocketStream(open_socket(address))
+        except OutOfSocketsError:
+            return AttemptOutcome(AttemptStatus.NOT_SENT)
         try:
-            line = await self._ask(self.peer, self._address)
-        except TimeoutError:
-            return (AttemptStatus.TIMEOUT if self._ran() else AttemptStatus.CONNECT_FAILED), False
-        except PeerReset:
-            return (AttemptStatus.RESET if self._ran() else AttemptStatus.CONNECT_FAILED), True
-        except ProtocolError:
-            return AttemptStatus.ERROR, False
-        except NotWanted:
-            return AttemptStatus.NOT_SENT, False
+            answer = await self._request_answer(stream, address)
+        except (TimeoutError, ConnectionLostError, ProtocolError, AttemptAbandonedError) as error:
+            return self._outcome_of_failure(error)
         finally:
-            if self._ran():
-                self.owner.dispatched()
-        if line is None:
-            return AttemptStatus.RESET, False
-        if word_of(line) != b"UP":
-            return STATUS_OF_ANSWER.get(word_of(line), AttemptStatus.ERROR), False
-        self.owner.tell(CallUp(self, bytes(line)))
-        await self.stood.wait()
-        return await self._pump()
-
-    async def _ask(self, peer: Peer, address: Address) -> memoryview | None:
-        """Send the line; the first line that comes back, None where the provider ends without one."""
-        async with asyncio.timeout(self._timeout):
-            async with asyncio.timeout(self._connect_timeout):
-                await peer.connect(address)
-            if not self.owner.wanted():  # a connection may come up long after it was asked for
-                raise NotWanted
-            await peer.write(self._line)
-            while (line := await self._next_line()) is not None:
-                load = parse_load(line)
-                if load is None:
+            if self._may_have_run():
+                self._owner.open_line_sent()
+        return await self._outcome_of_answer(stream, answer)
+
+    async def _request_answer(self, stream: SocketStream, address: Address) -> memoryview | None:
+        """Connect, send the OPEN line and wait for the answer; None where the backend ends without one."""
+        async with asyncio.timeout(self._request.timeout):
+            async with asyncio.timeout(self._request.connect_timeout):
+                await stream.connect(address)
+            if not self._owner.wants_answer():  # a connection may come up long after it was asked for
+                raise AttemptAbandonedError
+            await stream.write(self._request.open_line)
+            while (line := await stream.next_line()) is not None:
+                if parse_load(line) is None:
                     break
-                self._on_line(line)  # a provider that tells the load before it has answered
+                self._on_line(line)  # a backend that tells the load before it has answered
             return line
 
-    async def _next_line(self) -> memoryview | None:
-        assert self.peer is not None
-        while (line := self.peer.buffer.next_line()) is None:
-            if not await self.peer.fill():
-                return None
-        return line
-
-    async def _pump(self) -> tuple[AttemptStatus, bool]:
-        """Pass lines on until the provider ends. Only whole lines go to the client, so that MOVE can be
-        put between any two of them; a line that the end cuts short follows as it is."""
-        assert self.peer is not None
-        word = b""
+    def _outcome_of_failure(self, error: Exception) -> AttemptOutcome:
+        match error:
+            case TimeoutError():
+                status = AttemptStatus.TIMEOUT if self._may_have_run() else AttemptStatus.CONNECT_FAILED
+                return AttemptOutcome(status)
+            case ConnectionLostError():
+                status = AttemptStatus.RESET if self._may_have_run() else AttemptStatus.CONNECT_FAILED
+                return AttemptOutcome(status, reset=True)
+            case AttemptAbandonedError():
+                return AttemptOutcome(AttemptStatus.NOT_SENT)
+            case _:  # a line that the protocol does not allow
+                return AttemptOutcome(AttemptStatus.ERROR)
+
+    async def _outcome_of_answer(self, stream: SocketStream, answer: memoryview | None) -> AttemptOutcome:
+        if answer is None:
+            return AttemptOutcome(AttemptStatus.RESET)
+        word = word_of(answer)
+        if word != UP:
+            return AttemptOutcome(STATUS_OF_ANSWER.get(word, AttemptStatus.ERROR))
+        self._owner.send(AttemptEstablished(self, bytes(answer)))
+        await self.may_relay.wait()
+        return await self._relay(stream)
+
+    async def _relay(self, stream: SocketStream) -> AttemptOutcome:
+        """Pass the backend's lines on until it ends; a line that the end cuts short follows as it is."""
+        last_word = b""
         try:
-            while (line := await self._next_line()) is not None:
-                if self.silenced:
+            while (line := await stream.next_line()) is not None:
+                if self.is_muted:
                     continue
-                word = word_of(line)
+                last_word = word_of(line)
                 self._on_line(line)
-                await self.owner.deliver(line)
-            rest = self.peer.buffer.take_remaining()
-            if len(rest) and not self.silenced:
-                await self.owner.deliver(rest)
-        except PeerReset:
-            return AttemptStatus.RESET, True
-        except ProtocolError:
-            return AttemptStatus.RESET, True
-        if word == b"BYE":
-            return AttemptStatus.OK, False
-        return (AttemptStatus.CANCELLED if word == b"MOVE" else AttemptStatus.RESET), False
-
-
-class ProbeCall(Actor[None]):
-    """One PING or STATS on a connection of its own."""
-
-    def __init__(
-        self,
-        server: str,
-        address: Address | None,
-        stats: bool,
-        clock: Clock,
-        told: Callable[[HealthCheckFinished], None],
-    ) -> None:
-        super().__init__(f"probe of {server}")
-        self._server, self._address, self._stats = server, address, stats
-        self._clock, self._told = clock, told
-        self._peer: Peer | None = None
-
-    async def run(self) -> None:
-        began = self._clock.now()
-        status = AttemptStatus.CONNECT_FAILED
-        report = None
-        try:
-            if self._address is not None:
-                async with asyncio.timeout(PROBE_TIME):
-                    status, report = await self._ask(self._address)
-        except NoSocket:
-            status = AttemptStatus.NOT_SENT
-        except TimeoutError:
-            status = AttemptStatus.TIMEOUT
-        except PeerReset:
-            status = AttemptStatus.CONNECT_FAILED
-        except ProtocolError:
-            status = AttemptStatus.ERROR
-        self._told(HealthCheckFinished(self._server, status, self._clock.now() - began, report))
-
-    async def _ask(self, address: Address) -> tuple[AttemptStatus, LoadReport | None]:
-        peer = self._peer = Peer(open_socket(address))
-        await peer.connect(address)
-        await peer.write((STATS if self._stats else PING) + b"\r\n")
-        while (line := peer.buffer.next_line()) is None:
-            if not await peer.fill():
-                return AttemptStatus.RESET, None
-        word = word_of(line)
-        if word == NO:
-            return AttemptStatus.NOT_SENT, None
-        return (AttemptStatus.OK if word == PONG else AttemptStatus.ERROR), parse_load_report(line)
-
-    def cleanup(self) -> None:
-        if self._peer is not None:
-            self._peer.close()
+                await self._owner.deliver(line)
+            remaining = stream.buffer.take_remaining()
+            if len(remaining) and not self.is_muted:
+                await self._owner.deliver(remaining)
+        except (ConnectionLostError, ProtocolError):
+            return AttemptOutcome(AttemptStatus.RESET, reset=True)
+        return AttemptOutcome(STATUS_OF_LAST_LINE.get(last_word, AttemptStatus.RESET))
--- a/saltcourse/proxy/client_connection.py
+++ b/saltcourse/proxy/client_connection.py
@@ -1,14 +1,38 @@
-"""Consumer side: one actor for each client connection, from its first line to its end.
+"""One client connection, from its acceptance to its end: one actor for each.
 
-It reads the invocation, tells the decider, carries out what the decider answers, and sees to it that
+It reads the request, hands it to the dispatcher, makes the attempts that it is told to, and sees to it that
 exactly one final answer goes out in time. Once UP is passed on, lines go both ways until one side ends.
+
+States, and what moves a connection between them:
+
+    OPENING ──OPEN──► WAITING ──UP──► ESTABLISHED ──► ENDED
+       │                 │
+       └── see opening   └── BUSY, ERR, the client's end ──► ENDED
+
+    message               in WAITING                          in ESTABLISHED
+    BeginAttempt          an attempt begins                   reported as not sent
+    AbandonAttempt        the attempt is given up             -
+    AttemptEstablished    UP goes to the client               -
+    AttemptEnded          reported, to be retried perhaps     the client's side ends the same way
+    ClientClosed          the attempt is given up             the backend's side ends the same way
+    RejectRequest         BUSY, end                           -
+    FailRequest           ERR, end                            -
+    AbandonRequest        ERR, end; the balancer is told      -
+    MigrateConnection     -                                   MOVE, end
+
+Rules:
+
+1. One final answer, and one attempt at a time: an attempt is closed before the answer goes out.
+2. Each ``BeginAttempt`` is answered by exactly one ``AttemptFinished``, even after the actor's end.
+3. After an await the state is asked again: the client may have gone, or the time be up.
+4. MOVE goes between two whole lines, for only whole lines are passed on.
+5. An end is passed on as what it was: FIN as FIN, a reset as a reset.
 """
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
-from collections.abc import Callable
 from enum import Enum
 
 import structlog
@@ -16,542 +40,376 @@
 from saltcourse.balancing.actions import FailRequest, MigrateConnection, RejectRequest
 from saltcourse.balancing.events import (
     NEVER_RAN,
-    AttemptFinished,
     AttemptStatus,
     ClientDisconnected,
     ConnectionEstablished,
     ConnectionLoadChanged,
-    ConnectionResumed,
-    RequestReceived,
 )
-from saltcourse.balancing.settings import Settings
-from saltcourse.codec.endpoint_list import Address
 from saltcourse.codec.errors import ProtocolError
-from saltcourse.codec.lines import (
-    FAIL_LINE,
-    MICRO,
-    MOVE_LINE,
-    PING,
-    PONG_LINE,
-    OpenRequest,
-    busy_line,
-    parse_load,
-    parse_open,
-    word_of,
-)
-from saltcourse.metrics import Metrics
+from saltcourse.codec.lines import FAIL_LINE, MICRO, MOVE_LINE, OpenRequest, busy_line, parse_load
 from saltcourse.proxy.actor import Actor, spawn
-from saltcourse.proxy.attempt import InvokerCall
-from saltcourse.proxy.clock import Clock
+from saltcourse.proxy.attempt import BackendAttempt
+from saltcourse.proxy.connection_context import ConnectionContext
+from saltcourse.proxy.errors import ConnectionLostError
 from saltcourse.proxy.messages import (
-    Arrived,
-    CallEnded,
-    CallUp,
-    ClientEnded,
-    Forfeit,
-    Left,
-    LineBack,
+    AbandonAttempt,
+    AbandonRequest,
+    AttemptEnded,
+    AttemptEstablished,
+    BeginAttempt,
+    ClientClosed,
+    ConnectionMessage,
+    LineReceived,
     LineSent,
-    Place,
-    Resumed,
-    Retract,
-    ToDecider,
-    ToInvocation,
+    NewRequest,
+    RequestFinished,
+    ResumedConnection,
 )
-from saltcourse.proxy.pending_connections import Doorstep
-from saltcourse.proxy.stream import Peer, PeerReset, dismiss, part, write_within
-
-FIRST_LINE_TIME = 2.0  # s for a whole first line, however it trickles in; clients send it at once
-PING_TIME = 30.0  # s that a connection which was only pinged on may rest between two PINGs
-DISMISS_TIME, DISMISS_BYTES = 0.3, 64 * 1024  # what is read of a client after it was turned away unheard
-TELL_EVERY = 5.0  # s between log lines on bad first lines, for they come in floods
-PART_TIME = 0.5  # s that a side may take to end after the other; a second is allowed
-LEAVE_TIME = 0.25  # s for a client that opened nothing to end its side after ours; in a crowd its
-SHED_TIME = 0.1  # descriptor is wanted sooner
-CROSSING = 0.05  # s more for a line whose bytes have come in the very moment in which its time is up
-MOVE_TIME = 0.5  # s for MOVE to be taken by the client's socket, and again for the client to leave
-OVERDUE = 0.015  # s after its time is up at which an invocation without an answer is failed here
-CALL_ENDS = 0.005  # s before the client's time is up at which a call that still waits is given up
-RESUME_TIME = 40.0  # s for a resumed connection to stand again; its `d` says over an hour
-RESUME_AGAIN = 0.25  # s between attempts to come back to the server of a resumed connection
+from saltcourse.proxy.opening import Opening
+from saltcourse.proxy.request_attempts import RequestAttempts
+from saltcourse.proxy.request_events import connection_resumed, request_received
+from saltcourse.proxy.stream import SocketStream, close_gracefully, reject_and_close, write_within
+
+REJECT_TIMEOUT_SECONDS = 0.3  # for a client that is rejected before its request was taken
+REJECT_MAX_BYTES = 64 * 1024  # that are read of such a client
+CLOSE_TIMEOUT_SECONDS = 0.5  # that a side may take to end after the other; a second is allowed
+MOVE_WRITE_TIMEOUT_SECONDS = 0.5  # for MOVE or the final answer to be taken by the client's socket
+MIN_TIME_LEFT_SECONDS = 0.001
+OVERDUE_SECONDS = 0.015  # after its deadline at which a request without an answer is failed here
+RESUME_TIMEOUT_SECONDS = 40.0  # for a connection to be resumed; its `d` says over an hour
+RESUME_RETRY_SECONDS = 0.25  # between attempts to resume a connection
 
 log = structlog.get_logger("saltcourse")
 
 
-class Stage(Enum):
-    OPENING = "opening"  # its first line is awaited
-    WAITING = "waiting"  # the final answer is owed
-    STANDING = "standing"  # UP was passed on
-    ENDED = "ended"  # answered, moved or gone
-
-
-class Host:
-    """What every consumer needs of the program."""
-
-    def __init__(
-        self,
-        settings: Settings,
-        clock: Clock,
-        tell_decider: Callable[[ToDecider], None],
-        address_of: Callable[[str], Address | None],
-        may_answer_ping: Callable[[], bool],
-        short: Callable[[], bool],
-        doorstep: Doorstep,
-        figures: Metrics,
-    ) -> None:
-        self.settings, self.clock, self.figures = settings, clock, figures
-        self.tell_decider, self.address_of = tell_decider, address_of
-        self.may_answer_ping, self.short, self.doorstep = may_answer_ping, short, doorstep
-        self.answer_by = float("inf")  # when every answer has to be out, for the program ends soon after
-        self.classes = frozenset(c.name for c in settings.classes)
-        self._open: set[str] = set()  # ids of the invocations that are under way or stand
-        self._bad, self._told = 0, -TELL_EVERY
-
-    def claim(self, request: str) -> None:
-        """Ids are new with every connection: whoever uses one that is open must not touch its owner."""
-        if request in self._open:
-            raise ProtocolError("OPEN: an id that is open")
-        self._open.add(request)
-
-    def release(self, request: str) -> None:
-        self._open.discard(request)
-
-    def bad_line(self, reason: str) -> None:
-        """Counted each time, logged now and then."""
-        self._bad += 1
-        now = self.clock.now()
-        if now - self._told >= TELL_EVERY:
-            log.info("bad lines from clients", count=self._bad, last=reason)
-            self._bad, self._told = 0, now
-
-
-class Consumer(Actor[ToInvocation]):
-    def __init__(self, peer: Peer, host: Host) -> None:
-        super().__init__("consumer")
-        self.peer, self.host = peer, host
-        self.stage = Stage.OPENING
+class ConnectionState(Enum):
+    """How far a client connection has come."""
+
+    OPENING = "opening"  # its OPEN line is awaited
+    WAITING = "waiting"  # the final answer is awaited
+    ESTABLISHED = "established"  # UP was passed on
+    ENDED = "ended"  # answered, migrated or gone
+
+
+class ClientConnection(Actor[ConnectionMessage]):
+    """Serves one client; the owner of its request and of the attempts for it."""
+
+    def __init__(self, stream: SocketStream, context: ConnectionContext) -> None:
+        super().__init__("client connection")
+        self.stream = stream
+        self.context = context
+        self.state = ConnectionState.OPENING
+        self.opening = Opening(stream, context)
         self.opened: OpenRequest | None = None
-        self.request = ""
-        self.deadline = 0.0
-        self.call: InvokerCall | None = None
-        self._released = asyncio.Event()  # no answer is owed any more: what the client says may be read
+        self.request = ""  # the request's id, once it is read
+        self._deadline = 0.0  # of the answer, on the clock (s)
+        self._attempts = RequestAttempts(self, context, self._on_backend_line)
+        self._answered = asyncio.Event()  # the client's further lines may be read
         self._reader: asyncio.Task[None] | None = None
-        self._owed: Place | None = None  # the send that the module has not heard the outcome of
-        self._over = False
-        self._rests = False  # it was answered a PING and has said nothing since
-        self._leaving = False  # our side is ended before anything was opened: what still comes is not heard
-        self._leave_at: asyncio.TimerHandle | None = None
-        self._rest_of_line = 0.0  # loop time until which a program that ends waits for the rest of a line
+        self._is_over = False
 
     # ---- mailbox --------------------------------------------------------------------------------
 
-    def tell(self, message: ToInvocation) -> None:
-        """After the end a send can still arrive that crossed it; it is owed an outcome too."""
-        if not self._over:
-            super().tell(message)
-        elif isinstance(message, Place):
-            self._never_sent(message)
+    def send(self, message: ConnectionMessage) -> None:
+        """A ``BeginAttempt`` can cross the actor's end; it gets an outcome too."""
+        if not self._is_over:
+            super().send(message)
+        elif isinstance(message, BeginAttempt):
+            self._attempts.report_not_sent(message)
 
     def cleanup(self) -> None:
-        self._over = True
-        self.peer.close()
-        self._no_longer_leaves()
-        if self.call is not None:
-            self.call.close()
-        self._settle(AttemptStatus.CANCELLED)
+        """Release all that is held, and report what has not been reported."""
+        self._is_over = True
+        self.stream.close()
+        self.opening.finish()
+        self._attempts.close()
+        self._attempts.report(AttemptStatus.CANCELLED)
         while not self.mailbox.empty():
             message = self.mailbox.get_nowait()
-            if isinstance(message, Place):
-                self._never_sent(message)
-        self.host.doorstep.left(self)
+            if isinstance(message, BeginAttempt):
+                self._attempts.report_not_sent(message)
         if self.request:
-            self.host.release(self.request)
-            self.host.tell_decider(Left(self, self.request))
-
-    def _never_sent(self, place: Place) -> None:
-        self.host.tell_decider(
-            AttemptFinished(place.request, place.attempt, AttemptStatus.NOT_SENT, 0.0, True)
-        )
-
-    def _settle(self, status: AttemptStatus, final: bool = True) -> None:
-        """Tell the module how the send that is out has ended; once for each send."""
-        place, self._owed = self._owed, None
-        if place is not None and self.call is not None:
-            took = self.host.clock.now() - self.call.began
-            self.host.tell_decider(AttemptFinished(place.request, place.attempt, status, took, final))
+            self.context.request_ids.release(self.request)
+            self.context.send_to_dispatcher(RequestFinished(self, self.request))
 
     # ---- life -----------------------------------------------------------------------------------
 
     async def run(self) -> None:
-        self.host.doorstep.came(self)
-        try:
-            self.opened = await self._first_line()
-        except ProtocolError as wrong:
-            self.host.bad_line(str(wrong))
-            self._opens_no_more()
-            await dismiss(self.peer, FAIL_LINE, DISMISS_TIME, DISMISS_BYTES)
-            return
-        except PeerReset:
-            return
-        if self.opened is None:
+        """Read the request, get it answered, and relay lines to the end."""
+        opened = await self._open()
+        if opened is None:
             return
-        self._opens_no_more()
-        if self.host.short():
-            self.host.figures.reply(self.opened.request_class, "overload")
-            busy = busy_line(self.host.settings.longest_retry_after)
-            await dismiss(self.peer, busy, DISMISS_TIME, DISMISS_BYTES)
+        if self.context.is_short_of_descriptors():
+            self.context.metrics.count_reply(opened.request_class, "overload")
+            busy = busy_line(self.context.settings.longest_retry_after)
+            await reject_and_close(self.stream, busy, REJECT_TIMEOUT_SECONDS, REJECT_MAX_BYTES)
             return
-        wait = (
-            min(self.opened.time_left, RESUME_TIME) if self.opened.resume_backend else self.opened.time_left
-        )
-        wait = max(0.001, min(wait, self.host.answer_by - self.host.clock.now()))
-        self.deadline = self.host.clock.now() + wait
-        self.stage = Stage.WAITING
-        self._reader = spawn(self._read_client(), "consumer's reader")
-        loop = asyncio.get_running_loop()
-        guard = loop.call_later(wait + OVERDUE, self.tell, Forfeit("no answer in time"))
+        await self._serve(opened)
+
+    async def _open(self) -> OpenRequest | None:
+        """The request; None when the client has left without one, or broke the protocol."""
+        try:
+            self.opened = await self.opening.read_request()
+        except ProtocolError as error:
+            self.context.protocol_errors.record(str(error))
+            self._finish_opening()
+            await reject_and_close(self.stream, FAIL_LINE, REJECT_TIMEOUT_SECONDS, REJECT_MAX_BYTES)
+            return None
+        except ConnectionLostError:
+            return None
+        if self.opened is not None:
+            self.request = self.opened.request
+            self._finish_opening()
+        return self.opened
+
+    def _finish_opening(self) -> None:
+        self.state = ConnectionState.ENDED
+        self.opening.finish()
+
+    async def _serve(self, opened: OpenRequest) -> None:
+        time_left = self._time_left(opened)
+        self._deadline = self.context.clock.now() + time_left
+        self.state = ConnectionState.WAITING
+        self._reader = spawn(self._read_client(), "client connection reader")
+        overdue = AbandonRequest("no answer in time")
+        timer = asyncio.get_running_loop().call_later(time_left + OVERDUE_SECONDS, self.send, overdue)
         try:
-            if self.opened.resume_backend:
-                self._resume(self.opened)
+            if opened.resume_backend:
+                self._resume(opened)
             else:
-                self.host.tell_decider(Arrived(self, self._event(self.opened, wait)))
-            while self.stage is not Stage.ENDED:
-                await self._take(await self.mailbox.get())
+                self.context.send_to_dispatcher(NewRequest(self, request_received(opened, time_left)))
+            while self.state is not ConnectionState.ENDED:
+                await self._receive(await self.mailbox.get())
         finally:
-            guard.cancel()
-            self._released.set()
-
-    async def _first_line(self) -> OpenRequest | None:
-        """The OPEN line; the front's PINGs before it are answered. None when the client has left."""
-        self._leave_in(FIRST_LINE_TIME)
-        while (line := await self._next_line()) is not None and word_of(line) == PING:
-            if not self.host.may_answer_ping():
-                self.leave()
-                continue
-            await self.peer.write(PONG_LINE)
-            self.host.doorstep.came(self)
-            if not self.peer.buffer.has_data:
-                self._rests = True
-                self._leave_in(PING_TIME)
-                if not await self.peer.fill():
-                    return None
-                self._rests = False
-            self._leave_in(FIRST_LINE_TIME)
-        if line is None:
-            return None
-        opened = parse_open(line)
-        if opened.request_class not in self.host.classes:
-            raise ProtocolError("OPEN: a class that is not in the settings")
-        if self.peer.buffer.has_data:
-            # The client has to wait for its answer. Of many commands at once no provider may see the others,
-            # and to serve the first alone would look to the client as if one of those had run.
-            raise ProtocolError("OPEN: more than one line at once")
-        self.host.claim(opened.request)
-        self.request = opened.request
-        return opened
-
-    async def _next_line(self) -> memoryview | None:
-        """None when the client has ended; once we leave, what it says is thrown away."""
-        while (line := None if self._leaving else self.peer.buffer.next_line()) is None:
-            if self._leaving:
-                self.peer.buffer.take_remaining()
-            if not await self.peer.fill():
-                return None
-        return line
-
-    # ---- the end of a client that has opened nothing ----------------------------------------------
-
-    def leave(self, linger: float = LEAVE_TIME) -> None:
-        """End our side and read on to the client's end for a while, so that a request which crosses ours is
-        met by an end and not by a reset. It is not served: its answer could not be told any more.
-
-        This is no cancelling of the coroutine that reads: that could take read bytes with it.
-        """
-        if self.stage is not Stage.OPENING or self._leaving:
-            return
-        self._leaving = True
-        self.host.doorstep.leaves(self)
-        self.peer.finish()
-        self._leave_at = asyncio.get_running_loop().call_later(linger, self.peer.close)
-
-    def _leave_in(self, seconds: float) -> None:
-        """The time counts for a whole line: one that trickles in holds its place no longer than silence."""
-        if not self._leaving:
-            self._no_longer_leaves()
-            self._leave_at = asyncio.get_running_loop().call_later(seconds, self._time_is_up)
-
-    def _time_is_up(self, again: bool = True) -> None:
-        """Bytes that have come before our end are read first: they may be the rest of a request."""
-        loop = asyncio.get_running_loop()
-        if again and self.peer.has_unread():
-            self._leave_at = loop.call_later(CROSSING, self._time_is_up, False)
-        elif self.peer.buffer.has_data and loop.time() < self._rest_of_line:
-            self._leave_at = loop.call_at(self._rest_of_line, self._time_is_up)
-        else:
-            self.leave()
-
-    def _no_longer_leaves(self) -> None:
-        if self._leave_at is not None:
-            self._leave_at.cancel()
-            self._leave_at = None
-
-    def _opens_no_more(self) -> None:
-        self.stage = Stage.ENDED
-        self._no_longer_leaves()
-        self.host.doorstep.left(self)
-
-    def shed(self) -> None:
-        """Others need its place and it has said nothing; its own coroutine sees the end."""
-        self.leave(SHED_TIME)
-
-    def drop(self) -> None:
-        """Its own coroutine sees the end."""
-        self.peer.close()
-
-    def retire(self, quiet: float, last: float) -> None:
-        """The program leaves and takes no new clients: this one, if it has opened nothing, goes at once where
-        it rests after a PING, after ``quiet`` s where it is silent, after ``last`` s with half a line."""
-        if self.stage is Stage.OPENING:
-            self._rest_of_line = asyncio.get_running_loop().time() + last
-            self._leave_in(0.0 if self._rests else quiet)
-
-    @staticmethod
-    def _event(opened: OpenRequest, patience: float) -> RequestReceived:
-        return RequestReceived(
-            opened.request,
-            opened.request_class,
-            patience,
-            opened.tenant,
-            opened.load_hint,
-            opened.key,
-            opened.group,
-            opened.is_retry,
-            False,
-            opened.came_back,
-        )
+            timer.cancel()
+            self._answered.set()
+
+    def _time_left(self, opened: OpenRequest) -> float:
+        """Seconds until the answer has to be out: the client's patience, or less when the program ends."""
+        time_left = opened.time_left
+        if opened.resume_backend:
+            time_left = min(time_left, RESUME_TIMEOUT_SECONDS)
+        program_time_left = self.context.answer_deadline - self.context.clock.now()
+        return max(MIN_TIME_LEFT_SECONDS, min(time_left, program_time_left))
+
+    # ---- lines ----------------------------------------------------------------------------------
 
     async def _read_client(self) -> None:
-        """Read the client for as long as it is there; its lines go on once the connection stands."""
+        """Read the client for as long as it is there; its lines go on once the connection is established."""
         reset = False
         try:
             while True:
-                if self.peer.buffer.has_data:
-                    if (
-                        self.stage is Stage.WAITING
-                        and self.opened is not None
-                        and not self.opened.resume_backend
-                    ):
-                        self.tell(Forfeit("the client did not wait for its answer"))
-                    await self._released.wait()
-                while (line := self.peer.buffer.next_line()) is not None:
-                    await self._to_provider(line)
-                if not await self.peer.fill():
+                if self.stream.buffer.has_data:
+                    self._check_client_waits()
+                    await self._answered.wait()
+                while (line := self.stream.buffer.next_line()) is not None:
+                    await self._send_to_backend(line)
+                if not await self.stream.receive():
                     break
-            if self._released.is_set():
-                await self._to_provider(self.peer.buffer.take_remaining())
-        except PeerReset:
+            if self._answered.is_set():
+                await self._send_to_backend(self.stream.buffer.take_remaining())
+        except ConnectionLostError:
             reset = True
-        except ProtocolError as wrong:
-            log.info("bad line from a client", reason=str(wrong))
+        except ProtocolError as error:
+            log.info("client protocol error", request=self.request, reason=str(error))
             reset = True
-        self.tell(ClientEnded(reset))
+        self.send(ClientClosed(reset))
+
+    def _check_client_waits(self) -> None:
+        """A client that sends more before its answer is failed; one that is resumed may do so."""
+        if self.state is ConnectionState.WAITING and self.opened and not self.opened.resume_backend:
+            self.send(AbandonRequest("the client did not wait for its answer"))
 
-    async def _to_provider(self, line: memoryview) -> None:
-        if self.stage is not Stage.STANDING or self.call is None or self.call.peer is None or not len(line):
+    async def _send_to_backend(self, line: memoryview) -> None:
+        attempt = self._attempts.current
+        if self.state is not ConnectionState.ESTABLISHED or attempt is None or attempt.stream is None:
             return
-        self.host.tell_decider(LineSent(self.request, self.host.clock.now()))
-        with contextlib.suppress(PeerReset):  # the call's own reader sees that end and tells it
-            await self.call.peer.write(line)
+        if not len(line):
+            return
+        self.context.send_to_dispatcher(LineSent(self.request, self.context.clock.now()))
+        with contextlib.suppress(ConnectionLostError):  # the attempt's own reader sees that end
+            await attempt.stream.write(line)
 
     async def deliver(self, line: memoryview) -> None:
-        """The provider's lines; awaited by the call, so that a slow client slows its provider."""
-        with contextlib.suppress(PeerReset):  # our reader sees it
-            await self.peer.write(line)
+        """Write a backend's line to the client; awaited, so that a slow client slows its backend."""
+        with contextlib.suppress(ConnectionLostError):  # our reader sees it
+            await self.stream.write(line)
+
+    def _on_backend_line(self, line: memoryview) -> None:
+        load = parse_load(line)
+        if load is None:
+            self.context.send_to_dispatcher(LineReceived(self.request, self.context.clock.now()))
+        else:
+            self.context.send_to_dispatcher(ConnectionLoadChanged(self.request, load * MICRO))
 
     # ---- messages -------------------------------------------------------------------------------
 
-    async def _take(self, message: ToInvocation) -> None:
+    async def _receive(self, message: ConnectionMessage) -> None:
+        """What comes in a state where it has no meaning any more is dropped."""
+        match message:
+            case BeginAttempt():
+                self._begin_attempt(message)
+            case AbandonAttempt(number) if self.state is ConnectionState.WAITING:
+                self._attempts.abandon(number)
+            case AttemptEstablished(attempt, line) if attempt is self._attempts.current:
+                await self._establish(line)
+            case AttemptEnded(attempt, status, reset) if attempt is self._attempts.current:
+                await self._end_attempt(status, reset)
+            case ClientClosed(reset):
+                await self._end_client(reset)
+            case MigrateConnection() if self.state is ConnectionState.ESTABLISHED:
+                await self._migrate()
+            case RejectRequest() | FailRequest() | AbandonRequest() if self.state is ConnectionState.WAITING:
+                await self._conclude(message)
+
+    async def _conclude(self, message: RejectRequest | FailRequest | AbandonRequest) -> None:
         match message:
-            case Place():
-                self._place(message)
-            case CallUp(call, line) if self.call is not None and call is self.call:
-                await self._up(self.call, line)
-            case CallEnded(call, status, reset) if call is self.call:
-                await self._call_ended(status, reset)
-            case ClientEnded(reset):
-                await self._client_ended(reset)
-            case RejectRequest(_, retry_after) if self.stage is Stage.WAITING:
+            case RejectRequest(_, retry_after):
                 await self._answer(busy_line(retry_after), "overload")
-            case FailRequest() if self.stage is Stage.WAITING:
+            case FailRequest():
                 await self._answer(FAIL_LINE, "error")
-            case MigrateConnection() if self.stage is Stage.STANDING:
-                await self._move()
-            case Retract(attempt) if self.stage is Stage.WAITING and self._owed is not None:
-                if self._owed.attempt == attempt and self.call is not None:
-                    self.call.close()
-            case Forfeit(reason) if self.stage is Stage.WAITING:
-                log.info("failed without the module", request=self.request, reason=reason)
-                self.host.tell_decider(ClientDisconnected(self.request))
+            case AbandonRequest(reason):
+                log.info("request abandoned", request=self.request, reason=reason)
+                self.context.send_to_dispatcher(ClientDisconnected(self.request))
                 await self._answer(FAIL_LINE, "error")
 
-    def _place(self, place: Place) -> None:
-        if self.stage is not Stage.WAITING or self._owed is not None or self.opened is None:
-            self._never_sent(place)
+    async def _answer(self, line: bytes, outcome: str) -> None:
+        """The final answer. The attempt in flight, if any, is given up first."""
+        self.state = ConnectionState.ENDED
+        if self.opened is not None:
+            self.context.metrics.count_reply(self.opened.request_class, outcome)
+        self._attempts.close()
+        self._attempts.report(AttemptStatus.CANCELLED)
+        self._answered.set()
+        if await write_within(self.stream, line, MOVE_WRITE_TIMEOUT_SECONDS):
+            await close_gracefully(self.stream, self._reader, CLOSE_TIMEOUT_SECONDS)
+
+    # ---- attempts -------------------------------------------------------------------------------
+
+    def _begin_attempt(self, message: BeginAttempt) -> None:
+        is_free = self.state is ConnectionState.WAITING and self._attempts.unreported is None
+        if not is_free or self.opened is None:
+            self._attempts.report_not_sent(message)
             return
-        if self.peer.has_ended():  # the reader has not come to it yet, and this message stood before its word
-            self._never_sent(place)
-            self.tell(ClientEnded(reset=False))
+        if self.stream.has_ended():  # this message came before the reader's word of the client's end
+            self._attempts.report_not_sent(message)
+            self.send(ClientClosed(reset=False))
             return
-        # The call's time is up before the module's own timer for the deadline: the module must know that
-        # nothing is out any more to be able to refuse, which tells the client that it may come again.
-        left = self.deadline - CALL_ENDS - self.host.clock.now()
-        timeout = min(place.timeout, left) if place.timeout > 0 else left
-        self._owed = place
-        self.call = InvokerCall(
-            self,
-            self.host.clock,
-            place.attempt,
-            place.server,
-            place.address,
-            self.opened.with_timeout(timeout),
-            max(0.0, timeout),
-            self.host.settings.connect_timeout,
-            self._line_passed,
-        )
-        self.call.start()
-
-    def wanted(self) -> bool:
-        return self.stage is Stage.WAITING and not self.peer.has_ended()
-
-    def dispatched(self) -> None:
-        self.host.figures.dispatched()
-
-    def _line_passed(self, line: memoryview) -> None:
-        load = parse_load(line)
-        if load is None:
-            self.host.tell_decider(LineBack(self.request, self.host.clock.now()))
-        else:
-            self.host.tell_decider(ConnectionLoadChanged(self.request, load * MICRO))
+        self._attempts.begin(message, self.opened, self._deadline)
 
-    async def _up(self, call: InvokerCall, line: bytes) -> None:
-        if self.stage is not Stage.WAITING:
-            call.close()
+    def wants_answer(self) -> bool:
+        """Whether an attempt may still begin; asked of the kernel, for the reader's word may be late."""
+        return self.state is ConnectionState.WAITING and not self.stream.has_ended()
+
+    def open_line_sent(self) -> None:
+        """Count an attempt whose OPEN line was written whole."""
+        self.context.metrics.count_dispatch()
+
+    async def _establish(self, line: bytes) -> None:
+        attempt = self._attempts.current
+        if attempt is None or self.opened is None:
             return
-        self.stage = Stage.STANDING
-        if self.opened is not None:
-            self.host.figures.reply(self.opened.request_class, "success")
-        with contextlib.suppress(PeerReset):  # the reader tells of it
-            await self.peer.write(line)
-        if self.opened is not None and self.opened.resume_backend:
-            self.host.tell_decider(
-                Resumed(
-                    self,
-                    ConnectionResumed(
-                        self.request,
-                        self.opened.request_class,
-                        self.opened.resume_backend,
-                        self.opened.tenant,
-                        self.opened.load_hint,
-                        self.opened.group,
-                    ),
-                )
-            )
-        elif self._owed is not None:
-            took = self.host.clock.now() - call.began
-            self.host.tell_decider(ConnectionEstablished(self.request, self._owed.attempt, took))
-        call.stood.set()
-        self._released.set()
-
-    async def _call_ended(self, status: AttemptStatus, reset: bool) -> None:
-        if self.stage is Stage.STANDING:
-            self.stage = Stage.ENDED
-            self._settle(status)
+        if self.state is not ConnectionState.WAITING:
+            attempt.close()
+            return
+        self.state = ConnectionState.ESTABLISHED
+        self.context.metrics.count_reply(self.opened.request_class, "success")
+        with contextlib.suppress(ConnectionLostError):  # the reader tells of it
+            await self.stream.write(line)
+        if self.opened.resume_backend:
+            self.context.send_to_dispatcher(ResumedConnection(self, connection_resumed(self.opened)))
+        elif (begun := self._attempts.unreported) is not None:
+            established = ConnectionEstablished(self.request, begun.attempt, self._attempts.elapsed())
+            self.context.send_to_dispatcher(established)
+        attempt.may_relay.set()
+        self._answered.set()
+
+    async def _end_attempt(self, status: AttemptStatus, reset: bool) -> None:
+        if self.state is ConnectionState.ESTABLISHED:
+            self.state = ConnectionState.ENDED
+            self._attempts.report(status)
             if reset:
-                self.peer.abort()
+                self.stream.abort()
             else:
-                await part(self.peer, self._reader, PART_TIME)
-        elif self.stage is Stage.WAITING:
+                await close_gracefully(self.stream, self._reader, CLOSE_TIMEOUT_SECONDS)
+        elif self.state is ConnectionState.WAITING:
             if self.opened is not None and self.opened.resume_backend:
-                await self._resume_failed(status)
-            elif self.peer.has_ended():  # no further attempt is even asked for
-                self.stage = Stage.ENDED
-                self._settle(status)
+                await self._resume_again(self.opened, status)
+            elif self.stream.has_ended():  # no retry is even asked for
+                self.state = ConnectionState.ENDED
+                self._attempts.report(status)
             else:
-                self._settle(status, final=False)
-
-    async def _client_ended(self, reset: bool) -> None:
-        standing, self.stage = self.stage is Stage.STANDING, Stage.ENDED
-        if not standing:
-            if not (self.opened is not None and self.opened.resume_backend):
-                self.host.tell_decider(ClientDisconnected(self.request))
-            if self.call is not None:
-                self.call.close()
-            self._settle(AttemptStatus.CANCELLED)
-            return
-        call = self.call
-        if call is None or call.peer is None:
+                self._attempts.report(status, final=False)
+
+    # ---- the client's end, and MOVE ---------------------------------------------------------------
+
+    async def _end_client(self, reset: bool) -> None:
+        was_established = self.state is ConnectionState.ESTABLISHED
+        self.state = ConnectionState.ENDED
+        if was_established:
+            await self._end_backend(reset)
+        else:
+            self._give_up_request()
+
+    def _give_up_request(self) -> None:
+        if not (self.opened is not None and self.opened.resume_backend):
+            self.context.send_to_dispatcher(ClientDisconnected(self.request))
+        self._attempts.close()
+        self._attempts.report(AttemptStatus.CANCELLED)
+
+    async def _end_backend(self, reset: bool) -> None:
+        """End the backend's side as the client has ended its own."""
+        attempt = self._attempts.current
+        if attempt is None or attempt.stream is None:
             return
         if reset:
-            call.peer.abort()
-            self._settle(AttemptStatus.CANCELLED)
+            attempt.stream.abort()
+            self._attempts.report(AttemptStatus.CANCELLED)
             return
-        # The client has only ended its sending, perhaps: what the provider still says goes to it.
-        call.peer.finish()
-        status = await self._provider_end(call)
-        self._settle(AttemptStatus.OK if status is AttemptStatus.OK else AttemptStatus.CANCELLED)
-        self.peer.finish()
-
-    async def _provider_end(self, call: InvokerCall) -> AttemptStatus:
-        if call.task is not None:
-            await asyncio.wait([call.task], timeout=PART_TIME)
+        # The client has perhaps ended its sending only: what the backend still sends goes to it.
+        attempt.stream.send_eof()
+        status = await self._wait_for_backend(attempt)
+        self._attempts.report(AttemptStatus.OK if status is AttemptStatus.OK else AttemptStatus.CANCELLED)
+        self.stream.send_eof()
+
+    async def _wait_for_backend(self, attempt: BackendAttempt) -> AttemptStatus:
+        """How the backend ended its side within the time that it has."""
+        if attempt.task is not None:
+            await asyncio.wait([attempt.task], timeout=CLOSE_TIMEOUT_SECONDS)
         status = AttemptStatus.CANCELLED
         while not self.mailbox.empty():
             message = self.mailbox.get_nowait()
-            if isinstance(message, CallEnded):
+            if isinstance(message, AttemptEnded):
                 status = message.status
         return status
 
-    async def _answer(self, line: bytes, outcome: str) -> None:
-        """The final answer. The attempt that is out, if any, is given up first."""
-        self.stage = Stage.ENDED
-        if self.opened is not None:
-            self.host.figures.reply(self.opened.request_class, outcome)
-        if self.call is not None:
-            self.call.close()
-        self._settle(AttemptStatus.CANCELLED)
-        self._released.set()
-        if await write_within(self.peer, line, MOVE_TIME):
-            await part(self.peer, self._reader, PART_TIME)
-
-    async def _move(self) -> None:
-        """MOVE goes between two whole lines, for only whole lines are passed on; then both sides end."""
-        self.stage = Stage.ENDED
-        call = self.call
-        if call is None or call.peer is None:
+    async def _migrate(self) -> None:
+        """Send MOVE after the last whole line, then end both sides."""
+        self.state = ConnectionState.ENDED
+        attempt = self._attempts.current
+        if attempt is None or attempt.stream is None:
             return
-        call.silenced = True
-        written = await write_within(self.peer, MOVE_LINE, MOVE_TIME)
-        call.peer.finish()
-        self._settle(AttemptStatus.CANCELLED)
+        attempt.is_muted = True
+        written = await write_within(self.stream, MOVE_LINE, MOVE_WRITE_TIMEOUT_SECONDS)
+        attempt.stream.send_eof()
+        self._attempts.report(AttemptStatus.CANCELLED)
         if written:
-            await part(self.peer, self._reader, PART_TIME)
+            await close_gracefully(self.stream, self._reader, CLOSE_TIMEOUT_SECONDS)
         else:
-            self.peer.abort()
+            self.stream.abort()
 
     # ---- connections from before this program's start ---------------------------------------------
 
     def _resume(self, opened: OpenRequest) -> None:
-        self._place(
-            Place(self.request, opened.resume_backend, 0, 0.0, self.host.address_of(opened.resume_backend))
-        )
-
-    async def _resume_failed(self, status: AttemptStatus) -> None:
-        """It has one place to go to, and the server may only just be coming up as well."""
-        self._owed = None
-        if self.opened is None:
-            return
-        if status not in NEVER_RAN or self.deadline - self.host.clock.now() < 2 * RESUME_AGAIN:
+        address = self.context.address_of(opened.resume_backend)
+        self._begin_attempt(BeginAttempt(self.request, opened.resume_backend, 0, 0.0, address))
+
+    async def _resume_again(self, opened: OpenRequest, status: AttemptStatus) -> None:
+        """There is one backend to go to, and it may only just be starting as well."""
+        self._attempts.unreported = None
+        time_left = self._deadline - self.context.clock.now()
+        if status not in NEVER_RAN or time_left < 2 * RESUME_RETRY_SECONDS:
             await self._answer(FAIL_LINE, "error")
             return
-        await asyncio.sleep(RESUME_AGAIN)
-        self._resume(self.opened)
+        await asyncio.sleep(RESUME_RETRY_SECONDS)
+        self._resume(opened)
--- a/saltcourse/proxy/companion.py
+++ b/saltcourse/proxy/companion.py
@@ -11,14 +11,16 @@
 
 
 class Companion(Protocol):
-    """What runs beside the proxy in its process where the operator switched it on."""
+    """A part of the process that starts when the proxy serves."""
 
-    async def start(self) -> None: ...
+    async def start(self) -> None:
+        """Begin; the proxy is serving."""
 
     async def leave(self) -> None:
         """Before draining: clients are then already sent elsewhere."""
 
-    def reload(self) -> None: ...
+    def reload(self) -> None:
+        """SIGHUP: read the configuration anew."""
 
 
 class HostProgram(Protocol):
@@ -35,9 +37,11 @@
     """The companion that makes the proxy a member of a fleet with gossip."""
 
     @property
-    def answers(self) -> GossipCalls | None: ...
+    def answers(self) -> GossipCalls | None:
+        """The calls at the admin address that it answers; None before its start."""
 
     def attach(self, program: HostProgram) -> None:
         """Before its start: ``program`` tells its connections, and takes over a changed configuration."""
 
-    def figures(self) -> dict[str, int]: ...
+    def figures(self) -> dict[str, int]:
+        """Its gauges, by name."""
--- a/saltcourse/proxy/dispatcher.py
+++ b/saltcourse/proxy/dispatcher.py
@@ -1,12 +1,16 @@
-"""The actor that alone owns the decision module: events in, actions out, timers between.
+"""The actor that alone owns the balancer: it hands events in, carries out actions and sets timers.
 
-It knows no protocol. Whoever brings a request is an ``Invocation``, told what to do by its mailbox.
+It knows no protocol. Whoever brings a request is a ``RequestOwner``, told what to do by its mailbox:
+
+    message ──► event ──► Balancer.handle ──► actions ──► owners, health checks, discovery, peers, timers
+
+A request is open from ``NewRequest`` (or ``ResumedConnection``) to ``RequestFinished``. A fault in the
+balancer costs the requests that wait for an answer, and no established connection: see ``_replace_balancer``.
 """
 
 from __future__ import annotations
 
 import asyncio
-from collections import Counter
 from collections.abc import Callable
 from dataclasses import dataclass
 
@@ -27,7 +31,6 @@
     WatchEndpoints,
 )
 from saltcourse.balancing.balancer import Balancer
-from saltcourse.balancing.drain_schedule import DrainSchedule
 from saltcourse.balancing.events import (
     AttemptFinished,
     AttemptStatus,
@@ -43,327 +46,330 @@
     ResponseLatencyMeasured,
     TimerFired,
 )
-from saltcourse.balancing.response_latency import REPORT_INTERVAL_SECONDS, ResponseLatencyMeter
-from saltcourse.balancing.settings import Settings
+from saltcourse.balancing.response_latency import ResponseLatencyMeter
 from saltcourse.codec.endpoint_list import Address, EndpointUpdate
 from saltcourse.codec.lines import MICRO
+from saltcourse.config import Config
 from saltcourse.proxy.actor import Actor
-from saltcourse.proxy.attempt import ProbeCall
 from saltcourse.proxy.clock import Clock
+from saltcourse.proxy.connection_monitor import CHECK_INTERVAL_SECONDS, ConnectionMonitor
+from saltcourse.proxy.health_check import HealthCheck
 from saltcourse.proxy.messages import (
-    Arrived,
-    Invocation,
-    Left,
-    LineBack,
+    AbandonAttempt,
+    BeginAttempt,
+    ConnectionMessage,
+    DispatcherMessage,
+    EndpointsReceived,
+    LineReceived,
     LineSent,
-    Listed,
-    MoveAll,
-    Place,
-    Resumed,
-    Retract,
-    ToDecider,
+    NewRequest,
+    RequestFinished,
+    RequestOwner,
+    ResumedConnection,
+    StartDraining,
+    StopDraining,
 )
+from saltcourse.proxy.traffic_summary import TrafficSummary
 
-LOOK_EVERY = 0.25  # s between looks for connections that bring nothing back
-LATE = 0.1  # s by which a look may be late before it judges nobody for being silent
-SUM_EVERY = 5.0  # s between log lines that sum up what is held and believed of each provider
+SUMMARY_INTERVAL_SECONDS = 5.0
 
 log = structlog.get_logger("saltcourse")
 
 
 @dataclass(slots=True)
-class Rung:
-    """A timer of one module: one that has failed since has no use for it."""
+class TimerExpired:
+    """A timer of one balancer: one that has been replaced since has no use for it."""
 
     balancer: Balancer
     token: int
 
 
-class Decider(Actor[ToDecider | Rung]):
-    def __init__(
-        self,
-        settings: Settings,
-        seed: int,
-        clock: Clock,
-        known: EndpointUpdate,
-        ask_directory: Callable[[WatchEndpoints | FetchEndpoints], None],
-        tells_delay: bool,
-        say: Callable[[SendPeerMessage], None],
-    ) -> None:
-        super().__init__("decider")
-        self.settings, self.clock = settings, clock
-        self.addresses: dict[str, Address] = {}
-        self.members: dict[str, Endpoint] = {}
-        self.invocations: dict[str, Invocation] = {}
-        self.standing: dict[str, ConnectionResumed] = {}
-        self._plan: DrainSchedule | None = None  # when standing connections are moved; None: nothing is
-        self._known, self._ask, self._seed, self._say = known, ask_directory, seed, say
-        self._sends: dict[str, tuple[int, str]] = {}  # request -> number and server of its last attempt
-        self._arrived: dict[str, RequestReceived] = {}
-        self._meter = ResponseLatencyMeter(settings.slow_message if tells_delay else float("inf"))
-        self._noted = 0.0
-        self._looked = clock.now()
-        # Since the last sum: (provider, status) of each outcome, and ("", action) of each answer and move.
-        self._ended_how: Counter[tuple[str, str]] = Counter()
-        self._summed = clock.now()
-        self._balancer = Balancer(settings, seed)
+@dataclass(frozen=True, slots=True)
+class StartedAttempt:
+    """The last attempt of a request, by its number within the request."""
+
+    number: int
+    backend: str
+
+
+@dataclass(slots=True)
+class OpenRequest:
+    """A request that its owner has not finished; ``received`` is None for a resumed connection."""
+
+    owner: RequestOwner
+    received: RequestReceived | None = None
+    last_attempt: StartedAttempt | None = None
+
+
+@dataclass(frozen=True, slots=True)
+class Outlets:
+    """Where actions go that are for no request."""
+
+    discovery: Callable[[WatchEndpoints | FetchEndpoints], None]
+    peers: Callable[[SendPeerMessage], None]
+
+
+class Dispatcher(Actor[DispatcherMessage | TimerExpired]):
+    """Serves the requests of all client connections with one balancer."""
+
+    def __init__(self, config: Config, clock: Clock, outlets: Outlets) -> None:
+        super().__init__("dispatcher")
+        self.settings = config.settings
+        self.clock = clock
+        self.endpoints: dict[str, Endpoint] = {}  # by backend
+        self._addresses: dict[str, Address] = {}  # by backend; also of those that have left the list
+        self._requests: dict[str, OpenRequest] = {}
+        self._known_endpoints = config.known  # from before the start
+        self._outlets = outlets
+        self._seed = config.seed
+        self._monitor = ConnectionMonitor(_latency_meter(config), clock, self._migrate, self._handle)
+        self._summary = TrafficSummary()
+        self._last_summary = clock.now()
+        self._balancer = Balancer(config.settings, config.seed)
 
     async def run(self) -> None:
-        self._take(Listed(EndpointUpdateKind.CACHED, self._known))
-        self._look()
+        """Start from the known endpoint list, then take messages for as long as the program runs."""
+        self._receive(EndpointsReceived(EndpointUpdateKind.CACHED, self._known_endpoints))
+        self._check()
         while True:
-            self._take(await self.mailbox.get())
+            self._receive(await self.mailbox.get())
 
-    # ---- events ---------------------------------------------------------------------------------
+    # ---- messages -------------------------------------------------------------------------------
 
-    def _take(self, message: ToDecider | Rung) -> None:
+    def _receive(self, message: DispatcherMessage | TimerExpired) -> None:
         match message:
-            case LineSent(request, at):
-                self._meter.line_sent(request, at)
-            case LineBack(request, at):
-                self._meter.line_received(request, at)
-            case Arrived(invocation, event):
-                if event.request in self.invocations:  # ids are new with every connection
-                    invocation.tell(FailRequest(event.request))
-                    return
-                self.invocations[event.request] = invocation
-                self._arrived[event.request] = event
-                self._handle(event)
-            case Resumed(invocation, event):
-                self.invocations.setdefault(event.request, invocation)
-                self._stands(event)
-                self._handle(event)
-                if self._plan is not None:
-                    self._move(event.request)
-            case Listed(kind, listing):
-                self._listed(kind, listing)
-            case Left(invocation, request):
-                if self.invocations.get(request) is invocation:
-                    del self.invocations[request]
-                    self._arrived.pop(request, None)
-                    self._sends.pop(request, None)
-                    self._ended(request)
-            case MoveAll(on, begin, end):
-                self._plan = DrainSchedule(begin, end) if on else None
-                self._pace()
-            case ConnectionEstablished():
-                self._established(message)
-            case Rung(balancer, token):
+            case LineSent(request, time):
+                self._monitor.line_sent(request, time)
+            case LineReceived(request, time):
+                self._monitor.line_received(request, time)
+            case NewRequest():
+                self._open_request(message)
+            case ResumedConnection():
+                self._resume_connection(message)
+            case RequestFinished():
+                self._finish_request(message)
+            case EndpointsReceived(kind, update):
+                self._update_endpoints(kind, update)
+            case StartDraining() | StopDraining():
+                self._set_draining(message)
+            case TimerExpired(balancer, token):
                 if balancer is self._balancer:
                     self._handle(TimerFired(token))
+            case _:
+                self._receive_event(message)
+
+    def _receive_event(self, event: Event) -> None:
+        """Events of the balancer's own; what else depends on them is done first."""
+        match event:
+            case ConnectionEstablished():
+                self._establish_connection(event)
             case AttemptFinished():
-                if message.final:
-                    self._ended(message.request)
-                if message.request in self._sends:
-                    self._ended_how[self._sends[message.request][1], message.status.value] += 1
-                self._handle(message)
+                self._finish_attempt(event)
             case ConnectionLoadChanged(request, load):
-                delay = self._meter.latency_of_load_line(request, load / MICRO, self.clock.now())
-                self._handle(message if delay is None else ResponseLatencyMeasured(request, delay))
+                latency = self._monitor.latency_of_load_line(request, load / MICRO)
+                self._handle(event if latency is None else ResponseLatencyMeasured(request, latency))
             case _:
-                self._handle(message)
+                self._handle(event)
+
+    def _set_draining(self, message: StartDraining | StopDraining) -> None:
+        if isinstance(message, StartDraining):
+            self._monitor.start_draining(message.begin, message.end)
+        else:
+            self._monitor.stop_draining()
 
-    def _listed(self, kind: EndpointUpdateKind, listing: EndpointUpdate | None) -> None:
-        if listing is None:
+    def _open_request(self, message: NewRequest) -> None:
+        request = message.event.request
+        if request in self._requests:  # ids are new with every connection
+            message.owner.send(FailRequest(request))
+            return
+        self._requests[request] = OpenRequest(message.owner, message.event)
+        self._handle(message.event)
+
+    def _resume_connection(self, message: ResumedConnection) -> None:
+        request = message.event.request
+        self._requests.setdefault(request, OpenRequest(message.owner))
+        self._monitor.add(message.event)
+        self._handle(message.event)
+        if self._monitor.is_draining:
+            self._migrate(request)
+
+    def _finish_request(self, message: RequestFinished) -> None:
+        open_request = self._requests.get(message.request)
+        if open_request is not None and open_request.owner is message.owner:
+            del self._requests[message.request]
+            self._monitor.remove(message.request)
+
+    def _establish_connection(self, event: ConnectionEstablished) -> None:
+        open_request = self._requests.get(event.request)
+        if open_request is not None and open_request.received and open_request.last_attempt:
+            received = open_request.received
+            self._monitor.add(
+                ConnectionResumed(
+                    event.request,
+                    received.request_class,
+                    open_request.last_attempt.backend,
+                    received.tenant,
+                    received.load_hint,
+                    received.group,
+                )
+            )
+        self._handle(event)
+        if self._monitor.is_draining:
+            self._migrate(event.request)
+
+    def _finish_attempt(self, event: AttemptFinished) -> None:
+        if event.final:
+            self._monitor.remove(event.request)
+        open_request = self._requests.get(event.request)
+        if open_request is not None and open_request.last_attempt is not None:
+            self._summary.count_attempt(open_request.last_attempt.backend, event.status)
+        self._handle(event)
+
+    def _update_endpoints(self, kind: EndpointUpdateKind, update: EndpointUpdate | None) -> None:
+        if update is None:
             self._handle(EndpointsUpdated(kind))
             return
-        self.addresses.update(listing.addresses)
+        self._addresses.update(update.addresses)
         if kind is not EndpointUpdateKind.DELTA:
-            self.members = {}
-        self.members.update((m.backend, m) for m in listing.endpoints)
-        self._handle(EndpointsUpdated(kind, listing.endpoints))
+            self.endpoints = {}
+        self.endpoints.update((endpoint.backend, endpoint) for endpoint in update.endpoints)
+        self._handle(EndpointsUpdated(kind, update.endpoints))
+
+    # ---- what is asked of it ----------------------------------------------------------------------
 
-    def targets(self) -> tuple[int, int]:
-        """Providers in the list, and those of them that the module avoids now (draining, resting, tried)."""
-        listed = [m.backend for m in self.members.values() if m.state is not BackendState.REMOVED]
+    def address_of(self, backend: str) -> Address | None:
+        """The address that the endpoint list gives this proxy for a backend."""
+        return self._addresses.get(backend)
+
+    def backend_gauges(self) -> dict[str, int]:
+        """Backends in the list, and those of them that the balancer avoids now (draining or ejected)."""
+        listed = [e.backend for e in self.endpoints.values() if e.state is not BackendState.REMOVED]
         reports = self._balancer.backend_reports(self.clock.now())
-        avoided_backends = {report.backend for report in reports if report.is_avoided}
-        avoided = sum(1 for name in listed if name in avoided_backends)
-        return len(listed), avoided
-
-    def fleet(self) -> dict[str, int]:
-        """What this proxy knows of the others and may spend by it."""
-        now, peers = self.clock.now(), self._balancer.shared_state
-        known = [peers.fleet_connections(now, name) for name in self._balancer.backend_names()]
+        avoided = {report.backend for report in reports if report.is_avoided}
         return {
-            "fleet.peers": len(peers.peers),
-            "fleet.pace": round(1000 * peers.relative_share(now)),
-            "fleet.judged": len(peers.peer_ejections(now)),
-            "fleet.connections": round(sum(known)),
-            "fleet.unreadable": peers.undecodable_messages,
+            "targets": len(listed),
+            "targets_disabled": sum(1 for backend in listed if backend in avoided),
         }
 
-    def _established(self, event: ConnectionEstablished) -> None:
-        arrived, sent = self._arrived.get(event.request), self._sends.get(event.request)
-        if arrived is not None and sent is not None:
-            self._stands(
-                ConnectionResumed(
-                    event.request,
-                    arrived.request_class,
-                    sent[1],
-                    arrived.tenant,
-                    arrived.load_hint,
-                    arrived.group,
-                )
-            )
-        self._handle(event)
-        if self._plan is not None:
-            self._move(event.request)
-
-    def _stands(self, connection: ConnectionResumed) -> None:
-        self.standing[connection.request] = connection
-        self._meter.connection_established(connection.request, connection.backend)
+    def shared_state_gauges(self) -> dict[str, int]:
+        """What this proxy knows of the other proxies of its tier."""
+        now, shared_state = self.clock.now(), self._balancer.shared_state
+        backends = self._balancer.backend_names()
+        connections = sum(shared_state.fleet_connections(now, backend) for backend in backends)
+        return {
+            "fleet.peers": len(shared_state.peers),
+            "fleet.pace": round(1000 * shared_state.relative_share(now)),
+            "fleet.judged": len(shared_state.peer_ejections(now)),
+            "fleet.connections": round(connections),
+            "fleet.unreadable": shared_state.undecodable_messages,
+        }
 
-    def _ended(self, request: str) -> None:
-        self.standing.pop(request, None)
-        self._meter.connection_ended(request)
+    # ---- regular checks ---------------------------------------------------------------------------
 
-    def _look(self) -> None:
-        """What the module is told of by notes elsewhere is measured here; silence is ended here, for
-        a connection that brings nothing back must not wait for a decision."""
+    def _check(self) -> None:
+        self._monitor.check()
         now = self.clock.now()
-        late, self._looked = now - self._looked > LOOK_EVERY + LATE, now
-        for request in self._meter.silent_connections(now):
-            log.info("connection brings nothing back", request=request)
-            self._move(request)
-        if not late:  # else lines that came meanwhile may not have been read yet
-            for report in self._meter.hung_backends(now):
-                log.info(
-                    "provider has stopped answering",
-                    id=self.standing[report.request].backend,
-                    seconds=round(report.latency, 2),
-                )
-                self._handle(ResponseLatencyMeasured(report.request, report.latency))
-        if now - self._noted >= REPORT_INTERVAL_SECONDS:
-            self._noted = now
-            for report in self._meter.latency_reports(now):
-                self._handle(ResponseLatencyMeasured(report.request, report.latency))
-        self._pace()
-        if now - self._summed >= SUM_EVERY:
-            self._summed = now
-            self._sum_up(now)
-        asyncio.get_running_loop().call_later(LOOK_EVERY, self._look)
-
-    def _pace(self) -> None:
-        """Move what the drain plan says is due; the plan's times are the loop's, as the looks are."""
-        if self._plan is None:
-            return
-        due = self._plan.due(asyncio.get_running_loop().time(), len(self.standing), LOOK_EVERY)
-        for request in list(self.standing)[:due]:
-            self._move(request)
-
-    def _sum_up(self, now: float) -> None:
-        """For whoever asks why connections went where they went: connections that stand there, the module's
-        occupancy over its ceiling, why nothing new goes there, and how attempts and connections ended."""
-        held = Counter(c.backend for c in self.standing.values())
-        for report in self._balancer.backend_reports(now):
-            name = report.backend
-            ended = {how: n for (backend, how), n in sorted(self._ended_how.items()) if backend == name}
-            if report.state is BackendState.REMOVED and not held[name] and not ended:
-                continue
-            log.info(
-                "provider",
-                id=name,
-                standing=held[name],
-                occupancy=f"{report.occupancy:.1f}/{report.ceiling:.1f}",
-                limits=",".join(report.reasons),
-                **ended,
-            )
-        said = {what: n for (name, what), n in sorted(self._ended_how.items()) if not name}
-        log.info(
-            "sum",
-            invocations=len(self.invocations),
-            standing=len(self.standing),
-            storm=self._balancer.is_failing,
-            **said,
+        if now - self._last_summary >= SUMMARY_INTERVAL_SECONDS:
+            self._last_summary = now
+            self._write_summary(now)
+        asyncio.get_running_loop().call_later(CHECK_INTERVAL_SECONDS, self._check)
+
+    def _write_summary(self, now: float) -> None:
+        self._summary.write(
+            self._balancer.backend_reports(now),
+            self._monitor.backend_counts(),
+            len(self._requests),
+            self._balancer.is_failing,
         )
-        self._ended_how.clear()
 
-    # ---- the module -----------------------------------------------------------------------------
+    # ---- the balancer -----------------------------------------------------------------------------
 
     def _handle(self, event: Event) -> None:
-        self._carry_out(self._decide(event))
+        for action in self._decide(event):
+            self._carry_out(action)
 
     def _decide(self, event: Event) -> list[Action]:
         try:
             return self._balancer.handle(self.clock.now(), event)
         except Exception:
-            log.exception("fault in the module", event_type=type(event).__name__)
-            return self._begin_anew()
-
-    def _begin_anew(self) -> list[Action]:
-        """After a fault nothing that the module held can be trusted. Whoever waits is answered, and a new
-        module is told of the list and of all that stands, as if the program had just started."""
-        for request, invocation in self.invocations.items():
-            if request not in self.standing:
-                invocation.tell(FailRequest(request))
+            log.exception("balancer failed", event_type=type(event).__name__)
+            return self._replace_balancer()
+
+    def _replace_balancer(self) -> list[Action]:
+        """Begin anew after a fault, for nothing that the balancer held can be trusted.
+
+        Requests that wait are failed. A new balancer is given the endpoint list and all established
+        connections, as if the program had just started.
+        """
+        for request, open_request in self._requests.items():
+            if request not in self._monitor.established:
+                open_request.owner.send(FailRequest(request))
         self._seed += 1
         self._balancer = Balancer(self.settings, self._seed)
         now = self.clock.now()
+        endpoints = EndpointsUpdated(EndpointUpdateKind.CACHED, tuple(self.endpoints.values()))
         try:
-            actions = self._balancer.handle(
-                now, EndpointsUpdated(EndpointUpdateKind.CACHED, tuple(self.members.values()))
-            )
-            for connection in self.standing.values():
+            actions = self._balancer.handle(now, endpoints)
+            for connection in self._monitor.established.values():
                 actions += self._balancer.handle(now, connection)
         except Exception:
-            log.exception("fault in the module at its start")
+            log.exception("new balancer failed")
             return []
         return actions
 
-    def _carry_out(self, actions: list[Action]) -> None:
-        for action in actions:
-            match action:
-                case StartAttempt():
-                    self._send(action)
-                case RejectRequest() | FailRequest():
-                    outcome = "rejected" if isinstance(action, RejectRequest) else "failed"
-                    self._ended_how["", outcome] += 1
-                    self._tell(action.request, action)
-                case MigrateConnection():
-                    self._ended_how["", "migrated"] += 1
-                    self._move(action.request)
-                case CancelAttempt():
-                    invocation = self.invocations.get(action.request)
-                    if invocation is not None:
-                        invocation.tell(Retract(action.attempt))
-                case SetTimer():
-                    self._set_timer(action)
-                case StartHealthCheck():
-                    ProbeCall(
-                        action.backend,
-                        self.addresses.get(action.backend),
-                        self.settings.reports_load,
-                        self.clock,
-                        self.tell,
-                    ).start()
-                case WatchEndpoints() | FetchEndpoints():
-                    self._ask(action)
-                case Log():
-                    log.info("module", text=action.text)
-                case SendPeerMessage():
-                    self._say(action)
-
-    def _tell(self, request: str, action: RejectRequest | FailRequest | MigrateConnection) -> None:
-        invocation = self.invocations.get(request)
-        if invocation is not None:
-            invocation.tell(action)
-
-    def _move(self, request: str) -> None:
-        """It stops counting as standing at once, so that it is moved once."""
-        self._ended(request)
-        self._tell(request, MigrateConnection(request))
-
-    def _send(self, send: StartAttempt) -> None:
-        last, _ = self._sends.get(send.request, (-1, ""))
-        place = Place(send.request, send.backend, last + 1, send.timeout, self.addresses.get(send.backend))
-        self._sends[send.request] = (place.attempt, send.backend)
-        invocation = self.invocations.get(send.request)
-        if invocation is not None:
-            invocation.tell(place)
-        else:  # its client left a moment ago
-            self.tell(AttemptFinished(send.request, place.attempt, AttemptStatus.NOT_SENT, 0.0, True))
-
-    def _set_timer(self, timer: SetTimer) -> None:
-        rung = Rung(self._balancer, timer.token)
-        asyncio.get_running_loop().call_later(timer.delay, self.tell, rung)
+    def _carry_out(self, action: Action) -> None:
+        match action:
+            case StartAttempt():
+                self._start_attempt(action)
+            case RejectRequest() | FailRequest():
+                self._summary.count_request("rejected" if isinstance(action, RejectRequest) else "failed")
+                self._send_to_owner(action.request, action)
+            case MigrateConnection(request):
+                self._summary.count_request("migrated")
+                self._migrate(request)
+            case CancelAttempt(request, attempt):
+                self._send_to_owner(request, AbandonAttempt(attempt))
+            case SetTimer(delay, token):
+                expired = TimerExpired(self._balancer, token)
+                asyncio.get_running_loop().call_later(delay, self.send, expired)
+            case StartHealthCheck(backend):
+                self._start_health_check(backend)
+            case WatchEndpoints() | FetchEndpoints():
+                self._outlets.discovery(action)
+            case SendPeerMessage():
+                self._outlets.peers(action)
+            case Log(text):
+                log.info("balancer", text=text)
+
+    def _send_to_owner(self, request: str, message: ConnectionMessage) -> None:
+        open_request = self._requests.get(request)
+        if open_request is not None:
+            open_request.owner.send(message)
+
+    def _migrate(self, request: str) -> None:
+        """It is monitored no longer from here on, so that it is migrated once."""
+        self._monitor.remove(request)
+        self._send_to_owner(request, MigrateConnection(request))
+
+    def _start_attempt(self, action: StartAttempt) -> None:
+        request, backend = action.request, action.backend
+        open_request = self._requests.get(request)
+        if open_request is None:  # its client left a moment ago
+            self._summary.count_attempt(backend, AttemptStatus.NOT_SENT)
+            self.send(AttemptFinished(request, 0, AttemptStatus.NOT_SENT, 0.0, True))
+            return
+        last = open_request.last_attempt
+        number = 0 if last is None else last.number + 1
+        open_request.last_attempt = StartedAttempt(number, backend)
+        address = self._addresses.get(backend)
+        open_request.owner.send(BeginAttempt(request, backend, number, action.timeout, address))
+
+    def _start_health_check(self, backend: str) -> None:
+        HealthCheck(
+            backend, self._addresses.get(backend), self.settings.reports_load, self.clock, self.send
+        ).start()
+
+
+def _latency_meter(config: Config) -> ResponseLatencyMeter:
+    """Where the backends send no latency in LOAD lines, none is reported but that of hung ones."""
+    return ResponseLatencyMeter(config.settings.slow_message if config.tells_delay else float("inf"))
--- a/saltcourse/proxy/messages.py
+++ b/saltcourse/proxy/messages.py
@@ -1,4 +1,8 @@
-"""What actors tell each other, beside the module's own events and actions."""
+"""Messages between the actors, beside the balancer's own events and actions.
+
+ClientConnection ── DispatcherMessage ──► Dispatcher
+ClientConnection ◄─ ConnectionMessage ─── Dispatcher, BackendAttempt, its own reader and timers
+"""
 
 from __future__ import annotations
 
@@ -15,132 +19,168 @@
 )
 from saltcourse.codec.endpoint_list import Address, EndpointUpdate
 
+# ---- to a client connection -------------------------------------------------------------------------
+
 
 class Attempt(Protocol):
-    """One attempt of a request at a server, as its messages name it. It is told from others by identity: all
-    attempts to bring a connection back that stood before this program's start have the same number."""
+    """One attempt of a request at a backend, as its messages name it.
 
-    attempt: int  # its number within the request
-    server: str
+    Attempts are told apart by identity: all attempts to resume a connection from before this program's start
+    have the same number.
+    """
+
+    number: int  # within the request, from 0
+    backend: str
 
 
 @dataclass(slots=True)
-class Place:
-    """Begin an attempt, at the address that the list gives this proxy for the server."""
+class BeginAttempt:
+    """Begin an attempt.
+
+    ``timeout``: s, 0 for all the time that the request has. ``address``: that of the backend in the endpoint
+    list, None where it has none.
+    """
 
     request: str
-    server: str
+    backend: str
     attempt: int
     timeout: float
     address: Address | None
 
 
 @dataclass(slots=True)
-class Retract:
+class AbandonAttempt:
+    """Give up the attempt of this number, if it is in flight."""
+
     attempt: int
 
 
 @dataclass(slots=True)
-class Forfeit:
-    """No answer of the module is to be waited for: the client's time is up, or it broke the protocol."""
+class AbandonRequest:
+    """Fail the request without the balancer: its time is up, or the client broke the protocol."""
 
     reason: str
 
 
 @dataclass(slots=True)
-class ClientEnded:
+class ClientClosed:
+    """The client has ended its side, or reset the connection."""
+
     reset: bool
 
 
 @dataclass(slots=True)
-class CallUp:
-    """The provider took the connection; ``line`` is its receipt."""
+class AttemptEstablished:
+    """The backend took the connection; ``line`` is its UP line, for the client."""
 
-    call: Attempt
+    attempt: Attempt
     line: bytes
 
 
 @dataclass(slots=True)
-class CallEnded:
-    """The call is over: before UP with any status, after it with how the connection ended."""
+class AttemptEnded:
+    """The attempt is over: before UP with any status, after it with how the connection ended."""
 
-    call: Attempt
+    attempt: Attempt
     status: AttemptStatus
     reset: bool
 
 
-ToInvocation = (
-    Place
-    | Retract
-    | Forfeit
-    | ClientEnded
-    | CallUp
-    | CallEnded
+ConnectionMessage = (
+    BeginAttempt
+    | AbandonAttempt
+    | AbandonRequest
+    | ClientClosed
+    | AttemptEstablished
+    | AttemptEnded
     | RejectRequest
     | FailRequest
     | MigrateConnection
 )
 
 
-class Invocation(Protocol):
-    """What the decider needs of a request, whatever protocol brought it."""
+class RequestOwner(Protocol):
+    """What the dispatcher needs of whoever brings a request, whatever protocol that has."""
+
+    def send(self, message: ConnectionMessage) -> None:
+        """Put a message into its mailbox."""
 
-    def tell(self, message: ToInvocation) -> None: ...
+
+# ---- to the dispatcher ------------------------------------------------------------------------------
 
 
 @dataclass(slots=True)
-class Arrived:
-    """A new request, and who takes its answers."""
+class NewRequest:
+    """A client has sent a request; ``owner`` takes its answers."""
 
-    invocation: Invocation
+    owner: RequestOwner
     event: RequestReceived
 
 
 @dataclass(slots=True)
-class Resumed:
-    """A connection from before this program's start stands again."""
+class ResumedConnection:
+    """A connection from before this program's start is established again."""
 
-    invocation: Invocation
+    owner: RequestOwner
     event: ConnectionResumed
 
 
 @dataclass(slots=True)
-class Left:
-    """The invocation's actor is done; nothing is to be told to it any more."""
+class RequestFinished:
+    """The owner of a request is done; nothing is to be sent to it any more."""
 
-    invocation: Invocation
+    owner: RequestOwner
     request: str
 
 
 @dataclass(slots=True)
-class Listed:
+class EndpointsReceived:
+    """Discovery answered (``update``), or a call failed (None)."""
+
     kind: EndpointUpdateKind
-    listing: EndpointUpdate | None = None
+    update: EndpointUpdate | None = None
 
 
 @dataclass(slots=True)
 class LineSent:
-    """A consumer's line went to its provider; one is expected back at once."""
+    """A client's line went to its backend, which is expected to answer at once."""
 
     request: str
-    at: float
+    time: float
 
 
 @dataclass(slots=True)
-class LineBack:
+class LineReceived:
+    """A line, other than LOAD, came from the backend."""
+
     request: str
-    at: float
+    time: float
 
 
 @dataclass(slots=True)
-class MoveAll:
-    """The program is about to leave, or is emptied for a while: every connection that stands, or will, is
-    moved. ``on`` False ends that, when the operators take the program back into work. Those that stand are
-    moved between ``begin`` and ``end`` (loop time), spread out; 0 and 0 is at once."""
+class StartDraining:
+    """Migrate all connections that are established, or will be, until ``StopDraining``.
+
+    They are spread between ``begin`` and ``end`` (s, the loop's time); 0 and 0 is at once.
+    """
 
-    on: bool = True
     begin: float = 0.0
     end: float = 0.0
 
 
-ToDecider = Arrived | Resumed | Left | Listed | LineSent | LineBack | MoveAll | Event
+@dataclass(slots=True)
+class StopDraining:
+    """The operators take the program back into service."""
+
+
+DispatcherMessage = (
+    NewRequest
+    | ResumedConnection
+    | RequestFinished
+    | EndpointsReceived
+    | LineSent
+    | LineReceived
+    | StartDraining
+    | StopDraining
+    | Event
+)
--- /dev/null
+++ b/saltcourse/proxy/request_events.py
@@ -0,0 +1,33 @@
+"""The balancer's events of a request, made from its OPEN line."""
+
+from __future__ import annotations
+
+from saltcourse.balancing.events import ConnectionResumed, RequestReceived
+from saltcourse.codec.lines import OpenRequest
+
+
+def request_received(opened: OpenRequest, time_left: float) -> RequestReceived:
+    """A new request that has to be answered within ``time_left`` s."""
+    return RequestReceived(
+        request=opened.request,
+        request_class=opened.request_class,
+        time_left=time_left,
+        tenant=opened.tenant,
+        load_hint=opened.load_hint,
+        flow=opened.key,
+        group=opened.group,
+        is_retry=opened.is_retry,
+        came_back=opened.came_back,
+    )
+
+
+def connection_resumed(opened: OpenRequest) -> ConnectionResumed:
+    """A connection from before the proxy's start, established again at the backend that it names."""
+    return ConnectionResumed(
+        request=opened.request,
+        request_class=opened.request_class,
+        backend=opened.resume_backend,
+        tenant=opened.tenant,
+        load_hint=opened.load_hint,
+        group=opened.group,
+    )
--- a/tests/proxy/test_exchanges.py
+++ b/tests/proxy/test_exchanges.py
@@ -7,11 +7,9 @@
 import pytest
 from structlog.testing import capture_logs
 
-from saltcourse.balancing import response_latency as delay
-from saltcourse.proxy import client_connection as consumer
-from saltcourse.proxy import discovery_client as directory
-from saltcourse.proxy import server as lifecycle
-from tests.proxy.exchange_player import Player, sections
+from saltcourse.balancing import response_latency
+from saltcourse.proxy import discovery_client, draining, opening
+from tests.proxy.exchange_player import ExchangePlayer, sections
 
 SECTIONS = sections()
 
@@ -19,17 +17,17 @@
 @pytest.mark.parametrize("title", SECTIONS)
 def test_exchange(title: str, monkeypatch: pytest.MonkeyPatch) -> None:
     if "nothing back" in title:
-        monkeypatch.setattr(delay, "SILENT_AFTER_SECONDS", 0.1)
+        monkeypatch.setattr(response_latency, "SILENT_AFTER_SECONDS", 0.1)
     if "in time" in title:
-        monkeypatch.setattr(consumer, "FIRST_LINE_TIME", 0.1)
+        monkeypatch.setattr(opening, "FIRST_LINE_TIMEOUT_SECONDS", 0.1)
     if "falls silent" in title:
-        monkeypatch.setattr(directory, "WATCH_TIME", 0.1)
-        monkeypatch.setattr(directory, "WATCH_SLACK", 0.1)
+        monkeypatch.setattr(discovery_client, "WATCH_WAIT_SECONDS", 0.1)
+        monkeypatch.setattr(discovery_client, "WATCH_SLACK_SECONDS", 0.1)
     if "SIGTERM" not in title:
-        monkeypatch.setattr(lifecycle, "STILL_TAKING", 0.0)
+        monkeypatch.setattr(draining, "FRONT_NOTICE_SECONDS", 0.0)
 
     async def play() -> None:
-        await Player(options).play(steps)
+        await ExchangePlayer(options).play(steps)
 
     options, steps = SECTIONS[title]
     with capture_logs() as logs:
--- a/tests/proxy/test_health_check.py
+++ b/tests/proxy/test_health_check.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from saltcourse.balancing.events import AttemptStatus, HealthCheckFinished, LoadReport
-from saltcourse.proxy.attempt import ProbeCall
+from saltcourse.proxy.health_check import HealthCheck
 from saltcourse.proxy.clock import Clock
 
 
@@ -20,7 +20,7 @@
         result: asyncio.Future[HealthCheckFinished] = asyncio.get_running_loop().create_future()
         async with await asyncio.start_server(backend, "127.0.0.1", 0) as server:
             address = server.sockets[0].getsockname()[:2]
-            ProbeCall("s0", address, True, Clock(), result.set_result).start()
+            HealthCheck("s0", address, True, Clock(), result.set_result).start()
             return await result
 
     finished = asyncio.run(check())
--- a/tests/proxy/test_hostile_clients.py
+++ b/tests/proxy/test_hostile_clients.py
@@ -10,9 +10,9 @@
 from typing import Any
 
 from saltcourse.config import read_config
-from saltcourse.proxy.client_connection import FIRST_LINE_TIME
+from saltcourse.proxy.opening import FIRST_LINE_TIMEOUT_SECONDS
 from saltcourse.proxy.server import Phase, ProxyServer
-from saltcourse.proxy.stream import Peer
+from saltcourse.proxy.stream import SocketStream
 from tests.admin.test_server import values
 from tests.proxy.test_process_replacement import push_server
 
@@ -60,8 +60,8 @@
     reader, writer = await asyncio.open_connection(*address)
     writer.write(b"OPEN half")
     began = asyncio.get_running_loop().time()
-    assert await asyncio.wait_for(reader.read(), FIRST_LINE_TIME + 2.0) in (b"", b"ERR\r\n")
-    assert asyncio.get_running_loop().time() - began < FIRST_LINE_TIME + 1.0
+    assert await asyncio.wait_for(reader.read(), FIRST_LINE_TIMEOUT_SECONDS + 2.0) in (b"", b"ERR\r\n")
+    assert asyncio.get_running_loop().time() - began < FIRST_LINE_TIMEOUT_SECONDS + 1.0
     writer.close()
     # A crowd that says nothing or half a line, many times what the proxy may hold.
     crowd = [socket.create_connection(address) for _ in range(CROWD)]
@@ -69,7 +69,7 @@
         with contextlib.suppress(OSError):  # shed already: that is what the crowd may get
             sock.send(b"OPEN cro")
     await asyncio.sleep(0.3)
-    assert Peer.held <= SOCKETS  # what the proxy holds stays within its descriptors
+    assert SocketStream.open_count <= SOCKETS  # what the proxy holds stays within its descriptors
     # Beside the crowd, a client that speaks is served; one that walks away costs nothing.
     assert await open_in_pieces(address, b"OPEN late x c=live-feed,d=1000\r\n", 5) == b"UP 1\r\n"
     for number in range(20):  # gone, with a reset, before any answer
--- a/tests/proxy/test_process_replacement.py
+++ b/tests/proxy/test_process_replacement.py
@@ -23,7 +23,7 @@
 
 
 def push_server() -> tuple[socket.socket, threading.Thread]:
-    """A stand-in push server: UP to every OPEN, then holds the connection until the other side ends."""
+    """A proxy-in push server: UP to every OPEN, then holds the connection until the other side ends."""
     listener = socket.create_server(("127.0.0.1", 0))
 
     def serve(connection: socket.socket) -> None:
--- a/tests/proxy/test_race_conditions.py
+++ b/tests/proxy/test_race_conditions.py
@@ -1,6 +1,6 @@
 """Two events that meet, on real sockets: one is held back until the other is in place.
 
-docs/design/crossings.md has the table of states and events that these tests go through.
+docs/design/race-conditions.md has the table of states and events that these tests go through.
 """
 
 from __future__ import annotations
@@ -24,20 +24,20 @@
 from saltcourse.balancing.actions import FetchEndpoints, WatchEndpoints
 from saltcourse.balancing.events import AttemptStatus, EndpointsUpdated, EndpointUpdateKind
 from saltcourse.balancing.settings import DeduplicationScope, DiscoveryMode, Idempotency, RequestClass
-from saltcourse.proxy import client_connection as consumer
-from saltcourse.proxy import discovery_client as directory
-from saltcourse.proxy import server as lifecycle
-from saltcourse.proxy.attempt import InvokerCall
-from saltcourse.proxy.client_connection import Consumer, Stage
+from saltcourse.proxy import discovery_client, draining, opening
+from saltcourse.proxy.attempt import AttemptRequest, BackendAttempt
+from saltcourse.proxy.client_connection import ClientConnection, ConnectionState
 from saltcourse.proxy.clock import Clock
-from saltcourse.proxy.discovery_client import Directory
-from saltcourse.proxy.messages import Arrived, Listed, Place
+from saltcourse.proxy.descriptors import OWN_DESCRIPTORS
+from saltcourse.proxy.discovery_client import DiscoveryClient
+from saltcourse.proxy.messages import BeginAttempt, ClientClosed, EndpointsReceived, NewRequest
+from saltcourse.proxy.opening import Opening
 from saltcourse.proxy.server import Phase
-from saltcourse.proxy.stream import Peer, _HalfStream
+from saltcourse.proxy.stream import SocketStream, _HalfCloseIOStream
 from tests.admin.test_server import free_port, values
 from tests.balancing.balancer_host import QUICK, Node, members
-from tests.proxy.exchange_player import End, listening
-from tests.proxy.running_proxy import Stand, has_left, nobody_came, turns, until
+from tests.proxy.exchange_player import RemoteConnection, listen
+from tests.proxy.running_proxy import RunningProxy, has_left, nothing_connected, run_loop_turns, wait_until
 
 OPEN = "OPEN a b c=quick,d={}"
 TERM, TURN = 6.0, 3.0  # s within which news counts as told; that a call waits for its turn at the longest
@@ -46,58 +46,59 @@
 
 @pytest.fixture(autouse=True)
 def no_wait_for_the_front(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(lifecycle, "STILL_TAKING", 0.0)
+    monkeypatch.setattr(draining, "FRONT_NOTICE_SECONDS", 0.0)
 
 
 def hold_reader(monkeypatch: pytest.MonkeyPatch) -> asyncio.Event:
     """What a client does after its first line is heard of by nobody until the gate opens."""
-    gate, read = asyncio.Event(), Consumer._read_client
+    gate, read = asyncio.Event(), ClientConnection._read_client
 
-    async def held(self: Consumer) -> None:
+    async def held(self: ClientConnection) -> None:
         await gate.wait()
         await read(self)
 
-    monkeypatch.setattr(Consumer, "_read_client", held)
+    monkeypatch.setattr(ClientConnection, "_read_client", held)
     return gate
 
 
 # ---- attempts and clients that have gone ------------------------------------------------------------
 
 
-class Owner:
+class RecordingOwner:
     def __init__(self) -> None:
         self.told: list[Any] = []
         self.sent = 0
 
-    def tell(self, message: Any) -> None:
+    def send(self, message: Any) -> None:
         self.told.append(message)
 
     async def deliver(self, line: memoryview) -> None:
         raise AssertionError("no line was to follow")
 
-    def wanted(self) -> bool:
+    def wants_answer(self) -> bool:
         return True
 
-    def dispatched(self) -> None:
+    def open_line_sent(self) -> None:
         self.sent += 1
 
 
-def call_to(door: socket.socket, owner: Owner, seconds: float) -> InvokerCall:
+def call_to(listener: socket.socket, owner: RecordingOwner, seconds: float) -> BackendAttempt:
     line = b"OPEN a b c=quick,d=900\r\n"
-    return InvokerCall(owner, Clock(), 0, "s0", door.getsockname(), line, seconds, 1.0, lambda line: None)
+    request = AttemptRequest(0, "s0", listener.getsockname(), line, seconds, 1.0)
+    return BackendAttempt(owner, Clock(), request, lambda line: None)
 
 
 def test_a_call_given_up_before_its_first_turn_neither_connects_nor_writes() -> None:
     async def play() -> None:
-        door, owner = listening(), Owner()
-        call = call_to(door, owner, 1.0)
+        listener, owner = listen(), RecordingOwner()
+        call = call_to(listener, owner, 1.0)
         call.start()
         call.close()
         assert call.task is not None
         await call.task
-        assert nobody_came(door)
+        assert nothing_connected(listener)
         assert [message.status for message in owner.told] == [AttemptStatus.NOT_SENT] and not owner.sent
-        door.close()
+        listener.close()
 
     asyncio.run(play())
 
@@ -105,9 +106,9 @@
 def cut_in_parts(monkeypatch: pytest.MonkeyPatch, seconds: float) -> None:
     """The first OPEN line goes in two parts. Between them the loop stands still for so long that the call's
     time is up in the very turn in which the kernel takes the rest."""
-    write, calls = _HalfStream.write_to_fd, []
+    write, calls = _HalfCloseIOStream.write_to_fd, []
 
-    def in_parts(self: _HalfStream, data: memoryview) -> int:
+    def in_parts(self: _HalfCloseIOStream, data: memoryview) -> int:
         if bytes(data[:4]) != b"OPEN" and not calls or len(calls) > 1:
             return write(self, data)
         calls.append(self)
@@ -116,22 +117,22 @@
         time.sleep(seconds)
         return 0
 
-    monkeypatch.setattr(_HalfStream, "write_to_fd", in_parts)
+    monkeypatch.setattr(_HalfCloseIOStream, "write_to_fd", in_parts)
 
 
 def test_time_up_as_the_last_byte_is_taken_may_have_run(monkeypatch: pytest.MonkeyPatch) -> None:
     async def play() -> None:
-        door, owner = listening(), Owner()
+        listener, owner = listen(), RecordingOwner()
         cut_in_parts(monkeypatch, 0.25)
-        call = call_to(door, owner, 0.2)
+        call = call_to(listener, owner, 0.2)
         call.start()
         assert call.task is not None
         await call.task
-        taken = door.accept()[0]
+        taken = listener.accept()[0]
         assert taken.recv(4096) == b"OPEN a b c=quick,d=900\r\n"
         assert [message.status for message in owner.told] == [AttemptStatus.TIMEOUT] and owner.sent == 1
         taken.close()
-        door.close()
+        listener.close()
 
     asyncio.run(play())
 
@@ -155,7 +156,7 @@
     window: float,
     again: bool,
 ) -> None:
-    klass = replace(
+    request_class = replace(
         QUICK,
         idempotency=effect,
         deduplication_scope=scope,
@@ -168,16 +169,18 @@
     )  # its attempt has all the time that there is
 
     async def play() -> None:
-        async with Stand(2, klass, connect_timeout=0.1) as stand:
+        async with RunningProxy(2, request_class, connect_timeout=0.1) as proxy:
             cut_in_parts(monkeypatch, seconds)
-            client = await stand.client(OPEN.format(600))
-            first, provider = await stand.any_taken()
-            assert (await provider.line()).startswith("OPEN a b")
+            client = await proxy.client(OPEN.format(600))
+            first, backend = await proxy.accept_any()
+            assert (await backend.line()).startswith("OPEN a b")
             if again:
-                assert (await (await stand.taken(1 - first)).line()).startswith("OPEN a b")
+                assert (await (await proxy.accept(1 - first)).line()).startswith("OPEN a b")
             else:
                 assert await client.line() in ("ERR", "BUSY")
-                assert nobody_came(stand.doors[1 - first]) and nobody_came(stand.doors[first])
+                assert nothing_connected(proxy.backends[1 - first]) and nothing_connected(
+                    proxy.backends[first]
+                )
 
     asyncio.run(play())
 
@@ -188,20 +191,20 @@
 ) -> None:
     async def play() -> None:
         gate = hold_reader(monkeypatch)
-        async with Stand() as stand:
-            told, held = stand.life.decider.tell, []
-            stand.life.host.tell_decider = held.append
-            client = await stand.client(OPEN.format(900))
-            await until(lambda: any(isinstance(message, Arrived) for message in held))
+        async with RunningProxy() as proxy:
+            told, held = proxy.server.dispatcher.send, []
+            proxy.server.context.send_to_dispatcher = held.append
+            client = await proxy.client(OPEN.format(900))
+            await wait_until(lambda: any(isinstance(message, NewRequest) for message in held))
             if before_its_end:
                 client.sock.send(before_its_end)
             client.sock.close()
-            await until(lambda: has_left(client.consumer))  # type: ignore[attr-defined]
-            stand.life.host.tell_decider = told
+            await wait_until(lambda: has_left(client.connection))
+            proxy.server.context.send_to_dispatcher = told
             for message in held:
                 told(message)
-            await turns()
-            assert nobody_came(stand.doors[0])
+            await run_loop_turns()
+            assert nothing_connected(proxy.backends[0])
             gate.set()
 
     asyncio.run(play())
@@ -209,17 +212,17 @@
 
 def test_a_place_in_front_of_the_clients_end_in_the_mailbox_is_not_carried_out() -> None:
     async def play() -> None:
-        async with Stand() as stand:
-            stand.life.host.tell_decider = lambda message: None
-            client = await stand.client(OPEN.format(900))
-            await until(lambda: client.consumer.stage is Stage.WAITING)  # type: ignore[attr-defined]
-            actor = client.consumer  # type: ignore[attr-defined]
-            # Both stand in the mailbox before the consumer has its turn; the first is taken without a pause.
-            actor.tell(Place("a", "s0", 0, 0.9, stand.doors[0].getsockname()))
-            actor.tell(consumer.ClientEnded(reset=False))
-            await turns()
-            assert nobody_came(stand.doors[0])
-            stand.life.host.tell_decider = stand.life.decider.tell
+        async with RunningProxy() as proxy:
+            proxy.server.context.send_to_dispatcher = lambda message: None
+            client = await proxy.client(OPEN.format(900))
+            await wait_until(lambda: client.connection.state is ConnectionState.WAITING)
+            actor = client.connection
+            # Both are in the mailbox before the connection has its turn; the first is taken without a pause.
+            actor.send(BeginAttempt("a", "s0", 0, 0.9, proxy.backends[0].getsockname()))
+            actor.send(ClientClosed(reset=False))
+            await run_loop_turns()
+            assert nothing_connected(proxy.backends[0])
+            proxy.server.context.send_to_dispatcher = proxy.server.dispatcher.send
 
     asyncio.run(play())
 
@@ -229,21 +232,21 @@
 ) -> None:
     async def play() -> None:
         gate = hold_reader(monkeypatch)
-        up, connect = asyncio.Event(), Peer.connect
+        up, connect = asyncio.Event(), SocketStream.connect
 
-        async def late(self: Peer, address: tuple[str, int]) -> None:
+        async def late(self: SocketStream, address: tuple[str, int]) -> None:
             await connect(self, address)
             await up.wait()
 
-        monkeypatch.setattr(Peer, "connect", late)
-        async with Stand() as stand:
-            client = await stand.client(OPEN.format(1200))
-            provider = await stand.taken()
+        monkeypatch.setattr(SocketStream, "connect", late)
+        async with RunningProxy() as proxy:
+            client = await proxy.client(OPEN.format(1200))
+            backend = await proxy.accept()
             client.sock.close()
-            await until(lambda: has_left(client.consumer))  # type: ignore[attr-defined]
+            await wait_until(lambda: has_left(client.connection))
             up.set()
-            await provider.sees("end")
-            assert provider.read == b""
+            await backend.sees("end")
+            assert backend.received == b""
             gate.set()
 
     asyncio.run(play())
@@ -252,16 +255,16 @@
 def test_no_further_attempt_for_a_client_that_left_during_the_first(monkeypatch: pytest.MonkeyPatch) -> None:
     async def play() -> None:
         gate = hold_reader(monkeypatch)
-        async with Stand(2) as stand:
-            client = await stand.client(OPEN.format(1200))
-            first, provider = await stand.any_taken()
-            await provider.line()
+        async with RunningProxy(2) as proxy:
+            client = await proxy.client(OPEN.format(1200))
+            first, backend = await proxy.accept_any()
+            await backend.line()
             client.sock.close()
-            await until(lambda: has_left(client.consumer))  # type: ignore[attr-defined]
-            await provider.send("BUSY", b"\r\n")
-            await provider.sees("end")
-            await turns()
-            assert nobody_came(stand.doors[1 - first]) and nobody_came(stand.doors[first])
+            await wait_until(lambda: has_left(client.connection))
+            await backend.send("BUSY", b"\r\n")
+            await backend.sees("end")
+            await run_loop_turns()
+            assert nothing_connected(proxy.backends[1 - first]) and nothing_connected(proxy.backends[first])
             gate.set()
 
     asyncio.run(play())
@@ -272,23 +275,23 @@
 
     async def play() -> None:
         gate = hold_reader(monkeypatch)
-        async with Stand(sockets=400) as stand:
-            told, held = stand.life.decider.tell, []
-            stand.life.host.tell_decider = held.append
-            clients = [await stand.client(f"OPEN a{n} b c=quick,d=9000") for n in range(60)]
-            actors: list[Consumer] = [client.consumer for client in clients]  # type: ignore[attr-defined]
-            await until(lambda: all(actor.stage is Stage.WAITING for actor in actors))
+        async with RunningProxy(sockets=400) as proxy:
+            told, held = proxy.server.dispatcher.send, []
+            proxy.server.context.send_to_dispatcher = held.append
+            clients = [await proxy.client(f"OPEN a{n} b c=quick,d=9000") for n in range(60)]
+            actors: list[ClientConnection] = [client.connection for client in clients]
+            await wait_until(lambda: all(actor.state is ConnectionState.WAITING for actor in actors))
             for client in clients[::3]:
                 with suppress(BlockingIOError):
                     client.sock.send(b"x" * 5000)
             for client in clients:
                 client.sock.close()
-            await until(lambda: all(has_left(actor) for actor in actors))
-            stand.life.host.tell_decider = told
+            await wait_until(lambda: all(has_left(actor) for actor in actors))
+            proxy.server.context.send_to_dispatcher = told
             for message in held:
                 told(message)
-            await turns()
-            assert nobody_came(stand.doors[0])
+            await run_loop_turns()
+            assert nothing_connected(proxy.backends[0])
             gate.set()
 
     asyncio.run(play())
@@ -297,39 +300,39 @@
 # ---- the end of the program ------------------------------------------------------------------------
 
 
-def crossing(monkeypatch: pytest.MonkeyPatch, ends: list[End], text: bytes) -> None:
+def crossing(monkeypatch: pytest.MonkeyPatch, ends: list[RemoteConnection], text: bytes) -> None:
     """The client's bytes come right after the program has ended its side, or closed the connection."""
 
-    def crossed(act: Callable[[Peer], None]) -> Callable[[Peer], None]:
-        def acted(self: Peer) -> None:
+    def crossed(act: Callable[[SocketStream], None]) -> Callable[[SocketStream], None]:
+        def acted(self: SocketStream) -> None:
             act(self)
             while ends:
                 ends.pop().sock.send(text)
 
         return acted
 
-    monkeypatch.setattr(Peer, "finish", crossed(Peer.finish))
-    monkeypatch.setattr(Peer, "close", crossed(Peer.close))
+    monkeypatch.setattr(SocketStream, "send_eof", crossed(SocketStream.send_eof))
+    monkeypatch.setattr(SocketStream, "close", crossed(SocketStream.close))
 
 
-async def no_reset(end: End) -> None:
+async def no_reset(end: RemoteConnection) -> None:
     """The client ends its side when it has seen the program's; a reset would come after that."""
     await end.sees("end")
     end.sock.shutdown(socket.SHUT_WR)
-    await until(lambda: end.consumer.peer.closed)  # type: ignore[attr-defined]
-    await turns()
+    await wait_until(lambda: end.connection.stream.closed)
+    await run_loop_turns()
     assert end.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0, "a reset followed the end"
-    assert not end.read, f"something else than the end: {end.read!r}"
+    assert not end.received, f"something else than the end: {end.received!r}"
 
 
 def short_times(monkeypatch: pytest.MonkeyPatch, how: str) -> None:
     if how == "first line":
-        monkeypatch.setattr(consumer, "FIRST_LINE_TIME", 0.1)
+        monkeypatch.setattr(opening, "FIRST_LINE_TIMEOUT_SECONDS", 0.1)
     if how == "ping":
-        monkeypatch.setattr(consumer, "PING_TIME", 0.1)
+        monkeypatch.setattr(opening, "PING_TIMEOUT_SECONDS", 0.1)
 
 
-async def rest(client: End) -> None:
+async def rest(client: RemoteConnection) -> None:
     await client.send("PING", b"\r\n")
     assert await client.line() == "PONG"
 
@@ -341,18 +344,18 @@
     short_times(monkeypatch, how)
 
     async def play() -> None:
-        async with Stand(klass=SHORT) as stand:
-            client = await stand.client()
+        async with RunningProxy(request_class=SHORT) as proxy:
+            client = await proxy.client()
             if how in ("drain", "ping"):
                 await rest(client)
             ends = [client]
             crossing(monkeypatch, ends, OPEN.format(900).encode() + b"\r\n")
             if how == "drain":
-                stand.life.leave.set()
+                proxy.server.leave.set()
             if how == "shed":
-                client.consumer.shed()  # type: ignore[attr-defined]
+                client.connection.opening.shed()
             await no_reset(client)
-            assert not ends and nobody_came(stand.doors[0])
+            assert not ends and nothing_connected(proxy.backends[0])
 
     asyncio.run(play())
 
@@ -362,28 +365,28 @@
     monkeypatch: pytest.MonkeyPatch, how: str
 ) -> None:
     """Its bytes are with the kernel, and the coroutine that reads has not had its turn."""
-    up = Consumer._time_is_up
-    ends: list[End] = []
+    on_timeout = Opening._on_timeout
+    ends: list[RemoteConnection] = []
 
-    def crossed(self: Consumer, *again: bool) -> None:
+    def crossed(self: Opening, *check_unread: bool) -> None:
         while ends:
             ends.pop().sock.send(OPEN.format(900).encode() + b"\r\n")
-        up(self, *again)
+        on_timeout(self, *check_unread)
 
-    monkeypatch.setattr(Consumer, "_time_is_up", crossed)
+    monkeypatch.setattr(Opening, "_on_timeout", crossed)
     short_times(monkeypatch, how)
 
     async def play() -> None:
-        async with Stand(klass=SHORT) as stand:
-            client = await stand.client()
+        async with RunningProxy(request_class=SHORT) as proxy:
+            client = await proxy.client()
             if how in ("drain", "ping"):
                 await rest(client)
             ends.append(client)
             if how == "drain":
-                stand.life.leave.set()
-            provider = await stand.taken()
-            await provider.line()
-            await provider.send("UP 1", b"\r\n")
+                proxy.server.leave.set()
+            backend = await proxy.accept()
+            await backend.line()
+            await backend.send("UP 1", b"\r\n")
             assert await client.line() == "UP 1"
 
     asyncio.run(play())
@@ -393,26 +396,26 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The time is up between the read and the turn of the coroutine that waits for it."""
-    read = _HalfStream.read_from_fd
-    actors: list[Consumer] = []
+    read = _HalfCloseIOStream.read_from_fd
+    actors: list[ClientConnection] = []
 
-    def crossed(self: _HalfStream, buf: memoryview) -> int | None:
+    def crossed(self: _HalfCloseIOStream, buf: memoryview) -> int | None:
         count = read(self, buf)
-        if count and actors and self is actors[0].peer._stream:
-            asyncio.get_running_loop().call_soon(actors.pop()._time_is_up)
+        if count and actors and self is actors[0].stream._stream:
+            asyncio.get_running_loop().call_soon(actors.pop().opening._on_timeout)
         return count
 
-    monkeypatch.setattr(_HalfStream, "read_from_fd", crossed)
+    monkeypatch.setattr(_HalfCloseIOStream, "read_from_fd", crossed)
 
     async def play() -> None:
-        async with Stand(klass=SHORT) as stand:
-            client = await stand.client()
+        async with RunningProxy(request_class=SHORT) as proxy:
+            client = await proxy.client()
             await rest(client)
-            actors.append(client.consumer)  # type: ignore[attr-defined]
+            actors.append(client.connection)
             await client.send(OPEN.format(900), b"\r\n")
-            provider = await stand.taken()
-            await provider.line()
-            await provider.send("UP 1", b"\r\n")
+            backend = await proxy.accept()
+            await backend.line()
+            await backend.send("UP 1", b"\r\n")
             assert not actors and await client.line() == "UP 1"
 
     asyncio.run(play())
@@ -423,60 +426,60 @@
     monkeypatch: pytest.MonkeyPatch, stage: str
 ) -> None:
     ended: list[Phase] = []
-    finish = Peer.finish
+    finish = SocketStream.send_eof
 
     async def play() -> None:
-        async with Stand(klass=SHORT) as stand:
-            client = await stand.client()
+        async with RunningProxy(request_class=SHORT) as proxy:
+            client = await proxy.client()
 
-            def finished(self: Peer) -> None:
-                if self is client.consumer.peer:  # type: ignore[attr-defined]
-                    ended.append(stand.life.phase)
+            def finished(self: SocketStream) -> None:
+                if self is client.connection.stream:
+                    ended.append(proxy.server.phase)
                 finish(self)
 
-            monkeypatch.setattr(Peer, "finish", finished)
+            monkeypatch.setattr(SocketStream, "send_eof", finished)
             if stage == "resting":
                 await rest(client)
             if stage.startswith("half"):
                 await client.send("OPEN a b c=qu", b"")
-                await until(lambda: client.consumer.peer.buffer.has_data)  # type: ignore[attr-defined]
+                await wait_until(lambda: client.connection.stream.buffer.has_data)
             if stage in ("waiting", "standing"):
                 await client.send(OPEN.format(5000), b"\r\n")
-                provider = await stand.taken()
-                await provider.line()
+                backend = await proxy.accept()
+                await backend.line()
             if stage == "standing":
-                await provider.send("UP 1", b"\r\n")
+                await backend.send("UP 1", b"\r\n")
                 assert await client.line() == "UP 1"
-            stand.life.leave.set()
-            await until(lambda: stand.life.phase is Phase.MOVING)
+            proxy.server.leave.set()
+            await wait_until(lambda: proxy.server.phase is Phase.MIGRATING)
             if stage == "half and its rest":
                 await client.send("ick,d=900", b"\r\n")
-                provider = await stand.taken()
-                await provider.line()
-                await provider.send("UP 2", b"\r\n")
+                backend = await proxy.accept()
+                await backend.line()
+                await backend.send("UP 2", b"\r\n")
                 assert await client.line() == "UP 2"
             if stage in ("half and its rest", "standing"):
                 assert await client.line() == "MOVE"
             if stage == "waiting":
                 assert await client.line() in ("BUSY", "ERR")
             await no_reset(client)
-            assert ended == [Phase.MOVING]  # not by the end of the process
+            assert ended == [Phase.MIGRATING]  # not by the end of the process
 
     asyncio.run(play())
 
 
 def test_a_request_taken_late_with_all_its_time_is_answered_before_the_program_ends() -> None:
     async def play() -> None:
-        async with Stand(klass=SHORT) as stand:
-            client = await stand.client()
+        async with RunningProxy(request_class=SHORT) as proxy:
+            client = await proxy.client()
             await client.send("OPEN a b c=quick,d=60", b"")
-            await until(lambda: client.consumer.peer.buffer.has_data)  # type: ignore[attr-defined]
-            stand.life.leave.set()
-            await until(lambda: stand.life.phase is Phase.MOVING)
+            await wait_until(lambda: client.connection.stream.buffer.has_data)
+            proxy.server.leave.set()
+            await wait_until(lambda: proxy.server.phase is Phase.MIGRATING)
             await client.send("000", b"\r\n")
-            await (await stand.taken()).line()  # and nothing ever comes back
+            await (await proxy.accept()).line()  # and nothing ever comes back
             assert await client.line() in ("BUSY", "ERR")
-            assert not stand.running.done()
+            assert not proxy.running.done()
 
     asyncio.run(play())
 
@@ -524,19 +527,19 @@
     assert b"Traceback" not in said
 
 
-@pytest.mark.parametrize("phase", [Phase.SERVING, Phase.MOVING])
+@pytest.mark.parametrize("phase", [Phase.SERVING, Phase.MIGRATING])
 def test_signals_in_any_phase_neither_end_nor_break_the_program(phase: Phase) -> None:
     async def play() -> None:
-        async with Stand(klass=SHORT) as stand:
-            client = await stand.client(OPEN.format(5000))
-            await (await stand.taken()).line()
-            if phase is Phase.MOVING:
+        async with RunningProxy(request_class=SHORT) as proxy:
+            client = await proxy.client(OPEN.format(5000))
+            await (await proxy.accept()).line()
+            if phase is Phase.MIGRATING:
                 os.kill(os.getpid(), signal.SIGTERM)
-                await until(lambda: stand.life.phase is Phase.MOVING)
+                await wait_until(lambda: proxy.server.phase is Phase.MIGRATING)
             for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
                 os.kill(os.getpid(), number)
             assert await client.line() in ("BUSY", "ERR")
-            await stand.running
+            await proxy.running
             for number in (signal.SIGHUP, signal.SIGTERM):  # in its last moments
                 os.kill(os.getpid(), number)
 
@@ -550,50 +553,50 @@
     """Discovery played by hand, before a directory and nothing else of the program."""
 
     def __init__(self, version: int) -> None:
-        self.door = listening()
-        self.told: list[Listed] = []
-        self.directory = Directory(self.door.getsockname(), version, self.told.append)
-        self.directory.start()
-        self.calls: list[End] = []
+        self.listener = listen()
+        self.told: list[EndpointsReceived] = []
+        self.client = DiscoveryClient(self.listener.getsockname(), version, self.told.append)
+        self.client.start()
+        self.calls: list[RemoteConnection] = []
 
-    async def call(self) -> tuple[End, str]:
+    async def call(self) -> tuple[RemoteConnection, str]:
         async with asyncio.timeout(10.0):
-            sock, _ = await asyncio.get_running_loop().sock_accept(self.door)
-        self.calls.append(End(sock))
+            sock, _ = await asyncio.get_running_loop().sock_accept(self.listener)
+        self.calls.append(RemoteConnection(sock))
         target = (await self.calls[-1].line()).split()[1]
         return self.calls[-1], target
 
     @staticmethod
-    async def answer(call: End, version: int, full: bool, state: str = "") -> None:
+    async def answer(call: RemoteConnection, version: int, full: bool, state: str = "") -> None:
         servers = f'{{"id":"s0","addr":"127.0.0.1:9","state":"{state}"}}' if state else ""
         body = f'{{"version":{version},"full":{str(full).lower()},"servers":[{servers}]}}'
         await call.send(f"HTTP/1.1 200 OK\\r\\nContent-Length: {len(body)}\\r\\n\\r\\n{body}", b"")
 
     def versions(self) -> list[int]:
-        return [each.listing.version for each in self.told if each.listing is not None]
+        return [each.update.version for each in self.told if each.update is not None]
 
     async def end(self) -> None:
-        for task in (self.directory.task, *self.directory._calls):
+        for task in (self.client.task, *self.client._calls):
             if task is not None:
                 task.cancel()
         for call in self.calls:
             call.sock.close()
-        self.door.close()
-        await turns()
+        self.listener.close()
+        await run_loop_turns()
 
 
 def test_a_whole_list_that_is_late_does_not_undo_what_a_watch_told_meanwhile() -> None:
     async def play() -> None:
         catalog = Catalog(5)
-        catalog.directory.tell(FetchEndpoints())
+        catalog.client.send(FetchEndpoints())
         fetch, _ = await catalog.call()
-        catalog.directory.tell(WatchEndpoints())
+        catalog.client.send(WatchEndpoints())
         watch, target = await catalog.call()
         assert "after=5&" in target
         await catalog.answer(watch, 7, False, "DRAINING")
         _, target = await catalog.call()
         await catalog.answer(fetch, 6, True, "SERVING")
-        await until(lambda: len(catalog.directory._calls) == 1)  # the fetch is over
+        await wait_until(lambda: len(catalog.client._calls) == 1)  # the fetch is over
         assert "after=7&" in target and catalog.versions() == [7]
         await catalog.end()
 
@@ -603,7 +606,7 @@
 def test_a_discovery_that_began_anew_is_believed_though_its_versions_are_lower() -> None:
     async def play() -> None:
         catalog = Catalog(41)
-        catalog.directory.tell(WatchEndpoints())
+        catalog.client.send(WatchEndpoints())
         call, _ = await catalog.call()
         await catalog.answer(call, 3, False, "DRAINING")  # changes to a list that nobody here has
         call, target = await catalog.call()
@@ -620,16 +623,16 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A silence is no refusal: the module, which waits after those, has no part in it."""
-    monkeypatch.setattr(directory, "WATCH_TIME", 0.05)
-    monkeypatch.setattr(directory, "WATCH_SLACK", 0.05)
+    monkeypatch.setattr(discovery_client, "WATCH_WAIT_SECONDS", 0.05)
+    monkeypatch.setattr(discovery_client, "WATCH_SLACK_SECONDS", 0.05)
 
     async def play() -> None:
         catalog = Catalog(5)
-        catalog.directory.tell(WatchEndpoints())
+        catalog.client.send(WatchEndpoints())
         _, target = await catalog.call()
         assert "after=5&" in target
         call, target = await catalog.call()
-        assert target == directory.PATH and not catalog.told
+        assert target == discovery_client.LIST_PATH and not catalog.told
         await catalog.answer(call, 9, True, "DRAINING")
         _, target = await catalog.call()
         assert "after=9&" in target and catalog.versions() == [9]
@@ -640,8 +643,8 @@
 
 def test_a_silent_watch_and_the_call_in_its_place_fit_into_the_term() -> None:
     """From a call that is silent from its first moment to the turn of the next one at discovery."""
-    assert directory.WATCH_TIME + directory.WATCH_SLACK + TURN / 2 <= TERM
-    assert directory.WATCH_TIME >= 2.0  # and discovery is not called in a hurry
+    assert discovery_client.WATCH_WAIT_SECONDS + discovery_client.WATCH_SLACK_SECONDS + TURN / 2 <= TERM
+    assert discovery_client.WATCH_WAIT_SECONDS >= 2.0  # and discovery is not called in a hurry
 
 
 @pytest.mark.parametrize("seed", range(20))
@@ -683,13 +686,13 @@
     async def play() -> None:
         files = len(os.listdir("/proc/self/fd"))
         catalog = Catalog(5)
-        catalog.directory.tell(WatchEndpoints())
+        catalog.client.send(WatchEndpoints())
         call, _ = await catalog.call()
         with suppress(ConnectionError):
             call.sock.send(spoilt)
             call.sock.shutdown(socket.SHUT_WR)
-        await until(lambda: catalog.told)
-        assert catalog.told == [Listed(EndpointUpdateKind.UNAVAILABLE)]
+        await wait_until(lambda: catalog.told)
+        assert catalog.told == [EndpointsReceived(EndpointUpdateKind.UNAVAILABLE)]
         await catalog.end()
         assert len(os.listdir("/proc/self/fd")) <= files
 
@@ -699,14 +702,14 @@
 def test_a_list_in_pieces_with_white_space_and_bytes_behind_it_is_read() -> None:
     async def play() -> None:
         catalog = Catalog(5)
-        catalog.directory.tell(WatchEndpoints())
+        catalog.client.send(WatchEndpoints())
         call, _ = await catalog.call()
         body = '{\n  "version": 6,\n  "full": true,\n  "servers": [ ]\n}\n'
         for byte in f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n{body}trailing".encode():
             with suppress(ConnectionError):  # the trailing bytes may find it closed
                 call.sock.send(bytes([byte]))
-            await turns(3)
-        await until(lambda: catalog.versions() == [6])
+            await run_loop_turns(3)
+        await wait_until(lambda: catalog.versions() == [6])
         await catalog.end()
 
     asyncio.run(play())
@@ -714,24 +717,24 @@
 
 def test_idle_clients_that_fill_the_descriptors_leave_one_for_the_list() -> None:
     async def play() -> None:
-        async with Stand(asked=True, sockets=48, poll_interval=0.4) as stand:
-            crowd = [socket.create_connection(stand.life.address()) for _ in range(120)]
+        async with RunningProxy(polled=True, sockets=48, poll_interval=0.4) as proxy:
+            crowd = [socket.create_connection(proxy.server.address()) for _ in range(120)]
             for sock in crowd[::2]:
                 with suppress(OSError):
                     sock.send(b"OPEN hal")
             for _ in range(3):  # refused, and asked again
                 async with asyncio.timeout(10.0):
-                    call, _ = await asyncio.get_running_loop().sock_accept(stand.discovery)
-                assert Peer.held + lifecycle.OWN_SOCKETS <= 48
+                    call, _ = await asyncio.get_running_loop().sock_accept(proxy.discovery)
+                assert SocketStream.open_count + OWN_DESCRIPTORS <= 48
                 call.close()
             for sock in crowd:
                 sock.close()
-            await until(lambda: not stand.life.consumers)
+            await wait_until(lambda: not proxy.server.clients)
 
     asyncio.run(play())
 
 
-# ---- bad input on these paths: nothing raises, and the stand counts descriptors and tasks ------------
+# ---- bad input on these paths: nothing raises, and the proxy counts descriptors and tasks ------------
 
 
 @pytest.mark.parametrize(
@@ -749,32 +752,32 @@
 @pytest.mark.parametrize("how", ["ends", "resets", "stays until the program leaves"])
 def test_bad_lines_are_ended_and_leave_nothing_behind(sent: bytes, how: str) -> None:
     async def play() -> None:
-        async with Stand(klass=SHORT) as stand:
-            client = await stand.client()
+        async with RunningProxy(request_class=SHORT) as proxy:
+            client = await proxy.client()
             with suppress(ConnectionError, BlockingIOError):
                 client.sock.send(sent)
             if how == "ends":
                 client.sock.shutdown(socket.SHUT_WR)
-                await until(lambda: not stand.life.consumers)
+                await wait_until(lambda: not proxy.server.clients)
             elif how == "resets":
-                client.resets()
-                await until(lambda: not stand.life.consumers)
-            await turns()
-            assert nobody_came(stand.doors[0])
+                client.reset()
+                await wait_until(lambda: not proxy.server.clients)
+            await run_loop_turns()
+            assert nothing_connected(proxy.backends[0])
 
     asyncio.run(play())
 
 
 def test_a_second_open_while_the_first_waits_fails_it_and_is_not_sent_on() -> None:
     async def play() -> None:
-        async with Stand(2) as stand:
-            client = await stand.client(OPEN.format(5000))
-            first, provider = await stand.any_taken()
-            await provider.line()
+        async with RunningProxy(2) as proxy:
+            client = await proxy.client(OPEN.format(5000))
+            first, backend = await proxy.accept_any()
+            await backend.line()
             await client.send("OPEN c b c=quick,d=5000", b"\r\n")
             assert await client.line() == "ERR"
             await client.sees("end")
-            await provider.sees("end")
-            assert nobody_came(stand.doors[0]) and nobody_came(stand.doors[1])
+            await backend.sees("end")
+            assert nothing_connected(proxy.backends[0]) and nothing_connected(proxy.backends[1])
 
     asyncio.run(play())
--- a/tests/shared_state/test_shared_state.py
+++ b/tests/shared_state/test_shared_state.py
@@ -424,13 +424,13 @@
             stranger.sendto(data, each[1])
         links[0]._transport.sendto(b"x" * 300, each[1])  # type: ignore[union-attr]
         links[0]._transport.sendto(b"\xff\n", each[1])  # type: ignore[union-attr]
-        links[0].say(SendPeerMessage("x" * 300))
-        links[0].say(SendPeerMessage("hello", 1))
-        links[0].say(SendPeerMessage("to all"))  # the third is not there, and nobody minds
+        links[0].send_message(SendPeerMessage("x" * 300))
+        links[0].send_message(SendPeerMessage("hello", 1))
+        links[0].send_message(SendPeerMessage("to all"))  # the third is not there, and nobody minds
         found = [await got.get(), await got.get()]
         for end in (stranger, *links):
             end.close()
-        return found, links[1].strange
+        return found, links[1].dropped_datagrams
 
     found, strange = asyncio.run(play())
     assert found == [PeerMessageReceived(0, "hello"), PeerMessageReceived(0, "to all")] and strange == 5
