--- a/saltcourse/balancing/response_latency.py
+++ b/saltcourse/balancing/response_latency.py
@@ -18,7 +18,6 @@
 
 from collections import Counter
 from dataclasses import dataclass
-from statistics import median
 
 REPORT_INTERVAL_SECONDS = 1.0  # between the latency reports on one backend
 HUNG_AFTER_SECONDS = 0.7  # without any line back on several connections; healthy backends answer in ms
@@ -139,7 +138,7 @@
         for backend, request in one_request.items():
             if backend not in round_trips:
                 continue
-            latency = median(round_trips[backend])
+            latency = _median(round_trips[backend])
             was_reported_slow = backend in self.reported_slow
             if latency > self.slow:
                 self.reported_slow.add(backend)
@@ -164,3 +163,12 @@
         self.reported_slow.intersection_update(connected)
         self.latency_lines = {b: line for b, line in self.latency_lines.items() if b in connected}
         self.last_answer = {b: answered for b, answered in self.last_answer.items() if b in connected}
+
+
+def _median(values: list[float]) -> float:
+    """The middle value, or the mean of the two in the middle; the statistics module costs idle memory."""
+    ordered = sorted(values)
+    middle = len(ordered) // 2
+    if len(ordered) % 2:
+        return ordered[middle]
+    return (ordered[middle - 1] + ordered[middle]) / 2
--- a/saltcourse/proxy/attempt.py
+++ b/saltcourse/proxy/attempt.py
@@ -17,7 +17,6 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable
 from dataclasses import dataclass
 from typing import Protocol
 
@@ -56,6 +55,9 @@
     def open_line_sent(self) -> None:
         """The attempt's OPEN line has been written whole."""
 
+    def backend_line_received(self, line: memoryview) -> None:
+        """The backend has sent a line that is no answer; it is not delivered by this."""
+
 
 @dataclass(frozen=True, slots=True)
 class AttemptRequest:
@@ -81,15 +83,9 @@
 
 
 class BackendAttempt(Actor[None]):
-    """Runs one attempt; ``on_line`` is called with each line of the backend but its answer."""
-
-    def __init__(
-        self,
-        owner: AttemptOwner,
-        clock: Clock,
-        request: AttemptRequest,
-        on_line: Callable[[memoryview], None],
-    ) -> None:
+    """Runs one attempt for its owner."""
+
+    def __init__(self, owner: AttemptOwner, clock: Clock, request: AttemptRequest) -> None:
         super().__init__(f"attempt at {request.backend}")
         self.number, self.backend = request.number, request.backend
         self.started = clock.now()
@@ -98,7 +94,6 @@
         self.is_muted = False  # the client was sent MOVE: nothing may follow that
         self._owner = owner
         self._request = request
-        self._on_line = on_line
         self._given_up = False
 
     async def run(self) -> None:
@@ -158,7 +153,9 @@
             while (line := await stream.next_line()) is not None:
                 if parse_load(line) is None:
                     break
-                self._on_line(line)  # a backend that tells the load before it has answered
+                self._owner.backend_line_received(
+                    line
+                )  # a backend that tells the load before it has answered
             return line
 
     def _outcome_of_failure(self, error: Exception) -> AttemptOutcome:
@@ -192,7 +189,7 @@
                 if self.is_muted:
                     continue
                 last_word = word_of(line)
-                self._on_line(line)
+                self._owner.backend_line_received(line)
                 await self._owner.deliver(line)
             remaining = stream.buffer.take_remaining()
             if len(remaining) and not self.is_muted:
--- a/saltcourse/proxy/client_connection.py
+++ b/saltcourse/proxy/client_connection.py
@@ -67,16 +67,14 @@
 )
 from saltcourse.proxy.opening import Opening
 from saltcourse.proxy.request_attempts import RequestAttempts
-from saltcourse.proxy.request_events import connection_resumed, request_received
+from saltcourse.proxy.request_events import connection_resumed, request_received, time_left_for_answer
 from saltcourse.proxy.stream import SocketStream, close_gracefully, reject_and_close, write_within
 
 REJECT_TIMEOUT_SECONDS = 0.3  # for a client that is rejected before its request was taken
 REJECT_MAX_BYTES = 64 * 1024  # that are read of such a client
 CLOSE_TIMEOUT_SECONDS = 0.5  # that a side may take to end after the other; a second is allowed
 MOVE_WRITE_TIMEOUT_SECONDS = 0.5  # for MOVE or the final answer to be taken by the client's socket
-MIN_TIME_LEFT_SECONDS = 0.001
 OVERDUE_SECONDS = 0.015  # after its deadline at which a request without an answer is failed here
-RESUME_TIMEOUT_SECONDS = 40.0  # for a connection to be resumed; its `d` says over an hour
 RESUME_RETRY_SECONDS = 0.25  # between attempts to resume a connection
 
 log = structlog.get_logger("saltcourse")
@@ -103,11 +101,15 @@
         self.opened: OpenRequest | None = None
         self.request = ""  # the request's id, once it is read
         self._deadline = 0.0  # of the answer, on the clock (s)
-        self._attempts = RequestAttempts(self, context, self._on_backend_line)
+        self._attempts = RequestAttempts(context)
         self._answered = asyncio.Event()  # the client's further lines may be read
         self._reader: asyncio.Task[None] | None = None
         self._is_over = False
 
+    @property
+    def _is_waiting(self) -> bool:
+        return self.state is ConnectionState.WAITING
+
     # ---- mailbox --------------------------------------------------------------------------------
 
     def send(self, message: ConnectionMessage) -> None:
@@ -167,12 +169,14 @@
         self.opening.finish()
 
     async def _serve(self, opened: OpenRequest) -> None:
-        time_left = self._time_left(opened)
-        self._deadline = self.context.clock.now() + time_left
+        now = self.context.clock.now()
+        time_left = time_left_for_answer(opened, self.context.answer_deadline - now)
+        self._deadline = now + time_left
         self.state = ConnectionState.WAITING
         self._reader = spawn(self._read_client(), "client connection reader")
-        overdue = AbandonRequest("no answer in time")
-        timer = asyncio.get_running_loop().call_later(time_left + OVERDUE_SECONDS, self.send, overdue)
+        timer = asyncio.get_running_loop().call_later(
+            time_left + OVERDUE_SECONDS, self.send, AbandonRequest("no answer in time")
+        )
         try:
             if opened.resume_backend:
                 self._resume(opened)
@@ -184,14 +188,6 @@
             timer.cancel()
             self._answered.set()
 
-    def _time_left(self, opened: OpenRequest) -> float:
-        """Seconds until the answer has to be out: the client's patience, or less when the program ends."""
-        time_left = opened.time_left
-        if opened.resume_backend:
-            time_left = min(time_left, RESUME_TIMEOUT_SECONDS)
-        program_time_left = self.context.answer_deadline - self.context.clock.now()
-        return max(MIN_TIME_LEFT_SECONDS, min(time_left, program_time_left))
-
     # ---- lines ----------------------------------------------------------------------------------
 
     async def _read_client(self) -> None:
@@ -217,14 +213,13 @@
 
     def _check_client_waits(self) -> None:
         """A client that sends more before its answer is failed; one that is resumed may do so."""
-        if self.state is ConnectionState.WAITING and self.opened and not self.opened.resume_backend:
+        if self._is_waiting and self.opened and not self.opened.resume_backend:
             self.send(AbandonRequest("the client did not wait for its answer"))
 
     async def _send_to_backend(self, line: memoryview) -> None:
         attempt = self._attempts.current
-        if self.state is not ConnectionState.ESTABLISHED or attempt is None or attempt.stream is None:
-            return
-        if not len(line):
+        is_established = self.state is ConnectionState.ESTABLISHED
+        if not is_established or attempt is None or attempt.stream is None or not len(line):
             return
         self.context.send_to_dispatcher(LineSent(self.request, self.context.clock.now()))
         with contextlib.suppress(ConnectionLostError):  # the attempt's own reader sees that end
@@ -235,7 +230,8 @@
         with contextlib.suppress(ConnectionLostError):  # our reader sees it
             await self.stream.write(line)
 
-    def _on_backend_line(self, line: memoryview) -> None:
+    def backend_line_received(self, line: memoryview) -> None:
+        """Tell the dispatcher of a backend's line, or of the load that it tells."""
         load = parse_load(line)
         if load is None:
             self.context.send_to_dispatcher(LineReceived(self.request, self.context.clock.now()))
@@ -249,7 +245,7 @@
         match message:
             case BeginAttempt():
                 self._begin_attempt(message)
-            case AbandonAttempt(number) if self.state is ConnectionState.WAITING:
+            case AbandonAttempt(number) if self._is_waiting:
                 self._attempts.abandon(number)
             case AttemptEstablished(attempt, line) if attempt is self._attempts.current:
                 await self._establish(line)
@@ -259,16 +255,11 @@
                 await self._end_client(reset)
             case MigrateConnection() if self.state is ConnectionState.ESTABLISHED:
                 await self._migrate()
-            case RejectRequest() | FailRequest() | AbandonRequest() if self.state is ConnectionState.WAITING:
-                await self._conclude(message)
-
-    async def _conclude(self, message: RejectRequest | FailRequest | AbandonRequest) -> None:
-        match message:
-            case RejectRequest(_, retry_after):
+            case RejectRequest(_, retry_after) if self._is_waiting:
                 await self._answer(busy_line(retry_after), "overload")
-            case FailRequest():
+            case FailRequest() if self._is_waiting:
                 await self._answer(FAIL_LINE, "error")
-            case AbandonRequest(reason):
+            case AbandonRequest(reason) if self._is_waiting:
                 log.info("request abandoned", request=self.request, reason=reason)
                 self.context.send_to_dispatcher(ClientDisconnected(self.request))
                 await self._answer(FAIL_LINE, "error")
@@ -287,7 +278,7 @@
     # ---- attempts -------------------------------------------------------------------------------
 
     def _begin_attempt(self, message: BeginAttempt) -> None:
-        is_free = self.state is ConnectionState.WAITING and self._attempts.unreported is None
+        is_free = self._is_waiting and self._attempts.unreported is None
         if not is_free or self.opened is None:
             self._attempts.report_not_sent(message)
             return
@@ -295,11 +286,11 @@
             self._attempts.report_not_sent(message)
             self.send(ClientClosed(reset=False))
             return
-        self._attempts.begin(message, self.opened, self._deadline)
+        self._attempts.begin(self, message, self.opened, self._deadline)
 
     def wants_answer(self) -> bool:
         """Whether an attempt may still begin; asked of the kernel, for the reader's word may be late."""
-        return self.state is ConnectionState.WAITING and not self.stream.has_ended()
+        return self._is_waiting and not self.stream.has_ended()
 
     def open_line_sent(self) -> None:
         """Count an attempt whose OPEN line was written whole."""
@@ -309,7 +300,7 @@
         attempt = self._attempts.current
         if attempt is None or self.opened is None:
             return
-        if self.state is not ConnectionState.WAITING:
+        if not self._is_waiting:
             attempt.close()
             return
         self.state = ConnectionState.ESTABLISHED
@@ -332,7 +323,7 @@
                 self.stream.abort()
             else:
                 await close_gracefully(self.stream, self._reader, CLOSE_TIMEOUT_SECONDS)
-        elif self.state is ConnectionState.WAITING:
+        elif self._is_waiting:
             if self.opened is not None and self.opened.resume_backend:
                 await self._resume_again(self.opened, status)
             elif self.stream.has_ended():  # no retry is even asked for
--- a/saltcourse/proxy/request_attempts.py
+++ b/saltcourse/proxy/request_attempts.py
@@ -6,8 +6,6 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
-
 from saltcourse.balancing.events import AttemptFinished, AttemptStatus
 from saltcourse.codec.lines import OpenRequest
 from saltcourse.proxy.attempt import AttemptOwner, AttemptRequest, BackendAttempt
@@ -18,24 +16,17 @@
 
 
 class RequestAttempts:
-    """Starts, abandons and reports attempts on behalf of their ``owner``.
-
-    ``on_line`` is called with each line of a backend but its answer.
-    """
+    """Starts, abandons and reports the attempts of one request."""
 
-    __slots__ = ("_context", "_on_line", "_owner", "current", "unreported")
+    __slots__ = ("_context", "current", "unreported")
 
-    def __init__(
-        self, owner: AttemptOwner, context: ConnectionContext, on_line: Callable[[memoryview], None]
-    ) -> None:
+    def __init__(self, context: ConnectionContext) -> None:
         self.current: BackendAttempt | None = None
         self.unreported: BeginAttempt | None = None  # whose outcome the balancer has not been told
-        self._owner = owner
         self._context = context
-        self._on_line = on_line
 
-    def begin(self, message: BeginAttempt, opened: OpenRequest, deadline: float) -> None:
-        """Start an attempt; the answer is due at ``deadline`` (s, on the clock)."""
+    def begin(self, owner: AttemptOwner, message: BeginAttempt, opened: OpenRequest, deadline: float) -> None:
+        """Start an attempt for ``owner``; the answer is due at ``deadline`` (s, on the clock)."""
         timeout = self._timeout(message, deadline)
         self.unreported = message
         request = AttemptRequest(
@@ -46,7 +37,7 @@
             max(0.0, timeout),
             self._context.settings.connect_timeout,
         )
-        self.current = BackendAttempt(self._owner, self._context.clock, request, self._on_line)
+        self.current = BackendAttempt(owner, self._context.clock, request)
         self.current.start()
 
     def _timeout(self, message: BeginAttempt, deadline: float) -> float:
--- a/saltcourse/proxy/request_events.py
+++ b/saltcourse/proxy/request_events.py
@@ -1,10 +1,21 @@
-"""The balancer's events of a request, made from its OPEN line."""
+"""What the balancer is told of a request, made from its OPEN line."""
 
 from __future__ import annotations
 
 from saltcourse.balancing.events import ConnectionResumed, RequestReceived
 from saltcourse.codec.lines import OpenRequest
 
+MIN_TIME_LEFT_SECONDS = 0.001
+RESUME_TIMEOUT_SECONDS = 40.0  # for a connection to be resumed; its `d` says over an hour
+
+
+def time_left_for_answer(opened: OpenRequest, program_time_left: float) -> float:
+    """Seconds until the final answer is due: as long as the client waits, or as the program still runs."""
+    time_left = opened.time_left
+    if opened.resume_backend:
+        time_left = min(time_left, RESUME_TIMEOUT_SECONDS)
+    return max(MIN_TIME_LEFT_SECONDS, min(time_left, program_time_left))
+
 
 def request_received(opened: OpenRequest, time_left: float) -> RequestReceived:
     """A new request that has to be answered within ``time_left`` s."""
--- a/tests/balancing/test_response_latency.py
+++ b/tests/balancing/test_response_latency.py
@@ -85,3 +85,17 @@
     assert set(meter.latency_lines) <= {"s1"}, "backends without connections are forgotten"
     without_lines = meter_of({"a": "s0"}, slow=float("inf"))  # the settings say that no latency is sent
     assert without_lines.latency_of_load_line("a", 5.0, 10.0) is None
+
+
+@pytest.mark.parametrize(
+    ("round_trips", "median"), [((0.05,), 0.05), ((0.9, 0.1), 0.5), ((0.9, 0.1, 0.3), 0.3)]
+)
+def test_the_latency_reported_is_the_median_of_the_round_trips(
+    round_trips: tuple[float, ...], median: float
+) -> None:
+    meter = meter_of({"a": "s0"})
+    for number, round_trip in enumerate(round_trips):
+        meter.line_sent("a", float(number))
+        meter.line_received("a", number + round_trip)
+    [report] = meter.latency_reports(10.0)
+    assert report.latency == pytest.approx(median)
--- a/tests/proxy/test_race_conditions.py
+++ b/tests/proxy/test_race_conditions.py
@@ -81,11 +81,14 @@
     def open_line_sent(self) -> None:
         self.sent += 1
 
+    def backend_line_received(self, line: memoryview) -> None:
+        raise AssertionError("no line was to come")
+
 
 def call_to(listener: socket.socket, owner: RecordingOwner, seconds: float) -> BackendAttempt:
     line = b"OPEN a b c=quick,d=900\r\n"
     request = AttemptRequest(0, "s0", listener.getsockname(), line, seconds, 1.0)
-    return BackendAttempt(owner, Clock(), request, lambda line: None)
+    return BackendAttempt(owner, Clock(), request)
 
 
 def test_a_call_given_up_before_its_first_turn_neither_connects_nor_writes() -> None:
