--- a/tests/proxy/exchange_player.py
+++ b/tests/proxy/exchange_player.py
@@ -14,7 +14,7 @@
 Steps are taken in turn and each waits for what it expects, so no verdict hangs on how fast that is.
 
 Options: ``backends``, ``unreachable`` (backends where nothing listens), ``sockets`` (descriptor limit),
-``polled`` (discovery is watched), and any setting by its name.
+``polled`` (discovery is watched), the time limits of ``test_exchanges``, and any setting by its name.
 """
 
 from __future__ import annotations
--- a/tests/proxy/running_proxy.py
+++ b/tests/proxy/running_proxy.py
@@ -10,10 +10,12 @@
 import os
 import select
 import socket
+import time
 from collections.abc import Callable
 from types import TracebackType
 from typing import Any
 
+import pytest
 from structlog.testing import capture_logs
 
 from saltcourse.balancing.settings import DiscoveryMode, RequestClass
@@ -21,10 +23,13 @@
 from saltcourse.config import Config, Limits
 from saltcourse.proxy.client_connection import ClientConnection
 from saltcourse.proxy.server import Phase, ProxyServer
+from saltcourse.proxy.stream import _HalfCloseIOStream
 from tests.balancing.balancer_host import QUICK, settings
 from tests.proxy.exchange_player import RemoteConnection, listen
 
 TURNS = 60  # of the loop: more than any chain of messages takes that waits for nothing outside
+OPEN = "OPEN a b c=quick,d={}"
+SHORT = RequestClass("quick", latency_objective=0.1, deadline=0.3, message_latency_objective=0.06)
 
 
 async def run_loop_turns(count: int = TURNS) -> None:
@@ -170,3 +175,38 @@
         number, sock = found[0]
         self.remotes.append(RemoteConnection(sock))
         return number, self.remotes[-1]
+
+
+def write_open_line_in_parts(monkeypatch: pytest.MonkeyPatch, seconds: float) -> None:
+    """The first OPEN line goes in two parts.
+
+    Between them the loop stands still for so long that the attempt's time is up in the very turn in which the
+    kernel takes the rest.
+    """
+    write, calls = _HalfCloseIOStream.write_to_fd, []
+
+    def in_parts(self: _HalfCloseIOStream, data: memoryview) -> int:
+        if bytes(data[:4]) != b"OPEN" and not calls or len(calls) > 1:
+            return write(self, data)
+        calls.append(self)
+        if len(calls) == 1:
+            return write(self, data[:10])
+        time.sleep(seconds)
+        return 0
+
+    monkeypatch.setattr(_HalfCloseIOStream, "write_to_fd", in_parts)
+
+
+async def expect_end_without_reset(client: RemoteClient) -> None:
+    """The client ends its side when it has seen the proxy's; a reset would come after that."""
+    await client.sees("end")
+    client.sock.shutdown(socket.SHUT_WR)
+    await wait_until(lambda: client.connection.stream.closed)
+    await run_loop_turns()
+    assert client.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0, "a reset followed the end"
+    assert not client.received, f"something else than the end: {client.received!r}"
+
+
+async def send_ping(client: RemoteConnection) -> None:
+    await client.send("PING", b"\r\n")
+    assert await client.line() == "PONG"
--- /dev/null
+++ b/tests/proxy/test_client_connection.py
@@ -0,0 +1,246 @@
+"""A client connection between its OPEN line and its answer: clients that leave, and retries that do harm.
+
+One event is held back until the other is in place; docs/design/race-conditions.md has the table of them.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from contextlib import suppress
+from dataclasses import replace
+
+import pytest
+
+from saltcourse.balancing.settings import DeduplicationScope, Idempotency
+from saltcourse.proxy.client_connection import ClientConnection, ConnectionState
+from saltcourse.proxy.messages import BeginAttempt, ClientClosed, NewRequest
+from saltcourse.proxy.stream import SocketStream
+from tests.balancing.balancer_host import QUICK
+from tests.proxy.running_proxy import (
+    OPEN,
+    RunningProxy,
+    has_left,
+    nothing_connected,
+    run_loop_turns,
+    wait_until,
+    write_open_line_in_parts,
+)
+
+pytestmark = pytest.mark.usefixtures("no_front_notice")
+
+
+def hold_reader(monkeypatch: pytest.MonkeyPatch) -> asyncio.Event:
+    """What a client does after its first line is seen by nobody until the gate opens."""
+    gate, read = asyncio.Event(), ClientConnection._read_client
+
+    async def held(self: ClientConnection) -> None:
+        await gate.wait()
+        await read(self)
+
+    monkeypatch.setattr(ClientConnection, "_read_client", held)
+    return gate
+
+
+@pytest.mark.parametrize(
+    ("idempotency", "scope", "window", "is_retried"),
+    [
+        (Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0.0, True),
+        (Idempotency.KEYED, DeduplicationScope.ALL, 60.0, True),
+        (Idempotency.KEYED, DeduplicationScope.ALL, 0.1, False),
+        (Idempotency.KEYED, DeduplicationScope.ZONE, 60.0, True),
+        (Idempotency.KEYED, DeduplicationScope.ZONE, 0.1, False),
+        (Idempotency.KEYED, DeduplicationScope.CELL, 60.0, False),
+        (Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL, 60.0, False),
+    ],
+)
+def test_a_request_that_may_have_run_is_retried_only_where_that_is_harmless(
+    monkeypatch: pytest.MonkeyPatch,
+    idempotency: Idempotency,
+    scope: DeduplicationScope,
+    window: float,
+    is_retried: bool,
+) -> None:
+    """An attempt timed out as the kernel took the last byte of its OPEN line.
+
+    The request was retried as if it had not been sent, and ran twice. It may be retried only where the class
+    allows it: idempotent, or with an idempotency key in whose scope and window the retry falls.
+    """
+    request_class = replace(
+        QUICK,
+        idempotency=idempotency,
+        deduplication_scope=scope,
+        deduplication_window=window,
+        latency_objective=0.2,
+        deadline=0.6,
+    )
+    # The attempt of a request that may not run twice has all the time that there is.
+    seconds = 0.65 if idempotency is Idempotency.NOT_IDEMPOTENT else 0.25
+
+    async def play() -> None:
+        async with RunningProxy(2, request_class, connect_timeout=0.1) as proxy:
+            write_open_line_in_parts(monkeypatch, seconds)
+            client = await proxy.client(OPEN.format(600))
+            first, backend = await proxy.accept_any()
+            assert (await backend.line()).startswith("OPEN a b")
+            if is_retried:
+                retry = await proxy.accept(1 - first)
+                assert (await retry.line()).startswith("OPEN a b")
+            else:
+                assert await client.line() in ("ERR", "BUSY")
+                assert all(nothing_connected(listener) for listener in proxy.backends)
+
+    asyncio.run(play())
+
+
+@pytest.mark.parametrize("before_its_end", [b"", b"more than one line"])
+def test_the_request_of_a_client_that_left_during_its_decision_is_not_forwarded(
+    monkeypatch: pytest.MonkeyPatch, before_its_end: bytes
+) -> None:
+    """A client left while the balancer decided on its request.
+
+    The attempt began before the reader had seen the client's end, and a backend ran a request for nobody. The
+    kernel knows of the end, also where it waits unread behind bytes.
+    """
+
+    async def play() -> None:
+        gate = hold_reader(monkeypatch)
+        async with RunningProxy() as proxy:
+            send, held = proxy.server.dispatcher.send, []
+            proxy.server.context.send_to_dispatcher = held.append
+            client = await proxy.client(OPEN.format(900))
+            await wait_until(lambda: any(isinstance(message, NewRequest) for message in held))
+            if before_its_end:
+                client.sock.send(before_its_end)
+            client.sock.close()
+            await wait_until(lambda: has_left(client.connection))
+            proxy.server.context.send_to_dispatcher = send
+            for message in held:
+                send(message)
+            await run_loop_turns()
+            assert nothing_connected(proxy.backends[0])
+            gate.set()
+
+    asyncio.run(play())
+
+
+def test_an_attempt_queued_before_the_clients_end_does_not_begin() -> None:
+    """The order to begin an attempt and the client's end were in the mailbox together.
+
+    The first was carried out without a pause, though the client had gone by then.
+    """
+
+    async def play() -> None:
+        async with RunningProxy() as proxy:
+            proxy.server.context.send_to_dispatcher = lambda message: None
+            client = await proxy.client(OPEN.format(900))
+            await wait_until(lambda: client.connection.state is ConnectionState.WAITING)
+            connection = client.connection
+            # Both are in the mailbox before the connection has its turn; the first is taken without a pause.
+            connection.send(BeginAttempt("a", "s0", 0, 0.9, proxy.backends[0].getsockname()))
+            connection.send(ClientClosed(reset=False))
+            await run_loop_turns()
+            assert nothing_connected(proxy.backends[0])
+            proxy.server.context.send_to_dispatcher = proxy.server.dispatcher.send
+
+    asyncio.run(play())
+
+
+def test_the_open_line_is_not_written_when_the_client_left_during_the_connect(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """A connect took long, and the client left meanwhile.
+
+    The OPEN line was written all the same as soon as the connection was up.
+    """
+
+    async def play() -> None:
+        gate = hold_reader(monkeypatch)
+        connected, connect = asyncio.Event(), SocketStream.connect
+
+        async def late(self: SocketStream, address: tuple[str, int]) -> None:
+            await connect(self, address)
+            await connected.wait()
+
+        monkeypatch.setattr(SocketStream, "connect", late)
+        async with RunningProxy() as proxy:
+            client = await proxy.client(OPEN.format(1200))
+            backend = await proxy.accept()
+            client.sock.close()
+            await wait_until(lambda: has_left(client.connection))
+            connected.set()
+            await backend.sees("end")
+            assert backend.received == b""
+            gate.set()
+
+    asyncio.run(play())
+
+
+def test_no_retry_for_a_client_that_left_during_its_first_attempt(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A client left during its first attempt, which then failed.
+
+    The request was retried at another backend before the reader had seen the client's end.
+    """
+
+    async def play() -> None:
+        gate = hold_reader(monkeypatch)
+        async with RunningProxy(2) as proxy:
+            client = await proxy.client(OPEN.format(1200))
+            _, backend = await proxy.accept_any()
+            await backend.line()
+            client.sock.close()
+            await wait_until(lambda: has_left(client.connection))
+            await backend.send("BUSY", b"\r\n")
+            await backend.sees("end")
+            await run_loop_turns()
+            assert all(nothing_connected(listener) for listener in proxy.backends)
+            gate.set()
+
+    asyncio.run(play())
+
+
+def test_a_burst_of_clients_that_leave_forwards_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Sixty clients left at once while their requests were decided.
+
+    Some had sent a flood behind their line. The reader had not seen their ends yet, so their requests went to
+    backends. None may be forwarded, and nothing may be left behind in the proxy.
+    """
+
+    async def play() -> None:
+        gate = hold_reader(monkeypatch)
+        async with RunningProxy(sockets=400) as proxy:
+            send, held = proxy.server.dispatcher.send, []
+            proxy.server.context.send_to_dispatcher = held.append
+            clients = [await proxy.client(f"OPEN a{n} b c=quick,d=9000") for n in range(60)]
+            connections: list[ClientConnection] = [client.connection for client in clients]
+            await wait_until(lambda: all(each.state is ConnectionState.WAITING for each in connections))
+            for client in clients[::3]:
+                with suppress(BlockingIOError):
+                    client.sock.send(b"x" * 5000)
+            for client in clients:
+                client.sock.close()
+            await wait_until(lambda: all(has_left(connection) for connection in connections))
+            proxy.server.context.send_to_dispatcher = send
+            for message in held:
+                send(message)
+            await run_loop_turns()
+            assert nothing_connected(proxy.backends[0])
+            gate.set()
+
+    asyncio.run(play())
+
+
+def test_a_second_open_while_the_first_waits_fails_it_and_is_not_forwarded() -> None:
+    """A client that does not wait for its answer breaks the protocol: its request fails, its attempt ends."""
+
+    async def play() -> None:
+        async with RunningProxy(2) as proxy:
+            client = await proxy.client(OPEN.format(5000))
+            _, backend = await proxy.accept_any()
+            await backend.line()
+            await client.send("OPEN c b c=quick,d=5000", b"\r\n")
+            assert await client.line() == "ERR"
+            await client.sees("end")
+            await backend.sees("end")
+            assert all(nothing_connected(listener) for listener in proxy.backends)
+
+    asyncio.run(play())
--- a/tests/proxy/test_exchanges.py
+++ b/tests/proxy/test_exchanges.py
@@ -1,4 +1,4 @@
-"""Every recorded exchange, played against the whole program but its command line."""
+"""Every recorded exchange, played against the whole proxy but its command line."""
 
 from __future__ import annotations
 
@@ -12,24 +12,26 @@
 from tests.proxy.exchange_player import ExchangePlayer, sections
 
 SECTIONS = sections()
+TIME_LIMITS = {  # options of a section that shorten a time limit of the proxy (s)
+    "silent_after": (response_latency, "SILENT_AFTER_SECONDS"),
+    "first_line_timeout": (opening, "FIRST_LINE_TIMEOUT_SECONDS"),
+    "watch_wait": (discovery_client, "WATCH_WAIT_SECONDS"),
+    "watch_slack": (discovery_client, "WATCH_SLACK_SECONDS"),
+    "front_notice": (draining, "FRONT_NOTICE_SECONDS"),
+}
 
 
 @pytest.mark.parametrize("title", SECTIONS)
 def test_exchange(title: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    if "nothing back" in title:
-        monkeypatch.setattr(response_latency, "SILENT_AFTER_SECONDS", 0.1)
-    if "in time" in title:
-        monkeypatch.setattr(opening, "FIRST_LINE_TIMEOUT_SECONDS", 0.1)
-    if "falls silent" in title:
-        monkeypatch.setattr(discovery_client, "WATCH_WAIT_SECONDS", 0.1)
-        monkeypatch.setattr(discovery_client, "WATCH_SLACK_SECONDS", 0.1)
-    if "SIGTERM" not in title:
-        monkeypatch.setattr(draining, "FRONT_NOTICE_SECONDS", 0.0)
+    section_options, steps = SECTIONS[title]
+    options = {"front_notice": "0"} | section_options
+    for name, (module, constant) in TIME_LIMITS.items():
+        if name in options:
+            monkeypatch.setattr(module, constant, float(options.pop(name)))
 
     async def play() -> None:
         await ExchangePlayer(options).play(steps)
 
-    options, steps = SECTIONS[title]
     with capture_logs() as logs:
         asyncio.run(play())
     assert not [entry for entry in logs if entry["event"] == "task failed"], "an actor has failed"
--- a/tests/proxy/test_hostile_clients.py
+++ b/tests/proxy/test_hostile_clients.py
@@ -1,6 +1,8 @@
-"""Hard days against a running proxy on loopback: lines cut at any byte, the silent by the hundred with few
-descriptors, the half-written, and clients that walk away. Each ends as the protocol says, in bounded
-time, and the proxy holds no more descriptors than it was given."""
+"""Hostile clients of a running proxy on loopback.
+
+Lines cut at any byte, silent clients by the hundred with few descriptors, half-written lines, and clients
+that reset. Each ends as the protocol says, in bounded time, and the descriptors suffice.
+"""
 
 from __future__ import annotations
 
@@ -48,12 +50,12 @@
         writer.close()
 
 
-async def hard_days() -> None:
+async def meet_hostile_clients() -> None:
     server, _ = push_server()
     proxy, running = await proxy_beside(server)
     address = proxy.address()
     line = b"OPEN r%d x c=live-feed,d=1000\r\n"
-    # Cut at every byte: each is a whole line once its last byte is there, and placed.
+    # Cut at every byte: each is a whole line once its last byte is there, and served.
     for cut in range(1, len(line % 0)):
         assert await open_in_pieces(address, line % cut, cut) == b"UP 1\r\n"
     # Half a line, then silence: the proxy ends it by itself, within the time for a first line.
@@ -70,12 +72,12 @@
             sock.send(b"OPEN cro")
     await asyncio.sleep(0.3)
     assert SocketStream.open_count <= SOCKETS  # what the proxy holds stays within its descriptors
-    # Beside the crowd, a client that speaks is served; one that walks away costs nothing.
+    # Beside the crowd, a client that speaks is served; one that resets costs nothing.
     assert await open_in_pieces(address, b"OPEN late x c=live-feed,d=1000\r\n", 5) == b"UP 1\r\n"
     for number in range(20):  # gone, with a reset, before any answer
-        _, walker = await asyncio.open_connection(*address)
-        walker.write(b"OPEN w%d x c=live-feed,d=1000\r\n" % number)
-        walker.transport.abort()
+        _, leaver = await asyncio.open_connection(*address)
+        leaver.write(b"OPEN w%d x c=live-feed,d=1000\r\n" % number)
+        leaver.transport.abort()
     assert await open_in_pieces(address, b"OPEN after x c=live-feed,d=1000\r\n", 7) == b"UP 1\r\n"
     for sock in crowd:
         sock.close()
@@ -85,5 +87,5 @@
     server.close()
 
 
-def test_hard_days_end_as_the_protocol_says_within_bounds() -> None:
-    asyncio.run(hard_days())
+def test_hostile_clients_are_ended_as_the_protocol_says_within_bounds() -> None:
+    asyncio.run(meet_hostile_clients())
--- a/tests/proxy/test_process_replacement.py
+++ b/tests/proxy/test_process_replacement.py
@@ -1,7 +1,7 @@
 """Replacing the process: two real processes share one inherited listening socket, as the platform does it.
 
-The old one, on SIGTERM, stops taking at once, moves its standing client and exits by itself; every
-client that connects meanwhile is heard by one of the two, none refused, reset or left unread.
+The old one, on SIGTERM, accepts no more at once, migrates its established connection and exits by itself.
+Every client that connects meanwhile is served by one of the two, none refused, reset or left unread.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 def push_server() -> tuple[socket.socket, threading.Thread]:
-    """A proxy-in push server: UP to every OPEN, then holds the connection until the other side ends."""
+    """A stand-in push server: UP to every OPEN, then holds the connection until the other side ends."""
     listener = socket.create_server(("127.0.0.1", 0))
 
     def serve(connection: socket.socket) -> None:
@@ -81,7 +81,7 @@
         time.sleep(0.02)
 
 
-def test_the_old_process_hands_over_without_turning_anyone_away(tmp_path: Path) -> None:
+def test_the_old_process_hands_over_and_no_client_is_refused(tmp_path: Path) -> None:
     server, _ = push_server()
     config = values(
         known={
@@ -96,9 +96,9 @@
     address = listener.getsockname()
     old_admin, new_admin = free_port(), free_port()
     old = start(path, old_admin, listener)
-    standing = socket.create_connection(address, timeout=3.0)
-    standing.sendall(b"OPEN r1 x c=live-feed,d=1000\r\n")
-    assert standing.recv(64) == b"UP 1\r\n"
+    established = socket.create_connection(address, timeout=3.0)
+    established.sendall(b"OPEN r1 x c=live-feed,d=1000\r\n")
+    assert established.recv(64) == b"UP 1\r\n"
     idle = socket.create_connection(address)  # says nothing: no connection asked for, not counted
     figures = admin_answer(old_admin, "/_vars")[1].decode().split()
     assert {
@@ -115,7 +115,7 @@
         clients.start()
         time.sleep(0.2)
         old.send_signal(signal.SIGTERM)
-        assert standing.recv(64) == b"MOVE\r\n"  # told, not cut
+        assert established.recv(64) == b"MOVE\r\n"  # told, not cut
         assert old.wait(timeout=3.0) == 0  # by itself, before the platform's SIGKILL would come
         clients.join()
         assert answers == [b"PONG\r\n"] * CLIENTS
@@ -125,7 +125,7 @@
             if process.poll() is None:
                 process.kill()
                 process.wait()
-        standing.close()
+        established.close()
         idle.close()
         server.close()
         listener.close()
--- /dev/null
+++ b/tests/test_metrics.py
@@ -0,0 +1,20 @@
+"""Counters and gauges in statsd's line format."""
+
+from __future__ import annotations
+
+from saltcourse.metrics import Metrics
+
+
+def test_replies_dispatches_and_gauges_are_written_one_a_line() -> None:
+    metrics = Metrics(["feed"])
+    metrics.gauges = lambda: {"concurrent": 14}
+    metrics.count_reply("feed", "success")
+    metrics.count_reply("not in the settings", "success")
+    metrics.count_dispatch()
+    assert metrics.text().decode().splitlines() == [
+        "svc.replies.feed.success:1|c",
+        "svc.replies.feed.overload:0|c",
+        "svc.replies.feed.error:0|c",
+        "svc.dispatches:1|c",
+        "svc.concurrent:14|g",
+    ]
