--- a/tests/config/test_deployment_settings.py
+++ b/tests/config/test_deployment_settings.py
@@ -149,7 +149,7 @@
 def test_the_values_that_the_property_starts_from_are_valid() -> None:
     config = read_config(CONFIG, {})
     assert config.settings == read_settings(SETTINGS) and config.peers is not None
-    assert [t.quota_connections for t in config.settings.tenants] == [87.0, 45]
+    assert [t.connection_quota for t in config.settings.tenants] == [87.0, 45]
 
 
 @hypothesis_settings(max_examples=400, deadline=None, derandomize=True)
@@ -196,7 +196,7 @@
     quotas: list[Any], read: list[float]
 ) -> None:
     settings = read_settings(with_quotas(quotas))
-    assert [t.quota_connections for t in settings.tenants] == read
+    assert [t.connection_quota for t in settings.tenants] == read
     Balancer(settings, 1)
 
 
--- a/tests/config/test_operator.py
+++ b/tests/config/test_operator.py
@@ -57,7 +57,11 @@
     assert told.bgp is not None and told.bgp.hold == 3 and told.store_file is None
     assert read_operator(write(tmp_path, "# nothing\n"), "p").membership is None
     fleet = read_operator(write(tmp_path, "fleet { term_s: 3 counts: true }"), "p").fleet
-    assert fleet is not None and (fleet.term, fleet.drift, fleet.counts) == (3, 0.01, True)
+    assert fleet is not None and (fleet.lease_term, fleet.clock_drift, fleet.share_connection_counts) == (
+        3,
+        0.01,
+        True,
+    )
     assert read_operator(Path(__file__).parents[2] / "deploy" / "operator.txtpb", "p").membership is None
 
 
@@ -157,7 +161,7 @@
 def test_without_an_operators_file_nothing_of_it_is_imported() -> None:
     code = (
         "import sys, saltcourse.cli.main; print([m for m in sys.modules if any(w in m for w in "
-        "('protobuf', 'membership', 'emulator', 'sqlite3', 'config.operator'))])"
+        "('protobuf', 'membership', 'address_failover', 'emulator', 'sqlite3', 'config.operator'))])"
     )
     found = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
     assert found.stdout.strip() == "[]"
--- a/tests/config/test_proxy_config.py
+++ b/tests/config/test_proxy_config.py
@@ -28,7 +28,7 @@
 def test_the_example_is_sound_and_the_environment_overrides_it() -> None:
     config = read_config(example(), {"EDGE_LISTEN": "127.0.0.2:99", "EDGE_NAME": "n3"})
     assert (config.name, config.listen, config.discovery) == ("n3", ("127.0.0.2", 99), ("127.0.0.1", 8500))
-    assert config.settings.classes[0].message_aim == 0.05 and config.tells_delay
+    assert config.settings.classes[0].message_latency_objective == 0.05 and config.tells_delay
 
 
 @pytest.mark.parametrize(
@@ -94,7 +94,7 @@
         with pytest.raises(ConfigError, match="balancers"):
             read_config(values, {})
     else:
-        assert read_config(values, {}).settings.balancers == read
+        assert read_config(values, {}).settings.proxy_count == read
 
 
 @pytest.mark.parametrize("arguments", [["serve"], ["check-config"], []])
