--- a/saltcourse/config/operator_file.py
+++ b/saltcourse/config/operator_file.py
@@ -14,7 +14,7 @@
 
 from google.protobuf import text_format
 
-from saltcourse.config import ConfigError
+from saltcourse.config.errors import ConfigError
 from saltcourse.schema import operator_pb2 as pb
 
 TOKEN = re.compile(r"#[^\n]*|\"(?:\\.|[^\"\\\n])*\"|'(?:\\.|[^'\\\n])*'|[A-Za-z_]\w*|[{}<>\n]|[^\s{}<>#\"']")
--- a/saltcourse/config/overlay.py
+++ b/saltcourse/config/overlay.py
@@ -12,7 +12,8 @@
 import structlog
 
 from saltcourse.codec.endpoint_list import Address, read_address
-from saltcourse.config import FEWEST_SOCKETS, Config, allowed_sockets
+from saltcourse.config.proxy_config import Config
+from saltcourse.config.proxy_config_reader import MIN_SOCKETS, cap_sockets
 
 DISCOVERY_KEY = "proxy/discovery"
 SOCKETS_KEY = "proxy/limits.sockets"
@@ -29,9 +30,9 @@
     text = value.decode()
     if not (text.isascii() and text.isdigit() and len(text) <= MAX_DIGITS):
         raise ValueError("not a decimal number")
-    if int(text) < FEWEST_SOCKETS:
-        raise ValueError(f"under {FEWEST_SOCKETS}")
-    return allowed_sockets(int(text))
+    if int(text) < MIN_SOCKETS:
+        raise ValueError(f"under {MIN_SOCKETS}")
+    return cap_sockets(int(text))
 
 
 class Overlay:
--- /dev/null
+++ b/saltcourse/config/proxy_config.py
@@ -0,0 +1,58 @@
+"""What the proxy's own configuration says, checked and with its defaults filled in."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from saltcourse.balancing.settings import Settings
+from saltcourse.codec.endpoint_list import Address, Listing
+
+# Fields of Config that a reload leaves as they are: sockets, names and decisions are built on them.
+RESTART_REQUIRED_KEYS = ("name", "listen", "admin", "seed", "settings", "peers")
+
+
+@dataclass(frozen=True, slots=True)
+class Limits:
+    """What the process may use: processor cores, memory in megabytes, open descriptors."""
+
+    cores: float
+    memory_mb: float
+    sockets: int
+
+
+@dataclass(frozen=True, slots=True)
+class PeerAddresses:
+    """Where proxies of the same tier reach each other.
+
+    ``each`` is in the order of the deployment's ``self_index``, ``own`` is the index of this proxy in it.
+    What is sent to ``everyone`` reaches all of them; None where the platform has no such address.
+    """
+
+    listen: Address
+    each: tuple[Address, ...]
+    everyone: Address | None
+    own: int
+
+
+@dataclass(frozen=True, slots=True)
+class Config:
+    """The configuration of one proxy.
+
+    ``known``: the endpoint list to start with, until discovery sends its own.
+    ``tells_delay``: whether the latency of messages on open connections is measured for the decisions.
+    ``admin``: the operators' address; None, and there is none.
+    ``peers``: None where this proxy shares no state with others.
+    ``listen_fd``: a listening socket inherited from the platform, used instead of binding ``listen``.
+    """
+
+    name: str
+    listen: Address
+    discovery: Address
+    seed: int
+    limits: Limits
+    known: Listing
+    settings: Settings
+    tells_delay: bool
+    admin: Address | None = None
+    peers: PeerAddresses | None = None
+    listen_fd: int | None = None
--- a/saltcourse/proxy/server.py
+++ b/saltcourse/proxy/server.py
@@ -16,7 +16,7 @@
 import structlog
 
 from saltcourse import signals
-from saltcourse.config import NEED_RESTART, Config, ConfigError
+from saltcourse.config import RESTART_REQUIRED_KEYS, Config, ConfigError
 from saltcourse.metrics import Metrics
 from saltcourse.proxy.attempt import SHORT
 from saltcourse.proxy.client_connection import Consumer, Host, Stage
@@ -224,7 +224,7 @@
     def take_over(self, new: Config) -> None:
         """What of ``new`` can change in a running program is in force from now on; the rest is logged."""
         old, self.config = self.config, replace(self.config, discovery=new.discovery, limits=new.limits)
-        later = [key for key in NEED_RESTART if getattr(new, key) != getattr(old, key)]
+        later = [key for key in RESTART_REQUIRED_KEYS if getattr(new, key) != getattr(old, key)]
         if later:
             log.warning("changed keys that a restart will read", keys=",".join(later))
         self.doorstep.sockets = new.limits.sockets - OWN_SOCKETS
