--- a/saltcourse/app/address_failover.py
+++ b/saltcourse/app/address_failover.py
@@ -1,13 +1,10 @@
-"""A member made from the operator's file: beside a proxy in its process, or alone as a witness."""
+"""Composes a member of the election for the service address, and runs it beside a proxy."""
 
 from __future__ import annotations
 
-import asyncio
 import secrets
-import signal
 import time
 from collections.abc import Callable
-from dataclasses import fields
 
 import structlog
 
@@ -16,93 +13,86 @@
 from saltcourse.address_failover.host import Member
 from saltcourse.address_failover.route_announcement import Announcing, BgpAnnouncer, CommandAnnouncer
 from saltcourse.address_failover.vote_store import StoreError, VoteStore
-from saltcourse.config import ConfigError
-from saltcourse.config.operator import RELOADED, MembershipSettings
+from saltcourse.app.errors import AddressFailoverError
+from saltcourse.app.reloading import reread_section, warn_of_changes
+from saltcourse.config.operator_address_failover import (
+    FILE_KEYS,
+    KEY_FILE,
+    MEMBER,
+    SECTION,
+    STORE_FILE,
+    AddressFailoverSettings,
+)
+
+SEED_BITS = 32
+NANOSECONDS_PER_MICROSECOND = 1000
+RELOADED_FIELDS = ("keys", "key_file")  # taken over by a reload; all else needs a restart
+
+Reread = Callable[[], AddressFailoverSettings | None]
 
 log = structlog.get_logger("saltcourse")
 
 
-def member_of(told: MembershipSettings) -> Member:
-    """StoreError when the vote's file can't be used."""
-    boot = time.time_ns() // 1000
-    others = {name: place for name, place in told.places.items() if name != told.me}
-    announcer: Announcing | None = None
-    seed = secrets.randbits(32)  # members must not draw alike
-    if told.bgp is not None and not told.witness:
-        peering = Peering(told.bgp.asn, told.bgp.peer_asn, told.bgp.identifier, told.bgp.hold)
-        announcer = BgpAnnouncer(
-            told.service_address, told.bgp.next_hop, peering, told.bgp.route_servers, seed
-        )
-    elif told.command is not None and not told.witness:
-        announcer = CommandAnnouncer(told.service_address, told.command.arguments, told.command.timeout)
-    store = VoteStore(told.store_file, told.me) if told.store_file is not None else None
-    seal = Seal(told.me, boot, list(told.keys), others)
-    return Member(told.seats, seal, told.timing, seed, announcer, store)
-
-
-class Beside:
-    """The proxy's companion: starts when it serves, hands over before it drains."""
-
-    def __init__(
-        self, told: MembershipSettings, reread: Callable[[], MembershipSettings | None] | None = None
-    ) -> None:
-        self.told, self._reread = told, reread
-        self.member: Member | None = None
+def create_member(settings: AddressFailoverSettings) -> Member:
+    """Compose a member, which is not started yet. ``StoreError`` when its stored vote can't be used."""
+    boot = time.time_ns() // NANOSECONDS_PER_MICROSECOND
+    others = {name: address for name, address in settings.addresses.items() if name != settings.own_name}
+    seed = secrets.randbits(SEED_BITS)  # drawn anew by each process: members must not draw alike
+    announcer = _create_announcer(settings, seed)
+    store = VoteStore(settings.store_file, settings.own_name) if settings.store_file is not None else None
+    seal = Seal(settings.own_name, boot, list(settings.keys), others)
+    return Member(settings.members, seal, settings.timing, seed, announcer, store)
+
+
+def _create_announcer(settings: AddressFailoverSettings, seed: int) -> Announcing | None:
+    """None for a witness, which never holds the address."""
+    if settings.is_witness:
+        return None
+    bgp, command = settings.bgp, settings.command
+    if bgp is not None:
+        peering = Peering(bgp.asn, bgp.peer_asn, bgp.identifier, bgp.hold)
+        return BgpAnnouncer(settings.service_address, bgp.next_hop, peering, bgp.route_servers, seed)
+    if command is not None:
+        return CommandAnnouncer(settings.service_address, command.arguments, command.timeout)
+    return None
+
+
+class AddressFailoverCompanion:
+    """The member beside a proxy: starts when the proxy serves, hands the address over before it drains.
+
+    ``reread`` reads the section again when the program reloads.
+    """
+
+    def __init__(self, settings: AddressFailoverSettings, reread: Reread) -> None:
+        self._settings = settings
+        self._reread = reread
+        self._member: Member | None = None
 
     async def start(self) -> None:
+        """Join the election. ``AddressFailoverError`` when the member's store or address can't be had."""
         try:
-            self.member = member_of(self.told)
-            await self.member.start(self.told.places[self.told.me])
-        except StoreError as wrong:
-            raise SystemExit(f"saltcourse: membership.store_file: {wrong}") from None
-        except OSError as wrong:
-            host, port = self.told.places[self.told.me]
-            raise SystemExit(
-                f"saltcourse: membership.member: cannot listen on {host}:{port}: {wrong.strerror}"
+            self._member = create_member(self._settings)
+            await self._member.start(self._settings.own_address)
+        except StoreError as error:
+            raise AddressFailoverError(f"{STORE_FILE}: {error}") from None
+        except OSError as error:
+            host, port = self._settings.own_address
+            raise AddressFailoverError(
+                f"{MEMBER}: cannot listen on {host}:{port}: {error.strerror}"
             ) from None
 
     async def leave(self) -> None:
-        if self.member is not None:
-            await self.member.leave()
+        """Hand the address over, if this member holds it, and leave the election."""
+        if self._member is not None:
+            await self._member.leave()
 
     def reload(self) -> None:
-        """Keys are taken over, so that they can be changed member by member; all else needs a restart."""
-        if self._reread is None or self.member is None:
-            return
-        try:
-            new = self._reread()
-        except ConfigError as wrong:
-            log.error("the old operator's file is kept", reason=str(wrong))
+        """Take changed keys over, so that they can be replaced member by member; log the other changes."""
+        if self._member is None:
             return
+        new = reread_section(SECTION, self._reread)
         if new is None:
-            log.warning("membership is switched off at the next restart")
             return
-        self.member.seal.change_keys(list(new.keys))
-        log.info("reloaded", key=RELOADED, keys=len(new.keys))
-        later = [
-            f"membership.{f.name}"
-            for f in fields(new)
-            if f.name not in ("keys", "key_file") and getattr(new, f.name) != getattr(self.told, f.name)
-        ]
-        if later:
-            log.warning("changed keys that a restart will read", keys=",".join(later))
-
-
-Reread = Callable[[], MembershipSettings | None]
-
-
-def run_alone(told: MembershipSettings, reread: Reread | None = None) -> None:
-    """Until SIGTERM or SIGINT; SIGHUP has the keys read again."""
-    asyncio.run(_alone(told, reread))
-
-
-async def _alone(told: MembershipSettings, reread: Reread | None) -> None:
-    loop, done = asyncio.get_running_loop(), asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, done.set)
-    beside = Beside(told, reread)
-    loop.add_signal_handler(signal.SIGHUP, beside.reload)
-    await beside.start()
-    log.info("voting", me=told.me, members=len(told.seats))
-    await done.wait()
-    await beside.leave()
+        self._member.seal.change_keys(list(new.keys))
+        log.info("reloaded", key=KEY_FILE, keys=len(new.keys))
+        warn_of_changes(SECTION, self._settings, new, RELOADED_FIELDS, FILE_KEYS)
--- a/saltcourse/app/control_member.py
+++ b/saltcourse/app/control_member.py
@@ -1,4 +1,8 @@
-"""A control member alone in its process: a voter, or one that only follows and answers operators."""
+"""A control member alone in its process: a voter, or one that only follows and answers operators.
+
+It runs until SIGTERM or SIGINT, or until a voter's state can't be stored: a voter that may forget what it has
+agreed to must not vote on.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +14,8 @@
 from saltcourse import signals
 from saltcourse.admin.calls import LAMEDUCK_ASKS, Ask
 from saltcourse.admin.server import AdminServer, GossipCalls
-from saltcourse.app.gossip import Reread, create_host, figure_names, start_host, warn_of_changes
+from saltcourse.app.errors import ControlMemberError
+from saltcourse.app.gossip import Reread, create_host, figure_names, reload_section, start_host
 from saltcourse.config import ConfigError
 from saltcourse.config.operator_gossip import SECTION, GossipSettings
 from saltcourse.gossip.admin import GossipAnswers
@@ -24,28 +29,26 @@
 log = structlog.get_logger("saltcourse")
 
 
-class ControlFailed(Exception):
-    """The control member can't go on; the text says why."""
-
-
 class VoterStore:
-    """A voter's file, with the errors that the host knows."""
+    """A voter's file, which raises the error that the host expects."""
 
     def __init__(self, store: ReplicaStore) -> None:
         self._store = store
 
     def save(self, state: ReplicaState) -> None:
+        """Write the state; returns once it is on the disk. ``PersistError`` when it can't be stored."""
         try:
             self._store.save(state)
         except StoreError as error:
             raise PersistError(str(error)) from None
 
     def close(self) -> None:
+        """Close the file."""
         self._store.close()
 
 
 class ControlMember:
-    """The program that the admin address answers for."""
+    """The program, which also answers at the operators' address."""
 
     def __init__(self, settings: GossipSettings, reread: Reread) -> None:
         self._settings = settings
@@ -58,19 +61,23 @@
         self._answers = GossipAnswers(self._host)
 
     async def run(self, admin: Address | None) -> None:
-        """Until SIGTERM or SIGINT, or until its state can't be kept."""
+        """Run until SIGTERM or SIGINT.
+
+        Raises ``ListenError`` when an address can't be had, ``ControlMemberError`` when the state of a voter
+        can't be stored any more.
+        """
         self._handle_signals()
         await start_host(self._host, self._settings)
         server = self._serve_admin(admin)
         try:
             await self._stop.wait()
-            signals.ignore()  # it ends by itself in a moment
+            signals.ignore()  # the program ends by itself in a moment
             await self._leave()
         finally:
             if server is not None:
                 server.stop()
         if self._failure is not None:
-            raise ControlFailed(f"{SECTION}.store_file: {self._failure}")
+            raise ControlMemberError(f"{SECTION}.store_file: {self._failure}")
 
     def _handle_signals(self) -> None:
         loop = asyncio.get_running_loop()
@@ -79,18 +86,18 @@
         signals.handle(signal.SIGHUP, lambda: loop.call_soon_threadsafe(self._reload))
 
     def _reload(self) -> None:
-        warn_of_changes(self._settings, self._reread)
+        reload_section(self._settings, self._reread)
 
     def _create_host(self) -> Host:
         state: ReplicaState | None = None
         store: StateStore | None = None
         if self._settings.is_voter and self._settings.store_file is not None:
             try:
-                opened = ReplicaStore(self._settings.store_file, self._settings.me)
-                state = opened.load()
+                replica_store = ReplicaStore(self._settings.store_file, self._settings.me)
+                state = replica_store.load()
             except StoreError as error:
                 raise ConfigError(f"{SECTION}.store_file: {error}") from None
-            store = VoterStore(opened)
+            store = VoterStore(replica_store)
         return create_host(self._settings, state, store, on_failure=self._on_failure)
 
     def _on_failure(self, error: PersistError) -> None:
@@ -111,7 +118,7 @@
         if not self._host.is_open:
             return
         self._host.leave()
-        log.info("gossip left", me=self._settings.me)
+        log.info("gossip left", member=self._settings.me)
         await asyncio.sleep(LEAVE_GRACE)
         self._host.close()
 
@@ -145,10 +152,13 @@
     return member is not None and member.status is Status.ALIVE
 
 
-def run_alone(settings: GossipSettings, reread: Reread, admin: Address | None) -> None:
-    """``ConfigError``, ``ListenError`` or ``ControlFailed`` say why it did not start or go on."""
-    asyncio.run(_run_alone(settings, reread, admin))
+def run_control_member(settings: GossipSettings, reread: Reread, admin: Address | None) -> None:
+    """Run a control member, which answers operators at ``admin`` if that is given.
+
+    Raises ``ConfigError``, ``ListenError`` or ``ControlMemberError`` when it can't start or go on.
+    """
+    asyncio.run(_run(settings, reread, admin))
 
 
-async def _run_alone(settings: GossipSettings, reread: Reread, admin: Address | None) -> None:
+async def _run(settings: GossipSettings, reread: Reread, admin: Address | None) -> None:
     await ControlMember(settings, reread).run(admin)
--- a/saltcourse/app/gossip.py
+++ b/saltcourse/app/gossip.py
@@ -1,4 +1,4 @@
-"""A member made from the operator's file, and the one that runs beside a proxy in its process."""
+"""Composes a member of the fleet, and runs it beside a proxy."""
 
 from __future__ import annotations
 
@@ -7,12 +7,10 @@
 import re
 import secrets
 from collections.abc import Callable
-from dataclasses import fields
-from typing import Protocol
 
 import structlog
 
-from saltcourse.config import Config, ConfigError
+from saltcourse.app.reloading import reread_section, warn_of_changes
 from saltcourse.config.operator_gossip import SECTION, GossipSettings
 from saltcourse.config.overlay import ConfigurationSource
 from saltcourse.gossip.admin import GossipAnswers
@@ -20,9 +18,10 @@
 from saltcourse.gossip.messages import Applied, MemberRecord, ReplicaState
 from saltcourse.gossip.node import Node
 from saltcourse.gossip.settings import NodeSettings
+from saltcourse.proxy.companion import HostProgram
 from saltcourse.proxy.errors import ListenError
 
-COUNT_INTERVAL = 1.0  # s between the connection counts that a proxy tells
+REPORT_INTERVAL_SECONDS = 1.0  # between a proxy's reports of its connection count
 PROCESS_BITS = 32
 SEED_BITS = 64
 NOT_IN_A_NAME = re.compile(r"[^A-Za-z0-9_.-]")  # a zone's name stands in figures, in statsd's line format
@@ -32,17 +31,8 @@
 Reread = Callable[[], GossipSettings | None]
 
 
-class Program(Protocol):
-    """The proxy, as a member beside it sees it."""
-
-    def connections(self) -> int: ...
-
-    def take_over(self, config: Config) -> None:
-        """What a changed configuration says is in force from now on."""
-
-
 def node_settings(settings: GossipSettings) -> NodeSettings:
-    """With a ``process`` drawn anew."""
+    """Return the node's part of the settings, with a number drawn anew for this process."""
     me = MemberRecord(
         name=settings.me,
         address=settings.advertise,
@@ -69,42 +59,37 @@
     on_applied: Callable[[Applied], None] | None = None,
     on_failure: Callable[[PersistError], None] | None = None,
 ) -> Host:
+    """Compose a member, which is not started yet; ``state`` and ``store`` are a voter's."""
     node = Node(node_settings(settings), random.Random(secrets.randbits(SEED_BITS)), state)
     return Host(node, store, on_applied, on_failure)
 
 
 async def start_host(host: Host, settings: GossipSettings) -> None:
-    """``ListenError`` when the address can't be had."""
+    """Bind the member's address and join the fleet. ``ListenError`` when the address can't be had."""
     try:
         await host.start(settings.listen)
     except OSError as error:
         raise ListenError(f"{SECTION}.listen", "{}:{}".format(*settings.listen), error) from None
-    log.info("gossip started", me=settings.me, role=settings.role.name.lower(), zone=settings.zone)
+    log.info("gossip started", member=settings.me, role=settings.role.name.lower(), zone=settings.zone)
 
 
-def warn_of_changes(old: GossipSettings, reread: Reread) -> None:
-    """The section is read at the start only; says what a restart would change."""
-    try:
-        new = reread()
-    except ConfigError as error:
-        log.error("the old operator's file is kept", reason=str(error))
-        return
-    if new is None:
-        log.warning("gossip is switched off at the next restart")
-        return
-    names = [field.name for field in fields(new) if getattr(new, field.name) != getattr(old, field.name)]
-    if names:
-        keys = ",".join(f"{SECTION}.{name}" for name in names)
-        log.warning("changed keys that a restart will read", keys=keys)
+def reload_section(old: GossipSettings, reread: Reread) -> None:
+    """Log what a restart would change: the section is read at the start only."""
+    new = reread_section(SECTION, reread)
+    if new is not None:
+        warn_of_changes(SECTION, old, new)
 
 
 def figure_names(figures: dict[str, int]) -> dict[str, int]:
-    """As the figures stand among those of the program."""
+    """Return the member's figures under the names that they have among those of the program."""
     return {f"{SECTION}.{NOT_IN_A_NAME.sub('_', name)}": value for name, value in figures.items()}
 
 
 class GossipCompanion:
-    """Tells the fleet the proxy's connections, and the proxy what the fleet's configuration says."""
+    """The member beside a proxy: reports its connections, and applies the fleet's configuration to it.
+
+    ``source`` is the proxy's configuration, ``reread`` reads the section again when the program reloads.
+    """
 
     def __init__(self, settings: GossipSettings, source: ConfigurationSource, reread: Reread) -> None:
         self.host: Host | None = None
@@ -112,28 +97,33 @@
         self._settings = settings
         self._source = source
         self._reread = reread
-        self._program: Program | None = None
+        self._program: HostProgram | None = None
         self._timer: asyncio.TimerHandle | None = None
 
-    def attach(self, program: Program) -> None:
+    def attach(self, program: HostProgram) -> None:
+        """Set the proxy that this member runs beside; before its start."""
         self._program = program
 
     async def start(self) -> None:
+        """Join the fleet. ``ListenError`` when the address can't be had."""
         self.host = create_host(self._settings, on_applied=self._on_applied)
         await start_host(self.host, self._settings)
         self.answers = GossipAnswers(self.host)
         self._report_connections()
 
     async def leave(self) -> None:
+        """Tell the fleet that this member leaves."""
         if self._timer is not None:
             self._timer.cancel()
         if self.host is not None:
             self.host.leave()
 
     def reload(self) -> None:
-        warn_of_changes(self._settings, self._reread)
+        """Log what a restart would change."""
+        reload_section(self._settings, self._reread)
 
     def figures(self) -> dict[str, int]:
+        """Return the member's figures and those of the configuration; none before the start."""
         if self.host is None:
             return {}
         figures = self.host.figures()
@@ -152,4 +142,5 @@
         if self.host is None or not self.host.is_open or self._program is None:
             return
         self.host.report_connections(self._program.connections())
-        self._timer = asyncio.get_running_loop().call_later(COUNT_INTERVAL, self._report_connections)
+        loop = asyncio.get_running_loop()
+        self._timer = loop.call_later(REPORT_INTERVAL_SECONDS, self._report_connections)
--- /dev/null
+++ b/saltcourse/cli/errors.py
@@ -0,0 +1,38 @@
+"""Errors of the programs as exit codes: one line on standard error, and no traceback."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from contextlib import contextmanager
+from typing import NoReturn
+
+import click
+
+from saltcourse.app.errors import AppError, MissingExtraError
+from saltcourse.config import ConfigError
+from saltcourse.proxy.errors import ListenError
+
+EXIT_FAILURE = 1
+EXIT_CONFIG = 2
+EXIT_LISTEN = 3
+
+
+def fail(code: int, message: str) -> NoReturn:
+    """End the program with an exit code, and one line on standard error."""
+    click.echo(f"saltcourse: {message}", err=True)
+    raise SystemExit(code) from None
+
+
+@contextmanager
+def exit_on_error() -> Iterator[None]:
+    """End the program with the exit code of the error that the body raises."""
+    try:
+        yield
+    except ConfigError as error:
+        fail(EXIT_CONFIG, f"configuration: {error}")
+    except MissingExtraError as error:
+        fail(EXIT_CONFIG, str(error))
+    except ListenError as error:
+        fail(EXIT_LISTEN, str(error))
+    except AppError as error:
+        fail(EXIT_FAILURE, str(error))
--- a/saltcourse/cli/gossip.py
+++ b/saltcourse/cli/gossip.py
@@ -2,65 +2,36 @@
 
 from __future__ import annotations
 
-import os
-from functools import partial
-
 import click
 
-from saltcourse.cli.options import (
-    EXIT_FAILURE,
-    EXIT_LISTEN,
-    fail,
-    load_operator,
-    operator_option,
-    refuse,
-    reread_gossip,
-    set_up_logging,
-)
-from saltcourse.codec.endpoint_list import Address, read_address
+from saltcourse.cli.errors import EXIT_FAILURE, exit_on_error, fail
+from saltcourse.cli.logging import set_up_logging
+from saltcourse.cli.options import AddressType, name_option, operator_option, operator_source
+from saltcourse.codec.endpoint_list import Address
 from saltcourse.config import ConfigError
-from saltcourse.proxy.errors import ListenError
-
-
-class AddressType(click.ParamType[Address]):
-    """``HOST:PORT``."""
-
-    name = "HOST:PORT"
-
-    def convert(self, value: object, param: click.Parameter | None, ctx: click.Context | None) -> Address:
-        try:
-            return read_address(value)
-        except ValueError:
-            self.fail(f"must be HOST:PORT, not {value!r}", param, ctx)
 
 
 @click.command()
 @operator_option
 @click.option("--admin", type=AddressType(), default=None, help="The operators' address; default: none.")
-@click.option("--name", default=None, help="Which member this is; default $EDGE_NAME, or the file's me.")
+@name_option
 def control(operator: str | None, admin: Address | None, name: str | None) -> None:
     """Run a control member of the fleet alone, until SIGTERM.
 
     A voter takes part in the agreement on configuration changes; others only follow and answer operators.
     """
-    me = name or os.environ.get("EDGE_NAME") or ""
-    settings = load_operator(operator, me)
-    if settings is None or settings.gossip is None:
-        refuse("a control member needs an operator's file with gossip")
-    from saltcourse.app.control_member import ControlFailed, run_alone
-    from saltcourse.gossip.messages import Role
+    with exit_on_error():
+        source = operator_source(operator, name)
+        settings = source.read_gossip()
+        if settings is None:
+            raise ConfigError("a control member needs an operator's file with gossip")
+        from saltcourse.app.control_member import run_control_member  # needs protobuf, as the file does
+        from saltcourse.gossip.messages import Role
 
-    if settings.gossip.role is not Role.CONTROL:
-        refuse("gossip.role: must be CONTROL for a control member")
-    set_up_logging()
-    try:
-        run_alone(settings.gossip, partial(reread_gossip, operator, me), admin)
-    except ConfigError as wrong:
-        refuse(str(wrong))
-    except ListenError as wrong:
-        fail(EXIT_LISTEN, str(wrong))
-    except ControlFailed as wrong:
-        fail(EXIT_FAILURE, str(wrong))
+        if settings.role is not Role.CONTROL:
+            raise ConfigError("gossip.role: must be CONTROL for a control member")
+        set_up_logging()
+        run_control_member(settings, source.read_gossip, admin)
 
 
 @click.command()
@@ -72,31 +43,32 @@
 
     Prints the position of the change once a majority of the voters has it on disk.
     """
-    writes = _writes(settings, deleted)
+    writes = _parse_writes(settings, deleted)
     from saltcourse.admin.publishing import PublishingFailed, publish_change
 
     try:
         position = publish_change(admin, writes)
-    except PublishingFailed as wrong:
-        fail(EXIT_FAILURE, str(wrong))
+    except PublishingFailed as error:
+        fail(EXIT_FAILURE, str(error))
     click.echo(f"published: epoch {position.epoch}, version {position.version}")
 
 
-def _writes(settings: tuple[str, ...], deleted: tuple[str, ...]) -> dict[str, str | None]:
+def _parse_writes(settings: tuple[str, ...], deleted: tuple[str, ...]) -> dict[str, str | None]:
+    """New value by key; None deletes the key."""
     writes: dict[str, str | None] = {}
     for setting in settings:
         key, equals, value = setting.partition("=")
         if not key or not equals:
             raise click.UsageError(f"must be KEY=VALUE, not {setting!r}")
-        _add(writes, key, value)
+        _add_write(writes, key, value)
     for key in deleted:
-        _add(writes, key, None)
+        _add_write(writes, key, None)
     if not writes:
         raise click.UsageError("nothing to publish: give KEY=VALUE or --delete KEY")
     return writes
 
 
-def _add(writes: dict[str, str | None], key: str, value: str | None) -> None:
+def _add_write(writes: dict[str, str | None], key: str, value: str | None) -> None:
     if key in writes:
         raise click.UsageError(f"{key!r} stands twice")
     writes[key] = value
--- /dev/null
+++ b/saltcourse/cli/logging.py
@@ -0,0 +1,23 @@
+"""The log of the programs that run until a signal ends them."""
+
+from __future__ import annotations
+
+import logging
+import sys
+
+import structlog
+
+
+def set_up_logging() -> None:
+    """Write one line an event to standard error, time first; no colours, for it ends up in files."""
+    structlog.configure(
+        processors=[
+            structlog.processors.add_log_level,
+            structlog.processors.TimeStamper(fmt="iso", utc=True),
+            structlog.processors.format_exc_info,
+            structlog.processors.LogfmtRenderer(key_order=["timestamp", "level", "event"]),
+        ],
+        wrapper_class=structlog.make_filtering_bound_logger(logging.INFO),
+        logger_factory=structlog.PrintLoggerFactory(sys.stderr),
+        cache_logger_on_first_use=True,
+    )
--- a/saltcourse/config/operator_address_failover.py
+++ b/saltcourse/config/operator_address_failover.py
@@ -1,4 +1,7 @@
-"""The section ``membership`` of the operator's file: a service address that one live instance holds."""
+"""The section ``membership`` of the operator's file: a service address that one live member holds.
+
+The file calls the feature membership; in the code it is address failover.
+"""
 
 from __future__ import annotations
 
@@ -9,33 +12,59 @@
 
 from saltcourse.address_failover.authentication import LEAST_KEY, MOST_KEYS
 from saltcourse.address_failover.messages import MOST_MEMBERS, Seat, Timing
-from saltcourse.config.operator_file import OperatorFile, Place
-
-RELOADED = "membership.key_file"  # what SIGHUP takes over; all else needs a restart
+from saltcourse.codec.endpoint_list import Address
+from saltcourse.config.operator_file import OperatorFile
+
+SECTION = "membership"
+KEY_FILE = f"{SECTION}.key_file"
+STORE_FILE = f"{SECTION}.store_file"
+MEMBER = f"{SECTION}.member"
+
+MIN_LEASE_SECONDS = 0.2
+MAX_LEASE_SECONDS = 30
+RENEWALS_PER_LEASE = 5  # where the file does not give the interval
+MAX_CLOCK_DRIFT = 0.05  # share
+MAX_GUARD_SHARE = 1 / 4  # of the lease
+MAX_AS_NUMBER = 2**32 - 1  # RFC 6793
+MIN_HOLD_SECONDS = 3  # RFC 4271: the shortest hold time that is not 0
+MAX_HOLD_SECONDS = 90
+DEFAULT_COMMAND_TIMEOUT_SECONDS = 1.0
+MIN_COMMAND_TIMEOUT_SECONDS = 0.1
+MAX_COMMAND_TIMEOUT_SECONDS = 10
 
 
 @dataclass(frozen=True, slots=True)
 class BgpSettings:
+    """How the address is announced by BGP. ``hold`` is the hold time in seconds."""
+
     asn: int
     peer_asn: int
     identifier: str
     next_hop: str
-    route_servers: tuple[Place, ...]
+    route_servers: tuple[Address, ...]
     hold: int
 
 
 @dataclass(frozen=True, slots=True)
 class CommandSettings:
+    """The operator's own program that announces the address; ``timeout`` in seconds."""
+
     arguments: tuple[str, ...]
     timeout: float
 
 
 @dataclass(frozen=True, slots=True)
-class MembershipSettings:
-    me: str
+class AddressFailoverSettings:
+    """The section, checked.
+
+    ``own_name`` is this instance's name among the members, ``addresses`` holds each member's UDP address.
+    At most one of ``bgp`` and ``command`` is set; a witness may have neither.
+    """
+
+    own_name: str
     service_address: str
-    seats: tuple[Seat, ...]
-    places: dict[str, Place]
+    members: tuple[Seat, ...]
+    addresses: dict[str, Address]
     key_file: Path
     keys: tuple[bytes, ...]
     store_file: Path | None
@@ -44,109 +73,148 @@
     command: CommandSettings | None
 
     @property
-    def witness(self) -> bool:
-        return any(s.witness for s in self.seats if s.name == self.me)
+    def is_witness(self) -> bool:
+        """Whether this instance votes only, and never holds the address."""
+        return any(member.witness for member in self.members if member.name == self.own_name)
 
+    @property
+    def own_address(self) -> Address:
+        """The UDP address that this instance listens on."""
+        return self.addresses[self.own_name]
 
-def read_membership(file: OperatorFile, own_name: str) -> MembershipSettings | None:
-    """None where the section is left out. ``own_name`` is this instance's where the file does not give it."""
+
+# Field of AddressFailoverSettings -> key of the section, where they differ.
+FILE_KEYS = {"own_name": "me", "members": "member", "addresses": "member"}
+
+
+def read_address_failover(file: OperatorFile, own_name: str) -> AddressFailoverSettings | None:
+    """Read the section; None where it is left out. Raises ``OperatorFileError``.
+
+    ``own_name`` is this instance's name where the file does not give it.
+    """
     if not file.message.HasField("membership"):
         return None
-    return _MembershipReader(file).read(own_name)
+    return _SectionReader(file).read(own_name)
 
 
-class _MembershipReader:
+class _SectionReader:
     def __init__(self, file: OperatorFile) -> None:
-        self.file = file
-        self.told = file.message.membership
-
-    def read(self, own_name: str) -> MembershipSettings:
-        told, key = self.told, "membership"
-        service = self.file.address(f"{key}.service_address", told.service_address)
-        seats, places = self._members()
-        me = told.me or own_name
-        if me not in places:
-            self.file.wrong(f"{key}.me", f"{me!r} is none of the members")
-        witness = next(s.witness for s in seats if s.name == me)
-        if told.HasField("bgp") and told.HasField("command"):
-            self.file.wrong(f"{key}.command", "beside bgp: one of them")
-        if not witness and not told.HasField("bgp") and not told.HasField("command"):
-            self.file.wrong(key, "neither bgp nor command: this instance could not announce the address")
-        store = self.file.store(f"{key}.store_file", told.store_file)
-        keys = self.file.keys(f"{key}.key_file", told.key_file, LEAST_KEY, MOST_KEYS)
-        return MembershipSettings(
-            me,
-            service,
-            seats,
-            places,
-            self.file.path.parent / told.key_file,
-            keys,
-            store,
-            self._timing(),
-            self._bgp(service) if told.HasField("bgp") else None,
-            self._command() if told.HasField("command") else None,
+        self._file = file
+        self._section = file.message.membership
+
+    def read(self, own_name: str) -> AddressFailoverSettings:
+        section = self._section
+        service_address = self._file.ip_address(f"{SECTION}.service_address", section.service_address)
+        members, addresses = self._read_members()
+        own_name = section.me or own_name
+        self._check_announcer(own_name, members)
+        store_file = self._file.store_path(STORE_FILE, section.store_file)
+        keys = self._file.secret_keys(KEY_FILE, section.key_file, LEAST_KEY, MOST_KEYS)
+        return AddressFailoverSettings(
+            own_name=own_name,
+            service_address=service_address,
+            members=members,
+            addresses=addresses,
+            key_file=self._file.path.parent / section.key_file,
+            keys=keys,
+            store_file=store_file,
+            timing=self._read_timing(),
+            bgp=self._read_bgp(service_address) if section.HasField("bgp") else None,
+            command=self._read_command() if section.HasField("command") else None,
         )
 
-    def _members(self) -> tuple[tuple[Seat, ...], dict[str, Place]]:
-        seats: list[Seat] = []
-        places: dict[str, Place] = {}
-        for i, member in enumerate(self.told.member):
-            key = f"membership.member[{i}]"
-            if not member.name:
-                self.file.wrong(f"{key}.name", "missing")
-            if member.name in places:
-                self.file.wrong(f"{key}.name", f"{member.name!r} stands twice")
-            place = self.file.place(f"{key}.address", member.address)
-            for name, other in places.items():
-                if other == place:
-                    self.file.wrong(f"{key}.address", f"is {name}'s address too")
-            places[member.name] = place
-            seats.append(Seat(member.name, member.priority, member.witness))
-        if not 1 <= len(seats) <= MOST_MEMBERS:
-            self.file.wrong("membership.member", f"from 1 to {MOST_MEMBERS} members, not {len(seats)}")
-        if all(s.witness for s in seats):
-            self.file.wrong("membership.member", "all are witnesses: nobody could hold the address")
-        return tuple(seats), places
-
-    def _timing(self) -> Timing:
-        told, key, usual = self.told.timing, "membership.timing", Timing()
-        lease, drift, guard = usual.lease, usual.drift, usual.guard
-        if told.HasField("lease_s"):
-            lease = self.file.between(f"{key}.lease_s", told.lease_s, 0.2, 30)
-        if told.HasField("drift"):
-            drift = self.file.between(f"{key}.drift", told.drift, 0, 0.05)
-        if told.HasField("guard_s"):
-            guard = self.file.between(f"{key}.guard_s", told.guard_s, 0, lease / 4)
-        renew = told.renew_s if told.HasField("renew_s") else lease / 5
+    def _read_members(self) -> tuple[tuple[Seat, ...], dict[str, Address]]:
+        members: list[Seat] = []
+        addresses: dict[str, Address] = {}
+        for i, entry in enumerate(self._section.member):
+            key = f"{MEMBER}[{i}]"
+            if not entry.name:
+                self._file.reject(f"{key}.name", "missing")
+            if entry.name in addresses:
+                self._file.reject(f"{key}.name", f"{entry.name!r} stands twice")
+            address = self._file.socket_address(f"{key}.address", entry.address)
+            for other_name, other_address in addresses.items():
+                if other_address == address:
+                    self._file.reject(f"{key}.address", f"is {other_name}'s address too")
+            addresses[entry.name] = address
+            members.append(Seat(entry.name, entry.priority, entry.witness))
+        if not 1 <= len(members) <= MOST_MEMBERS:
+            self._file.reject(MEMBER, f"from 1 to {MOST_MEMBERS} members, not {len(members)}")
+        if all(member.witness for member in members):
+            self._file.reject(MEMBER, "all are witnesses: nobody could hold the address")
+        return tuple(members), addresses
+
+    def _check_announcer(self, own_name: str, members: tuple[Seat, ...]) -> None:
+        """One way to announce the address, which a witness does not need."""
+        own_member = next((member for member in members if member.name == own_name), None)
+        if own_member is None:
+            self._file.reject(f"{SECTION}.me", f"{own_name!r} is none of the members")
+        has_bgp, has_command = self._section.HasField("bgp"), self._section.HasField("command")
+        if has_bgp and has_command:
+            self._file.reject(f"{SECTION}.command", "beside bgp: one of them")
+        if not (own_member.witness or has_bgp or has_command):
+            self._file.reject(
+                SECTION, "neither bgp nor command: this instance could not announce the address"
+            )
+
+    def _read_timing(self) -> Timing:
+        section, key, defaults = self._section.timing, f"{SECTION}.timing", Timing()
+        lease, drift, guard = defaults.lease, defaults.drift, defaults.guard
+        if section.HasField("lease_s"):
+            lease = self._file.number_between(
+                f"{key}.lease_s", section.lease_s, MIN_LEASE_SECONDS, MAX_LEASE_SECONDS
+            )
+        if section.HasField("drift"):
+            drift = self._file.number_between(f"{key}.drift", section.drift, 0, MAX_CLOCK_DRIFT)
+        if section.HasField("guard_s"):
+            guard = self._file.number_between(f"{key}.guard_s", section.guard_s, 0, lease * MAX_GUARD_SHARE)
+        renew = section.renew_s if section.HasField("renew_s") else lease / RENEWALS_PER_LEASE
         try:
             return Timing(lease=lease, renew=renew, drift=drift, guard=guard)
-        except ValueError as wrong:
-            name, _, what = str(wrong).partition(": ")
-            self.file.wrong(f"{key}.{name}_s", what)
+        except ValueError as error:  # its text: "FIELD: RANGE"
+            field, _, wanted = str(error).partition(": ")
+            self._file.reject(f"{key}.{field}_s", wanted)
 
-    def _bgp(self, service: str) -> BgpSettings:
-        told, key = self.told.bgp, "membership.bgp"
+    def _read_bgp(self, service_address: str) -> BgpSettings:
+        section, key = self._section.bgp, f"{SECTION}.bgp"
         for name in ("asn", "peer_asn"):
-            self.file.between(f"{key}.{name}", getattr(told, name), 1, 2**32 - 1)
-        if not told.route_server:
-            self.file.wrong(f"{key}.route_server", "missing")
-        servers = tuple(
-            self.file.place(f"{key}.route_server[{i}]", server) for i, server in enumerate(told.route_server)
+            self._file.number_between(f"{key}.{name}", getattr(section, name), 1, MAX_AS_NUMBER)
+        if not section.route_server:
+            self._file.reject(f"{key}.route_server", "missing")
+        route_servers = tuple(
+            self._file.socket_address(f"{key}.route_server[{i}]", server)
+            for i, server in enumerate(section.route_server)
+        )
+        if len(set(route_servers)) != len(route_servers):
+            self._file.reject(f"{key}.route_server", "one stands twice")
+        hold = MIN_HOLD_SECONDS
+        if section.HasField("hold_s"):
+            hold = int(
+                self._file.number_between(f"{key}.hold_s", section.hold_s, MIN_HOLD_SECONDS, MAX_HOLD_SECONDS)
+            )
+        version = ipaddress.ip_address(service_address).version
+        return BgpSettings(
+            asn=section.asn,
+            peer_asn=section.peer_asn,
+            identifier=self._file.ip_address(f"{key}.identifier", section.identifier, 4),
+            next_hop=self._file.ip_address(f"{key}.next_hop", section.next_hop, version),
+            route_servers=route_servers,
+            hold=hold,
         )
-        if len(set(servers)) != len(servers):
-            self.file.wrong(f"{key}.route_server", "one stands twice")
-        hold = int(self.file.between(f"{key}.hold_s", told.hold_s, 3, 90)) if told.HasField("hold_s") else 3
-        identifier = self.file.address(f"{key}.identifier", told.identifier, 4)
-        hop = self.file.address(f"{key}.next_hop", told.next_hop, ipaddress.ip_address(service).version)
-        return BgpSettings(told.asn, told.peer_asn, identifier, hop, servers, hold)
-
-    def _command(self) -> CommandSettings:
-        told, key = self.told.command, "membership.command"
-        if not told.argument:
-            self.file.wrong(f"{key}.argument", "missing: the program and its arguments")
-        if not os.access(told.argument[0], os.X_OK):
-            self.file.wrong(f"{key}.argument[0]", f"{told.argument[0]!r} is no program that can be run")
-        timeout = 1.0
-        if told.HasField("timeout_s"):
-            timeout = self.file.between(f"{key}.timeout_s", told.timeout_s, 0.1, 10)
-        return CommandSettings(tuple(told.argument), timeout)
+
+    def _read_command(self) -> CommandSettings:
+        section, key = self._section.command, f"{SECTION}.command"
+        if not section.argument:
+            self._file.reject(f"{key}.argument", "missing: the program and its arguments")
+        program = section.argument[0]
+        if not os.access(program, os.X_OK):
+            self._file.reject(f"{key}.argument[0]", f"{program!r} is no program that can be run")
+        timeout = DEFAULT_COMMAND_TIMEOUT_SECONDS
+        if section.HasField("timeout_s"):
+            timeout = self._file.number_between(
+                f"{key}.timeout_s",
+                section.timeout_s,
+                MIN_COMMAND_TIMEOUT_SECONDS,
+                MAX_COMMAND_TIMEOUT_SECONDS,
+            )
+        return CommandSettings(tuple(section.argument), timeout)
--- a/saltcourse/config/operator_file.py
+++ b/saltcourse/config/operator_file.py
@@ -14,120 +14,146 @@
 
 from google.protobuf import text_format
 
-from saltcourse.config.errors import ConfigError
+from saltcourse.codec.endpoint_list import Address
+from saltcourse.config.errors import ConfigError, OperatorFileError
 from saltcourse.schema import operator_pb2 as pb
 
+# Tokens of the text format: comments, quoted strings, names, braces, line ends, any other character.
 TOKEN = re.compile(r"#[^\n]*|\"(?:\\.|[^\"\\\n])*\"|'(?:\\.|[^'\\\n])*'|[A-Za-z_]\w*|[{}<>\n]|[^\s{}<>#\"']")
-Place = tuple[str, int]
+PARSER_POSITION = re.compile(r"^\d+:\d+ : ")  # the parser's own "line:column : " before its message
+PORT_COUNT = 65_536
 
 
 def key_lines(text: str) -> dict[str, int]:
-    """Path of each key -> its line. Keys that may stand once have no index, the text says not which are."""
-    found: dict[str, int] = {}
+    """Map the path of each key in a text-format file to its line.
+
+    Each path is there with an index, the first of its name without one too: the text does not say which
+    keys may be repeated.
+    """
+    lines: dict[str, int] = {}
     counts: dict[str, int] = {}
-    parents, line, last = [""], 1, ""
+    parents, line, last_path = [""], 1, ""
     for token in TOKEN.findall(text):
         if token == "\n":
             line += 1
         elif token[0] == "#":
             continue
         elif token in "{<":
-            parents.append(last + ".")
+            parents.append(last_path + ".")
         elif token in "}>":
             parents = parents[:-1] or [""]
         elif re.match(r"[A-Za-z_]", token):
             path = parents[-1] + token
             counts[path] = counts.get(path, 0) + 1
-            last = f"{path}[{counts[path] - 1}]"
-            found[last] = line
-            found.setdefault(path, line)
-    return found
+            last_path = f"{path}[{counts[path] - 1}]"
+            lines[last_path] = line
+            lines.setdefault(path, line)
+    return lines
 
 
 class OperatorFile:
-    """A parsed file, and what the readers of its sections share: checks, errors with line and key."""
+    """A parsed file, and the checks that the readers of its sections share.
+
+    Each check takes the path of the key, and raises ``OperatorFileError`` with it and its line.
+    """
 
     def __init__(self, path: Path) -> None:
+        """Read and parse the file; raises ``ConfigError``."""
         self.path = path
         try:
             text = path.read_text()
-        except (OSError, UnicodeDecodeError) as wrong:
-            why = getattr(wrong, "strerror", None) or "not UTF-8"
-            raise ConfigError(f"--operator {path}: {why}") from None
+        except (OSError, UnicodeDecodeError) as error:
+            reason = getattr(error, "strerror", None) or "not UTF-8"
+            raise ConfigError(f"--operator {path}: {reason}") from None
         self.message = pb.Operator()
         try:
             text_format.Parse(text, self.message)
-        except text_format.ParseError as wrong:
-            said = re.sub(r"^\d+:\d+ : ", "", str(wrong))
-            raise ConfigError(f"{path}:{wrong.GetLine() or 1}: {said}") from None
-        self.lines = key_lines(text)
-
-    def wrong(self, key: str, what: str) -> NoReturn:
-        """The line of the key, or of the nearest part around it that is there."""
-        at = key
-        while at:
-            # Messages name an index only where a key may repeat; the lines are kept with one everywhere.
-            whole = re.sub(r"(\w)(?=\.|$)", r"\1[0]", at)
-            if whole in self.lines:
-                raise ConfigError(f"{self.path}:{self.lines[whole]}: {key}: {what}")
-            at = at.rpartition(".")[0]
-        raise ConfigError(f"{self.path}:1: {key}: {what}")
-
-    def place(self, key: str, said: str) -> Place:
-        host, colon, port = said.rpartition(":")
+        except text_format.ParseError as error:
+            reason = PARSER_POSITION.sub("", str(error))
+            raise ConfigError(f"{path}:{error.GetLine() or 1}: {reason}") from None
+        self._lines = key_lines(text)
+
+    def reject(self, key: str, reason: str) -> NoReturn:
+        """Raise ``OperatorFileError`` for a key."""
+        raise OperatorFileError(self.path, self._line_of(key), key, reason)
+
+    def _line_of(self, key: str) -> int:
+        """The line of the key, or of the nearest message around it that is there; 1 if none is."""
+        path = key
+        while path:
+            # A key is named with an index only where it may repeat; the lines are stored with one everywhere.
+            indexed_path = re.sub(r"(\w)(?=\.|$)", r"\1[0]", path)
+            if indexed_path in self._lines:
+                return self._lines[indexed_path]
+            path = path.rpartition(".")[0]
+        return 1
+
+    def socket_address(self, key: str, text: str) -> Address:
+        """Parse ADDRESS:PORT, an IPv6 address in brackets or bare."""
+        host, colon, port = text.rpartition(":")
         host = host.strip("[]")
         try:
             ipaddress.ip_address(host)
-            if colon and 0 < int(port) < 65536:
+            if colon and 0 < int(port) < PORT_COUNT:
                 return host, int(port)
         except ValueError:
             pass
-        self.wrong(key, f"must be ADDRESS:PORT, not {said!r}")
+        self.reject(key, f"must be ADDRESS:PORT, not {text!r}")
 
-    def address(self, key: str, said: str, version: int | None = None) -> str:
+    def ip_address(self, key: str, text: str, version: int | None = None) -> str:
+        """Parse an IP address, of the given version if any, into its canonical text."""
         try:
-            found = ipaddress.ip_address(said)
+            address = ipaddress.ip_address(text)
         except ValueError:
-            self.wrong(key, f"must be an IP address, not {said!r}")
-        if version and found.version != version:
-            self.wrong(key, f"must be an IPv{version} address, not {said!r}")
-        return str(found)
-
-    def between(self, key: str, value: float, least: float, most: float) -> float:
-        if not least <= value <= most:
-            self.wrong(key, f"must be from {least:g} to {most:g}, not {value:g}")
+            self.reject(key, f"must be an IP address, not {text!r}")
+        if version and address.version != version:
+            self.reject(key, f"must be an IPv{version} address, not {text!r}")
+        return str(address)
+
+    def number_between(self, key: str, value: float, minimum: float, maximum: float) -> float:
+        """Check a number against its bounds, both included."""
+        if not minimum <= value <= maximum:
+            self.reject(key, f"must be from {minimum:g} to {maximum:g}, not {value:g}")
         return value
 
-    def keys(self, key: str, said: str, least_bytes: int, most: int) -> tuple[bytes, ...]:
-        """The keys in the file that ``said`` names: hexadecimal, a line each, readable by its owner only."""
-        if not said:
-            self.wrong(key, "missing")
-        path = self.path.parent / said
+    def secret_keys(self, key: str, file_name: str, min_key_bytes: int, max_keys: int) -> tuple[bytes, ...]:
+        """Read a file of keys: hexadecimal digits, one key a line, readable by the file's owner only.
+
+        ``file_name`` is relative to the folder of the operator's file.
+        """
+        if not file_name:
+            self.reject(key, "missing")
+        path = self.path.parent / file_name
+        lines = self._read_private_lines(key, path)
+        if not 1 <= len(lines) <= max_keys:
+            wanted = "one key" if max_keys == 1 else f"from 1 to {max_keys} keys, a line each"
+            self.reject(key, f"{path}: {wanted}, not {len(lines)}")
+        try:
+            secrets = tuple(bytes.fromhex(line) for line in lines)
+        except ValueError:
+            self.reject(key, f"{path}: a key that is not hexadecimal digits")
+        if any(len(secret) < min_key_bytes for secret in secrets):
+            self.reject(key, f"{path}: a key under {min_key_bytes} bytes ({2 * min_key_bytes} digits)")
+        if len(set(secrets)) != len(secrets):
+            self.reject(key, f"{path}: the same key twice")
+        return secrets
+
+    def _read_private_lines(self, key: str, path: Path) -> list[str]:
+        """The words of a file, which must not be accessible to the group or to others."""
         try:
             mode = path.stat().st_mode
             lines = path.read_text().split()
-        except (OSError, UnicodeDecodeError) as wrong:
-            self.wrong(key, f"{path}: {getattr(wrong, 'strerror', None) or 'not text'}")
+        except (OSError, UnicodeDecodeError) as error:
+            self.reject(key, f"{path}: {getattr(error, 'strerror', None) or 'not text'}")
         if mode & (stat.S_IRWXG | stat.S_IRWXO):
-            self.wrong(key, f"{path} can be read by others: chmod 600")
-        if not 1 <= len(lines) <= most:
-            wanted = "one key" if most == 1 else f"from 1 to {most} keys, a line each"
-            self.wrong(key, f"{path}: {wanted}, not {len(lines)}")
-        try:
-            keys = tuple(bytes.fromhex(line) for line in lines)
-        except ValueError:
-            self.wrong(key, f"{path}: a key that is not hexadecimal digits")
-        if any(len(k) < least_bytes for k in keys):
-            self.wrong(key, f"{path}: a key under {least_bytes} bytes ({2 * least_bytes} digits)")
-        if len(set(keys)) != len(keys):
-            self.wrong(key, f"{path}: the same key twice")
-        return keys
-
-    def store(self, key: str, said: str) -> Path | None:
-        """Where something is kept over a restart; its folder has to be there."""
-        if not said:
+            self.reject(key, f"{path} can be read by others: chmod 600")
+        return lines
+
+    def store_path(self, key: str, file_name: str) -> Path | None:
+        """Where state is stored over a restart: its folder must exist. None if no name is given."""
+        if not file_name:
             return None
-        path = self.path.parent / said
+        path = self.path.parent / file_name
         if not path.parent.is_dir():
-            self.wrong(key, f"no folder {path.parent}")
+            self.reject(key, f"no folder {path.parent}")
         return path
--- a/saltcourse/config/operator_gossip.py
+++ b/saltcourse/config/operator_gossip.py
@@ -21,14 +21,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """Of one number, both included."""
+    """The smallest and the largest value that a number may have."""
 
-    least: float
-    most: float
+    minimum: float
+    maximum: float
 
 
-BYTES_PER_S = Bounds(2_000, 100_000_000)
-# Key of the file -> field of Timing, and what it may be.
+BYTES_PER_S_BOUNDS = Bounds(2_000, 100_000_000)
+# Key of the section -> field of Timing, and its bounds.
 TIMING_KEYS = {
     "snapshot_bytes_per_s": ("snapshot_bytes_per_s", Bounds(1_000, 100_000_000)),
     "probe_interval_s": ("probe_interval", Bounds(0.05, 60)),
@@ -46,7 +46,11 @@
 
 @dataclass(frozen=True, slots=True)
 class GossipSettings:
-    """What the section says, checked. ``listen`` is bound, ``advertise`` is what others send to."""
+    """The section, checked.
+
+    ``me`` is this instance's name; ``listen`` is bound, ``advertise`` is what others send to. ``bytes_per_s``
+    bounds what is sent and received, with IP and UDP headers.
+    """
 
     me: str
     listen: Address
@@ -64,82 +68,88 @@
 
     @property
     def is_voter(self) -> bool:
+        """Whether this instance takes part in the agreement on configuration changes."""
         return any(voter.name == self.me for voter in self.voters)
 
 
 def read_gossip(file: OperatorFile, own_name: str) -> GossipSettings:
-    """``own_name`` is this instance's where the file does not give it."""
-    return _GossipReader(file).read(own_name)
+    """Read the section; ``own_name`` is this instance's name where the file does not give it.
+
+    Raises ``OperatorFileError``.
+    """
+    return _SectionReader(file).read(own_name)
 
 
-class _GossipReader:
+class _SectionReader:
     def __init__(self, file: OperatorFile) -> None:
         self._file = file
         self._section = file.message.gossip
 
     def read(self, own_name: str) -> GossipSettings:
         section = self._section
-        listen = self._address("listen", section.listen)
-        advertise = self._advertise(listen)
-        seeds = [self._address(f"seed[{i}]", seed) for i, seed in enumerate(section.seed)]
+        listen = self._read_address("listen", section.listen)
+        advertise = self._read_advertise(listen)
+        seeds = [self._read_address(f"seed[{i}]", seed) for i, seed in enumerate(section.seed)]
         settings = GossipSettings(
-            me=self._text("me", section.me or own_name, MAX_NAME_BYTES),
+            me=self._read_text("me", section.me or own_name, MAX_NAME_BYTES),
             listen=listen,
             advertise=advertise,
-            region=self._text("region", section.region, MAX_LABEL_BYTES),
-            zone=self._text("zone", section.zone, MAX_LABEL_BYTES),
+            region=self._read_text("region", section.region, MAX_LABEL_BYTES),
+            zone=self._read_text("zone", section.zone, MAX_LABEL_BYTES),
             role=Role(section.role),
             seeds=tuple(seed for seed in seeds if seed != advertise),
-            voters=self._voters(),
+            voters=self._read_voters(),
             key_file=self._file.path.parent / section.key_file,
-            key=self._file.keys(f"{SECTION}.key_file", section.key_file, MIN_KEY_BYTES, MAX_KEYS)[0],
-            store_file=self._file.store(f"{SECTION}.store_file", section.store_file),
-            bytes_per_s=self._number("bytes_per_s", default_bytes_per_s(Role(section.role)), BYTES_PER_S),
-            timing=self._timing(),
+            key=self._file.secret_keys(f"{SECTION}.key_file", section.key_file, MIN_KEY_BYTES, MAX_KEYS)[0],
+            store_file=self._file.store_path(f"{SECTION}.store_file", section.store_file),
+            bytes_per_s=self._read_number(
+                "bytes_per_s", default_bytes_per_s(Role(section.role)), BYTES_PER_S_BOUNDS
+            ),
+            timing=self._read_timing(),
         )
         self._check_voter(settings)
         return settings
 
-    def _wrong(self, key: str, what: str) -> NoReturn:
-        self._file.wrong(f"{SECTION}.{key}", what)
+    def _reject(self, key: str, reason: str) -> NoReturn:
+        self._file.reject(f"{SECTION}.{key}", reason)
 
-    def _text(self, key: str, text: str, most: int) -> str:
+    def _read_text(self, key: str, text: str, max_bytes: int) -> str:
         try:
-            encode_text(text, most)
+            encode_text(text, max_bytes)
         except ValueError:
-            self._wrong(key, f"must be 1 to {most} bytes without control characters, not {text!r}")
+            self._reject(key, f"must be 1 to {max_bytes} bytes without control characters, not {text!r}")
         return text
 
-    def _address(self, key: str, said: str) -> Address:
-        """In the system's canonical text, which the address of a received datagram has too."""
-        host, port = self._file.place(f"{SECTION}.{key}", said)
+    def _read_address(self, key: str, text: str) -> Address:
+        """Parse an address into the system's canonical text, which that of a received datagram has too."""
+        host, port = self._file.socket_address(f"{SECTION}.{key}", text)
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
         try:
             return socket.inet_ntop(family, socket.inet_pton(family, host)), port
         except OSError:
-            self._wrong(key, f"must be an address without a scope, not {said!r}")
+            self._reject(key, f"must be an address without a scope, not {text!r}")
 
-    def _advertise(self, listen: Address) -> Address:
+    def _read_advertise(self, listen: Address) -> Address:
         advertise = listen
         if self._section.advertise:
-            advertise = self._address("advertise", self._section.advertise)
+            advertise = self._read_address("advertise", self._section.advertise)
         if ipaddress.ip_address(advertise[0]).is_unspecified:
-            self._wrong("advertise", f"must be an address that others reach, not {advertise[0]}")
+            self._reject("advertise", f"must be an address that others reach, not {advertise[0]}")
         return advertise
 
-    def _voters(self) -> tuple[Voter, ...]:
+    def _read_voters(self) -> tuple[Voter, ...]:
         voters: list[Voter] = []
         for i, entry in enumerate(self._section.voter):
             key = f"voter[{i}]"
-            name = self._text(f"{key}.name", entry.name, MAX_NAME_BYTES)
-            address = self._address(f"{key}.address", entry.address)
+            name = self._read_text(f"{key}.name", entry.name, MAX_NAME_BYTES)
+            address = self._read_address(f"{key}.address", entry.address)
             if any(voter.name == name for voter in voters):
-                self._wrong(f"{key}.name", f"{name!r} stands twice")
+                self._reject(f"{key}.name", f"{name!r} stands twice")
             if any(voter.address == address for voter in voters):
-                self._wrong(f"{key}.address", f"{entry.address} stands twice")
+                self._reject(f"{key}.address", f"{entry.address} stands twice")
             voters.append(Voter(name, address))
         if not 1 <= len(voters) <= MAX_VOTERS:
-            self._wrong("voter", f"from 1 to {MAX_VOTERS} voters, not {len(voters)}")
+            self._reject("voter", f"from 1 to {MAX_VOTERS} voters, not {len(voters)}")
         return tuple(voters)
 
     def _check_voter(self, settings: GossipSettings) -> None:
@@ -147,29 +157,29 @@
         if voter is None:
             return
         if settings.role is not Role.CONTROL:
-            self._wrong("role", f"must be CONTROL: {settings.me!r} is a voter")
+            self._reject("role", f"must be CONTROL: {settings.me!r} is a voter")
         if settings.store_file is None:
-            self._wrong("store_file", f"missing: {settings.me!r} is a voter")
+            self._reject("store_file", f"missing: {settings.me!r} is a voter")
         if voter.address != settings.advertise:
             host, port = settings.advertise
-            self._wrong("advertise", f"{host}:{port} is not the address of voter {settings.me!r}")
+            self._reject("advertise", f"{host}:{port} is not the address of voter {settings.me!r}")
 
-    def _number(self, key: str, default: float, bounds: Bounds) -> float:
+    def _read_number(self, key: str, default: float, bounds: Bounds) -> float:
         if not self._section.HasField(key):
             return default
         value: float = getattr(self._section, key)
-        return self._file.between(f"{SECTION}.{key}", value, bounds.least, bounds.most)
+        return self._file.number_between(f"{SECTION}.{key}", value, bounds.minimum, bounds.maximum)
 
-    def _timing(self) -> Timing:
-        usual = Timing()
+    def _read_timing(self) -> Timing:
+        defaults = Timing()
         values: dict[str, Any] = {
-            field: self._number(key, getattr(usual, field), bounds)
+            field: self._read_number(key, getattr(defaults, field), bounds)
             for key, (field, bounds) in TIMING_KEYS.items()
         }
-        timing = replace(usual, **values)
+        timing = replace(defaults, **values)
         if timing.probe_timeout >= timing.probe_interval:
-            self._wrong("probe_timeout_s", f"must be under probe_interval_s, {timing.probe_interval:g}")
+            self._reject("probe_timeout_s", f"must be under probe_interval_s, {timing.probe_interval:g}")
         for key in ("takeover_after", "stale_after"):
             if getattr(timing, key) <= timing.heartbeat_interval:
-                self._wrong(f"{key}_s", f"must be above heartbeat_interval_s, {timing.heartbeat_interval:g}")
+                self._reject(f"{key}_s", f"must be above heartbeat_interval_s, {timing.heartbeat_interval:g}")
         return timing
--- a/saltcourse/config/operator_shared_state.py
+++ b/saltcourse/config/operator_shared_state.py
@@ -1,23 +1,30 @@
-"""The section ``fleet`` of the operator's file: terms on which proxies of one tier share what they know."""
+"""The section ``fleet`` of the operator's file: how proxies of one tier share state."""
 
 from __future__ import annotations
 
+from typing import Any
+
 from saltcourse.balancing.settings import SharedStateSettings
 from saltcourse.config.operator_file import OperatorFile
 
+# Key of the section -> field of SharedStateSettings, where a key that is left out keeps the default.
+OPTIONAL_KEYS = {
+    "term_s": "lease_term",
+    "drift": "clock_drift",
+    "probes_per_s": "health_checks_per_second",
+}
+
 
-def read_fleet(file: OperatorFile) -> SharedStateSettings | None:
-    """None where the section is left out."""
+def read_shared_state(file: OperatorFile) -> SharedStateSettings | None:
+    """Read the section; None where it is left out. Raises ``OperatorFileError``."""
     if not file.message.HasField("fleet"):
         return None
-    told, usual = file.message.fleet, SharedStateSettings()
+    section = file.message.fleet
+    values: dict[str, Any] = {
+        field: getattr(section, key) for key, field in OPTIONAL_KEYS.items() if section.HasField(key)
+    }
     try:
-        return SharedStateSettings(
-            told.term_s if told.HasField("term_s") else usual.lease_term,
-            told.drift if told.HasField("drift") else usual.clock_drift,
-            told.counts,
-            told.probes_per_s if told.HasField("probes_per_s") else usual.health_checks_per_second,
-        )
-    except ValueError as wrong:
-        key, _, what = str(wrong).removeprefix("setting ").partition(": ")
-        file.wrong(key, f"must be {what}")
+        return SharedStateSettings(share_connection_counts=section.counts, **values)
+    except ValueError as error:  # its text: "setting KEY: RANGE"
+        key, _, wanted = str(error).removeprefix("setting ").partition(": ")
+        file.reject(key, f"must be {wanted}")
--- a/saltcourse/config/overlay.py
+++ b/saltcourse/config/overlay.py
@@ -1,7 +1,7 @@
 """Values of the fleet's configuration that override a proxy's own file, key by key.
 
 ``proxy/discovery`` is ``host:port``, ``proxy/limits.sockets`` a decimal number. A value that can't be read is
-told, counted, and leaves the one before it in force; a key that is deleted leaves the file's own value.
+logged and counted, and the one before it stays in force; a key that is deleted restores the file's own value.
 """
 
 from __future__ import annotations
@@ -36,26 +36,30 @@
 
 
 class Overlay:
-    """The newest good value of each key."""
+    """The newest valid value of each key; ``rejections`` counts invalid ones since the start."""
 
     def __init__(self) -> None:
-        self.rejections = 0  # values that could not be read, since the start
+        self.rejections = 0
         self._discovery: Address | None = None
         self._sockets: int | None = None
-        self._seen: dict[str, bytes | None] = {}
+        self._last_values: dict[str, bytes | None] = {}
         self._rejected: dict[str, int] = {}  # key -> version of the value that is not in force
 
     @property
     def rejected_version(self) -> int:
-        """The newest version that holds a value which is not in force here; 0: there is none."""
+        """The newest version that holds a value which is not in force here; 0 if there is none."""
         return max(self._rejected.values(), default=0)
 
     def update(self, configuration: Mapping[str, bytes], version: int) -> bool:
-        """Takes over what a new version of the fleet's configuration says; whether anything was different."""
-        keys = [key for key in (DISCOVERY_KEY, SOCKETS_KEY) if self._seen.get(key) != configuration.get(key)]
+        """Take over a new version of the fleet's configuration; return whether any value changed."""
+        keys = [
+            key
+            for key in (DISCOVERY_KEY, SOCKETS_KEY)
+            if self._last_values.get(key) != configuration.get(key)
+        ]
         for key in keys:
             value = configuration.get(key)
-            self._seen[key] = value
+            self._last_values[key] = value
             try:
                 self._set(key, value)
             except ValueError as error:
@@ -65,7 +69,7 @@
         return bool(keys)
 
     def apply(self, config: Config) -> Config:
-        """The configuration of the file with these values in place of its own."""
+        """Return the file's configuration with these values in place of its own."""
         if self._discovery is not None:
             config = replace(config, discovery=self._discovery)
         if self._sockets is not None:
@@ -93,9 +97,10 @@
         self._read = read
 
     def reread(self) -> Config:
-        """``ConfigError`` when the file can't be used; what it said before then stays."""
+        """Read the file again. ``ConfigError`` when it can't be used; what was read before then stays."""
         self._config = self._read()
         return self.current()
 
     def current(self) -> Config:
+        """Return the configuration that is in force."""
         return self.overlay.apply(self._config)
--- a/tests/config/test_operator.py
+++ b/tests/config/test_operator.py
@@ -14,7 +14,8 @@
 
 from saltcourse.cli.main import main
 from saltcourse.config import ConfigError
-from saltcourse.config.operator import MembershipSettings, read_operator
+from saltcourse.config.operator import read_operator
+from saltcourse.config.operator_address_failover import AddressFailoverSettings
 
 EXAMPLE = Path(__file__).parents[2] / "example" / "config.json"
 GOOD = """membership {
@@ -45,24 +46,27 @@
     return file
 
 
-def membership(file: Path) -> MembershipSettings:
-    found = read_operator(file, "p").membership
+def address_failover(file: Path) -> AddressFailoverSettings:
+    found = read_operator(file, "p").address_failover
     assert found is not None
     return found
 
 
 def test_a_good_file_is_read_and_an_empty_one_switches_nothing_on(tmp_path: Path) -> None:
-    told = membership(write(tmp_path))
-    assert told.places["w"] == ("::1", 7001) and told.timing.renew == pytest.approx(0.1) and not told.witness
-    assert told.bgp is not None and told.bgp.hold == 3 and told.store_file is None
-    assert read_operator(write(tmp_path, "# nothing\n"), "p").membership is None
-    fleet = read_operator(write(tmp_path, "fleet { term_s: 3 counts: true }"), "p").fleet
+    settings = address_failover(write(tmp_path))
+    assert settings.addresses["w"] == ("::1", 7001) and settings.timing.renew == pytest.approx(0.1)
+    assert not settings.is_witness
+    assert settings.bgp is not None and settings.bgp.hold == 3 and settings.store_file is None
+    assert read_operator(write(tmp_path, "# nothing\n"), "p").address_failover is None
+    fleet = read_operator(write(tmp_path, "fleet { term_s: 3 counts: true }"), "p").shared_state
     assert fleet is not None and (fleet.lease_term, fleet.clock_drift, fleet.share_connection_counts) == (
         3,
         0.01,
         True,
     )
-    assert read_operator(Path(__file__).parents[2] / "deploy" / "operator.txtpb", "p").membership is None
+    assert (
+        read_operator(Path(__file__).parents[2] / "deploy" / "operator.txtpb", "p").address_failover is None
+    )
 
 
 @pytest.mark.parametrize(
@@ -180,7 +184,7 @@
     )
     assert process.stderr is not None
     try:
-        assert "event=voting" in process.stderr.readline()
+        assert 'event="witness started"' in process.stderr.readline()
         (tmp_path / "key").write_text("cd" * 32 + "\n" + "ab" * 32)
         process.send_signal(signal.SIGHUP)
         assert "keys=2" in process.stderr.readline()
--- a/tests/test_package.py
+++ b/tests/test_package.py
@@ -31,6 +31,10 @@
 EXTRAS = "membership,gossip"  # those that modules of the package need
 NEED_AN_EXTRA = (
     "saltcourse.schema.",
+    "saltcourse.app.address_failover.",
+    "saltcourse.app.control_member.",
+    "saltcourse.app.gossip.",
+    "saltcourse.app.witness.",
     "saltcourse.config.operator",
     "saltcourse.address_failover.",
     "saltcourse.gossip.",
