--- a/saltcourse/cli/main.py
+++ b/saltcourse/cli/main.py
@@ -5,7 +5,7 @@
 import click
 
 from saltcourse import __version__, signals
-from saltcourse.cli.address_failover import witness
+from saltcourse.cli.witness import witness
 from saltcourse.cli.gossip import control, publish
 from saltcourse.cli.proxy import check_config, serve
 
