--- a/saltcourse/admin/__init__.py
+++ b/saltcourse/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' second address: HTTP/1.1, one call a connection, apart from the clients' port."""
+"""The operators' address: HTTP/1.1, one request a connection, apart from the clients' port."""
--- a/saltcourse/app/control_member.py
+++ b/saltcourse/app/control_member.py
@@ -12,8 +12,9 @@
 import structlog
 
 from saltcourse import signals
-from saltcourse.admin.calls import LAMEDUCK_ASKS, Ask
-from saltcourse.admin.server import AdminServer, GossipCalls
+from saltcourse.admin.commands import GossipHandler
+from saltcourse.admin.requests import LAMEDUCK_COMMANDS, Command
+from saltcourse.admin.server import AdminServer
 from saltcourse.app.errors import ControlMemberError
 from saltcourse.app.gossip import Reread, create_host, figure_names, reload_section, start_host
 from saltcourse.config import ConfigError
@@ -122,26 +123,30 @@
         await asyncio.sleep(LEAVE_GRACE)
         self._host.close()
 
-    # ---- what operators ask -----------------------------------------------------------------------
+    # ---- operators' commands ----------------------------------------------------------------------
 
     @property
-    def gossip_calls(self) -> GossipCalls | None:
+    def gossip_handler(self) -> GossipHandler | None:
+        """The member's answers to commands about the fleet."""
         return self._answers
 
-    def offers(self, ask: Ask) -> bool:
-        return ask not in LAMEDUCK_ASKS
+    def supports(self, command: Command) -> bool:
+        """A control member has no clients, so it can't be drained."""
+        return command not in LAMEDUCK_COMMANDS
 
     def ready(self) -> bool:
-        """A voter knows a majority of the voters to be alive; others know any voter."""
+        """Whether a voter knows a majority of the voters to be alive; other members, any voter."""
         members = self._host.node.membership.members
         alive = [voter for voter in self._settings.voters if _is_alive(members.get(voter.id))]
-        wanted = len(self._settings.voters) // 2 + 1 if self._settings.is_voter else 1
-        return self._host.is_open and len(alive) >= wanted
+        needed = len(self._settings.voters) // 2 + 1 if self._settings.is_voter else 1
+        return self._host.is_open and len(alive) >= needed
 
     def figures_text(self) -> bytes:
+        """Return the figures, one a line."""
         return self._figures.text()
 
     def lameduck(self, on: bool) -> bool:
+        """Never drained, see ``supports``."""
         return False
 
     def _gauges(self) -> dict[str, int]:
--- a/saltcourse/cli/gossip.py
+++ b/saltcourse/cli/gossip.py
@@ -44,11 +44,11 @@
     Prints the position of the change once a majority of the voters has it on disk.
     """
     writes = _parse_writes(settings, deleted)
-    from saltcourse.admin.publishing import PublishingFailed, publish_change
+    from saltcourse.admin.publish_client import PublishingError, publish_change
 
     try:
         position = publish_change(admin, writes)
-    except PublishingFailed as error:
+    except PublishingError as error:
         fail(EXIT_FAILURE, str(error))
     click.echo(f"published: epoch {position.epoch}, version {position.version}")
 
--- a/saltcourse/gossip/admin.py
+++ b/saltcourse/gossip/admin.py
@@ -8,7 +8,8 @@
 
 import orjson
 
-from saltcourse.admin.calls import JSON, Answer
+from saltcourse.admin.responses import JSON
+from saltcourse.admin.responses import Response as Answer
 from saltcourse.gossip.changes import BadChange, ChangeTooLarge, parse_change
 from saltcourse.gossip.host import Host, PublishOutcome
 from saltcourse.gossip.messages import Position, Published, PublishError
--- a/saltcourse/proxy/companion.py
+++ b/saltcourse/proxy/companion.py
@@ -7,7 +7,7 @@
 from saltcourse.config import Config
 
 if TYPE_CHECKING:  # nothing of it is imported without an admin address
-    from saltcourse.admin.server import GossipCalls
+    from saltcourse.admin.commands import GossipHandler
 
 
 class Companion(Protocol):
@@ -35,7 +35,7 @@
     """The companion that makes the proxy a member of a fleet with gossip."""
 
     @property
-    def answers(self) -> GossipCalls | None: ...
+    def answers(self) -> GossipHandler | None: ...
 
     def attach(self, program: HostProgram) -> None:
         """Before its start: ``program`` tells its connections, and takes over a changed configuration."""
--- a/saltcourse/proxy/server.py
+++ b/saltcourse/proxy/server.py
@@ -30,8 +30,9 @@
 from saltcourse.proxy.stream import Peer, listening
 
 if TYPE_CHECKING:  # nothing of it is imported without an admin address
-    from saltcourse.admin.calls import Ask
-    from saltcourse.admin.server import AdminServer, GossipCalls
+    from saltcourse.admin.commands import GossipHandler
+    from saltcourse.admin.requests import Command
+    from saltcourse.admin.server import AdminServer
     from saltcourse.proxy.peer_link import PeerLink
 
 BACKLOG = 1024  # connections that wait to be taken: most clients may come back in the same second
@@ -197,13 +198,13 @@
         return sum(1 for c in self.consumers if c.stage in (Stage.WAITING, Stage.STANDING))
 
     @property
-    def gossip_calls(self) -> GossipCalls | None:
+    def gossip_handler(self) -> GossipHandler | None:
         return self._gossip.answers if self._gossip is not None else None
 
-    def offers(self, ask: Ask) -> bool:
-        from saltcourse.admin.calls import GOSSIP_ASKS  # not imported where nobody calls
+    def supports(self, command: Command) -> bool:
+        from saltcourse.admin.requests import GOSSIP_COMMANDS  # not imported where nobody calls
 
-        return ask not in GOSSIP_ASKS or self.gossip_calls is not None
+        return command not in GOSSIP_COMMANDS or self.gossip_handler is not None
 
     def reload(self) -> None:
         """Take over what a changed configuration file says; whatever stands is left as it is.
--- a/tests/admin/test_server.py
+++ b/tests/admin/test_server.py
@@ -10,7 +10,8 @@
 
 import pytest
 
-from saltcourse.admin.calls import MOST_BYTES, Answer, Ask, Reader, answer_bytes
+from saltcourse.admin.requests import MAX_REQUEST_BYTES, Command, RequestReader
+from saltcourse.admin.responses import Response, encode_response
 from saltcourse.config import read_config
 from saltcourse.proxy.server import Phase, ProxyServer
 
@@ -45,36 +46,42 @@
 @pytest.mark.parametrize(
     ("data", "asked"),
     [
-        (b"GET /_ready HTTP/1.1\r\nHost: a\r\n\r\n", Ask.READY),
-        (b"GET /_vars?x=1 HTTP/1.1\r\nHost: a\r\n\r\n", Ask.VARS),
-        (b"PUT /_lameduck/on HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n", Ask.LAMEDUCK_ON),
-        (b"PUT /_lameduck/off HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nno", Ask.LAMEDUCK_OFF),
+        (b"GET /_ready HTTP/1.1\r\nHost: a\r\n\r\n", Command.READY),
+        (b"GET /_vars?x=1 HTTP/1.1\r\nHost: a\r\n\r\n", Command.VARS),
+        (b"PUT /_lameduck/on HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n", Command.LAMEDUCK_ON),
+        (b"PUT /_lameduck/off HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nno", Command.LAMEDUCK_OFF),
         (b"GET /nothing HTTP/1.1\r\nHost: a\r\n\r\n", 404),
         (b"POST /_ready HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n", 405),
         (b"GET /_lameduck/on HTTP/1.1\r\nHost: a\r\n\r\n", 405),
         (b"BLAH\r\n\r\n", 400),
-        (b"GET /_ready HTTP/1.1\r\nHost: a\r\nX: " + b"y" * MOST_BYTES + b"\r\n\r\n", 400),
-        (b"PUT /_lameduck/on HTTP/1.1\r\nHost: a\r\nContent-Length: 99999\r\n\r\n" + b"z" * MOST_BYTES, 400),
+        (b"GET /_ready HTTP/1.1\r\nHost: a\r\nX: " + b"y" * MAX_REQUEST_BYTES + b"\r\n\r\n", 400),
+        (
+            b"PUT /_lameduck/on HTTP/1.1\r\nHost: a\r\nContent-Length: 99999\r\n\r\n"
+            + b"z" * MAX_REQUEST_BYTES,
+            400,
+        ),
     ],
 )
-def test_each_call_is_read_whole_and_every_wrong_one_gets_its_status(data: bytes, asked: Ask | int) -> None:
-    reader, got = Reader(), None
+def test_each_call_is_read_whole_and_every_wrong_one_gets_its_status(
+    data: bytes, asked: Command | int
+) -> None:
+    reader, got = RequestReader(), None
     for at in range(len(data)):  # cut at every byte: nothing is decided before the call is whole
         got = reader.feed(data[at : at + 1])
         if got is not None:
             break
-    if isinstance(asked, Ask):
+    if isinstance(asked, Command):
         assert got is asked and at == len(data) - 1
     else:
-        assert isinstance(got, Answer) and got.status == asked
+        assert isinstance(got, Response) and got.status == asked
 
 
 def test_a_call_cut_short_is_malformed_and_an_answer_closes() -> None:
-    reader = Reader()
+    reader = RequestReader()
     assert reader.feed(b"GET /_ready HT") is None
     cut = reader.feed(b"")
-    assert isinstance(cut, Answer) and cut.status == 400
-    head = answer_bytes(Answer(405, b"", b"GET")).lower()
+    assert isinstance(cut, Response) and cut.status == 400
+    head = encode_response(Response(405, b"", b"GET")).lower()
     assert head.startswith(b"http/1.1 405 ") and b"connection: close" in head and b"allow: get" in head
 
 
@@ -104,7 +111,7 @@
     while proxy.phase is not Phase.SERVING:
         await asyncio.sleep(0.01)
     assert proxy.admin is not None
-    admin, clients = proxy.admin.bound(), proxy.address()
+    admin, clients = proxy.admin.bound_address(), proxy.address()
     # Callers that hold connections without a whole call must not delay the others.
     slow = [socket.create_connection(admin) for _ in range(40)]
     for each in slow:
