--- a/saltcourse/__init__.py
+++ b/saltcourse/__init__.py
@@ -1,4 +1,4 @@
-"""saltcourse: the decisions of a load balancer for long-lived connections, and the proxy round them."""
+"""saltcourse: the decisions of a load balancer for long-lived connections, and the proxy around them."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def __getattr__(name: str) -> Any:
-    """The module is imported when it is asked for: the program has signals to hold before that."""
+    """Import ``Balancer`` on first use: the program holds its signals before its long imports."""
     if name != "Balancer":
         raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
     from saltcourse.balancing.balancer import Balancer
--- a/saltcourse/__main__.py
+++ b/saltcourse/__main__.py
@@ -1,10 +1,10 @@
-"""``python -m saltcourse`` and the command ``saltcourse``; alone it serves, see ``cli``."""
+"""``python -m saltcourse`` and the command ``saltcourse``; without a sub-command it serves, see ``cli``."""
 
 from saltcourse import signals
 
 
 def main() -> None:
-    """Hold the signals first: the imports behind it take a while on a small part of a core."""
+    """Hold the signals, then import and run the command line: the imports take a while on a slow machine."""
     signals.hold()
     from saltcourse.cli.main import main as command_line
 
--- a/saltcourse/cli/main.py
+++ b/saltcourse/cli/main.py
@@ -5,9 +5,9 @@
 import click
 
 from saltcourse import __version__, signals
-from saltcourse.cli.witness import witness
 from saltcourse.cli.gossip import control, publish
 from saltcourse.cli.proxy import check_config, serve
+from saltcourse.cli.witness import witness
 
 HANDLE_SIGNALS_THEMSELVES = (None, serve.name, control.name)  # None: no sub-command, which serves
 
--- a/saltcourse/codec/json_fields.py
+++ b/saltcourse/codec/json_fields.py
@@ -10,11 +10,14 @@
 
 
 class Malformed(Exception):
-    """An object is not what the wire promises; the text names the field."""
+    """An object does not have the fields that its sender promises; the text names the field at fault."""
 
 
 def field(message: dict[str, Any], key: str, kind: type | tuple[type, ...], default: Any = None) -> Any:
-    """The field's value, checked; a field without a default must be there."""
+    """Return the value of a field, of one of the types ``kind``.
+
+    Raises ``Malformed`` when it is of another type, or absent and there is no default.
+    """
     value = message.get(key)
     if value is None:
         if default is None:
@@ -26,7 +29,7 @@
 
 
 def number(message: dict[str, Any], key: str, default: float | None = None) -> float:
-    """The field's value as a finite number."""
+    """Return the value of a field as a finite number. Raises ``Malformed``."""
     value = field(message, key, (int, float), default)
     if not is_finite_number(value):
         raise Malformed(f"{message.get('msg', 'message')}: '{key}' is not a finite number")
@@ -44,7 +47,7 @@
 
 
 def lookup(message: dict[str, Any], key: str, table: dict[Any, Any]) -> Any:
-    """What the table has for the field's value."""
+    """Return what ``table`` has for the value of a field. Raises ``Malformed`` when it has nothing."""
     value = message.get(key)
     try:
         return table[value]
@@ -53,7 +56,7 @@
 
 
 def choice(kind: Any, value: str, name: str) -> Any:
-    """The member of an enumeration whose value the text is."""
+    """Return the member of the enumeration ``kind`` that has this value. Raises ``Malformed``."""
     try:
         return kind(value)
     except ValueError:
@@ -61,7 +64,7 @@
 
 
 def objects(message: dict[str, Any], key: str, default: list[Any] | None = None) -> list[dict[str, Any]]:
-    """A list whose elements are all objects."""
+    """Return the value of a field that is a list of objects. Raises ``Malformed``."""
     values: list[dict[str, Any]] = field(message, key, list, default)
     for index, value in enumerate(values):
         if not isinstance(value, dict):
@@ -70,7 +73,7 @@
 
 
 def texts(message: dict[str, Any], key: str) -> tuple[str, ...]:
-    """A list whose elements are all texts; empty where the field is absent."""
+    """Return the value of a field that is a list of texts, empty if it is absent. Raises ``Malformed``."""
     values = field(message, key, list, [])
     for index, value in enumerate(values):
         if not isinstance(value, str):
@@ -79,7 +82,10 @@
 
 
 def optional_amounts(message: dict[str, Any], key: str, count: int) -> list[float]:
-    """A list of numbers of 0 or more, as ``count`` values; 0 where it is shorter, or says null."""
+    """Return ``count`` values of a list of numbers of 0 or more; 0 where it is shorter, or has null.
+
+    Raises ``Malformed``.
+    """
     values = field(message, key, list, [])
     for index, value in enumerate(values):
         if value is not None and not (is_finite_number(value) and value >= 0):
--- a/saltcourse/config/deployment_settings.py
+++ b/saltcourse/config/deployment_settings.py
@@ -33,7 +33,7 @@
 
 
 def read_settings(env: dict[str, Any]) -> Settings:
-    """The deployment's settings; unknown keys are skipped.
+    """Read the deployment's settings; unknown keys are skipped.
 
     Raises ``Malformed`` for whatever is wrong in them.
     """
--- a/saltcourse/signals.py
+++ b/saltcourse/signals.py
@@ -1,8 +1,14 @@
-"""Signals that come before the program can act on them are held for it; without this they would end it.
+"""Signals that arrive before the program can act on them are held until it can.
 
-Imports and the configuration take a while on a small part of a core, and whoever runs the program may tell
-it to leave or to read its configuration again as soon as its process is there. Imported first of all, so
-it imports nothing itself.
+The failure that this guards against: imports and the configuration take a while on a small part of a core,
+and whoever runs the program may tell it to stop or to reload as soon as its process is there. Python's
+defaults would end it then, by SIGHUP or with a traceback, and a supervisor sees a program that crashed at its
+start. So ``hold`` is called before anything else, and this module imports the standard library only.
+
+A process goes through these states::
+
+    default --hold--> held --handle, for each signal--> handled --ignore--> ignored
+                        \\--release (a command that does not serve)--> default
 """
 
 from __future__ import annotations
@@ -10,18 +16,21 @@
 import signal
 from collections.abc import Callable
 
-HELD = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
+HELD_SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
 _pending: set[int] = set()
 
 
 def hold() -> None:
-    for number in HELD:
-        signal.signal(number, lambda came, _: _pending.add(came))
+    """Remember the signals that arrive from now on, and do nothing else about them."""
+    for number in HELD_SIGNALS:
+        signal.signal(number, lambda received, _: _pending.add(received))
 
 
 def handle(number: int, act: Callable[[], object]) -> None:
-    """From now on ``act`` is called for each; at once if one has come already. ``act`` has to be safe to call
-    between any two instructions."""
+    """Call ``act`` for each signal ``number`` from now on, and at once if one is held.
+
+    ``act`` has to be safe to call between any two instructions.
+    """
     signal.signal(number, lambda *_: act())
     if number in _pending:
         _pending.discard(number)
@@ -29,14 +38,14 @@
 
 
 def release() -> None:
-    """For a command that does not serve: all is as if nothing had been held."""
-    for number in HELD:
+    """Restore Python's defaults, and raise again what is held: for a command that does not serve."""
+    for number in HELD_SIGNALS:
         signal.signal(number, signal.default_int_handler if number == signal.SIGINT else signal.SIG_DFL)
     while _pending:
         signal.raise_signal(_pending.pop())
 
 
 def ignore() -> None:
-    """The program ends by itself in a moment: being told so once more must not look like a crash."""
-    for number in HELD:
+    """Ignore the signals: the program ends by itself in a moment, and one more must not look like a crash."""
+    for number in HELD_SIGNALS:
         signal.signal(number, signal.SIG_IGN)
