--- /dev/null
+++ b/tests/cli/test_witness.py
@@ -0,0 +1,68 @@
+"""The command of a witness, and how all commands that read the operator's file end where it can't be used."""
+
+from __future__ import annotations
+
+import signal
+import socket
+import subprocess
+import sys
+from pathlib import Path
+
+import pytest
+from click.testing import CliRunner
+
+from saltcourse.cli.main import main
+from tests.config.operator_files import EXAMPLE, GOOD, write_operator_file, write_proxy_config
+
+
+@pytest.mark.parametrize(
+    "arguments, named",
+    [
+        (["check-config", "--operator", "none.txtpb"], "none.txtpb: No such file"),
+        (["serve", "--operator", "FILE"], "'settings.limits.peers'"),
+        (["witness", "--operator", "FILE"], "'a' is no witness"),
+        (["witness"], "needs an operator's file"),
+    ],
+)
+def test_the_commands_end_with_code_2_and_a_clear_line(
+    arguments: list[str], named: str, tmp_path: Path
+) -> None:
+    file = write_operator_file(tmp_path)
+    full = [str(file) if a == "FILE" else a for a in arguments]
+    if arguments[0] != "witness":
+        full += ["--config", write_proxy_config(tmp_path, peers=False)]
+    result = CliRunner().invoke(main, full)
+    assert result.exit_code == 2 and named in result.output and "Traceback" not in result.output
+
+
+def test_a_witness_takes_changed_keys_over_on_sighup_and_ends_on_sigterm(tmp_path: Path) -> None:
+    """Keys are replaced member by member: the new one is put before the old one, and SIGHUP takes both over.
+
+    A mistake in the file must not end the member: it stays with the keys that it has.
+    """
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as free:
+        free.bind(("127.0.0.1", 0))
+        port = free.getsockname()[1]
+    file = write_operator_file(
+        tmp_path, GOOD.replace('me: "a"', 'me: "w"', 1).replace("[::1]:7001", f"127.0.0.1:{port}")
+    )
+    process = subprocess.Popen(
+        [sys.executable, "-m", "saltcourse", "witness", "--operator", str(file)],
+        stderr=subprocess.PIPE,
+        text=True,
+        cwd=EXAMPLE.parent.parent,
+    )
+    assert process.stderr is not None
+    try:
+        assert 'event="witness started"' in process.stderr.readline()
+        (tmp_path / "key").write_text("cd" * 32 + "\n" + "ab" * 32)
+        process.send_signal(signal.SIGHUP)
+        assert "keys=2" in process.stderr.readline()
+        (tmp_path / "key").write_text("short")
+        process.send_signal(signal.SIGHUP)
+        assert "the old operator's file is kept" in process.stderr.readline()
+        process.send_signal(signal.SIGTERM)
+        assert process.wait(10) == 0
+    finally:
+        process.kill()
+        process.wait()
--- /dev/null
+++ b/tests/config/operator_files.py
@@ -0,0 +1,43 @@
+"""Operator's files and proxy's configurations for the tests."""
+
+from __future__ import annotations
+
+import json
+from pathlib import Path
+
+EXAMPLE = Path(__file__).parents[2] / "example" / "config.json"
+GOOD = """membership {
+  me: "a"
+  service_address: "192.0.2.7"
+  member { name: "a" address: "127.0.0.1:7001" priority: 2 }
+  member {
+    name: "b"
+    address: "127.0.0.2:7001"
+  }
+  member { name: "w" address: "[::1]:7001" witness: true }
+  key_file: "key"
+  timing { lease_s: 0.5 }
+  bgp {
+    asn: 64512 peer_asn: 64512 identifier: "10.0.0.1"
+    next_hop: "10.0.0.1"
+    route_server: "127.0.0.1:179"
+  }
+}
+"""
+
+
+def write_operator_file(folder: Path, text: str = GOOD, keys: str = "ab" * 32, mode: int = 0o600) -> Path:
+    """The file's path; its key file lies beside it."""
+    (folder / "key").write_text(keys)
+    (folder / "key").chmod(mode)
+    file = folder / "operator.txtpb"
+    file.write_text(text)
+    return file
+
+
+def write_proxy_config(folder: Path, peers: bool) -> str:
+    """The path of a configuration whose deployment lets proxies talk to each other, or not."""
+    values = json.loads(EXAMPLE.read_text())
+    values["settings"]["limits"]["peers"] = peers
+    (folder / "config.json").write_text(json.dumps(values))
+    return str(folder / "config.json")
--- a/tests/config/test_deployment_settings.py
+++ b/tests/config/test_deployment_settings.py
@@ -8,9 +8,6 @@
 import copy
 import io
 import json
-import os
-import subprocess
-import sys
 from collections.abc import Iterator
 from pathlib import Path
 from typing import Any
@@ -222,18 +219,3 @@
         read_settings(wrong)
     with pytest.raises(ConfigError, match=named):
         read_config(CONFIG | {"settings": wrong}, {})
-
-
-@pytest.mark.parametrize("command", ["check-config", "serve"])
-def test_a_wrong_quota_ends_the_program_with_code_2_and_no_traceback(command: str, tmp_path: Path) -> None:
-    path = tmp_path / "config.json"
-    path.write_text(json.dumps(CONFIG | {"settings": with_quotas(["many"])}))
-    ran = subprocess.run(
-        [sys.executable, "-m", "saltcourse", command, "--config", str(path)],
-        capture_output=True,
-        env=os.environ,
-        timeout=20,
-        cwd=ROOT,
-    )
-    assert ran.returncode == 2 and "tenant_quota_connections[0]" in ran.stderr.decode()
-    assert b"Traceback" not in ran.stderr
--- a/tests/config/test_operator.py
+++ b/tests/config/test_operator.py
@@ -2,48 +2,14 @@
 
 from __future__ import annotations
 
-import json
-import signal
-import socket
-import subprocess
-import sys
 from pathlib import Path
 
 import pytest
-from click.testing import CliRunner
 
-from saltcourse.cli.main import main
 from saltcourse.config import ConfigError
 from saltcourse.config.operator import read_operator
 from saltcourse.config.operator_address_failover import AddressFailoverSettings
-
-EXAMPLE = Path(__file__).parents[2] / "example" / "config.json"
-GOOD = """membership {
-  me: "a"
-  service_address: "192.0.2.7"
-  member { name: "a" address: "127.0.0.1:7001" priority: 2 }
-  member {
-    name: "b"
-    address: "127.0.0.2:7001"
-  }
-  member { name: "w" address: "[::1]:7001" witness: true }
-  key_file: "key"
-  timing { lease_s: 0.5 }
-  bgp {
-    asn: 64512 peer_asn: 64512 identifier: "10.0.0.1"
-    next_hop: "10.0.0.1"
-    route_server: "127.0.0.1:179"
-  }
-}
-"""
-
-
-def write(folder: Path, text: str = GOOD, keys: str = "ab" * 32, mode: int = 0o600) -> Path:
-    (folder / "key").write_text(keys)
-    (folder / "key").chmod(mode)
-    file = folder / "operator.txtpb"
-    file.write_text(text)
-    return file
+from tests.config.operator_files import GOOD, write_operator_file
 
 
 def address_failover(file: Path) -> AddressFailoverSettings:
@@ -53,12 +19,12 @@
 
 
 def test_a_good_file_is_read_and_an_empty_one_switches_nothing_on(tmp_path: Path) -> None:
-    settings = address_failover(write(tmp_path))
+    settings = address_failover(write_operator_file(tmp_path))
     assert settings.addresses["w"] == ("::1", 7001) and settings.timing.renew == pytest.approx(0.1)
     assert not settings.is_witness
     assert settings.bgp is not None and settings.bgp.hold == 3 and settings.store_file is None
-    assert read_operator(write(tmp_path, "# nothing\n"), "p").address_failover is None
-    fleet = read_operator(write(tmp_path, "fleet { term_s: 3 counts: true }"), "p").shared_state
+    assert read_operator(write_operator_file(tmp_path, "# nothing\n"), "p").address_failover is None
+    fleet = read_operator(write_operator_file(tmp_path, "fleet { term_s: 3 counts: true }"), "p").shared_state
     assert fleet is not None and (fleet.lease_term, fleet.clock_drift, fleet.share_connection_counts) == (
         3,
         0.01,
@@ -93,7 +59,7 @@
     old: str, new: str, line: int, named: str, tmp_path: Path
 ) -> None:
     assert GOOD.count(old) >= 1
-    file = write(tmp_path, GOOD.replace(old, new, 1))
+    file = write_operator_file(tmp_path, GOOD.replace(old, new, 1))
     with pytest.raises(ConfigError, match=rf"operator\.txtpb:{line}: .*{named}"):
         read_operator(file, "p")
 
@@ -110,7 +76,7 @@
 )
 def test_terms_of_the_fleet_that_can_not_be_are_refused(text: str, named: str, tmp_path: Path) -> None:
     with pytest.raises(ConfigError, match=rf":2: .*{named}"):
-        read_operator(write(tmp_path, "fleet {\n  " + text + "\n}\n"), "p")
+        read_operator(write_operator_file(tmp_path, "fleet {\n  " + text + "\n}\n"), "p")
 
 
 @pytest.mark.parametrize(
@@ -125,74 +91,4 @@
 )
 def test_keys_that_can_not_be_are_refused(keys: str, mode: int, named: str, tmp_path: Path) -> None:
     with pytest.raises(ConfigError, match=rf":10: membership.key_file: .*{named}"):
-        read_operator(write(tmp_path, keys=keys, mode=mode), "p")
-
-
-def config(folder: Path, peers: bool) -> str:
-    values = json.loads(EXAMPLE.read_text())
-    values["settings"]["limits"]["peers"] = peers
-    (folder / "config.json").write_text(json.dumps(values))
-    return str(folder / "config.json")
-
-
-@pytest.mark.parametrize(
-    "arguments, named",
-    [
-        (["check-config", "--operator", "none.txtpb"], "none.txtpb: No such file"),
-        (["serve", "--operator", "FILE"], "'settings.limits.peers'"),
-        (["witness", "--operator", "FILE"], "'a' is no witness"),
-        (["witness"], "needs an operator's file"),
-    ],
-)
-def test_the_commands_end_with_code_2_and_a_clear_line(
-    arguments: list[str], named: str, tmp_path: Path
-) -> None:
-    file = write(tmp_path)
-    full = [str(file) if a == "FILE" else a for a in arguments]
-    if arguments[0] != "witness":
-        full += ["--config", config(tmp_path, peers=False)]
-    result = CliRunner().invoke(main, full)
-    assert result.exit_code == 2 and named in result.output and "Traceback" not in result.output
-
-
-def test_check_config_tells_of_membership(tmp_path: Path) -> None:
-    result = CliRunner().invoke(
-        main, ["check-config", "--config", config(tmp_path, peers=True), "--operator", str(write(tmp_path))]
-    )
-    assert result.exit_code == 0 and "membership: a of 3" in result.output and "memory only" in result.output
-
-
-def test_without_an_operators_file_nothing_of_it_is_imported() -> None:
-    code = (
-        "import sys, saltcourse.cli.main; print([m for m in sys.modules if any(w in m for w in "
-        "('protobuf', 'membership', 'address_failover', 'emulator', 'sqlite3', 'config.operator'))])"
-    )
-    found = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
-    assert found.stdout.strip() == "[]"
-
-
-def test_a_witness_takes_changed_keys_over_on_sighup_and_ends_on_sigterm(tmp_path: Path) -> None:
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as free:
-        free.bind(("127.0.0.1", 0))
-        port = free.getsockname()[1]
-    file = write(tmp_path, GOOD.replace('me: "a"', 'me: "w"', 1).replace("[::1]:7001", f"127.0.0.1:{port}"))
-    process = subprocess.Popen(
-        [sys.executable, "-m", "saltcourse", "witness", "--operator", str(file)],
-        stderr=subprocess.PIPE,
-        text=True,
-        cwd=EXAMPLE.parent.parent,
-    )
-    assert process.stderr is not None
-    try:
-        assert 'event="witness started"' in process.stderr.readline()
-        (tmp_path / "key").write_text("cd" * 32 + "\n" + "ab" * 32)
-        process.send_signal(signal.SIGHUP)
-        assert "keys=2" in process.stderr.readline()
-        (tmp_path / "key").write_text("short")
-        process.send_signal(signal.SIGHUP)
-        assert "the old operator's file is kept" in process.stderr.readline()
-        process.send_signal(signal.SIGTERM)
-        assert process.wait(10) == 0
-    finally:
-        process.kill()
-        process.wait()
+        read_operator(write_operator_file(tmp_path, keys=keys, mode=mode), "p")
