--- a/saltcourse/app/proxy.py
+++ b/saltcourse/app/proxy.py
@@ -9,11 +9,11 @@
 from saltcourse.app.operator_source import OperatorSource
 from saltcourse.config import Config, ConfigError, load_config
 from saltcourse.config.overlay import ConfigurationSource
-from saltcourse.proxy.companion import Companion, FleetMember
 from saltcourse.proxy.server import serve
 
 if TYPE_CHECKING:  # nothing of it is imported without an operator's file
     from saltcourse.config.operator import OperatorSettings
+    from saltcourse.proxy.companion import Companion, FleetMember
 
 
 class ProxyProgram:
@@ -46,7 +46,7 @@
         serve(self.config, source.reread, companions, gossip)
 
     def _reread(self) -> Config:
-        return self._with_shared_state(load_config(self._config_path, self._environment, again=True))
+        return self._with_shared_state(load_config(self._config_path, self._environment, reloading=True))
 
     def _with_shared_state(self, config: Config) -> Config:
         """The operator's terms of shared state are part of the settings that the decisions are made under."""
--- a/saltcourse/config/proxy_config_reader.py
+++ b/saltcourse/config/proxy_config_reader.py
@@ -34,10 +34,10 @@
 EMPTY_ENDPOINT_LIST = {"version": 0, "full": True, "servers": []}
 
 
-def load_config(path: str | None, environment: Mapping[str, str], again: bool = False) -> Config:
+def load_config(path: str | None, environment: Mapping[str, str], reloading: bool = False) -> Config:
     """Read the file at ``path``, or else the one that EDGE_CONFIG names.
 
-    ``again`` when the program runs already. Raises ``ConfigError``.
+    ``reloading`` when the program runs already. Raises ``ConfigError``.
     """
     source = "--config" if path else "EDGE_CONFIG"  # the error names what the operator gave
     path = path or environment.get("EDGE_CONFIG")
@@ -51,11 +51,11 @@
         values = orjson.loads(text)
     except orjson.JSONDecodeError as error:
         raise ConfigError(f"{path}: not JSON: {error}") from None
-    return read_config(values, environment, again)
+    return read_config(values, environment, reloading)
 
 
-def read_config(values: Any, environment: Mapping[str, str], again: bool = False) -> Config:
-    """Check a configuration as parsed from JSON; ``again`` when the program runs already.
+def read_config(values: Any, environment: Mapping[str, str], reloading: bool = False) -> Config:
+    """Check a configuration as parsed from JSON; ``reloading`` when the program runs already.
 
     Raises ``ConfigError``.
     """
@@ -65,7 +65,7 @@
         environment.get(f"EDGE_{key.upper()}") or values.get(key)
         for key in ("name", "listen", "discovery", "admin")
     )
-    if again:
+    if reloading:
         discovery = values.get("discovery") or discovery
     settings_values = _read_object(values.get("settings"), "settings")
     settings = _read_deployment_settings(settings_values)
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -1,4 +1,4 @@
-"""How the modules of saltcourse may import each other: downwards between floors, and never in a circle.
+"""How the modules of saltcourse may import each other: downwards between floors, and never in a cycle.
 
 The source is parsed, not imported: imports inside functions and those for type checking alone count as well.
 """
@@ -91,8 +91,8 @@
     return found
 
 
-def circles(imports: Imports) -> list[list[str]]:
-    """Groups of modules of which each imports, directly or not, each other one."""
+def import_cycles(imports: Imports) -> list[list[str]]:
+    """Groups of modules of which each imports every other one, directly or not."""
     reach: Imports = {module: set(targets) for module, targets in imports.items()}
     grown = True
     while grown:
@@ -116,7 +116,7 @@
     return floor_of(package) if package and package != ROOT else None
 
 
-def upward(imports: Imports) -> list[str]:
+def upward_imports(imports: Imports) -> list[str]:
     """Imports of a higher floor from a lower one, and modules that stand on no floor."""
     found = [f"{module} stands on no floor" for module in imports if floor_of(module) is None]
     for module, targets in imports.items():
@@ -128,11 +128,11 @@
 
 
 def test_no_modules_import_each_other() -> None:
-    assert circles(imports_of(PACKAGE)) == []
+    assert import_cycles(imports_of(PACKAGE)) == []
 
 
 def test_imports_run_downwards_between_floors() -> None:
-    assert upward(imports_of(PACKAGE)) == []
+    assert upward_imports(imports_of(PACKAGE)) == []
 
 
 def test_each_entry_of_the_floors_stands_for_something() -> None:
@@ -141,7 +141,7 @@
 
 
 @pytest.mark.parametrize(
-    ("sources", "circle", "up"),
+    ("sources", "cycles", "upward"),
     [
         (
             {
@@ -179,7 +179,7 @@
     ],
 )
 def test_what_breaks_the_rules_is_found(
-    tmp_path: Path, sources: dict[str, str], circle: list[list[str]], up: list[str]
+    tmp_path: Path, sources: dict[str, str], cycles: list[list[str]], upward: list[str]
 ) -> None:
     package = tmp_path / "saltcourse"
     empty = {
@@ -193,4 +193,4 @@
         path.parent.mkdir(parents=True, exist_ok=True)
         path.write_text(source)
     imports = imports_of(package)
-    assert (circles(imports), upward(imports)) == (circle, up)
+    assert (import_cycles(imports), upward_imports(imports)) == (cycles, upward)
--- a/tests/test_package.py
+++ b/tests/test_package.py
@@ -40,9 +40,9 @@
     "saltcourse.gossip.",
     "saltcourse.emulator.scale.scenario_file.",
 )
-OF_THE_EXTRAS = "google"  # the package that they need
+DEPENDENCY_OF_THE_EXTRAS = "google"  # the package that they need
 NOT_IN_THE_DAEMON = ("matplotlib", "psutil", "hdrh", "rich")  # modules of the extra 'scale'
-LIMIT = 300.0  # s for any one step; the longest fetches packages from the index
+STEP_TIMEOUT_SECONDS = 300.0  # the longest step fetches packages from the index
 
 IMPORT_EVERYTHING = """
 import importlib, json, pkgutil, saltcourse
@@ -108,7 +108,7 @@
             env=environment,
             capture_output=True,
             text=True,
-            timeout=LIMIT,
+            timeout=STEP_TIMEOUT_SECONDS,
         )
         assert ran.returncode == 0, f"{command}: exit {ran.returncode}: {ran.stderr}"
         return ran.stdout
@@ -125,7 +125,7 @@
         [sys.executable, "-m", "pip", "--disable-pip-version-check", *arguments],
         capture_output=True,
         text=True,
-        timeout=LIMIT,
+        timeout=STEP_TIMEOUT_SECONDS,
     )
     assert ran.returncode == 0, ran.stderr
 
@@ -182,9 +182,9 @@
 
 
 def test_every_module_imports_and_only_an_extra_may_be_missing(plain: Installed, extended: Installed) -> None:
-    without = plain.imports()
-    assert set(without.values()) <= {OF_THE_EXTRAS}
-    assert [name for name in without if not (name + ".").startswith(NEED_AN_EXTRA)] == []
+    failed = plain.imports()
+    assert set(failed.values()) <= {DEPENDENCY_OF_THE_EXTRAS}
+    assert [name for name in failed if not (name + ".").startswith(NEED_AN_EXTRA)] == []
     assert extended.imports() == {}
 
 
@@ -208,14 +208,14 @@
 
 @pytest.mark.parametrize("start", [START_COMMAND, START_MODULE], ids=["command", "module"])
 def test_signals_are_held_before_the_long_imports(plain: Installed, start: str) -> None:
-    said = plain.run("python", "-c", WATCH_HOLD.replace("{start}", start))
-    assert json.loads(said.splitlines()[-1]) == [True]
+    output = plain.run("python", "-c", WATCH_HOLD.replace("{start}", start))
+    assert json.loads(output.splitlines()[-1]) == [True]
 
 
 def test_the_daemon_imports_nothing_of_the_lab() -> None:
     script = "import sys, saltcourse.cli.main, saltcourse.proxy.server; print(*sys.modules)"
     ran = subprocess.run(
-        [sys.executable, "-c", script], capture_output=True, text=True, cwd=ROOT, timeout=LIMIT
+        [sys.executable, "-c", script], capture_output=True, text=True, cwd=ROOT, timeout=STEP_TIMEOUT_SECONDS
     )
     assert ran.returncode == 0, ran.stderr
     assert not {name.partition(".")[0] for name in ran.stdout.split()} & set(NOT_IN_THE_DAEMON)
