--- a/saltcourse/admin/requests.py
+++ b/saltcourse/admin/requests.py
@@ -1,4 +1,4 @@
-"""Requests at the operators' address, parsed with h11: bytes in, a command out. No sockets, no clock.
+r"""Requests at the operators' address, parsed with h11: bytes in, a command out. No sockets, no clock.
 
 Rules:
 
@@ -9,8 +9,9 @@
 
 A connection's reader is in one of these states::
 
-    head --Request--> body --EndOfMessage--> done (a Command, or the response of its route)
-      \\________________\\__ malformed, too large, cut short --> done (a Response)
+    head --Request--> body --EndOfMessage--> done: a Command, or the Response of a wrong route
+       \                \
+        \----------------\--malformed, too large, cut short--> done: a Response
 """
 
 from __future__ import annotations
--- a/saltcourse/signals.py
+++ b/saltcourse/signals.py
@@ -1,4 +1,4 @@
-"""Signals that arrive before the program can act on them are held until it can.
+r"""Signals that arrive before the program can act on them are held until it can.
 
 The failure that this guards against: imports and the configuration take a while on a small part of a core,
 and whoever runs the program may tell it to stop or to reload as soon as its process is there. Python's
@@ -8,7 +8,7 @@
 A process goes through these states::
 
     default --hold--> held --handle, for each signal--> handled --ignore--> ignored
-                        \\--release (a command that does not serve)--> default
+                        \--release (a command that does not serve)--> default
 """
 
 from __future__ import annotations
--- a/tests/config/test_deployment_settings.py
+++ b/tests/config/test_deployment_settings.py
@@ -146,7 +146,7 @@
 def test_the_values_that_the_property_starts_from_are_valid() -> None:
     config = read_config(CONFIG, {})
     assert config.settings == read_settings(SETTINGS) and config.peers is not None
-    assert [t.connection_quota for t in config.settings.tenants] == [87.0, 45]
+    assert [tenant.connection_quota for tenant in config.settings.tenants] == [87.0, 45]
 
 
 @hypothesis_settings(max_examples=400, deadline=None, derandomize=True)
@@ -189,11 +189,12 @@
         ([1, 2, 9], [1, 2]),
     ],
 )
-def test_a_quota_of_null_is_not_told_as_where_the_list_is_shorter(
+def test_a_quota_of_null_counts_as_absent_like_the_end_of_a_shorter_list(
     quotas: list[Any], read: list[float]
 ) -> None:
+    """A list element of null used to pass ``check-config`` and then end the program in a traceback."""
     settings = read_settings(with_quotas(quotas))
-    assert [t.connection_quota for t in settings.tenants] == read
+    assert [tenant.connection_quota for tenant in settings.tenants] == read
     Balancer(settings, 1)
 
 
@@ -214,8 +215,8 @@
     ],
 )
 def test_an_element_that_makes_no_sense_is_named_with_its_index(path: JsonPath, new: Any, named: str) -> None:
-    wrong = replaced(SETTINGS, path, new)
+    settings = replaced(SETTINGS, path, new)
     with pytest.raises(Malformed, match=named):
-        read_settings(wrong)
+        read_settings(settings)
     with pytest.raises(ConfigError, match=named):
-        read_config(CONFIG | {"settings": wrong}, {})
+        read_config(CONFIG | {"settings": settings}, {})
