--- a/saltcourse/app/gossip.py
+++ b/saltcourse/app/gossip.py
@@ -11,7 +11,7 @@
 import structlog
 
 from saltcourse.app.reloading import reread_section, warn_of_changes
-from saltcourse.config.operator_gossip import SECTION, GossipSettings
+from saltcourse.config.operator_gossip import FILE_KEYS, SECTION, GossipSettings
 from saltcourse.config.overlay import ConfigurationSource
 from saltcourse.gossip.admin import GossipAnswers
 from saltcourse.gossip.host import Host, PersistError, StateStore
@@ -77,7 +77,7 @@
     """Log what a restart would change: the section is read at the start only."""
     new = reread_section(SECTION, reread)
     if new is not None:
-        warn_of_changes(SECTION, old, new)
+        warn_of_changes(SECTION, old, new, file_keys=FILE_KEYS)
 
 
 def figure_names(figures: dict[str, int]) -> dict[str, int]:
--- a/saltcourse/config/operator_gossip.py
+++ b/saltcourse/config/operator_gossip.py
@@ -72,6 +72,10 @@
         return any(voter.name == self.me for voter in self.voters)
 
 
+# Field of GossipSettings -> key of the section, where they differ.
+FILE_KEYS = {"seeds": "seed", "voters": "voter", "key": "key_file"}
+
+
 def read_gossip(file: OperatorFile, own_name: str) -> GossipSettings:
     """Read the section; ``own_name`` is this instance's name where the file does not give it.
 
