--- a/saltcourse/codec/json_fields.py
+++ b/saltcourse/codec/json_fields.py
@@ -47,7 +47,10 @@
 
 
 def lookup(message: dict[str, Any], key: str, table: dict[Any, Any]) -> Any:
-    """Return what ``table`` has for the value of a field. Raises ``Malformed`` when it has nothing."""
+    """Return what ``table`` has for the value of a field.
+
+    Raises ``Malformed`` when it has nothing.
+    """
     value = message.get(key)
     try:
         return table[value]
@@ -73,7 +76,10 @@
 
 
 def texts(message: dict[str, Any], key: str) -> tuple[str, ...]:
-    """Return the value of a field that is a list of texts, empty if it is absent. Raises ``Malformed``."""
+    """Return the value of a field that is a list of texts, empty if it is absent.
+
+    Raises ``Malformed``.
+    """
     values = field(message, key, list, [])
     for index, value in enumerate(values):
         if not isinstance(value, str):
--- a/saltcourse/config/proxy_config.py
+++ b/saltcourse/config/proxy_config.py
@@ -24,7 +24,7 @@
 class PeerAddresses:
     """Where proxies of the same tier reach each other.
 
-    ``each`` is in the order of the deployment's ``self_index``, ``own`` is the index of this proxy in it.
+    ``each`` is in the order of the deployment's ``self_index``; ``own`` is this proxy's index in it.
     What is sent to ``everyone`` reaches all of them; None where the platform has no such address.
     """
 
