--- a/saltcourse/proxy/companion.py
+++ b/saltcourse/proxy/companion.py
@@ -7,7 +7,7 @@
 from saltcourse.config import Config
 
 if TYPE_CHECKING:  # nothing of it is imported without an admin address
-    from saltcourse.admin.server import GossipCalls
+    from saltcourse.admin.commands import GossipHandler
 
 
 class Companion(Protocol):
@@ -37,7 +37,7 @@
     """The companion that makes the proxy a member of a fleet with gossip."""
 
     @property
-    def answers(self) -> GossipCalls | None:
+    def answers(self) -> GossipHandler | None:
         """The calls at the admin address that it answers; None before its start."""
 
     def attach(self, program: HostProgram) -> None:
--- a/saltcourse/proxy/server.py
+++ b/saltcourse/proxy/server.py
@@ -31,7 +31,7 @@
 from saltcourse import signals
 from saltcourse.balancing.actions import SendPeerMessage
 from saltcourse.codec.endpoint_list import Address
-from saltcourse.config import NEED_RESTART, Config, ConfigError
+from saltcourse.config import RESTART_REQUIRED_KEYS, Config, ConfigError
 from saltcourse.metrics import Metrics
 from saltcourse.proxy import draining
 from saltcourse.proxy.client_connection import ClientConnection, ConnectionState
@@ -49,8 +49,9 @@
 from saltcourse.proxy.stream import SocketStream
 
 if TYPE_CHECKING:  # nothing of it is imported without an admin address
-    from saltcourse.admin.calls import Ask
-    from saltcourse.admin.server import AdminServer, GossipCalls
+    from saltcourse.admin.commands import GossipHandler
+    from saltcourse.admin.requests import Command
+    from saltcourse.admin.server import AdminServer
     from saltcourse.proxy.peer_link import PeerLink
 
 log = structlog.get_logger("saltcourse")
@@ -290,7 +291,7 @@
         """Put in force what of ``new`` can change in a running program; the rest is logged."""
         old = self.config
         self.config = replace(old, discovery=new.discovery, limits=new.limits)
-        need_restart = [key for key in NEED_RESTART if getattr(new, key) != getattr(old, key)]
+        need_restart = [key for key in RESTART_REQUIRED_KEYS if getattr(new, key) != getattr(old, key)]
         if need_restart:
             log.warning("changed keys that a restart will read", keys=",".join(need_restart))
         self._descriptors.limit = new.limits.sockets
@@ -341,15 +342,15 @@
         return sum(1 for client in self.clients if client.state in counted)
 
     @property
-    def gossip_calls(self) -> GossipCalls | None:
-        """The calls that the gossip member answers, where there is one."""
+    def gossip_handler(self) -> GossipHandler | None:
+        """What answers the gossip commands, where there is such a member."""
         return self._gossip.answers if self._gossip is not None else None
 
-    def offers(self, ask: Ask) -> bool:
-        """Whether the program can answer this call at all."""
-        from saltcourse.admin.calls import GOSSIP_ASKS  # not imported where nobody calls
+    def supports(self, command: Command) -> bool:
+        """Whether the program has what the command is for."""
+        from saltcourse.admin.requests import GOSSIP_COMMANDS  # not imported where nobody calls
 
-        return ask not in GOSSIP_ASKS or self.gossip_calls is not None
+        return command not in GOSSIP_COMMANDS or self.gossip_handler is not None
 
 
 def serve(
