--- a/saltcourse/app/operator_source.py
+++ b/saltcourse/app/operator_source.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from collections.abc import Mapping
-from pathlib import Path
 from typing import TYPE_CHECKING
 
 from saltcourse.app.errors import MissingExtraError
@@ -24,19 +23,20 @@
     """
 
     def __init__(self, path: str | None, environment: Mapping[str, str], own_name: str) -> None:
-        found = path or environment.get(OPERATOR_FILE_VARIABLE)
-        self._path = Path(found) if found else None
+        self._path = path or environment.get(OPERATOR_FILE_VARIABLE)
         self._own_name = own_name
 
     def read(self) -> OperatorSettings | None:
         """Read all sections; None where there is no file."""
-        if self._path is None:
+        if not self._path:
             return None
+        from pathlib import Path
+
         try:
             from saltcourse.config.operator import read_operator
         except ImportError as error:
             raise MissingExtraError(error) from None
-        return read_operator(self._path, self._own_name)
+        return read_operator(Path(self._path), self._own_name)
 
     def read_address_failover(self) -> AddressFailoverSettings | None:
         """Read the section ``membership``; None where it is left out."""
--- a/saltcourse/config/errors.py
+++ b/saltcourse/config/errors.py
@@ -2,7 +2,10 @@
 
 from __future__ import annotations
 
-from pathlib import Path
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:  # pathlib takes about 0.2 MB, and without an operator's file nothing needs it
+    from pathlib import Path
 
 
 class ConfigError(Exception):
--- a/saltcourse/config/proxy_config_reader.py
+++ b/saltcourse/config/proxy_config_reader.py
@@ -10,7 +10,6 @@
 
 import resource
 from collections.abc import Mapping
-from pathlib import Path
 from typing import Any
 
 import orjson
@@ -44,7 +43,8 @@
     if not path:
         raise ConfigError("no configuration: give --config FILE or set EDGE_CONFIG")
     try:
-        text = Path(path).read_bytes()
+        with open(path, "rb") as file:
+            text = file.read()
     except OSError as error:
         raise ConfigError(f"{source} {path}: {error.strerror}") from None
     try:
--- a/tests/app/test_proxy.py
+++ b/tests/app/test_proxy.py
@@ -38,6 +38,7 @@
     )
     switched_off = (
         "google",
+        "pathlib",
         "sqlite3",
         "saltcourse.gossip",
         "saltcourse.address_failover",
