--- a/saltcourse/address_failover/actions.py
+++ b/saltcourse/address_failover/actions.py
@@ -1,4 +1,4 @@
-"""What the election wants done, to be carried out in its order. Times are seconds on the host's clock."""
+"""Actions of the election, to be carried out in their order. Times are seconds on the host's clock."""
 
 from __future__ import annotations
 
--- a/saltcourse/address_failover/authentication.py
+++ b/saltcourse/address_failover/authentication.py
@@ -122,7 +122,7 @@
         return MAGIC + self._signing_key_id + tag + body
 
     def open(self, data: bytes, source: tuple[str, int]) -> AuthenticatedMessage | DropReason:
-        """Verify a datagram that came from ``source``. Any bytes are borne; what is dropped is counted."""
+        """Verify a datagram that came from ``source``. Any bytes may come; what is dropped is counted."""
         body = self._verify(data)
         result = body if isinstance(body, DropReason) else self._read(body, source)
         if isinstance(result, DropReason):
--- a/saltcourse/address_failover/bgp_announcer.py
+++ b/saltcourse/address_failover/bgp_announcer.py
@@ -82,7 +82,7 @@
                     self._on_established(established, reason)
 
     def close(self) -> None:
-        """Close the connection, if there is one, without a word to the session."""
+        """Close the connection, if there is one; the session is not notified."""
         task, self._task = self._task, None
         writer, self._writer = self._writer, None
         if writer is not None:
--- a/saltcourse/address_failover/errors.py
+++ b/saltcourse/address_failover/errors.py
@@ -1,4 +1,4 @@
-"""Errors of this package; each says what was found and what was expected."""
+"""Errors of this package; the texts give what was found or what was expected."""
 
 from __future__ import annotations
 
--- a/saltcourse/address_failover/events.py
+++ b/saltcourse/address_failover/events.py
@@ -1,4 +1,4 @@
-"""What the election is told."""
+"""Events that the election handles."""
 
 from __future__ import annotations
 
--- a/saltcourse/address_failover/grants.py
+++ b/saltcourse/address_failover/grants.py
@@ -33,7 +33,7 @@
         return len(self.request_sent_at) + 1 >= self.majority
 
     def lease_end(self, now: float) -> float:
-        """When the promises of a majority may begin to expire; to be asked only of a majority."""
+        """When the promises of a majority may begin to expire; only for a majority."""
         needed = self.majority - 1
         if needed == 0:
             return now + self.holder_lease
--- a/saltcourse/emulator/election.py
+++ b/saltcourse/emulator/election.py
@@ -2,7 +2,7 @@
 
 What is judged is what members did towards the others and towards announcing, never their own state:
 
-- never two valid leases at one instant of true time, whatever the clocks say;
+- never two valid leases at one instant of true time, whatever the clocks show;
 - never two announcements in one term, and each in a newer round than the one before (ranks are made of
   rounds);
 - no member votes for itself unless a majority could have told it that it may become a candidate;
@@ -58,7 +58,7 @@
 
 
 class SimulatedElection:
-    """Members, their announcements, and the judge. ``core`` is the class under test, or a broken variant."""
+    """Members, their announcements, and the checks. ``core`` is the class under test, or a broken variant."""
 
     def __init__(
         self,
--- a/saltcourse/emulator/simnet.py
+++ b/saltcourse/emulator/simnet.py
@@ -2,7 +2,7 @@
 
 One seed replays everything. Hosts have clocks with rates of their own; links delay, lose, duplicate and
 reorder, and are cut in one direction or both; hosts stop for a while, crash, and restart with or without
-what they stored. Times are seconds, of true time where nothing else is said.
+what they stored. Times are seconds, of true time where no clock is named.
 """
 
 from __future__ import annotations
--- a/saltcourse/shared_state/__init__.py
+++ b/saltcourse/shared_state/__init__.py
@@ -1,4 +1,4 @@
 """What the proxies of one tier know of each other, where the settings let them talk. No I/O, no clock.
 
-``state.SharedState`` is what the balancing asks and tells; the other modules are its parts.
+``state.SharedState`` is the interface for the balancing; the other modules are its parts.
 """
--- a/saltcourse/shared_state/errors.py
+++ b/saltcourse/shared_state/errors.py
@@ -1,4 +1,4 @@
-"""Errors of this package; each says what was found."""
+"""Errors of this package; the texts give what was found."""
 
 from __future__ import annotations
 
--- a/tests/shared_state/simulated_proxies.py
+++ b/tests/shared_state/simulated_proxies.py
@@ -23,7 +23,7 @@
 
 
 class SimulatedProxies:
-    """Fleets on the simulated network whose holdings change at random, judged from outside."""
+    """A fleet on the simulated network whose connections change at random; the checks look from outside."""
 
     def __init__(
         self,
@@ -114,7 +114,7 @@
                 self.outlived_ejections.append((self.net.now, server))
 
     def stale_replicas(self) -> list[tuple[int, int]]:
-        """Whose copy of whose table differs, also in the index by which the module asks."""
+        """Pairs of a proxy and a peer whose table it has wrong, in its replica or in its index of holders."""
         found = []
         for i, core in enumerate(self.cores):
             for j, other in enumerate(self.cores):
@@ -128,7 +128,7 @@
         return found
 
     def overspent(self, rate: float = 20.0) -> bool:
-        """More than the budget's rate and burst in any span of time, or shares that pass the whole."""
+        """Whether in any span of time more was spent than the budget allows, or shares exceeded the whole."""
         burst = 2.0 * self.count
         low = 0.0
         for n, at in enumerate(sorted(self.health_checks)):
@@ -142,8 +142,10 @@
 
 
 def run_with_faults(proxies: SimulatedProxies) -> list[tuple[int, int]]:
-    """A cut of one proxy for longer than silence is borne, a stop of another, a restart while others are cut
-    off; then 15 s of quiet with a tenth of the messages still lost."""
+    """Cut one proxy off for longer than a lease term, stop another, restart one while others are cut off.
+
+    Then 15 s of quiet, with a tenth of the messages still lost. The stale replicas after it.
+    """
     net, last = proxies.net, proxies.count - 1
     net.run(5.0)
     for other in range(1, proxies.count):
--- a/tests/shared_state/test_shared_state.py
+++ b/tests/shared_state/test_shared_state.py
@@ -25,6 +25,7 @@
 from saltcourse.proxy.peer_link import PeerLink
 from saltcourse.shared_state.codec import MAX_BYTES
 from saltcourse.shared_state.ejections import Ejections
+from saltcourse.shared_state.health_check_budget import HealthCheckBudget
 from saltcourse.shared_state.messages import LeaseGrant
 from saltcourse.shared_state.quota import QuotaLeases
 from saltcourse.shared_state.state import SharedState
@@ -44,7 +45,10 @@
 
 
 @pytest.mark.parametrize("seed", range(16))
-def test_copies_agree_budgets_hold_and_ejections_end_after_losses_cuts_stops_and_restarts(seed: int) -> None:
+def test_replicas_agree_budgets_hold_and_ejections_end_after_faults(seed: int) -> None:
+    # Messages are lost, late and duplicated; a proxy is cut off for longer than a lease, another is
+    # stopped, one restarts. Then the replicas must agree, and at no time may the fleet have spent more than
+    # its budget, or an ejection have outlived its end.
     link = Link(delay=(0.0017, 0.3), loss=(seed % 6) * 0.1, double=0.2)
     proxies = SimulatedProxies(seed, link, count=3 + seed % 4)
     assert run_with_faults(proxies) == []
@@ -53,17 +57,17 @@
     assert not proxies.outlived_ejections
 
 
-def caught(core: type[SharedState], judge: Callable[[SimulatedProxies], object]) -> bool:
-    """Whether the judge finds fault with a broken core on any of some seeds."""
+def finds_fault(check: Callable[[SimulatedProxies], object], core: type[SharedState]) -> bool:
+    """Whether a check finds fault with a broken variant on any of some seeds."""
     for seed in range(8):
         proxies = SimulatedProxies(seed, Link(delay=(0.0017, 0.3), loss=0.3), core)
         run_with_faults(proxies)
-        if judge(proxies):
+        if check(proxies):
             return True
     return False
 
 
-def test_the_judges_catch_broken_cores() -> None:
+def test_each_check_finds_a_broken_variant() -> None:
     class NeverRepairs(SharedState):
         """Never asks for what it has missed."""
 
@@ -81,27 +85,36 @@
             super().receive_grant(now, sender, grant)
 
     class Overspending(SharedState):
+        """Its shares can exceed the whole."""
+
         def __init__(self, *args: Any) -> None:
             super().__init__(*args)
             self.leases = UnsafeLeases(self.index, self.leases.proxy_count, self.settings)
+            rate = self.settings.health_checks_per_second
+            self.health_checks = HealthCheckBudget(rate, self.leases)
 
     class AgelessEjections(Ejections):
-        """Counts an ejection's time from its coming."""
+        """Counts an ejection's time from its arrival."""
 
         def _remaining(self, now: float, origin: int, end: int) -> float:
             return 1.0
 
     class OutlivingEjections(SharedState):
+        """Holds ejections beyond their end."""
+
         def __init__(self, *args: Any) -> None:
             super().__init__(*args)
             self.ejections = AgelessEjections(self.settings.clock_drift)
 
-    assert caught(NeverRepairs, SimulatedProxies.stale_replicas)
-    assert caught(Overspending, SimulatedProxies.overspent)
-    assert caught(OutlivingEjections, lambda proxies: proxies.outlived_ejections)
+    assert finds_fault(SimulatedProxies.stale_replicas, NeverRepairs)
+    assert finds_fault(SimulatedProxies.overspent, Overspending)
+    assert finds_fault(lambda proxies: proxies.outlived_ejections, OutlivingEjections)
 
 
-def test_a_lost_proxy_is_given_up_its_share_inherited_and_its_connections_fade_to_a_bound() -> None:
+def test_the_share_of_a_lost_peer_is_inherited_and_its_connections_decay_to_a_bound() -> None:
+    # One proxy of four is cut off for good. The others give it up after a lease term and take over what it
+    # leased from them; its connections may still stand, so they decay to the mean of the others and not to
+    # nothing.
     proxies = SimulatedProxies(5, Link(), count=4)
     proxies.net.run(8.0)
     proxies.changing = False
@@ -117,7 +130,7 @@
         proxies.net.cut("3", other)
     proxies.net.run(13.0 + SILENCE_SECONDS + 6)
     assert all(3 not in core.peers for core in proxies.cores[:3])
-    assert all(3 in pair for pair in proxies.stale_replicas())  # nothing told for 20 s but life
+    assert all(3 in pair for pair in proxies.stale_replicas())  # nothing sent for 20 s but heartbeats
     share = proxies.cores[0].relative_share(proxies.clock(0))
     assert share == pytest.approx(1.0)  # a lease lost, a portion inherited
     assert not proxies.overspent()
@@ -127,7 +140,7 @@
     )
 
 
-def test_nothing_is_told_where_proxies_may_not_talk_and_the_equal_part_is_kept() -> None:
+def test_nothing_is_sent_where_peers_are_not_allowed_and_the_equal_part_is_kept() -> None:
     for changes in ({"peers_allowed": False}, {"proxy_count": 1}):
         core = SharedState(
             settings(**({"proxy_count": 4, "peers_allowed": True, "has_groups": True} | changes)), 1, {}
@@ -139,8 +152,8 @@
         assert 10 * 20 / parts - 1 <= spent <= 10 * 20 / parts + 3
 
 
-def test_a_group_goes_where_a_peer_says_that_it_holds_it() -> None:
-    # Four proxies, each at its best alone, put a group of eight connections on five servers.
+def test_a_group_is_placed_where_a_peer_has_it() -> None:
+    # Four proxies, each choosing well by itself, had put a group of eight connections on five backends.
     nodes = [
         Node(
             reports_load=True,
@@ -164,8 +177,8 @@
     assert nodes[1].server_of(nodes[1].ask(group="a")) == "s4"
 
 
-def test_a_server_that_a_peer_leaves_alone_is_tried_by_one_connection_at_a_time() -> None:
-    # Each proxy found a dead server alone, by as many connections as were then under way to it.
+def test_a_backend_that_a_peer_has_ejected_is_tried_by_one_connection_at_a_time() -> None:
+    # Each proxy found a dead backend by itself, by as many connections as it had just sent there.
     nodes = [Node(peers_allowed=True, proxy_count=2, proxy_index=i, seed=3 + i) for i in (0, 1)]
     for node in nodes:
         node.list(members(2))
@@ -177,8 +190,8 @@
     assert [nodes[1].server_of(r) for r in out if r in nodes[1].out].count("s0") == 1
 
 
-def test_a_group_that_a_peer_holds_there_too_is_shed_last() -> None:
-    # Moving one's own connections of it frees nothing: the server pays for the group all the same.
+def test_a_group_that_a_peer_has_at_the_backend_too_is_shed_last() -> None:
+    # Migrating one's own connections of it frees nothing: the backend pays for the group all the same.
     node = Node(
         reports_load=True, health_checks_allowed=True, has_groups=True, peers_allowed=True, proxy_count=2
     )
@@ -194,8 +207,8 @@
     assert {m.request for m in node.of(MigrateConnection)} == {"c1", "c2", "c3"}
 
 
-def test_a_proxy_that_has_just_started_learns_from_its_peers_what_a_server_bears() -> None:
-    # It held nothing, so it took two slots for a server's whole load and refused 75 times in five seconds.
+def test_a_proxy_that_has_just_started_learns_the_capacity_scale_from_its_peers() -> None:
+    # It had no connections, so it took two slots for a backend's whole load and rejected 75 requests in 5 s.
     node = Node(
         reports_load=True, health_checks_allowed=True, has_groups=True, peers_allowed=True, proxy_count=2
     )
