--- a/saltcourse/emulator/gossip/__main__.py
+++ b/saltcourse/emulator/gossip/__main__.py
@@ -11,21 +11,21 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """The number of seeds whose schedule broke a property, 1 at most."""
+    """Play the seeds; return 1 if a schedule broke an invariant."""
     parser = argparse.ArgumentParser(prog="python -m saltcourse.emulator.gossip", description=__doc__)
     parser.add_argument("--seeds", default="0-29", help="first and last, for example 100-200; or one seed")
     parser.add_argument("--seconds", type=float, default=FAULT_SECONDS, help="of virtual time with faults")
-    wanted = parser.parse_args(arguments)
-    first, _, last = wanted.seeds.partition("-")
+    options = parser.parse_args(arguments)
+    first, _, last = options.seeds.partition("-")
     failed = 0
     for seed in range(int(first), int(last or first) + 1):
-        failed += not _play_one(seed, wanted.seconds)
+        failed += not _play_one(seed, options.seconds)
     print(f"{failed} failed")
     return min(failed, 1)
 
 
 def _play_one(seed: int, seconds: float) -> bool:
-    begun = time.monotonic()
+    started_at = time.monotonic()
     try:
         figures = play(seed, seconds=seconds)
     except AssertionError as broken:
@@ -37,7 +37,7 @@
     print(
         f"seed {seed}: {figures.published} published, {figures.failed} failed, settled in "
         f"{figures.settled_s:.1f} s, last change in {figures.last_change_s:.1f} s; "
-        f"{time.monotonic() - begun:.1f} s of real time"
+        f"{time.monotonic() - started_at:.1f} s of real time"
     )
     return True
 
--- a/saltcourse/emulator/gossip/checker.py
+++ b/saltcourse/emulator/gossip/checker.py
@@ -97,11 +97,11 @@
         if is_last:
             self._check_configuration(process, new)
 
-    def on_start(self, process: Process, kept: Position) -> None:
+    def on_start(self, process: Process, stored: Position) -> None:
         """Check what a new process has from its disk, as if it had just applied it."""
         position = process.node.dissemination.position
-        if position < kept:
-            self.fail(f"{process.host} starts at {position}, its disk had {kept}")
+        if position < stored:
+            self.fail(f"{process.host} starts at {position}, its disk had {stored}")
         if position.version:
             self._check_configuration(process, position)
 
@@ -210,9 +210,9 @@
 
 def digest_of(configuration: Mapping[str, bytes]) -> bytes:
     """Return a digest of keys and values, whatever their order."""
-    found = hashlib.blake2b(digest_size=16)
+    digest = hashlib.blake2b(digest_size=16)
     for key in sorted(configuration):
         value = configuration[key]
-        found.update(f"{len(key)} {len(value)} {key}".encode())
-        found.update(value)
-    return found.digest()
+        digest.update(f"{len(key)} {len(value)} {key}".encode())
+        digest.update(value)
+    return digest.digest()
--- a/saltcourse/emulator/gossip/scenario.py
+++ b/saltcourse/emulator/gossip/scenario.py
@@ -48,10 +48,10 @@
 
 def within(world: World, seconds: float, reason: Callable[[], str], what: str, step: float = 0.1) -> float:
     """Return the seconds until ``reason()`` was empty."""
-    taken = world.run_until(lambda: not reason(), seconds, step)
-    if found := reason():
-        world.checker.fail(f"not within {seconds:.1f} s: {what}: {found}")
-    return taken
+    elapsed = world.run_until(lambda: not reason(), seconds, step)
+    if failure := reason():
+        world.checker.fail(f"not within {seconds:.1f} s: {what}: {failure}")
+    return elapsed
 
 
 def publisher_of(world: World) -> str:
@@ -76,12 +76,14 @@
     return within(world, seconds, reason, "a change is in force", step=0.02)
 
 
-def publish_until_answered(world: World, host: str, extra: tuple[Write, ...] = (), most: float = 30.0) -> int:
+def publish_until_answered(
+    world: World, host: str, extra: tuple[Write, ...] = (), limit: float = 30.0
+) -> int:
     """Publish as an operator's tool does: a change that failed as BUSY is sent again. The token."""
-    end = world.network.now + most
+    end = world.network.now + limit
     while world.network.now < end:
         token = world.publish(host, extra)
-        world.run_until(partial(world.checker.is_answered, token), most, 0.02)
+        world.run_until(partial(world.checker.is_answered, token), limit, 0.02)
         if token in world.checker.published:
             return token
         if world.checker.failed.get(token) is not PublishError.BUSY:
@@ -138,7 +140,7 @@
     world.crash(host)
     bound = detection_bound(world.timing, len(world.members))
     return within(
-        world, bound, lambda: known_dead(world, member.name, member.place.zone), f"{host} is held for dead"
+        world, bound, lambda: known_dead(world, member.name, member.place.zone), f"{host} is believed dead"
     )
 
 
--- a/saltcourse/emulator/gossip/schedule.py
+++ b/saltcourse/emulator/gossip/schedule.py
@@ -88,8 +88,8 @@
     def form(self) -> None:
         """Start all; ``InvariantError`` when there is no publisher in time."""
         self.world.start_all()
-        taken = self.world.run_until(self._has_publisher, FORMED_WITHIN)
-        if taken >= FORMED_WITHIN:
+        elapsed = self.world.run_until(self._has_publisher, FORMED_WITHIN)
+        if elapsed >= FORMED_WITHIN:
             self.world.checker.fail(f"no publisher within {FORMED_WITHIN} s")
 
     def _has_publisher(self) -> bool:
@@ -114,10 +114,10 @@
                 world.resume(host)
             if host not in world.processes:
                 world.start(host)
-        taken = world.run_until(lambda: not self._unsettled(), SETTLED_WITHIN, step=0.5)
+        elapsed = world.run_until(lambda: not self._unsettled(), SETTLED_WITHIN, step=0.5)
         if reason := self._unsettled():
             world.checker.fail(f"{SETTLED_WITHIN} s after the last fault {reason}")
-        return taken
+        return elapsed
 
     def _unsettled(self) -> str:
         for process in self.world.processes.values():
@@ -136,12 +136,12 @@
         publisher = world.publisher()
         if publisher is None:
             raise InvariantError("nobody publishes")
-        begun = world.network.now
+        started_at = world.network.now
         token = world.publish(publisher)
         world.run_until(lambda: in_force(world, token), CHANGE_WITHIN)
         if not in_force(world, token):
             world.checker.fail(f"change {token} is not everywhere after {CHANGE_WITHIN} s")
-        return world.network.now - begun
+        return world.network.now - started_at
 
     # ---- faults -----------------------------------------------------------------------------------
 
--- a/saltcourse/emulator/gossip/world.py
+++ b/saltcourse/emulator/gossip/world.py
@@ -136,12 +136,12 @@
         clock = host.clock(self.network.now)
         self.checker.now = self.network.now
         actions = node.start(clock)
-        tells = any(isinstance(action, Applied) for action in actions)
-        started_at = Position() if tells else node.dissemination.position
-        process = Process(host_name, node, started_at, node.dissemination.freshness)
+        has_reported = any(isinstance(action, Applied) for action in actions)
+        position = Position() if has_reported else node.dissemination.position
+        process = Process(host_name, node, position, node.dissemination.freshness)
         self.processes[host_name] = process
-        kept = host.disk.committed if host.disk is not None else Position()
-        self.checker.on_start(process, kept)
+        stored = host.disk.committed if host.disk is not None else Position()
+        self.checker.on_start(process, stored)
         self._carry_out(host, process, actions)
 
     def crash(self, host_name: str, keeps_disk: bool = True) -> None:
@@ -191,8 +191,8 @@
         old = self.network.groups
         self.network.partition(groups)
         for host, process in self.processes.items():
-            mates = [h for h in self.processes if self.network.same_side(host, h)]
-            if any(old.get(host, 0) != old.get(mate, 0) for mate in mates):
+            peers = [h for h in self.processes if self.network.same_side(host, h)]
+            if any(old.get(host, 0) != old.get(peer, 0) for peer in peers):
                 process.isolated_since = None  # these may have a newer heartbeat
 
     def _limit_minorities(self) -> None:
@@ -247,12 +247,12 @@
     def publish(self, host: str, extra: tuple[Write, ...] = ()) -> int:
         """Give an operator's change to a control member; returns its token."""
         self._token += 1
-        mark = str(self._token).encode()
+        value = str(self._token).encode()
         writes: tuple[Write, ...] = (
-            (LEFT_KEY, mark),
-            (f"{TOKEN_PREFIX}{self._token}", mark),
+            (LEFT_KEY, value),
+            (f"{TOKEN_PREFIX}{self._token}", value),
             *extra,
-            (RIGHT_KEY, mark),
+            (RIGHT_KEY, value),
         )
         self.send_event(host, Publish(self._token, writes))
         return self._token
@@ -271,12 +271,12 @@
         """Let so many seconds of virtual time pass."""
         self.network.run(self.network.now + seconds)
 
-    def run_until(self, holds: Callable[[], bool], most: float, step: float = 0.1) -> float:
-        """Return the seconds until it held; ``most`` when it never did."""
-        begun = self.network.now
-        while not holds() and self.network.now - begun < most:
+    def run_until(self, holds: Callable[[], bool], limit: float, step: float = 0.1) -> float:
+        """Return the seconds until it held; ``limit`` when it never did."""
+        started_at = self.network.now
+        while not holds() and self.network.now - started_at < limit:
             self.run(step)
-        return self.network.now - begun
+        return self.network.now - started_at
 
     def _scan(self) -> None:
         self.checker.now = self.network.now
@@ -341,7 +341,7 @@
             if process.position != newest:
                 return f"{host} is at {process.position}, another at {newest}"
             table = process.node.membership.members.values()
-            held = {m.record.name for m in table if m.status is Status.ALIVE}
-            if held != expected:
-                return f"{host} lacks {sorted(expected - held)} and has {sorted(held - expected)} too many"
+            alive = {m.record.name for m in table if m.status is Status.ALIVE}
+            if alive != expected:
+                return f"{host} lacks {sorted(expected - alive)} and has {sorted(alive - expected)} too many"
         return ""
--- a/saltcourse/gossip/admin.py
+++ b/saltcourse/gossip/admin.py
@@ -41,8 +41,8 @@
         node = self._host.node
         now = self._host.now()
         zones = {
-            zone: {"members": found.members, "connections": found.connections}
-            for zone, found in node.aggregation.sums(now).items()
+            zone: {"members": update.members, "connections": update.connections}
+            for zone, update in node.aggregation.sums(now).items()
         }
         members = [
             {
@@ -70,11 +70,11 @@
                 values[key] = value.decode()
             except UnicodeDecodeError:
                 binary[key] = base64.b64encode(value).decode()
-        found = _position(dissemination.position)
-        found |= {"freshness": dissemination.freshness.name.lower(), "values": values}
+        answer = _position(dissemination.position)
+        answer |= {"freshness": dissemination.freshness.name.lower(), "values": values}
         if binary:
-            found["base64"] = binary
-        return _json(200, found)
+            answer["base64"] = binary
+        return _json(200, answer)
 
     async def publish(self, body: bytes) -> Answer:
         """Publish a change (see ``parse_change``); the answer comes within the publish timeout."""
--- a/saltcourse/gossip/broadcasts.py
+++ b/saltcourse/gossip/broadcasts.py
@@ -68,12 +68,12 @@
         """Return updates of at most ``room`` bytes for one datagram; each counts as passed on once more."""
         if not self._broadcasts:
             return ()
-        taken = self._select(room)
+        selected = self._select(room)
         self._limit = math.ceil(self._multiplier * math.log10(fleet + 1))
-        for key, broadcast in taken:
+        for key, broadcast in selected:
             self._count(key, broadcast)
-        self.transmissions += len(taken)
-        return tuple([broadcast.update for _, broadcast in taken])
+        self.transmissions += len(selected)
+        return tuple([broadcast.update for _, broadcast in selected])
 
     def on_duplicate(self, key: Key, incarnation: int, status: Status) -> None:
         """Another member has sent the same update.
--- a/saltcourse/gossip/configuration.py
+++ b/saltcourse/gossip/configuration.py
@@ -48,7 +48,7 @@
     INVALID = auto()  # a checkpoint that is not the canonical form of a configuration
 
 
-REFUSALS = {
+REJECTIONS = {
     Relation.KNOWN: Outcome.DUPLICATE,
     Relation.STALE_EPOCH: Outcome.STALE_EPOCH,
     Relation.CONFLICT: Outcome.CONFLICT,
@@ -167,7 +167,7 @@
         """What ``apply`` would do with it."""
         relation = self.relate(change.position)
         if relation is not Relation.AHEAD:
-            return REFUSALS[relation]
+            return REJECTIONS[relation]
         if change.position.version != self.position.version + 1:
             return Outcome.GAP
         return Outcome.APPLIED if self._fits(change) else Outcome.TOO_LARGE
@@ -192,7 +192,7 @@
         """Replace everything by a checkpoint of a later version. The log begins anew behind it."""
         relation = self.relate(checkpoint.position)
         if relation is not Relation.AHEAD:
-            return REFUSALS[relation]
+            return REJECTIONS[relation]
         try:
             values = decode_configuration(checkpoint.data)
         except CodecError:
--- a/saltcourse/gossip/fields.py
+++ b/saltcourse/gossip/fields.py
@@ -95,9 +95,9 @@
         self.offset = end
         return self.data[start:end]
 
-    def text(self, length: int, most: int) -> str:
-        """Take a text of ``length`` bytes in UTF-8, 1 to ``most``, without control characters."""
-        if not 0 < length <= most:
+    def text(self, length: int, max_bytes: int) -> str:
+        """Take a text of ``length`` bytes in UTF-8, 1 to ``max_bytes``, without control characters."""
+        if not 0 < length <= max_bytes:
             raise CodecError(Reason.SCHEMA, f"a text of {length} bytes")
         try:
             text = self.raw(length).decode()
@@ -129,14 +129,14 @@
 # ---- writers ----------------------------------------------------------------------------------------
 
 
-def encode_text(text: str, most: int) -> bytes:
-    """Return 1 to ``most`` bytes of UTF-8 without control characters."""
+def encode_text(text: str, max_bytes: int) -> bytes:
+    """Return 1 to ``max_bytes`` bytes of UTF-8 without control characters."""
     try:
         data = text.encode()
     except UnicodeEncodeError:
         raise EncodeError(f"not a text that UTF-8 can hold: {text!r}") from None
-    if not 0 < len(data) <= most or CONTROL_CHARACTER.search(text):
-        raise EncodeError(f"not a text of 1 to {most} bytes without control characters: {text!r}")
+    if not 0 < len(data) <= max_bytes or CONTROL_CHARACTER.search(text):
+        raise EncodeError(f"not a text of 1 to {max_bytes} bytes without control characters: {text!r}")
     return data
 
 
--- a/saltcourse/gossip/host.py
+++ b/saltcourse/gossip/host.py
@@ -152,9 +152,9 @@
 
     def figures(self) -> dict[str, int]:
         """Figures of ``/_vars``, by name."""
-        found = self.node.figures(self._clock())
-        found |= {f"datagrams.{what}": count for what, count in sorted(self.datagrams.items())}
-        return found
+        figures = self.node.figures(self._clock())
+        figures |= {f"datagrams.{name}": count for name, count in sorted(self.datagrams.items())}
+        return figures
 
     def now(self) -> float:
         """Seconds on the node's clock."""
--- a/saltcourse/gossip/member_table.py
+++ b/saltcourse/gossip/member_table.py
@@ -2,7 +2,7 @@
 
 Cost that grows with the fleet: about 0.8 kB for each member known, departed ones included; MAX_MEMBERS
 bounds it at 3.3 MB. A change costs O(members / SYNC_BUCKETS) at most (an insertion into a sorted list).
-``live`` is cached and costs O(members log members) when it is asked after a change.
+``live`` is cached and costs O(members log members) when it is called after a change.
 """
 
 from __future__ import annotations
@@ -54,12 +54,12 @@
     return MemberRecord(name, address, region, zone, role, incarnation, record.process, status)
 
 
-def overrides(new: MemberRecord, held: MemberRecord) -> bool:
+def overrides(new: MemberRecord, current: MemberRecord) -> bool:
     """A total order, so that all members settle on one record whatever the order in which records come.
 
     The last criterion, the process, matters only while two processes use one name at one incarnation.
     """
-    return (new.incarnation, new.status, new.process) > (held.incarnation, held.status, held.process)
+    return (new.incarnation, new.status, new.process) > (current.incarnation, current.status, current.process)
 
 
 def is_valid(record: MemberRecord) -> bool:
@@ -80,7 +80,7 @@
 
     def __init__(self) -> None:
         self._ids: list[MemberId] = []
-        self._places: dict[MemberId, int] = {}
+        self._indexes: dict[MemberId, int] = {}
 
     def __len__(self) -> int:
         """Count the ids."""
@@ -92,23 +92,23 @@
 
     def __contains__(self, member: object) -> bool:
         """Whether the id is in the set."""
-        return member in self._places
+        return member in self._indexes
 
     def add(self, member: MemberId) -> None:
         """Insert an id, if it is not in the set."""
-        if member not in self._places:
-            self._places[member] = len(self._ids)
+        if member not in self._indexes:
+            self._indexes[member] = len(self._ids)
             self._ids.append(member)
 
     def discard(self, member: MemberId) -> None:
         """Remove an id, if it is in the set."""
-        place = self._places.pop(member, None)
-        if place is None:
+        index = self._indexes.pop(member, None)
+        if index is None:
             return
         last = self._ids.pop()
         if last != member:
-            self._ids[place] = last
-            self._places[last] = place
+            self._ids[index] = last
+            self._indexes[last] = index
 
     def choose(self, source: random.Random) -> MemberId:
         """IndexError when it is empty."""
@@ -176,11 +176,11 @@
         return True
 
     def store(self, now: float, member: MemberId, record: MemberRecord) -> None:
-        """Insert or replace a record, whatever it says. The caller has asked ``has_room`` for a new one."""
+        """Insert or replace a record, whatever its status. The caller has checked ``has_room``."""
         entry = self.members.get(member)
         if entry is None:
             entry = self._insert(now, member, record)
-        elif self._keeps_its_place(member, entry.record, record):
+        elif self._keeps_indexes(member, entry.record, record):
             self._update(now, member, entry, record)
             return
         else:
@@ -214,28 +214,28 @@
         insort(self._buckets[member % SYNC_BUCKETS], member)
         return entry
 
-    def _keeps_its_place(self, member: MemberId, held: MemberRecord, record: MemberRecord) -> bool:
+    def _keeps_indexes(self, member: MemberId, current: MemberRecord, record: MemberRecord) -> bool:
         """Whether a live member stays one, in the same zone: by far the most changes."""
         return (
             member != self.own_id
-            and held.status < Status.DEAD
+            and current.status < Status.DEAD
             and record.status < Status.DEAD
-            and held.zone == record.zone
+            and current.zone == record.zone
         )
 
     def _update(self, now: float, member: MemberId, entry: Member, record: MemberRecord) -> None:
-        held = entry.record
+        current = entry.record
         entry.record = record
-        if held.status is not record.status:
+        if current.status is not record.status:
             entry.since = now
-            self.status_counts[held.status] -= 1
+            self.status_counts[current.status] -= 1
             self.status_counts[record.status] += 1
             suspects = self.zones[record.zone].suspects
             if record.status is Status.SUSPECT:
                 suspects.add(member)
             else:
                 suspects.discard(member)
-        if held.incarnation != record.incarnation or held.process != record.process:
+        if current.incarnation != record.incarnation or current.process != record.process:
             digest = _digest(member, record)
             self.digests[member % SYNC_BUCKETS] ^= entry.digest ^ digest
             entry.digest = digest
@@ -311,8 +311,8 @@
 
 
 def _tail(bucket: list[MemberId], cursor: MemberId) -> Iterator[MemberId]:
-    for place in range(bisect_right(bucket, cursor), len(bucket)):
-        yield bucket[place]
+    for index in range(bisect_right(bucket, cursor), len(bucket)):
+        yield bucket[index]
 
 
 def _digest(member: MemberId, record: MemberRecord) -> int:
--- a/saltcourse/gossip/messages/limits.py
+++ b/saltcourse/gossip/messages/limits.py
@@ -1,4 +1,4 @@
-"""Bounds of what travels between members and of what a member keeps. Bytes unless said otherwise."""
+"""Bounds of what travels between members and of what a member keeps. Bytes unless stated otherwise."""
 
 from __future__ import annotations
 
--- a/saltcourse/gossip/node.py
+++ b/saltcourse/gossip/node.py
@@ -199,9 +199,9 @@
 
     def _collect(self, now: float) -> None:
         """Take the dissemination's actions, and show the quorum the newest configuration in force."""
-        taken = self.dissemination.take_actions()
-        self._actions.extend(taken)
-        if self.quorum is not None and any(isinstance(action, Applied) for action in taken):
+        actions = self.dissemination.take_actions()
+        self._actions.extend(actions)
+        if self.quorum is not None and any(isinstance(action, Applied) for action in actions):
             part = self.dissemination
             self._carry_out(now, self.quorum.applied(now, part.position, part.configuration))
 
@@ -254,10 +254,10 @@
     def figures(self, now: float) -> dict[str, int]:
         """Whole numbers for the operators, by name."""
         by_status = Counter(member.status for member in self.membership.members.values())
-        found = {f"members.{status.name.lower()}": by_status[status] for status in Status}
+        figures = {f"members.{status.name.lower()}": by_status[status] for status in Status}
         sums = self.aggregation.sums(now)
-        found |= {f"zone.{zone}.connections": update.connections for zone, update in sums.items()}
-        found |= {
+        figures |= {f"zone.{zone}.connections": update.connections for zone, update in sums.items()}
+        figures |= {
             "position.epoch": self.dissemination.position.epoch,
             "position.version": self.dissemination.position.version,
             "freshness": int(self.dissemination.freshness),
@@ -265,9 +265,9 @@
             "bytes.received": self.received_bytes,
             "sends.dropped": self._waiting.dropped,
         }
-        found |= {f"dropped.{reason}": count for reason, count in sorted(self.dropped.items())}
-        found |= self.membership.figures()
-        found |= self.dissemination.figures()
+        figures |= {f"dropped.{reason}": count for reason, count in sorted(self.dropped.items())}
+        figures |= self.membership.figures()
+        figures |= self.dissemination.figures()
         if self.quorum is not None:
-            found |= self.quorum.figures()
-        return found
+            figures |= self.quorum.figures()
+        return figures
--- a/saltcourse/gossip/own_record.py
+++ b/saltcourse/gossip/own_record.py
@@ -21,7 +21,7 @@
     def __init__(self, record: MemberRecord) -> None:
         self.record = record
         self.refutations = 0  # claims that this member is suspect, dead or gone
-        self.name_conflicts = 0  # words of another live process of this name
+        self.name_conflicts = 0  # datagrams and claims of another live process of this name
         self.exhausted = 0  # claims at the highest incarnation, which cannot be overridden
         self._to_exceed: int | None = None  # the incarnation to be exceeded as soon as it is allowed
         self._raise_at = -math.inf
--- a/saltcourse/gossip/quorum.py
+++ b/saltcourse/gossip/quorum.py
@@ -13,11 +13,11 @@
 committed among them. Then it becomes the publisher (Paxos: the leader): it proposes again what may have been
 committed behind that version (``recovery``), and after that operators' changes (``proposer``, phase 2).
 
-**Who publishes.** A voter that is asked to publish while another one does forwards nothing: it takes over and
-stays the publisher. Two operators at two voters duel only while both have work, and a randomised backoff ends
-it. Without work, a voter takes over when it has seen no publisher for ``takeover_after``
-(``takeover_timer``). A publisher that sees a newer epoch, or whose lease expires (``publisher_lease``), steps
-down. Its operators' changes go on waiting.
+**Who publishes.** A voter that gets an operator's change while another one publishes forwards nothing: it
+takes over and stays the publisher. Two operators at two voters duel only while both have work, and a
+randomised backoff ends it. Without work, a voter takes over when it has seen no publisher for
+``takeover_after`` (``takeover_timer``). A publisher that sees a newer epoch, or whose lease expires
+(``publisher_lease``), steps down. Its operators' changes go on waiting.
 
 **A failed publish.** ``NO_MAJORITY`` means that the change was not known to be committed in time. This voter
 no longer proposes it as a new change, but if some voter has accepted it, a later publisher may still commit
@@ -70,7 +70,7 @@
 from saltcourse.gossip.takeover_timer import TakeoverTimer
 from saltcourse.gossip.voter_set import VoterSet
 
-CATCH_UP_TIMEOUT_SECONDS = 3.0  # who has the missing versions may be gone, others can tell what led to them
+CATCH_UP_TIMEOUT_SECONDS = 3.0  # who has the missing versions may be gone, others know what led to them
 
 
 class Phase(IntEnum):
--- a/saltcourse/gossip/sampling.py
+++ b/saltcourse/gossip/sampling.py
@@ -8,8 +8,8 @@
 from saltcourse.gossip.messages import MemberId, MemberRecord, Status
 from saltcourse.gossip.zone_silence import ZoneSilence
 
-RELAY_CANDIDATES = 4  # looked at for each relay wanted
-SAMPLE_TRIES = 6  # random members looked at for each one wanted
+RELAY_CANDIDATES = 4  # tried for each relay
+SAMPLE_TRIES = 6  # random members tried for each one
 
 
 class MemberSampler:
--- a/saltcourse/gossip/serving.py
+++ b/saltcourse/gossip/serving.py
@@ -27,18 +27,18 @@
 
 def fitting(changes: Sequence[Change]) -> tuple[Change, ...]:
     """As many of them, from the first on, as one datagram holds; at least one."""
-    taken: list[Change] = []
+    chosen: list[Change] = []
     room = CHANGES_BYTES
     for change in changes[:MAX_CHANGES_IN_DATAGRAM]:
         room -= change_size(change)
-        if room < 0 and taken:
+        if room < 0 and chosen:
             break
-        taken.append(change)
-    return tuple(taken)
+        chosen.append(change)
+    return tuple(chosen)
 
 
 class ChangeServer:
-    """Each request gets one datagram at most, so an answer can be lost or doubled but never half taken."""
+    """Each request gets one datagram at most, so an answer can be lost or doubled but never incomplete."""
 
     def __init__(self, configuration: Configuration, counters: Counter[str]) -> None:
         self._configuration = configuration
--- a/saltcourse/gossip/settings.py
+++ b/saltcourse/gossip/settings.py
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Timing:
-    """Seconds, unless said otherwise. The same at all members."""
+    """Seconds, unless stated otherwise. The same at all members."""
 
     probe_interval: float = 1.0  # one member is probed in each
     probe_timeout: float = 0.4  # for a direct answer, then relays are asked; above any round trip
--- a/saltcourse/gossip/snapshot_receiver.py
+++ b/saltcourse/gossip/snapshot_receiver.py
@@ -39,7 +39,7 @@
             return self._accept(now, source, part)
         self._counters[f"snapshot_{fault.name.lower()}"] += 1
         if self._transfer is not None:
-            self._transfer.refuse(source)
+            self._transfer.reject(source)
         return self.tick(now)
 
     def tick(self, now: float) -> list[Send]:
@@ -82,7 +82,7 @@
     def _accept(self, now: float, source: Address, part: SnapshotPart) -> list[Send]:
         transfer = self._transfer_for(now, source, part)
         transfer.receive(part)
-        if transfer.assembly.whole:
+        if transfer.assembly.is_complete:
             return self._finish(now, source, transfer)
         return self.tick(now)
 
--- a/saltcourse/gossip/snapshots.py
+++ b/saltcourse/gossip/snapshots.py
@@ -85,7 +85,7 @@
         self._parts.setdefault(part.offset, part.data)
 
     @property
-    def whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether all parts were received."""
         return len(self._parts) == len(self.offsets())
 
@@ -138,7 +138,7 @@
         self._outstanding.pop(part.offset, None)
         self._failed_servers = 0
 
-    def refuse(self, source: Address) -> None:
+    def reject(self, source: Address) -> None:
         """``source`` has answered with something else than the part that it was asked for."""
         offsets = [offset for offset, request in self._outstanding.items() if request.server == source]
         if not offsets:
--- a/saltcourse/gossip/store.py
+++ b/saltcourse/gossip/store.py
@@ -113,9 +113,9 @@
         version = self._pragma("user_version")
         if version != VERSION:
             raise self._error(f"form {version}, this program reads {VERSION}")
-        found = self._pragma("quick_check")
-        if found != "ok":
-            raise self._error(f"torn: {found}")
+        result = self._pragma("quick_check")
+        if result != "ok":
+            raise self._error(f"torn: {result}")
 
     def _pragma(self, name: str) -> int | str:
         value: int | str = self._db.execute(f"PRAGMA {name}").fetchone()[0]
--- a/saltcourse/gossip/table_sync.py
+++ b/saltcourse/gossip/table_sync.py
@@ -40,7 +40,7 @@
 class SyncSession:
     """A comparison under way, page by page."""
 
-    whole: bool  # the whole table is wanted, without comparison
+    full_table: bool  # the whole table is requested, without comparison
     cursor: MemberId
     peers: tuple[Address, ...]  # asked for the page behind the cursor
     deadline: float
@@ -74,7 +74,7 @@
     @property
     def is_joining(self) -> bool:
         """Whether the first table is still being read."""
-        return self._session is not None and self._session.whole
+        return self._session is not None and self._session.full_table
 
     # ---- asking -----------------------------------------------------------------------------------
 
@@ -153,7 +153,7 @@
         return [self._request(session.peers[0], session)]
 
     def _request(self, peer: Address, session: SyncSession) -> Send:
-        digests = () if session.whole else tuple(self._table.digests)
+        digests = () if session.full_table else tuple(self._table.digests)
         return Send(peer, SyncRequest(session.cursor, digests), Priority.BULK)
 
     def _jittered(self, interval: float) -> float:
--- a/saltcourse/gossip/update_merging.py
+++ b/saltcourse/gossip/update_merging.py
@@ -96,9 +96,9 @@
         if update.member == self._table.own_id:
             self._merge_claim(now, update.incarnation, update.status, None)
             return
-        held = entry.record
-        if (update.incarnation, update.status) > (held.incarnation, held.status):
-            record = with_status(held, update.incarnation, update.status)
+        current = entry.record
+        if (update.incarnation, update.status) > (current.incarnation, current.status):
+            record = with_status(current, update.incarnation, update.status)
             self._replace(now, update.member, entry, record, spread=True)
         else:
             self._queue.on_duplicate(update.member, update.incarnation, update.status)
@@ -244,12 +244,12 @@
 
 def _restarts_timer(before: MemberRecord, record: MemberRecord) -> bool:
     """A suspicion of another incarnation is a new one, and another zone may be one that can be reached."""
-    held = before.status, before.incarnation, before.zone
-    return (record.status, record.incarnation, record.zone) != held
+    identity = before.status, before.incarnation, before.zone
+    return (record.status, record.incarnation, record.zone) != identity
 
 
 def _as_update(member: MemberId, record: MemberRecord) -> Update:
-    """In full where a member is new or has a new incarnation; the rest is said of one that is known."""
+    """In full where a member is new or has a new incarnation; otherwise its status alone."""
     if record.status is Status.ALIVE:
         return record
     return StatusUpdate(member, record.incarnation, record.status)
--- a/saltcourse/gossip/zone_silence.py
+++ b/saltcourse/gossip/zone_silence.py
@@ -28,9 +28,9 @@
 ZONE_CHECKS = 4  # unanswered, in place of the fraction
 CHECKS_PER_MEMBER = 20.0  # each probe interval, at each member of a zone that may be silent
 MAX_CHECKED = 16  # members remembered for each zone
-CHECKS_PER_INTERVAL = 2  # looks at the zones in each probe interval
+CHECKS_PER_INTERVAL = 2  # evaluations in each probe interval
 MAX_CHECKS_PER_TICK = 4  # zones
-CHECK_TRIES = 8  # random members looked at for one that is not suspect
+CHECK_TRIES = 8  # random members tried for one that is not suspect
 
 
 @dataclass(slots=True)
@@ -100,7 +100,7 @@
             zone.deaths += 1
 
     def is_reachable(self, name: str) -> bool:
-        """Whether the zone is not held for silent."""
+        """Whether the zone is not considered silent."""
         return name not in self.unreachable
 
     def is_isolated(self, now: float) -> bool:
@@ -136,23 +136,23 @@
         if now - zone.last_contact_at <= self._silence:
             return False
         index = self._table.zones[name]
-        gone = len(index.suspects) + zone.deaths
-        if gone >= SILENT_MEMBERS and gone * SILENT_FRACTION >= len(index.live) + zone.deaths:
+        lost = len(index.suspects) + zone.deaths
+        if lost >= SILENT_MEMBERS and lost * SILENT_FRACTION >= len(index.live) + zone.deaths:
             return self._is_checked(now, index, zone, FRACTION_CHECKS)
-        return gone > 0 and zone.checks > 0 and self._is_checked(now, index, zone, ZONE_CHECKS)
+        return lost > 0 and zone.checks > 0 and self._is_checked(now, index, zone, ZONE_CHECKS)
 
-    def _is_checked(self, now: float, index: ZoneIndex, zone: ZoneWatch, wanted: int) -> bool:
+    def _is_checked(self, now: float, index: ZoneIndex, zone: ZoneWatch, required: int) -> bool:
         """Whether so many others, or all that there are, have had the time to answer and did not."""
         others = len(index.live) - len(index.suspects)
         if others == 0:
             return True
-        asked = sum(member in index.live and member not in index.suspects for member in zone.checked)
+        pinged = sum(member in index.live and member not in index.suspects for member in zone.checked)
         had_time = now - zone.checked_at >= self._answer_time
-        return had_time and zone.checks >= wanted and asked >= min(wanted, others)
+        return had_time and zone.checks >= required and pinged >= min(required, others)
 
     def _needs_check(self, now: float, name: str, zone: ZoneWatch) -> bool:
-        gone = len(self._table.zones[name].suspects) + zone.deaths
-        return gone > 0 and now - zone.last_contact_at > self._silence / 2
+        lost = len(self._table.zones[name].suspects) + zone.deaths
+        return lost > 0 and now - zone.last_contact_at > self._silence / 2
 
     def _choose_check(self, now: float, name: str, zone: ZoneWatch) -> list[MemberId]:
         """Return one member to ping; often none where the zone is small: the whole fleet does the same."""
@@ -185,7 +185,7 @@
         return []
 
     def _forget_empty(self) -> None:
-        """Zones without live members. Costs O(zones) at each look."""
+        """Zones without live members. Costs O(zones) at each evaluation."""
         if len(self._zones) != len(self._table.zones):
             for name in [name for name in self._zones if name not in self._table.zones]:
                 del self._zones[name]
--- a/tests/gossip/test_model_broken_nodes.py
+++ b/tests/gossip/test_model_broken_nodes.py
@@ -175,7 +175,7 @@
 
 def test_a_failure_detector_that_never_suspects_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Membership, "_end_probes", lambda self, now: self._detector.take_failed(now))
-    with pytest.raises(InvariantError, match="held for dead"):
+    with pytest.raises(InvariantError, match="believed dead"):
         kill_and_detect(formed(0, 5), "proxy-4")
 
 
