--- a/example/demo.py
+++ b/example/demo.py
@@ -1,5 +1,7 @@
-"""The main job in one terminal: readers come and go, a push server drains, its readers are told MOVE and come
-back elsewhere, and the proxy itself leaves cleanly. About twelve seconds; exit code 1 if anybody was cut off.
+"""The main job in one terminal, in about twelve seconds.
+
+Readers connect and disconnect, a push server drains, its readers are migrated, and the proxy itself drains
+and exits. Exit code 1 if a connection was cut off.
 """
 
 from __future__ import annotations
@@ -18,59 +20,61 @@
 from toy import HOST, Platform, open_line
 
 READERS = 12
-SECONDS = 9.0
+DEMO_SECONDS = 9.0
+RETRY_AFTER_SECONDS = 0.5  # where BUSY names no time
 HERE = Path(__file__).parent
-seen: Counter[str] = Counter()
+outcomes: Counter[str] = Counter()  # what readers saw
 
 
-def say(text: str) -> None:
-    print(f"{asyncio.get_running_loop().time() - began:5.1f} s  {text}", flush=True)
+def report(text: str) -> None:
+    """Print a line with the time since the start."""
+    print(f"{asyncio.get_running_loop().time() - started:5.1f} s  {text}", flush=True)
 
 
-async def reader(number: int, port: int, leaving: asyncio.Event, draw: random.Random) -> None:
-    """One app: connects, reads, leaves after a while; told to move or refused, it comes back."""
-    while not leaving.is_set():
+async def reader(number: int, port: int, stopping: asyncio.Event, random_source: random.Random) -> None:
+    """One client: connects, reads, disconnects after a while; migrated or rejected, it reconnects."""
+    while not stopping.is_set():
         try:
             stream, writer = await asyncio.open_connection(HOST, port)
             writer.write(open_line())
             first = (await stream.readline()).decode().split()
             word = first[0] if first else "CUT"
-            seen[word] += 1
+            outcomes[word] += 1
             if word == "BUSY":
-                await asyncio.sleep(int(first[1]) / 1000 if len(first) > 1 else 0.5)
+                await asyncio.sleep(int(first[1]) / 1000 if len(first) > 1 else RETRY_AFTER_SECONDS)
                 continue
-            stays = asyncio.get_running_loop().time() + draw.uniform(2.0, 6.0)
+            disconnect_at = asyncio.get_running_loop().time() + random_source.uniform(2.0, 6.0)
             while word == "UP":
-                left = stays - asyncio.get_running_loop().time()
+                time_left = disconnect_at - asyncio.get_running_loop().time()
                 try:
-                    line = await asyncio.wait_for(stream.readline(), max(0.01, left))
+                    line = await asyncio.wait_for(stream.readline(), max(0.01, time_left))
                 except TimeoutError:
-                    seen["left by themselves"] += 1
+                    outcomes["disconnected"] += 1
                     break
-                told = line.split()[:1]
-                if told == [b"HEADLINE"]:
-                    seen["HEADLINE"] += 1
-                elif told != [b"HEARD"]:
-                    seen["MOVE" if told == [b"MOVE"] else "CUT"] += 1
+                word_received = line.split()[:1]
+                if word_received == [b"HEADLINE"]:
+                    outcomes["HEADLINE"] += 1
+                elif word_received != [b"HEARD"]:
+                    outcomes["MOVE" if word_received == [b"MOVE"] else "CUT"] += 1
                     break
             writer.close()
         except OSError:
-            if leaving.is_set():
+            if stopping.is_set():
                 return
-            seen["CUT"] += 1
-        await asyncio.sleep(draw.uniform(0.05, 0.3))
+            outcomes["CUT"] += 1
+        await asyncio.sleep(random_source.uniform(0.05, 0.3))
 
 
 async def main() -> int:
-    global began
-    began = asyncio.get_running_loop().time()
+    global started
+    started = asyncio.get_running_loop().time()
     platform = Platform({"toy-1": 0, "toy-2": 0, "toy-3": 0}, headline_every=1.0)
     discovery = await platform.start(0)
-    say(f"three push servers and discovery are up: {', '.join(platform.ports)}")
+    report(f"three push servers and discovery are up: {', '.join(platform.ports)}")
     config: dict[str, Any] = json.loads((HERE / "config.json").read_text())
     with tempfile.TemporaryDirectory() as folder:
-        with socket.create_server((HOST, 0)) as free:
-            port = int(free.getsockname()[1])
+        with socket.create_server((HOST, 0)) as free_socket:
+            port = int(free_socket.getsockname()[1])
         config |= {"listen": f"{HOST}:{port}", "discovery": f"{HOST}:{discovery}"}
         file = Path(folder) / "config.json"
         file.write_text(json.dumps(config))
@@ -86,14 +90,14 @@
                 stderr=log,
             )
         try:
-            return await show(platform, proxy, port)
+            return await run_demo(platform, proxy, port)
         finally:
             if proxy.returncode is None:
                 proxy.kill()
             await proxy.wait()
 
 
-async def up(port: int) -> bool:
+async def wait_until_listening(port: int) -> bool:
     for _ in range(100):
         try:
             _, writer = await asyncio.open_connection(HOST, port)
@@ -104,41 +108,42 @@
     return False
 
 
-async def show(platform: Platform, proxy: asyncio.subprocess.Process, port: int) -> int:
-    if not await up(port):
-        say("the proxy does not listen: see above")
+async def run_demo(platform: Platform, proxy: asyncio.subprocess.Process, port: int) -> int:
+    if not await wait_until_listening(port):
+        report("the proxy does not listen: see above")
         return 1
-    say(f"the proxy listens; {READERS} readers come")
-    leaving = asyncio.Event()
-    tasks = [asyncio.create_task(reader(i, port, leaving, random.Random(i))) for i in range(READERS)]
-    await asyncio.sleep(SECONDS / 3)
-    say(f"connections taken: {dict(platform.taken)}")
-    drained = max(platform.taken, key=lambda name: platform.taken[name])
-    moved = seen["MOVE"]
+    report(f"the proxy listens; {READERS} readers connect")
+    stopping = asyncio.Event()
+    tasks = [asyncio.create_task(reader(i, port, stopping, random.Random(i))) for i in range(READERS)]
+    await asyncio.sleep(DEMO_SECONDS / 3)
+    report(f"connections accepted: {dict(platform.accepted)}")
+    drained = max(platform.accepted, key=lambda name: platform.accepted[name])
+    migrated = outcomes["MOVE"]
     platform.drain(drained)
-    say(f"{drained} drains")
+    report(f"{drained} drains")
     await asyncio.sleep(1.0)
-    say(f"{seen['MOVE'] - moved} readers were told MOVE and came back elsewhere")
-    at_drain = platform.taken[drained]
-    await asyncio.sleep(SECONDS * 2 / 3 - 1.0)
-    late = platform.taken[drained] - at_drain
-    moved = seen["MOVE"]
-    leaving.set()
+    report(f"{outcomes['MOVE'] - migrated} readers were migrated and reconnected elsewhere")
+    accepted_before = platform.accepted[drained]
+    await asyncio.sleep(DEMO_SECONDS * 2 / 3 - 1.0)
+    late = platform.accepted[drained] - accepted_before
+    migrated = outcomes["MOVE"]
+    stopping.set()
     proxy.send_signal(signal.SIGTERM)
-    say("the proxy is told to leave (SIGTERM)")
+    report("the proxy is told to exit (SIGTERM)")
     code = await proxy.wait()
     await asyncio.wait(tasks, timeout=2)
-    say(f"it has left with exit code {code}; {seen['MOVE'] - moved} readers were told MOVE")
-    say(
-        f"summary: {seen['UP']} served, {seen['BUSY']} refused, {seen['ERR']} failed, {seen['MOVE']} moved, "
-        f"{seen['left by themselves']} left by themselves, {seen['HEADLINE']} headlines, "
-        f"{late} sent to the drained server, {seen['CUT']} cut off"
+    report(f"it has exited with code {code}; {outcomes['MOVE'] - migrated} readers were migrated")
+    report(
+        f"summary: {outcomes['UP']} served, {outcomes['BUSY']} rejected, {outcomes['ERR']} failed, "
+        f"{outcomes['MOVE']} migrated, {outcomes['disconnected']} disconnected, "
+        f"{outcomes['HEADLINE']} headlines, "
+        f"{late} to the drained server, {outcomes['CUT']} cut off"
     )
-    return 1 if code or late or seen["CUT"] or seen["ERR"] else 0
+    return 1 if code or late or outcomes["CUT"] or outcomes["ERR"] else 0
 
 
 if __name__ == "__main__":
-    began = 0.0
+    started = 0.0
     try:
         sys.exit(asyncio.run(main()))
     except KeyboardInterrupt:
--- a/example/toy.py
+++ b/example/toy.py
@@ -18,7 +18,10 @@
 from collections import Counter
 from typing import Any
 
-HOST, PROXY, DISCOVERY, SERVERS = "127.0.0.1", 8081, 8500, {"toy-1": 8101, "toy-2": 8102}
+HOST = "127.0.0.1"
+PROXY_PORT = 8081
+DISCOVERY_PORT = 8500
+SERVER_PORTS = {"toy-1": 8101, "toy-2": 8102}
 Reader, Writer = asyncio.StreamReader, asyncio.StreamWriter
 
 
@@ -29,12 +32,12 @@
         self.ports, self.headline_every = dict(servers), headline_every
         self.states = dict.fromkeys(servers, "SERVING")
         self.version = 1
-        self.taken: Counter[str] = Counter()
+        self.accepted: Counter[str] = Counter()
         self._changed = asyncio.Event()
         self._receipts = itertools.count(1)
 
     async def start(self, discovery: int) -> int:
-        """All of it; returns discovery's port."""
+        """Start all listeners; returns discovery's port."""
         for name, port in self.ports.items():
             server = await asyncio.start_server(lambda r, w, n=name: self._push_server(n, r, w), HOST, port)
             self.ports[name] = server.sockets[0].getsockname()[1]
@@ -42,18 +45,19 @@
         return int(server.sockets[0].getsockname()[1])
 
     def drain(self, name: str) -> None:
+        """Tell discovery's watches that a push server drains."""
         self.states[name] = "DRAINING"
         self.version += 1
         self._changed.set()
         self._changed = asyncio.Event()
 
     async def _push_server(self, name: str, reader: Reader, writer: Writer) -> None:
-        """Takes a connection, answers each line at once and sends a headline now and then."""
+        """Accept a connection, answer each line at once and send a headline now and then."""
         first = await reader.readline()
         if not first.startswith(b"OPEN "):
             writer.close()
             return
-        self.taken[name] += 1
+        self.accepted[name] += 1
         writer.write(b"UP %d from %s\r\n" % (next(self._receipts), name.encode()))
         while not writer.is_closing():
             try:
@@ -68,7 +72,7 @@
             writer.write(b"HEARD " + line)
 
     async def _discovery(self, reader: Reader, writer: Writer) -> None:
-        """The whole list, at once or as soon as there is a newer one."""
+        """Answer with the whole endpoint list, at once or, to a watch, as soon as there is a newer one."""
         request = (await reader.readuntil(b"\r\n\r\n")).decode()
         watch = re.search(r"after=(\d+)&wait_ms=(\d+)", request)
         if watch and int(watch[1]) >= self.version:
@@ -96,17 +100,20 @@
 
 
 def open_line() -> bytes:
+    """An OPEN line with a new id and key."""
     return f"OPEN {secrets.token_hex(8)} {secrets.token_hex(8)} c=live-feed,d=1200\r\n".encode()
 
 
 async def platform() -> None:
-    await Platform(SERVERS).start(DISCOVERY)
+    """Run the push servers and discovery until Ctrl-C."""
+    await Platform(SERVER_PORTS).start(DISCOVERY_PORT)
     print("push servers and discovery are up; end with Ctrl-C")
     await asyncio.Event().wait()
 
 
 async def reader() -> None:
-    stream, writer = await asyncio.open_connection(HOST, PROXY)
+    """Open one connection and print what comes."""
+    stream, writer = await asyncio.open_connection(HOST, PROXY_PORT)
     writer.write(open_line())
     while line := await stream.readline():
         print(line.decode().rstrip())
@@ -122,6 +129,6 @@
     try:
         asyncio.run(role())
     except ConnectionRefusedError:
-        raise SystemExit(f"nothing listens on {HOST}:{PROXY}: start the proxy first") from None
+        raise SystemExit(f"nothing listens on {HOST}:{PROXY_PORT}: start the proxy first") from None
     except KeyboardInterrupt:
         pass
--- a/saltcourse/proxy/client_connection.py
+++ b/saltcourse/proxy/client_connection.py
@@ -22,7 +22,7 @@
 
 Rules:
 
-1. One final answer, and one attempt at a time: an attempt is closed before the answer goes out.
+1. One final answer, one attempt at a time; an attempt is closed before the answer goes out.
 2. Each ``BeginAttempt`` is answered by exactly one ``AttemptFinished``, even after the actor's end.
 3. After an await the state is asked again: the client may have gone, or the time be up.
 4. MOVE goes between two whole lines, for only whole lines are passed on.
@@ -73,7 +73,7 @@
 REJECT_TIMEOUT_SECONDS = 0.3  # for a client that is rejected before its request was taken
 REJECT_MAX_BYTES = 64 * 1024  # that are read of such a client
 CLOSE_TIMEOUT_SECONDS = 0.5  # that a side may take to end after the other; a second is allowed
-MOVE_WRITE_TIMEOUT_SECONDS = 0.5  # for MOVE or the final answer to be taken by the client's socket
+LAST_LINE_TIMEOUT_SECONDS = 0.5  # for MOVE or the final answer to be taken by the client's socket
 OVERDUE_SECONDS = 0.015  # after its deadline at which a request without an answer is failed here
 RESUME_RETRY_SECONDS = 0.25  # between attempts to resume a connection
 
@@ -143,8 +143,7 @@
             return
         if self.context.is_short_of_descriptors():
             self.context.metrics.count_reply(opened.request_class, "overload")
-            busy = busy_line(self.context.settings.longest_retry_after)
-            await reject_and_close(self.stream, busy, REJECT_TIMEOUT_SECONDS, REJECT_MAX_BYTES)
+            await self._reject(busy_line(self.context.settings.longest_retry_after))
             return
         await self._serve(opened)
 
@@ -154,19 +153,20 @@
             self.opened = await self.opening.read_request()
         except ProtocolError as error:
             self.context.protocol_errors.record(str(error))
-            self._finish_opening()
-            await reject_and_close(self.stream, FAIL_LINE, REJECT_TIMEOUT_SECONDS, REJECT_MAX_BYTES)
+            self.opening.finish()
+            await self._reject(FAIL_LINE)
             return None
         except ConnectionLostError:
             return None
         if self.opened is not None:
             self.request = self.opened.request
-            self._finish_opening()
+            self.opening.finish()
         return self.opened
 
-    def _finish_opening(self) -> None:
+    async def _reject(self, line: bytes) -> None:
+        """Answer a client whose request is not taken."""
         self.state = ConnectionState.ENDED
-        self.opening.finish()
+        await reject_and_close(self.stream, line, REJECT_TIMEOUT_SECONDS, REJECT_MAX_BYTES)
 
     async def _serve(self, opened: OpenRequest) -> None:
         now = self.context.clock.now()
@@ -272,7 +272,7 @@
         self._attempts.close()
         self._attempts.report(AttemptStatus.CANCELLED)
         self._answered.set()
-        if await write_within(self.stream, line, MOVE_WRITE_TIMEOUT_SECONDS):
+        if await write_within(self.stream, line, LAST_LINE_TIMEOUT_SECONDS):
             await close_gracefully(self.stream, self._reader, CLOSE_TIMEOUT_SECONDS)
 
     # ---- attempts -------------------------------------------------------------------------------
@@ -381,7 +381,7 @@
         if attempt is None or attempt.stream is None:
             return
         attempt.is_muted = True
-        written = await write_within(self.stream, MOVE_LINE, MOVE_WRITE_TIMEOUT_SECONDS)
+        written = await write_within(self.stream, MOVE_LINE, LAST_LINE_TIMEOUT_SECONDS)
         attempt.stream.send_eof()
         self._attempts.report(AttemptStatus.CANCELLED)
         if written:
@@ -397,7 +397,7 @@
 
     async def _resume_again(self, opened: OpenRequest, status: AttemptStatus) -> None:
         """There is one backend to go to, and it may only just be starting as well."""
-        self._attempts.unreported = None
+        self._attempts.drop_outcome()
         time_left = self._deadline - self.context.clock.now()
         if status not in NEVER_RAN or time_left < 2 * RESUME_RETRY_SECONDS:
             await self._answer(FAIL_LINE, "error")
--- a/saltcourse/proxy/dispatcher.py
+++ b/saltcourse/proxy/dispatcher.py
@@ -85,7 +85,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StartedAttempt:
+class LastAttempt:
     """The last attempt of a request, by its number within the request."""
 
     number: int
@@ -93,12 +93,12 @@
 
 
 @dataclass(slots=True)
-class OpenRequest:
+class RequestRecord:
     """A request that its owner has not finished; ``received`` is None for a resumed connection."""
 
     owner: RequestOwner
     received: RequestReceived | None = None
-    last_attempt: StartedAttempt | None = None
+    last_attempt: LastAttempt | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -114,11 +114,11 @@
 
     def __init__(self, config: Config, clock: Clock, outlets: Outlets) -> None:
         super().__init__("dispatcher")
-        self.settings = config.settings
-        self.clock = clock
+        self._settings = config.settings
+        self._clock = clock
         self.endpoints: dict[str, Endpoint] = {}  # by backend
         self._addresses: dict[str, Address] = {}  # by backend; also of those that have left the list
-        self._requests: dict[str, OpenRequest] = {}
+        self._requests: dict[str, RequestRecord] = {}  # by id, until their owners finish
         self._known_endpoints = config.known  # from before the start
         self._outlets = outlets
         self._seed = config.seed
@@ -182,32 +182,32 @@
         if request in self._requests:  # ids are new with every connection
             message.owner.send(FailRequest(request))
             return
-        self._requests[request] = OpenRequest(message.owner, message.event)
+        self._requests[request] = RequestRecord(message.owner, message.event)
         self._handle(message.event)
 
     def _resume_connection(self, message: ResumedConnection) -> None:
         request = message.event.request
-        self._requests.setdefault(request, OpenRequest(message.owner))
+        self._requests.setdefault(request, RequestRecord(message.owner))
         self._monitor.add(message.event)
         self._handle(message.event)
         if self._monitor.is_draining:
             self._migrate(request)
 
     def _finish_request(self, message: RequestFinished) -> None:
-        open_request = self._requests.get(message.request)
-        if open_request is not None and open_request.owner is message.owner:
+        record = self._requests.get(message.request)
+        if record is not None and record.owner is message.owner:
             del self._requests[message.request]
             self._monitor.remove(message.request)
 
     def _establish_connection(self, event: ConnectionEstablished) -> None:
-        open_request = self._requests.get(event.request)
-        if open_request is not None and open_request.received and open_request.last_attempt:
-            received = open_request.received
+        record = self._requests.get(event.request)
+        if record is not None and record.received and record.last_attempt:
+            received = record.received
             self._monitor.add(
                 ConnectionResumed(
                     event.request,
                     received.request_class,
-                    open_request.last_attempt.backend,
+                    record.last_attempt.backend,
                     received.tenant,
                     received.load_hint,
                     received.group,
@@ -220,9 +220,9 @@
     def _finish_attempt(self, event: AttemptFinished) -> None:
         if event.final:
             self._monitor.remove(event.request)
-        open_request = self._requests.get(event.request)
-        if open_request is not None and open_request.last_attempt is not None:
-            self._summary.count_attempt(open_request.last_attempt.backend, event.status)
+        record = self._requests.get(event.request)
+        if record is not None and record.last_attempt is not None:
+            self._summary.count_attempt(record.last_attempt.backend, event.status)
         self._handle(event)
 
     def _update_endpoints(self, kind: EndpointUpdateKind, update: EndpointUpdate | None) -> None:
@@ -244,7 +244,7 @@
     def backend_gauges(self) -> dict[str, int]:
         """Backends in the list, and those of them that the balancer avoids now (draining or ejected)."""
         listed = [e.backend for e in self.endpoints.values() if e.state is not BackendState.REMOVED]
-        reports = self._balancer.backend_reports(self.clock.now())
+        reports = self._balancer.backend_reports(self._clock.now())
         avoided = {report.backend for report in reports if report.is_avoided}
         return {
             "targets": len(listed),
@@ -253,7 +253,7 @@
 
     def shared_state_gauges(self) -> dict[str, int]:
         """What this proxy knows of the other proxies of its tier."""
-        now, shared_state = self.clock.now(), self._balancer.shared_state
+        now, shared_state = self._clock.now(), self._balancer.shared_state
         backends = self._balancer.backend_names()
         connections = sum(shared_state.fleet_connections(now, backend) for backend in backends)
         return {
@@ -268,7 +268,7 @@
 
     def _check(self) -> None:
         self._monitor.check()
-        now = self.clock.now()
+        now = self._clock.now()
         if now - self._last_summary >= SUMMARY_INTERVAL_SECONDS:
             self._last_summary = now
             self._write_summary(now)
@@ -290,7 +290,7 @@
 
     def _decide(self, event: Event) -> list[Action]:
         try:
-            return self._balancer.handle(self.clock.now(), event)
+            return self._balancer.handle(self._clock.now(), event)
         except Exception:
             log.exception("balancer failed", event_type=type(event).__name__)
             return self._replace_balancer()
@@ -301,12 +301,12 @@
         Requests that wait are failed. A new balancer is given the endpoint list and all established
         connections, as if the program had just started.
         """
-        for request, open_request in self._requests.items():
+        for request, record in self._requests.items():
             if request not in self._monitor.established:
-                open_request.owner.send(FailRequest(request))
+                record.owner.send(FailRequest(request))
         self._seed += 1
-        self._balancer = Balancer(self.settings, self._seed)
-        now = self.clock.now()
+        self._balancer = Balancer(self._settings, self._seed)
+        now = self._clock.now()
         endpoints = EndpointsUpdated(EndpointUpdateKind.CACHED, tuple(self.endpoints.values()))
         try:
             actions = self._balancer.handle(now, endpoints)
@@ -342,9 +342,9 @@
                 log.info("balancer", text=text)
 
     def _send_to_owner(self, request: str, message: ConnectionMessage) -> None:
-        open_request = self._requests.get(request)
-        if open_request is not None:
-            open_request.owner.send(message)
+        record = self._requests.get(request)
+        if record is not None:
+            record.owner.send(message)
 
     def _migrate(self, request: str) -> None:
         """It is monitored no longer from here on, so that it is migrated once."""
@@ -353,20 +353,20 @@
 
     def _start_attempt(self, action: StartAttempt) -> None:
         request, backend = action.request, action.backend
-        open_request = self._requests.get(request)
-        if open_request is None:  # its client left a moment ago
+        record = self._requests.get(request)
+        if record is None:  # its client left a moment ago
             self._summary.count_attempt(backend, AttemptStatus.NOT_SENT)
             self.send(AttemptFinished(request, 0, AttemptStatus.NOT_SENT, 0.0, True))
             return
-        last = open_request.last_attempt
+        last = record.last_attempt
         number = 0 if last is None else last.number + 1
-        open_request.last_attempt = StartedAttempt(number, backend)
+        record.last_attempt = LastAttempt(number, backend)
         address = self._addresses.get(backend)
-        open_request.owner.send(BeginAttempt(request, backend, number, action.timeout, address))
+        record.owner.send(BeginAttempt(request, backend, number, action.timeout, address))
 
     def _start_health_check(self, backend: str) -> None:
         HealthCheck(
-            backend, self._addresses.get(backend), self.settings.reports_load, self.clock, self.send
+            backend, self._addresses.get(backend), self._settings.reports_load, self._clock, self.send
         ).start()
 
 
--- a/saltcourse/proxy/opening.py
+++ b/saltcourse/proxy/opening.py
@@ -27,8 +27,8 @@
 
 FIRST_LINE_TIMEOUT_SECONDS = 2.0  # for a whole first line; clients send it at once
 PING_TIMEOUT_SECONDS = 30.0  # that a connection which only sent PINGs may rest between two of them
-CLOSE_TIMEOUT_SECONDS = 0.25  # for a client that sent no request to end its side after ours
-SHED_CLOSE_TIMEOUT_SECONDS = 0.1  # in a crowd its descriptor is wanted sooner
+HALF_CLOSE_SECONDS = 0.25  # for a client that sent no request to end its side after ours
+SHED_HALF_CLOSE_SECONDS = 0.1  # in a crowd its descriptor is wanted sooner
 UNREAD_GRACE_SECONDS = 0.05  # for a line whose bytes have come in the very moment in which its time is up
 
 
@@ -63,7 +63,7 @@
         self._set_timeout(FIRST_LINE_TIMEOUT_SECONDS)
         while (line := await self._next_line()) is not None and word_of(line) == PING:
             if not self._context.may_answer_ping():
-                self.close_side()
+                self.half_close()
                 continue
             await self._stream.write(PONG_LINE)
             self._context.pending.touch(self)
@@ -109,7 +109,7 @@
 
     # ---- its end without a request ----------------------------------------------------------------
 
-    def close_side(self, timeout: float = CLOSE_TIMEOUT_SECONDS) -> None:
+    def half_close(self, timeout: float = HALF_CLOSE_SECONDS) -> None:
         """End our side, and read on to the client's end for at most ``timeout`` s."""
         if self._is_finished or self._is_closing:
             return
@@ -120,7 +120,7 @@
 
     def shed(self) -> None:
         """Others need its place and it has sent no request."""
-        self.close_side(SHED_CLOSE_TIMEOUT_SECONDS)
+        self.half_close(SHED_HALF_CLOSE_SECONDS)
 
     def drop(self) -> None:
         """Close it now."""
@@ -149,7 +149,7 @@
         elif self._stream.buffer.has_data and loop.time() < self._partial_line_deadline:
             self._timer = loop.call_at(self._partial_line_deadline, self._on_timeout)
         else:
-            self.close_side()
+            self.half_close()
 
     def _cancel_timer(self) -> None:
         if self._timer is not None:
--- a/saltcourse/proxy/request_attempts.py
+++ b/saltcourse/proxy/request_attempts.py
@@ -71,6 +71,10 @@
                 AttemptFinished(begun.request, begun.attempt, status, self.elapsed(), final)
             )
 
+    def drop_outcome(self) -> None:
+        """Report nothing: the balancer does not know of an attempt to resume a connection."""
+        self.unreported = None
+
     def report_not_sent(self, message: BeginAttempt) -> None:
         """Tell the balancer that an attempt came too late to begin."""
         self._context.send_to_dispatcher(
--- a/tests/proxy/test_draining.py
+++ b/tests/proxy/test_draining.py
@@ -14,6 +14,7 @@
 import pytest
 
 from saltcourse.balancing.settings import RequestClass
+from saltcourse.proxy import draining
 from saltcourse.proxy.draining import (
     ANSWER_MARGIN_SECONDS,
     KILL_MARGIN_SECONDS,
@@ -97,6 +98,29 @@
     asyncio.run(play())
 
 
+def test_half_a_line_is_waited_for_longer_than_silence(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The proxy drained while a client's OPEN line was half here.
+
+    A silent client is closed early in a drain. One that has begun its request is waited for to the last
+    moment at which an answer can still be sent.
+    """
+    monkeypatch.setattr(draining, "SILENT_TIMEOUT_SECONDS", 0.0)
+
+    async def play() -> None:
+        async with RunningProxy(request_class=SHORT) as proxy:
+            client = await proxy.client()
+            await client.send("OPEN a b c=qu", b"")
+            await wait_until(lambda: client.connection.stream.buffer.has_data)
+            silent = await proxy.client()
+            proxy.server.leave.set()
+            await silent.sees("end")
+            await client.send("ick,d=900", b"\r\n")
+            backend = await proxy.accept()
+            assert (await backend.line()).startswith("OPEN a b")
+
+    asyncio.run(play())
+
+
 def test_a_late_request_with_a_long_deadline_is_answered_before_the_proxy_exits() -> None:
     """The rest of a request came while the proxy was leaving, with a deadline after its end.
 
