--- a/saltcourse/balancing/response_latency.py
+++ b/saltcourse/balancing/response_latency.py
@@ -6,10 +6,10 @@
 Two sources are read:
 
 1. Real backends send their latency, where they send any, as a ``LOAD X`` line like that of a load, and only
-   the size of the figure tells which it is. Read as a load it makes a crowded backend look empty.
+   the size of the figure shows which it is. Read as a load it makes a crowded backend look empty.
 2. The time from a client's line to the backend's next line. A line that has not been answered yet has taken
    at least its age. A backend whose echo does not queue behind its work shows nothing by that while it is
-   merely crowded; one that hangs leaves lines unanswered, and their age tells of it.
+   merely crowded; one that hangs leaves lines unanswered, and their age shows it.
 
 Costs: ``silent_connections``, ``hung_backends`` and ``latency_reports`` walk over all connections.
 """
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _LatencyLine:
-    """The last ``LOAD`` line of a backend that told a latency."""
+    """The last ``LOAD`` line of a backend that carried a latency."""
 
     received: float = 0.0
     milliseconds: float = 0.0
@@ -82,7 +82,7 @@
             self.round_trips.setdefault(backend, []).append(now - sent)
 
     def latency_of_load_line(self, request: str, figure: float, now: float) -> float | None:
-        """The latency (s) that the figure of a ``LOAD`` line tells; None when it tells a load.
+        """The latency (s) in a ``LOAD`` line, by its figure; None when the figure is a load.
 
         A backlog grows by no more than a second of work per second, so the first latency line of a spell
         is short; only after such a one may a longer latency be meant by a figure that could be a small load.
--- a/saltcourse/codec/__init__.py
+++ b/saltcourse/codec/__init__.py
@@ -1,1 +1,1 @@
-"""Parsers and writers of what goes over sockets. Pure: no sockets, no clock, no log."""
+"""Parsers and encoders of what goes over sockets. Pure: no sockets, no clock, no log."""
--- a/saltcourse/codec/lines.py
+++ b/saltcourse/codec/lines.py
@@ -212,12 +212,12 @@
 
 
 def busy_line(retry_after: float) -> bytes:
-    """A rejection; the client is told in whole milliseconds when to come again (``retry_after`` in s)."""
+    """A rejection; its Retry-After goes out in whole milliseconds (``retry_after`` in s)."""
     return b"BUSY %d\r\n" % round(retry_after * 1000) if retry_after > 0 else b"BUSY\r\n"
 
 
 def word_of(line: memoryview) -> bytes:
-    """The first word of a line, which tells what the line is."""
+    """The first word of a line, by which its kind is known."""
     return bytes(line[:-2]).split(b" ", 1)[0]
 
 
--- a/saltcourse/proxy/attempt.py
+++ b/saltcourse/proxy/attempt.py
@@ -97,7 +97,7 @@
         self._given_up = False
 
     async def run(self) -> None:
-        """Make the attempt, relay its connection, and tell the owner how it ended."""
+        """Make the attempt, relay its connection, and notify the owner how it ended."""
         outcome = await self._attempt()
         status = outcome.status
         if self._given_up:
@@ -153,9 +153,7 @@
             while (line := await stream.next_line()) is not None:
                 if parse_load(line) is None:
                     break
-                self._owner.backend_line_received(
-                    line
-                )  # a backend that tells the load before it has answered
+                self._owner.backend_line_received(line)  # LOAD may come before the answer
             return line
 
     def _outcome_of_failure(self, error: Exception) -> AttemptOutcome:
--- a/saltcourse/proxy/client_connection.py
+++ b/saltcourse/proxy/client_connection.py
@@ -1,6 +1,6 @@
 """One client connection, from its acceptance to its end: one actor for each.
 
-It reads the request, hands it to the dispatcher, makes the attempts that it is told to, and sees to it that
+It reads the request, hands it to the dispatcher, makes the attempts that it is given, and sees to it that
 exactly one final answer goes out in time. Once UP is passed on, lines go both ways until one side ends.
 
 States, and what moves a connection between them:
@@ -17,7 +17,7 @@
     ClientClosed          the attempt is given up             the backend's side ends the same way
     RejectRequest         BUSY, end                           -
     FailRequest           ERR, end                            -
-    AbandonRequest        ERR, end; the balancer is told      -
+    AbandonRequest        ERR, end; the balancer is notified  -
     MigrateConnection     -                                   MOVE, end
 
 Rules:
@@ -231,7 +231,7 @@
             await self.stream.write(line)
 
     def backend_line_received(self, line: memoryview) -> None:
-        """Tell the dispatcher of a backend's line, or of the load that it tells."""
+        """Notify the dispatcher of a backend's line, or of the load in it."""
         load = parse_load(line)
         if load is None:
             self.context.send_to_dispatcher(LineReceived(self.request, self.context.clock.now()))
@@ -305,7 +305,7 @@
             return
         self.state = ConnectionState.ESTABLISHED
         self.context.metrics.count_reply(self.opened.request_class, "success")
-        with contextlib.suppress(ConnectionLostError):  # the reader tells of it
+        with contextlib.suppress(ConnectionLostError):  # the reader reports it
             await self.stream.write(line)
         if self.opened.resume_backend:
             self.context.send_to_dispatcher(ResumedConnection(self, connection_resumed(self.opened)))
--- a/saltcourse/proxy/connection_context.py
+++ b/saltcourse/proxy/connection_context.py
@@ -57,7 +57,7 @@
 
 @dataclass(slots=True)
 class ConnectionContext:
-    """The callbacks ask and tell the rest of the program; ``answer_deadline`` is on the clock (s)."""
+    """The callbacks reach the rest of the program; ``answer_deadline`` is on the clock (s)."""
 
     settings: Settings
     request_classes: frozenset[str]  # their names in the settings
--- a/saltcourse/proxy/connection_monitor.py
+++ b/saltcourse/proxy/connection_monitor.py
@@ -83,7 +83,7 @@
         self._meter.line_received(request, time)
 
     def latency_of_load_line(self, request: str, figure: float) -> float | None:
-        """The latency (s) that a LOAD line tells by its figure; None when it tells a load."""
+        """The latency (s) in a LOAD line, by its figure; None when the figure is a load."""
         return self._meter.latency_of_load_line(request, figure, self._clock.now())
 
     def start_draining(self, begin: float, end: float) -> None:
@@ -126,7 +126,7 @@
             self._report(ResponseLatencyMeasured(report.request, report.latency))
 
     def _migrate_due(self) -> None:
-        """Migrate what the drain schedule says is due; its times are the loop's, as the checks are."""
+        """Migrate what is due by the drain schedule; its times are the loop's, as the checks are."""
         if self._drain_schedule is None:
             return
         now = asyncio.get_running_loop().time()
--- a/saltcourse/proxy/discovery_client.py
+++ b/saltcourse/proxy/discovery_client.py
@@ -7,7 +7,7 @@
 
 Rules:
 
-1. A watch goes on by itself while it is answered. Its first failure ends it; the balancer says when to begin
+1. A watch goes on by itself while it is answered. Its first failure ends it; the balancer asks for
    another.
 2. A watch that falls silent is no failure: the whole list is fetched in its place at once.
 3. Versions only go forward. An answer older than what is known when it comes is late and dropped; one older
@@ -100,7 +100,7 @@
         task.add_done_callback(self._calls.discard)
 
     def _change_address(self, address: Address) -> None:
-        """Calls at the old address are cancelled: a late answer would undo what the new one has told."""
+        """Calls at the old address are cancelled: a late answer would undo what the new one has sent."""
         for task in self._calls:
             task.cancel()
         self._address = address
@@ -152,7 +152,7 @@
         """Hand on an update; ``version_asked`` is the version that was known when its call was made.
 
         An answer under the version known now, but not under that one, is late: another call's answer crossed
-        it and must not be undone. One under both is of a discovery that began anew, and counts; if it tells
+        it and must not be undone. One under both is of a discovery that began anew, and counts; if it has
         changes only, there is a whole list behind it that has to be fetched.
         """
         if version_asked <= update.version < self._version:
--- a/saltcourse/proxy/dispatcher.py
+++ b/saltcourse/proxy/dispatcher.py
@@ -1,6 +1,6 @@
 """The actor that alone owns the balancer: it hands events in, carries out actions and sets timers.
 
-It knows no protocol. Whoever brings a request is a ``RequestOwner``, told what to do by its mailbox:
+It knows no protocol. Whoever brings a request is a ``RequestOwner``, which takes messages in its mailbox:
 
     message ──► event ──► Balancer.handle ──► actions ──► owners, health checks, discovery, peers, timers
 
--- a/saltcourse/proxy/peer_link.py
+++ b/saltcourse/proxy/peer_link.py
@@ -47,7 +47,7 @@
         self._on_message(PeerMessageReceived(sender, data.decode("ascii")))
 
     def error_received(self, exc: Exception) -> None:
-        """A peer's machine refused a datagram: that peer is down, which its silence tells as well."""
+        """A peer's machine refused a datagram: that peer is down, which its silence shows as well."""
 
     def send_message(self, action: SendPeerMessage) -> None:
         """Send to one peer or to all; nothing is sent before ``open`` or over the size of a message."""
--- a/saltcourse/proxy/pending_connections.py
+++ b/saltcourse/proxy/pending_connections.py
@@ -35,6 +35,7 @@
         self._closing: dict[PendingConnection, None] = {}  # their descriptors come back in a moment
 
     def __len__(self) -> int:
+        """Pending connections; not those that are closing."""
         return len(self._pending)
 
     def touch(self, connection: PendingConnection) -> None:
--- a/saltcourse/proxy/request_attempts.py
+++ b/saltcourse/proxy/request_attempts.py
@@ -22,7 +22,7 @@
 
     def __init__(self, context: ConnectionContext) -> None:
         self.current: BackendAttempt | None = None
-        self.unreported: BeginAttempt | None = None  # whose outcome the balancer has not been told
+        self.unreported: BeginAttempt | None = None  # whose outcome the balancer does not know yet
         self._context = context
 
     def begin(self, owner: AttemptOwner, message: BeginAttempt, opened: OpenRequest, deadline: float) -> None:
--- a/saltcourse/proxy/request_events.py
+++ b/saltcourse/proxy/request_events.py
@@ -1,4 +1,4 @@
-"""What the balancer is told of a request, made from its OPEN line."""
+"""What the balancer learns of a request, made from its OPEN line."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from saltcourse.codec.lines import OpenRequest
 
 MIN_TIME_LEFT_SECONDS = 0.001
-RESUME_TIMEOUT_SECONDS = 40.0  # for a connection to be resumed; its `d` says over an hour
+RESUME_TIMEOUT_SECONDS = 40.0  # for a connection to be resumed; its `d` is over an hour
 
 
 def time_left_for_answer(opened: OpenRequest, program_time_left: float) -> float:
--- a/saltcourse/proxy/server.py
+++ b/saltcourse/proxy/server.py
@@ -139,7 +139,7 @@
     # ---- phases -----------------------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Serve until told to leave; returns when every connection has ended or time is up.
+        """Serve until SIGTERM; returns when every connection has ended or time is up.
 
         Raises ``ListenError``.
         """
@@ -271,7 +271,7 @@
     # ---- the configuration ------------------------------------------------------------------------
 
     def reload(self) -> None:
-        """Take over what a changed configuration file says; established connections are left as they are.
+        """Put a changed configuration file in force; established connections are left as they are.
 
         The same in every phase: a program that drains has to learn of its backends as well.
         """
@@ -306,7 +306,7 @@
     # ---- what operators ask at the admin address --------------------------------------------------
 
     def ready(self) -> bool:
-        """It can serve: it listens, has not been told to leave or to empty, and knows backends."""
+        """Whether it can serve: it listens, neither drains nor is in lameduck, and knows backends."""
         return self.phase is Phase.SERVING and bool(self.dispatcher.endpoints)
 
     def lameduck(self, on: bool) -> bool:
