--- a/saltcourse/proxy/request_attempts.py
+++ b/saltcourse/proxy/request_attempts.py
@@ -22,7 +22,7 @@
 
     def __init__(self, context: ConnectionContext) -> None:
         self.current: BackendAttempt | None = None
-        self.unreported: BeginAttempt | None = None  # whose outcome the balancer has not been told
+        self.unreported: BeginAttempt | None = None  # whose outcome the balancer does not know yet
         self._context = context
 
     def begin(self, owner: AttemptOwner, message: BeginAttempt, opened: OpenRequest, deadline: float) -> None:
@@ -71,6 +71,10 @@
                 AttemptFinished(begun.request, begun.attempt, status, self.elapsed(), final)
             )
 
+    def drop_outcome(self) -> None:
+        """Report nothing: the balancer does not know of an attempt to resume a connection."""
+        self.unreported = None
+
     def report_not_sent(self, message: BeginAttempt) -> None:
         """Tell the balancer that an attempt came too late to begin."""
         self._context.send_to_dispatcher(
