--- a/saltcourse/simulator_adapter.py
+++ b/saltcourse/simulator_adapter.py
@@ -81,7 +81,6 @@
 TOPIC_LATENCY = 2  # its value is in milliseconds
 MICROSECONDS = 1e-6  # s
 MILLISECONDS = 1e-3  # s
-ALL_PEERS = "all"
 EXIT_MALFORMED = 2
 
 
@@ -290,7 +289,7 @@
     return {
         "msg": "say",
         "node": node,
-        "peer": ALL_PEERS if action.peer is None else action.peer,
+        "peer": "all" if action.peer is None else action.peer,
         "data": action.data,
     }
 
@@ -332,10 +331,9 @@
 
 
 class Adapter:
-    """All instances of this process, told apart by number."""
+    """All instances of this process by their numbers; ``hello`` starts one, ``detach`` ends it."""
 
     def __init__(self) -> None:
-        """Begin without instances; ``hello`` starts one."""
         self._instances: dict[int, Instance] = {}
 
     def reply(self, line: bytes) -> bytes:
--- a/tests/balancing/test_balancer.py
+++ b/tests/balancing/test_balancer.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+import pytest
+
 from saltcourse.balancing.balancer import Balancer
 from saltcourse.balancing.events import (
     AttemptFinished,
@@ -10,8 +12,10 @@
     ConnectionEstablished,
     ConnectionLoadChanged,
     HealthCheckFinished,
+    RequestReceived,
     ResponseLatencyMeasured,
 )
+from saltcourse.shared_state.state import SharedState
 from tests.balancing.balancer_host import BalancerHost, members, settings
 
 
@@ -41,3 +45,23 @@
         HealthCheckFinished("x", AttemptStatus.OK),
     ):
         assert balancer.handle(1.0, event) == []
+
+
+def test_an_event_that_raises_leaves_no_actions_behind(monkeypatch: pytest.MonkeyPatch) -> None:
+    # A fault ends an event after it has decided on an attempt. That attempt must not be started with the
+    # actions of the next event.
+    host = BalancerHost()
+    host.update_endpoints(members(1))
+    with monkeypatch.context() as fault, pytest.raises(ZeroDivisionError):
+        fault.setattr(SharedState, "outgoing_messages", lambda *_: 1 / 0)
+        host.balancer.handle(host.now, RequestReceived("x", "quick", 1.0))
+    assert host.balancer.handle(host.now, ClientDisconnected("nobody")) == []
+
+
+def test_the_actions_of_an_event_are_not_changed_by_the_next_one() -> None:
+    host = BalancerHost()
+    host.update_endpoints(members(1))
+    actions = host.balancer.handle(host.now, RequestReceived("x", "quick", 1.0))
+    before = list(actions)
+    host.balancer.handle(host.now, RequestReceived("y", "quick", 1.0))
+    assert actions == before
