--- a/tests/proxy/test_connection_monitor.py
+++ b/tests/proxy/test_connection_monitor.py
@@ -3,20 +3,10 @@
 from __future__ import annotations
 
 import asyncio
-from typing import Any
-
 from saltcourse.balancing.events import ConnectionResumed, ResponseLatencyMeasured
 from saltcourse.balancing.response_latency import SILENT_AFTER_SECONDS, ResponseLatencyMeter
 from saltcourse.proxy.connection_monitor import CHECK_INTERVAL_SECONDS, ConnectionMonitor
-
-
-class ManualClock:
-    """A clock that a test sets."""
-
-    time = 100.0
-
-    def now(self) -> float:
-        return self.time
+from tests.proxy.manual_clock import ManualClock
 
 
 class Monitored:
@@ -26,9 +16,8 @@
         self.clock = ManualClock()
         self.migrated: list[str] = []
         self.reports: list[ResponseLatencyMeasured] = []
-        clock: Any = self.clock
         meter = ResponseLatencyMeter(slow=0.02)
-        self.monitor = ConnectionMonitor(meter, clock, self.migrate, self.reports.append)
+        self.monitor = ConnectionMonitor(meter, self.clock, self.migrate, self.reports.append)
         for request, backend in connections.items():
             self.monitor.add(ConnectionResumed(request, "quick", backend))
 
--- /dev/null
+++ b/tests/proxy/test_listener.py
@@ -0,0 +1,79 @@
+"""The listener for clients: descriptors, inherited sockets, and addresses that cannot be had."""
+
+from __future__ import annotations
+
+import asyncio
+import os
+import socket
+
+import pytest
+from structlog.testing import capture_logs
+
+from saltcourse.proxy.descriptors import OWN_DESCRIPTORS, DescriptorLimit
+from saltcourse.proxy.errors import ListenError
+from saltcourse.proxy.listener import ClientListener
+from saltcourse.proxy.pending_connections import PendingConnections
+from saltcourse.proxy.stream import SocketStream
+from tests.proxy.running_proxy import run_loop_turns, wait_until
+
+
+def listener_with(limit: DescriptorLimit, accepted: list[socket.socket]) -> ClientListener:
+    return ClientListener(limit, PendingConnections(limit.for_connections), accepted.append)
+
+
+def test_accepting_pauses_without_descriptors_and_goes_on_when_there_are_some() -> None:
+    """Clients connected while every descriptor was taken.
+
+    They wait in the backlog. The listener must neither spin on them nor log each try.
+    """
+
+    async def play() -> None:
+        accepted: list[socket.socket] = []
+        limit = DescriptorLimit(OWN_DESCRIPTORS + SocketStream.open_count)
+        listener = listener_with(limit, accepted)
+        listener.open(("127.0.0.1", 0), None)
+        clients = [socket.create_connection(listener.address()) for _ in range(3)]
+        with capture_logs() as logs:
+            await asyncio.sleep(0.2)  # several pauses
+            assert not accepted
+            assert [entry["event"] for entry in logs] == ["accepting paused"]
+            limit.limit += 10
+            await wait_until(lambda: len(accepted) == 3)
+        listener.close(accept_waiting=False)
+        for sock in (*accepted, *clients):
+            sock.close()
+
+    asyncio.run(play())
+
+
+@pytest.mark.parametrize("accept_waiting", [True, False])
+def test_what_waits_is_accepted_before_the_close_only_where_the_socket_is_not_shared(
+    accept_waiting: bool,
+) -> None:
+    async def play() -> None:
+        accepted: list[socket.socket] = []
+        shared = socket.create_server(("127.0.0.1", 0))
+        listener = listener_with(DescriptorLimit(512), accepted)
+        listener.open(("127.0.0.1", 0), os.dup(shared.fileno()))
+        client = socket.create_connection(shared.getsockname())
+        listener.close(accept_waiting)  # before the loop had a turn
+        await run_loop_turns()
+        assert len(accepted) == accept_waiting
+        if not accept_waiting:  # left to the other process, which shares the socket
+            shared.setblocking(False)
+            accepted.append(shared.accept()[0])
+        for sock in (*accepted, client, shared):
+            sock.close()
+
+    asyncio.run(play())
+
+
+def test_an_address_that_cannot_be_had_names_the_key_of_the_configuration() -> None:
+    async def play() -> None:
+        listener = listener_with(DescriptorLimit(512), [])
+        with socket.create_server(("127.0.0.1", 0)) as taken, pytest.raises(ListenError, match="'listen'"):
+            listener.open(taken.getsockname(), None)
+        with socket.socket() as not_listening, pytest.raises(ListenError, match="EDGE_LISTEN_FD"):
+            listener.open(("127.0.0.1", 0), not_listening.fileno())
+
+    asyncio.run(play())
