--- a/saltcourse/proxy/attempt.py
+++ b/saltcourse/proxy/attempt.py
@@ -60,7 +60,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AttemptRequest:
+class AttemptSpec:
     """What an attempt is to do: send ``open_line`` to the backend and wait for its answer.
 
     ``timeout`` is for the whole attempt up to the answer, ``connect_timeout`` for its connect alone (s).
@@ -85,15 +85,15 @@
 class BackendAttempt(Actor[None]):
     """Runs one attempt for its owner."""
 
-    def __init__(self, owner: AttemptOwner, clock: Clock, request: AttemptRequest) -> None:
-        super().__init__(f"attempt at {request.backend}")
-        self.number, self.backend = request.number, request.backend
+    def __init__(self, owner: AttemptOwner, clock: Clock, spec: AttemptSpec) -> None:
+        super().__init__(f"attempt at {spec.backend}")
+        self.number, self.backend = spec.number, spec.backend
         self.started = clock.now()
         self.stream: SocketStream | None = None
         self.may_relay = asyncio.Event()  # the owner has passed UP on, and lines may follow
         self.is_muted = False  # the client was sent MOVE: nothing may follow that
         self._owner = owner
-        self._request = request
+        self._spec = spec
         self._given_up = False
 
     async def run(self) -> None:
@@ -121,12 +121,12 @@
         Which coroutine learned of that first says nothing: a time-out or a reset may cross the end of a write
         that went in parts.
         """
-        return self.stream is not None and self.stream.bytes_sent >= len(self._request.open_line)
+        return self.stream is not None and self.stream.bytes_sent >= len(self._spec.open_line)
 
     async def _attempt(self) -> AttemptOutcome:
         if self._given_up or not self._owner.wants_answer():  # before this coroutine had its first turn
             return AttemptOutcome(AttemptStatus.NOT_SENT)
-        address = self._request.address
+        address = self._spec.address
         if address is None:
             return AttemptOutcome(AttemptStatus.CONNECT_FAILED)
         try:
@@ -144,12 +144,12 @@
 
     async def _request_answer(self, stream: SocketStream, address: Address) -> memoryview | None:
         """Connect, send the OPEN line and wait for the answer; None where the backend ends without one."""
-        async with asyncio.timeout(self._request.timeout):
-            async with asyncio.timeout(self._request.connect_timeout):
+        async with asyncio.timeout(self._spec.timeout):
+            async with asyncio.timeout(self._spec.connect_timeout):
                 await stream.connect(address)
             if not self._owner.wants_answer():  # a connection may come up long after it was asked for
                 raise AttemptAbandonedError
-            await stream.write(self._request.open_line)
+            await stream.write(self._spec.open_line)
             while (line := await stream.next_line()) is not None:
                 if parse_load(line) is None:
                     break
--- a/saltcourse/proxy/request_attempts.py
+++ b/saltcourse/proxy/request_attempts.py
@@ -8,7 +8,7 @@
 
 from saltcourse.balancing.events import AttemptFinished, AttemptStatus
 from saltcourse.codec.lines import OpenRequest
-from saltcourse.proxy.attempt import AttemptOwner, AttemptRequest, BackendAttempt
+from saltcourse.proxy.attempt import AttemptOwner, AttemptSpec, BackendAttempt
 from saltcourse.proxy.connection_context import ConnectionContext
 from saltcourse.proxy.messages import BeginAttempt
 
@@ -29,7 +29,7 @@
         """Start an attempt for ``owner``; the answer is due at ``deadline`` (s, on the clock)."""
         timeout = self._timeout(message, deadline)
         self.unreported = message
-        request = AttemptRequest(
+        spec = AttemptSpec(
             message.attempt,
             message.backend,
             message.address,
@@ -37,7 +37,7 @@
             max(0.0, timeout),
             self._context.settings.connect_timeout,
         )
-        self.current = BackendAttempt(owner, self._context.clock, request)
+        self.current = BackendAttempt(owner, self._context.clock, spec)
         self.current.start()
 
     def _timeout(self, message: BeginAttempt, deadline: float) -> float:
--- a/tests/proxy/test_attempt.py
+++ b/tests/proxy/test_attempt.py
@@ -9,7 +9,7 @@
 import pytest
 
 from saltcourse.balancing.events import AttemptStatus
-from saltcourse.proxy.attempt import AttemptRequest, BackendAttempt
+from saltcourse.proxy.attempt import AttemptSpec, BackendAttempt
 from saltcourse.proxy.clock import Clock
 from tests.proxy.exchange_player import listen
 from tests.proxy.running_proxy import nothing_connected, write_open_line_in_parts
@@ -40,8 +40,8 @@
 
 def attempt_at(listener: socket.socket, owner: RecordingOwner, seconds: float) -> BackendAttempt:
     line = b"OPEN a b c=quick,d=900\r\n"
-    request = AttemptRequest(0, "s0", listener.getsockname(), line, seconds, 1.0)
-    return BackendAttempt(owner, Clock(), request)
+    spec = AttemptSpec(0, "s0", listener.getsockname(), line, seconds, 1.0)
+    return BackendAttempt(owner, Clock(), spec)
 
 
 def test_an_attempt_given_up_before_its_first_turn_neither_connects_nor_writes() -> None:
