--- a/saltcourse/balancing/endpoint_list.py
+++ b/saltcourse/balancing/endpoint_list.py
@@ -28,6 +28,7 @@
 
 from saltcourse.balancing.actions import Action, FetchEndpoints, SetTimer, WatchEndpoints
 from saltcourse.balancing.backend_pool import BackendPool
+from saltcourse.balancing.backoff import exponential_backoff
 from saltcourse.balancing.events import BackendState, Endpoint, EndpointsUpdated, EndpointUpdateKind
 from saltcourse.balancing.migration import Migration
 from saltcourse.balancing.settings import MAX_LIST_RETRY_DELAY_SECONDS, DiscoveryMode, Settings
@@ -73,11 +74,8 @@
     def call_failed(self, now: float) -> None:
         """Set the timer of the next call: backoff and call together stay within the poll interval."""
         self._failures += 1
-        backoff = min(
-            self._settings.poll_interval,
-            MAX_LIST_RETRY_DELAY_SECONDS,
-            RETRY_BACKOFF_INITIAL_SECONDS * 2.0**self._failures,
-        )
+        longest = min(self._settings.poll_interval, MAX_LIST_RETRY_DELAY_SECONDS)
+        backoff = exponential_backoff(RETRY_BACKOFF_INITIAL_SECONDS, self._failures, longest)
         elapsed = now - self._called_at
         wait = max(MIN_RETRY_BACKOFF_SECONDS, backoff - elapsed)
         self._set_timer(wait * (0.5 + self._random.random() / 2))
--- a/saltcourse/balancing/outlier_ejection.py
+++ b/saltcourse/balancing/outlier_ejection.py
@@ -34,6 +34,7 @@
 from enum import Enum
 
 from saltcourse.balancing.backend_pool import BackendPool
+from saltcourse.balancing.backoff import exponential_backoff
 from saltcourse.balancing.state import Backend, HealthState, Request
 from saltcourse.shared_state.state import SharedState
 
@@ -151,9 +152,10 @@
     def _eject(self, now: float, backend: Backend) -> None:
         health = backend.health
         health.consecutive_ejections += 1
-        backoff = EJECTION_BACKOFF_INITIAL_SECONDS * 2.0 ** (health.consecutive_ejections - 1)
-        jitter = 0.75 + self._random.random() / 2
-        health.ejected_until = now + min(EJECTION_BACKOFF_MAX_SECONDS, backoff) * jitter
+        backoff = exponential_backoff(
+            EJECTION_BACKOFF_INITIAL_SECONDS, health.consecutive_ejections - 1, EJECTION_BACKOFF_MAX_SECONDS
+        )
+        health.ejected_until = now + backoff * (0.75 + self._random.random() / 2)
         self._shared_state.announce_ejection(backend.name, health.ejected_until)
         if self._zones.record_failure(now, backend.zone):
             self._pool.exclude_zone(backend.zone)
--- a/tests/balancing/test_endpoint_list.py
+++ b/tests/balancing/test_endpoint_list.py
@@ -78,3 +78,14 @@
     assert not on[other] & {
         m.request for m in host.actions(MigrateConnection)
     }  # left out of a complete list: it may be stale
+
+
+def test_discovery_that_stays_away_for_hours_is_called_all_the_same() -> None:
+    # Discovery is down for hours. The backoff's power of two outgrew a float at the 1024th failure, and the
+    # balancer raised OverflowError.
+    host = BalancerHost(discovery_mode=DiscoveryMode.POLLED)
+    host.update_endpoints(members(2), EndpointUpdateKind.CACHED)
+    for _ in range(1100):
+        host.update_endpoints((), EndpointUpdateKind.UNAVAILABLE)
+        host.run(2.0)
+    assert len(host.actions(FetchEndpoints)) + len(host.actions(WatchEndpoints)) >= 1100
--- a/tests/balancing/test_outlier_ejection.py
+++ b/tests/balancing/test_outlier_ejection.py
@@ -7,7 +7,7 @@
 import pytest
 
 from saltcourse.balancing.events import AttemptStatus, Endpoint
-from saltcourse.balancing.outlier_ejection import TRANSITIONS, HealthEvent
+from saltcourse.balancing.outlier_ejection import EJECTION_BACKOFF_MAX_SECONDS, TRANSITIONS, HealthEvent
 from saltcourse.balancing.settings import Tenant
 from saltcourse.balancing.state import HealthState
 from tests.balancing.balancer_host import BalancerHost, members
@@ -106,3 +106,14 @@
         host.run(0.2)
         host.establish(host.request())
     assert Counter(backend for _, backend in host.in_flight.values())["s0"] > 20
+
+
+def test_a_backend_that_stays_dead_for_hours_is_probed_all_the_same() -> None:
+    # A listed backend is dead for hours, and every probe fails. The backoff's power of two outgrew a float at
+    # the 1025th ejection, and the balancer raised OverflowError.
+    host = BalancerHost()
+    host.update_endpoints(members(2))
+    for _ in range(1100):
+        host.fail("s0")
+        host.run(2 * EJECTION_BACKOFF_MAX_SECONDS)
+    assert host.backend("s0").health.state is HealthState.ELIGIBLE
