--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -1,7 +1,7 @@
 """How widely one build swings on given days of the operators' bench: ``python benchmarks/spread.py``.
 
 Plays each day a number of times and prints the lowest, the median and the highest score, the windows in
-which the worst run lost most against the best, and which providers' states differed between the two. The
+which the worst run lost most against the best, and which backends' states differed between the two. The
 last line is one JSON object. It needs the operators' kit, which is not part of the repository, and three
 cores a lane that nothing else uses; each run leaves its snapshot in ``journal/``.
 
@@ -34,7 +34,10 @@
 QUICK_DAYS, QUICK_RUNS = DAYS[:1], 1
 RUN_LIMIT = 180.0  # s for one day, which takes under half a minute
 CORES_A_LANE = 3
-PROVIDER = re.compile(r"event=provider id=(\S+) standing=\d+ occupancy=([\d.]+)/([\d.]+) limits=(\S*)")
+BACKEND_LINE = re.compile(
+    r'event="backend traffic" backend=(\S+) established=\d+ occupancy=([\d.]+)/([\d.]+) limits=(\S*)'
+)
+SUMMARY_LINE = re.compile(r"event=traffic\b")  # ends the block of one proxy's backend lines
 WINDOWS_SHOWN = 4
 
 
@@ -48,23 +51,23 @@
     g: float
     broken: str
     windows: list[tuple[float, float, float]]  # from (s), worth offered, worth served
-    states: dict[str, Counter[str]]  # provider -> how often a sum line told each limit, over all proxies
-    uneven: float  # largest over mean occupancy of a provider, the worst sum line of any proxy
+    states: dict[str, Counter[str]]  # backend -> how often each limit was logged, over all proxies
+    uneven: float  # largest over mean occupancy of a backend, the worst block of any proxy
 
 
 def read_logs(folder: Path) -> tuple[dict[str, Counter[str]], float]:
-    """What the proxies' sum lines say of their providers: limits by provider, and the worst imbalance."""
+    """Limits by backend in the proxies' log lines of their backends, and the worst imbalance."""
     states: dict[str, Counter[str]] = defaultdict(Counter)
     worst = 0.0
     for file in sorted(folder.rglob("*.log")):
         block: list[float] = []
         for line in file.read_text(errors="replace").splitlines():
-            found = PROVIDER.search(line)
+            found = BACKEND_LINE.search(line)
             if found:
                 block.append(float(found[2]))
                 for limit in filter(None, found[4].split(",")):
                     states[found[1]][limit] += 1
-            elif "event=sum" in line:
+            elif SUMMARY_LINE.search(line):
                 if sum(block) > len(block):
                     worst = max(worst, max(block) * len(block) / sum(block))
                 block = []
@@ -156,11 +159,11 @@
             lost.append((there - served, since, served / offered if offered else 1.0))
     for worth, since, share in sorted(lost, reverse=True)[:WINDOWS_SHOWN]:
         click.echo(f"  worst run: from {since:.0f} s it served {share:.1%}, {worth:.0f} less than the best")
-    click.echo(f"  fullest provider over the mean: worst {worst.uneven:.2f}, best {best.uneven:.2f}")
-    for provider in sorted(worst.states.keys() | best.states.keys()):
-        ours, theirs = worst.states.get(provider, Counter()), best.states.get(provider, Counter())
+    click.echo(f"  fullest backend over the mean: worst {worst.uneven:.2f}, best {best.uneven:.2f}")
+    for backend in sorted(worst.states.keys() | best.states.keys()):
+        ours, theirs = worst.states.get(backend, Counter()), best.states.get(backend, Counter())
         if ours != theirs:
-            click.echo(f"  {provider}: worst run {dict(ours) or 'free'}, best run {dict(theirs) or 'free'}")
+            click.echo(f"  {backend}: worst run {dict(ours) or 'free'}, best run {dict(theirs) or 'free'}")
 
 
 @click.command()
