--- a/tests/benchmarks/test_spread.py
+++ b/tests/benchmarks/test_spread.py
@@ -1,4 +1,4 @@
-"""The spread benchmark reads the proxies' log lines: a renamed event or key must not leave it without figures."""
+"""The spread benchmark reads the log lines of proxies: a renamed event or key must not leave it empty."""
 
 from __future__ import annotations
 
