--- a/saltcourse/proxy/client_connection.py
+++ b/saltcourse/proxy/client_connection.py
@@ -3,8 +3,6 @@
 It reads the request, hands it to the dispatcher, makes the attempts that it is given, and sees to it that
 exactly one final answer goes out in time. Once UP is passed on, lines go both ways until one side ends.
 
-States, and what moves a connection between them:
-
     OPENING ──OPEN──► WAITING ──UP──► ESTABLISHED ──► ENDED
        │                 │
        └── see opening   └── BUSY, ERR, the client's end ──► ENDED
@@ -339,11 +337,8 @@
         self.state = ConnectionState.ENDED
         if was_established:
             await self._end_backend(reset)
-        else:
-            self._give_up_request()
-
-    def _give_up_request(self) -> None:
-        if not (self.opened is not None and self.opened.resume_backend):
+            return
+        if self.opened is None or not self.opened.resume_backend:
             self.context.send_to_dispatcher(ClientDisconnected(self.request))
         self._attempts.close()
         self._attempts.report(AttemptStatus.CANCELLED)
@@ -398,8 +393,8 @@
     async def _resume_again(self, opened: OpenRequest, status: AttemptStatus) -> None:
         """There is one backend to go to, and it may only just be starting as well."""
         self._attempts.drop_outcome()
-        time_left = self._deadline - self.context.clock.now()
-        if status not in NEVER_RAN or time_left < 2 * RESUME_RETRY_SECONDS:
+        retry_by = self._deadline - 2 * RESUME_RETRY_SECONDS
+        if status not in NEVER_RAN or self.context.clock.now() > retry_by:
             await self._answer(FAIL_LINE, "error")
             return
         await asyncio.sleep(RESUME_RETRY_SECONDS)
