--- a/saltcourse/balancing/balancer.py
+++ b/saltcourse/balancing/balancer.py
@@ -66,12 +66,6 @@
 )
 
 
-class Sign:
-    """Old name of ``HealthEvent``, until tests/shared_state uses the new one."""
-
-    FAILED = HealthEvent.FAILURE
-
-
 class Balancer:
     """All decisions of one proxy."""
 
@@ -326,13 +320,3 @@
     def _on_peer_message_received(self, now: float, event: PeerMessageReceived) -> None:
         for name in self.shared_state.receive(now, event.sender, event.data):
             self.ejection.record(now, self.pool.backends[name], HealthEvent.PEER_EJECTED)
-
-    # ---- old names, until tests/shared_state uses the new ones -------------------------------------
-
-    @property
-    def servers(self) -> dict[str, Backend]:
-        """The backends of the pool."""
-        return self.pool.backends
-
-    def _sign(self, backend: Backend, event: HealthEvent) -> None:
-        self.ejection.record(self.shared_state.event_at, backend, event)
--- a/tests/balancing/balancer_host.py
+++ b/tests/balancing/balancer_host.py
@@ -135,18 +135,6 @@
         """What the balancer knows of a backend."""
         return self.balancer.pool.backends[name]
 
-    # ---- old names, for the tests of other packages ------------------------------------------------
-
-    give, list, ask, of, server_of = handle, update_endpoints, request, actions, backend_of
-
-    @property
-    def out(self) -> dict[str, tuple[int, str]]:
-        """The old name of ``in_flight``."""
-        return self.in_flight
-
-
-Node = BalancerHost  # the old name, for the tests of other packages
-
 
 def host_with_reports(count: int, **connections: str) -> BalancerHost:
     """A host whose backends report loads; ``s0="aab"``: two connections of group a and one of b are on s0."""
--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -16,7 +16,7 @@
 from saltcourse.proxy import discovery_client
 from saltcourse.proxy.discovery_client import DiscoveryClient
 from saltcourse.proxy.messages import EndpointsReceived
-from tests.balancing.balancer_host import Node, members
+from tests.balancing.balancer_host import BalancerHost, members
 from tests.proxy.exchange_player import RemoteConnection, listen
 from tests.proxy.running_proxy import run_loop_turns, wait_until
 
@@ -144,15 +144,15 @@
 
     The backoff and the next call's turn together must not take longer than a change may stay unknown.
     """
-    node = Node(seed, discovery_mode=DiscoveryMode.POLLED, poll_interval=10.0)
-    node.list(members(2), EndpointUpdateKind.CACHED)
-    calls: Callable[[], int] = lambda: len(node.of(WatchEndpoints)) + len(node.of(FetchEndpoints))  # noqa: E731
+    node = BalancerHost(seed, discovery_mode=DiscoveryMode.POLLED, poll_interval=10.0)
+    node.update_endpoints(members(2), EndpointUpdateKind.CACHED)
+    calls: Callable[[], int] = lambda: len(node.actions(WatchEndpoints)) + len(node.actions(FetchEndpoints))  # noqa: E731
     while not calls():
         node.run(0.05)
     for _ in range(12):
         node.run(refused_after)
         before, failed = calls(), node.now
-        node.give(EndpointsUpdated(EndpointUpdateKind.UNAVAILABLE))
+        node.handle(EndpointsUpdated(EndpointUpdateKind.UNAVAILABLE))
         while calls() == before:
             node.run(0.01)
             assert node.now - failed < CHANGE_KNOWN_WITHIN
--- a/tests/shared_state/test_shared_state.py
+++ b/tests/shared_state/test_shared_state.py
@@ -10,7 +10,6 @@
 import pytest
 
 from saltcourse.balancing.actions import MigrateConnection, SendPeerMessage
-from saltcourse.balancing.balancer import Sign
 from saltcourse.balancing.events import (
     AttemptStatus,
     ClientDisconnected,
@@ -29,7 +28,7 @@
 from saltcourse.shared_state.messages import LeaseGrant
 from saltcourse.shared_state.quota import QuotaLeases
 from saltcourse.shared_state.state import SharedState
-from tests.balancing.balancer_host import Node, members, settings
+from tests.balancing.balancer_host import BalancerHost, members, settings
 from tests.shared_state.simulated_proxies import SILENCE_SECONDS, SimulatedProxies, run_with_faults
 
 
@@ -155,7 +154,7 @@
 def test_a_group_is_placed_where_a_peer_has_it() -> None:
     # Four proxies, each choosing well by itself, had put a group of eight connections on five backends.
     nodes = [
-        Node(
+        BalancerHost(
             reports_load=True,
             health_checks_allowed=True,
             has_groups=True,
@@ -167,60 +166,60 @@
         for i in (0, 1)
     ]
     for node in nodes:
-        node.list(members(6))
+        node.update_endpoints(members(6))
         for i in range(6):
-            node.give(HealthCheckFinished(f"s{i}", AttemptStatus.OK, report=LoadReport(load=0.5)))
-    nodes[0].give(ConnectionResumed("old", "quick", "s4", group="a"))
+            node.handle(HealthCheckFinished(f"s{i}", AttemptStatus.OK, report=LoadReport(load=0.5)))
+    nodes[0].handle(ConnectionResumed("old", "quick", "s4", group="a"))
     nodes[0].run(2.0)
-    for told in nodes[0].of(SendPeerMessage):
-        nodes[1].give(PeerMessageReceived(0, told.data))
-    assert nodes[1].server_of(nodes[1].ask(group="a")) == "s4"
+    for told in nodes[0].actions(SendPeerMessage):
+        nodes[1].handle(PeerMessageReceived(0, told.data))
+    assert nodes[1].backend_of(nodes[1].request(group="a")) == "s4"
 
 
 def test_a_backend_that_a_peer_has_ejected_is_tried_by_one_connection_at_a_time() -> None:
     # Each proxy found a dead backend by itself, by as many connections as it had just sent there.
-    nodes = [Node(peers_allowed=True, proxy_count=2, proxy_index=i, seed=3 + i) for i in (0, 1)]
+    nodes = [BalancerHost(peers_allowed=True, proxy_count=2, proxy_index=i, seed=3 + i) for i in (0, 1)]
     for node in nodes:
-        node.list(members(2))
+        node.update_endpoints(members(2))
         node.run(1.0)
-    nodes[0].balancer._sign(nodes[0].balancer.servers["s0"], Sign.FAILED)
-    for told in [a for a in nodes[0].give(ClientDisconnected("nobody")) if isinstance(a, SendPeerMessage)]:
-        nodes[1].give(PeerMessageReceived(0, told.data))
-    out = [nodes[1].ask() for _ in range(30)]
-    assert [nodes[1].server_of(r) for r in out if r in nodes[1].out].count("s0") == 1
+    nodes[0].fail("s0")
+    for told in [a for a in nodes[0].handle(ClientDisconnected("nobody")) if isinstance(a, SendPeerMessage)]:
+        nodes[1].handle(PeerMessageReceived(0, told.data))
+    out = [nodes[1].request() for _ in range(30)]
+    assert [nodes[1].backend_of(r) for r in out if r in nodes[1].in_flight].count("s0") == 1
 
 
 def test_a_group_that_a_peer_has_at_the_backend_too_is_shed_last() -> None:
     # Migrating one's own connections of it frees nothing: the backend pays for the group all the same.
-    node = Node(
+    node = BalancerHost(
         reports_load=True, health_checks_allowed=True, has_groups=True, peers_allowed=True, proxy_count=2
     )
-    node.list(members(2))
+    node.update_endpoints(members(2))
     for i, group in enumerate("abbb"):
-        node.give(ConnectionResumed(f"c{i}", "quick", "s0", group=group))
+        node.handle(ConnectionResumed(f"c{i}", "quick", "s0", group=group))
     peer = SharedState(settings(proxy_count=2, proxy_index=1, peers_allowed=True, has_groups=True), 3, {})
     peer.record_group("s0", "a", True)
     for _, text in peer.outgoing_messages(node.now):
-        node.give(PeerMessageReceived(1, text))
+        node.handle(PeerMessageReceived(1, text))
     for _ in range(9):
-        node.give(ResponseLatencyMeasured("c0", 0.07))
-    assert {m.request for m in node.of(MigrateConnection)} == {"c1", "c2", "c3"}
+        node.handle(ResponseLatencyMeasured("c0", 0.07))
+    assert {m.request for m in node.actions(MigrateConnection)} == {"c1", "c2", "c3"}
 
 
 def test_a_proxy_that_has_just_started_learns_the_capacity_scale_from_its_peers() -> None:
     # It had no connections, so it took two slots for a backend's whole load and rejected 75 requests in 5 s.
-    node = Node(
+    node = BalancerHost(
         reports_load=True, health_checks_allowed=True, has_groups=True, peers_allowed=True, proxy_count=2
     )
-    node.list(members(2))
-    node.give(HealthCheckFinished("s0", AttemptStatus.OK, report=LoadReport(load=0.1)))
+    node.update_endpoints(members(2))
+    node.handle(HealthCheckFinished("s0", AttemptStatus.OK, report=LoadReport(load=0.1)))
     peer = SharedState(settings(proxy_count=2, proxy_index=1, peers_allowed=True, has_groups=True), 3, {})
     peer.set_capacity_scale(20.0)
-    before = node.balancer.servers["s0"].ceiling
+    before = node.backend("s0").ceiling
     for _, text in peer.outgoing_messages(node.now):
-        node.give(PeerMessageReceived(1, text))
+        node.handle(PeerMessageReceived(1, text))
     node.run(2.0)
-    assert before < 2.0 and node.balancer.servers["s0"].ceiling == pytest.approx(0.7 * 10.0)
+    assert before < 2.0 and node.backend("s0").ceiling == pytest.approx(0.7 * 10.0)
 
 
 def test_only_what_a_peer_sends_from_its_own_address_is_taken() -> None:
