--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -24,8 +24,8 @@
 from saltcourse.balancing.settings import RequestClass, Settings, SharedStateSettings
 from saltcourse.emulator.simnet import Host, Link, Network
 from saltcourse.shared_state.codec import decode
-from saltcourse.shared_state.state import SharedState
 from saltcourse.shared_state.outbox import Outgoing
+from saltcourse.shared_state.state import SharedState
 
 SIZES = (4, 40, 200)
 ARRIVALS = 2.75  # new connections a second at one proxy: casa-main's 11 over its four
--- a/benchmarks/slopes_mesh.py
+++ b/benchmarks/slopes_mesh.py
@@ -13,8 +13,8 @@
 from slopes_results import Results, Sizes
 
 from saltcourse.balancing.settings import RequestClass, Settings, SharedStateSettings
-from saltcourse.shared_state.state import SharedState
 from saltcourse.shared_state.outbox import Outgoing
+from saltcourse.shared_state.state import SharedState
 
 HOST = "127.0.0.1"
 RESTART_SECONDS = 2.0  # of virtual time, in which a proxy that restarts hears all tables
--- a/saltcourse/address_failover/bgp_session.py
+++ b/saltcourse/address_failover/bgp_session.py
@@ -1,5 +1,7 @@
-"""One BGP session to one route server, without I/O: RFC 4271, section 8, for a speaker that opens the
-connection itself, announces one address at most and wants no routes.
+"""One BGP session to one route server, without I/O.
+
+It follows RFC 4271, section 8, for a speaker that opens the connection itself, announces one address at most
+and wants no routes.
 
 The host turns what the socket does into method calls and carries out the actions in their order. The desired
 route is announced as soon as the session is established, also after it broke. Where no session is established
--- a/saltcourse/address_failover/message_codec.py
+++ b/saltcourse/address_failover/message_codec.py
@@ -1,5 +1,6 @@
-"""Messages as protobuf (``schema/membership.proto``), whose older field names are mapped here and nowhere
-else.
+"""Messages as protobuf (``schema/membership.proto``); its older field names are mapped here alone.
+
+::
 
     in the code                                       on the wire
     VoteRequest.sent_at, .pre_vote                    Ask.echo, .pre
@@ -46,7 +47,7 @@
             datagram.hand_over.CopyFrom(pb.HandOver(term=term))
 
 
-def read_message(datagram: pb.Datagram) -> Message | None:
+def read_message(datagram: pb.Datagram) -> Message | None:  # noqa: PLR0911 - one return a kind of message
     """The datagram's message; None for a kind that this version does not know."""
     match datagram.WhichOneof("message"):
         case "hello":
--- a/saltcourse/codec/errors.py
+++ b/saltcourse/codec/errors.py
@@ -21,3 +21,7 @@
 
 class AddressError(DecodeError, ValueError):
     """An address is not of the form ``host:port``."""
+
+
+class InvalidObjectError(DecodeError):
+    """An object parsed from JSON does not have the promised fields; the text names the one at fault."""
--- a/saltcourse/codec/json_fields.py
+++ b/saltcourse/codec/json_fields.py
@@ -8,31 +8,29 @@
 import math
 from typing import Any
 
-
-class Malformed(Exception):
-    """An object does not have the fields that its sender promises; the text names the field at fault."""
+from saltcourse.codec.errors import InvalidObjectError
 
 
 def field(message: dict[str, Any], key: str, kind: type | tuple[type, ...], default: Any = None) -> Any:
     """Return the value of a field, of one of the types ``kind``.
 
-    Raises ``Malformed`` when it is of another type, or absent and there is no default.
+    Raises ``InvalidObjectError`` when it is of another type, or absent and there is no default.
     """
     value = message.get(key)
     if value is None:
         if default is None:
-            raise Malformed(f"{message.get('msg', 'message')}: no '{key}'")
+            raise InvalidObjectError(f"{message.get('msg', 'message')}: no '{key}'")
         return default
     if not isinstance(value, kind) or (isinstance(value, bool) and kind is not bool):
-        raise Malformed(f"{message.get('msg', 'message')}: '{key}' is of the wrong type: {value!r}")
+        raise InvalidObjectError(f"{message.get('msg', 'message')}: '{key}' is of the wrong type: {value!r}")
     return value
 
 
 def number(message: dict[str, Any], key: str, default: float | None = None) -> float:
-    """Return the value of a field as a finite number. Raises ``Malformed``."""
+    """Return the value of a field as a finite number. Raises ``InvalidObjectError``."""
     value = field(message, key, (int, float), default)
     if not is_finite_number(value):
-        raise Malformed(f"{message.get('msg', 'message')}: '{key}' is not a finite number")
+        raise InvalidObjectError(f"{message.get('msg', 'message')}: '{key}' is not a finite number")
     return float(value)
 
 
@@ -49,52 +47,54 @@
 def lookup(message: dict[str, Any], key: str, table: dict[Any, Any]) -> Any:
     """Return what ``table`` has for the value of a field.
 
-    Raises ``Malformed`` when it has nothing.
+    Raises ``InvalidObjectError`` when it has nothing.
     """
     value = message.get(key)
     try:
         return table[value]
     except (KeyError, TypeError):
-        raise Malformed(f"{message.get('msg', 'message')}: '{key}' has an unknown value {value!r}") from None
+        raise InvalidObjectError(
+            f"{message.get('msg', 'message')}: '{key}' has an unknown value {value!r}"
+        ) from None
 
 
 def choice(kind: Any, value: str, name: str) -> Any:
-    """Return the member of the enumeration ``kind`` that has this value. Raises ``Malformed``."""
+    """Return the member of the enumeration ``kind`` that has this value. Raises ``InvalidObjectError``."""
     try:
         return kind(value)
     except ValueError:
-        raise Malformed(f"env: '{name}' has an unknown value {value!r}") from None
+        raise InvalidObjectError(f"env: '{name}' has an unknown value {value!r}") from None
 
 
 def objects(message: dict[str, Any], key: str, default: list[Any] | None = None) -> list[dict[str, Any]]:
-    """Return the value of a field that is a list of objects. Raises ``Malformed``."""
+    """Return the value of a field that is a list of objects. Raises ``InvalidObjectError``."""
     values: list[dict[str, Any]] = field(message, key, list, default)
     for index, value in enumerate(values):
         if not isinstance(value, dict):
-            raise Malformed(f"'{key}[{index}]' is not an object: {value!r}")
+            raise InvalidObjectError(f"'{key}[{index}]' is not an object: {value!r}")
     return values
 
 
 def texts(message: dict[str, Any], key: str) -> tuple[str, ...]:
     """Return the value of a field that is a list of texts, empty if it is absent.
 
-    Raises ``Malformed``.
+    Raises ``InvalidObjectError``.
     """
     values = field(message, key, list, [])
     for index, value in enumerate(values):
         if not isinstance(value, str):
-            raise Malformed(f"'{key}[{index}]' is not a text: {value!r}")
+            raise InvalidObjectError(f"'{key}[{index}]' is not a text: {value!r}")
     return tuple(values)
 
 
 def optional_amounts(message: dict[str, Any], key: str, count: int) -> list[float]:
     """Return ``count`` values of a list of numbers of 0 or more; 0 where it is shorter, or has null.
 
-    Raises ``Malformed``.
+    Raises ``InvalidObjectError``.
     """
     values = field(message, key, list, [])
     for index, value in enumerate(values):
         if value is not None and not (is_finite_number(value) and value >= 0):
-            raise Malformed(f"'{key}[{index}]' is not a finite number of 0 or more: {value!r}")
+            raise InvalidObjectError(f"'{key}[{index}]' is not a finite number of 0 or more: {value!r}")
     amounts = [0.0 if value is None else value for value in values[:count]]
     return amounts + [0.0] * (count - len(amounts))
--- a/saltcourse/config/deployment_settings.py
+++ b/saltcourse/config/deployment_settings.py
@@ -17,8 +17,8 @@
     Tenant,
     WeightMeaning,
 )
+from saltcourse.codec.errors import InvalidObjectError
 from saltcourse.codec.json_fields import (
-    Malformed,
     choice,
     field,
     lookup,
@@ -35,13 +35,13 @@
 def read_settings(env: dict[str, Any]) -> Settings:
     """Read the deployment's settings; unknown keys are skipped.
 
-    Raises ``Malformed`` for whatever is wrong in them.
+    Raises ``InvalidObjectError`` for whatever is wrong in them.
     """
     try:
         _check_unused(env)
         return _read_settings(env)
     except ValueError as error:  # a value that the settings' own types refuse
-        raise Malformed(str(error)) from None
+        raise InvalidObjectError(str(error)) from None
 
 
 def _read_settings(env: dict[str, Any]) -> Settings:
@@ -111,10 +111,10 @@
     _check_amounts(charges, ("cross_zone", "probe", "moves", "peer"))
     for key in ("overload_factor", "overload_for"):
         if number(obligations, key, 1.0) <= 0:
-            raise Malformed(f"setting {key}: a number above 0")
+            raise InvalidObjectError(f"setting {key}: a number above 0")
 
 
 def _check_amounts(message: dict[str, Any], keys: tuple[str, ...]) -> None:
     for key in keys:
         if number(message, key, 0.0) < 0:
-            raise Malformed(f"setting {key}: 0 or more")
+            raise InvalidObjectError(f"setting {key}: 0 or more")
--- a/saltcourse/config/proxy_config.py
+++ b/saltcourse/config/proxy_config.py
@@ -24,14 +24,14 @@
 class PeerAddresses:
     """Where proxies of the same tier reach each other.
 
-    ``each`` is in the order of the deployment's ``self_index``; ``own`` is this proxy's index in it.
-    What is sent to ``everyone`` reaches all of them; None where the platform has no such address.
+    ``proxies`` is in the order of the deployment's ``self_index``; ``own_index`` is this proxy's index in it.
+    What is sent to ``broadcast`` reaches all of them; None where the platform has no such address.
     """
 
     listen: Address
-    each: tuple[Address, ...]
-    everyone: Address | None
-    own: int
+    proxies: tuple[Address, ...]
+    broadcast: Address | None
+    own_index: int
 
 
 @dataclass(frozen=True, slots=True)
--- a/saltcourse/config/proxy_config_reader.py
+++ b/saltcourse/config/proxy_config_reader.py
@@ -16,8 +16,8 @@
 
 from saltcourse.balancing.settings import Settings
 from saltcourse.codec.endpoint_list import Address, EndpointUpdate, read_address, read_endpoint_update
-from saltcourse.codec.errors import EndpointListError
-from saltcourse.codec.json_fields import Malformed, is_finite_number
+from saltcourse.codec.errors import EndpointListError, InvalidObjectError
+from saltcourse.codec.json_fields import is_finite_number
 from saltcourse.config.deployment_settings import read_settings
 from saltcourse.config.errors import ConfigError, InvalidValueError
 from saltcourse.config.proxy_config import Config, Limits, PeerAddresses
@@ -98,7 +98,7 @@
         raise InvalidValueError("settings", "missing")
     try:
         return read_settings(values)
-    except Malformed as error:
+    except InvalidObjectError as error:
         raise InvalidValueError("settings", str(error)) from None
 
 
@@ -167,12 +167,12 @@
     addresses = tuple(_read_address(str(entry), f"peers[{i}]") for i, entry in enumerate(entries))
     if len(set(addresses)) < len(addresses):
         raise InvalidValueError("peers", "an address stands twice")
-    everyone = values.get("peers_all")
+    broadcast = values.get("peers_all")
     return PeerAddresses(
         listen=_read_address(values["peer_listen"], "peer_listen"),
-        each=addresses,
-        everyone=None if everyone is None else _read_address(everyone, "peers_all"),
-        own=settings.proxy_index,
+        proxies=addresses,
+        broadcast=None if broadcast is None else _read_address(broadcast, "peers_all"),
+        own_index=settings.proxy_index,
     )
 
 
--- a/saltcourse/emulator/scale/worker.py
+++ b/saltcourse/emulator/scale/worker.py
@@ -48,8 +48,8 @@
 from saltcourse.emulator.scale.records import (
     ConfigurationSeen,
     FreshnessSeen,
-    Load,
     Lifecycle,
+    Load,
     RecordWriter,
     StatusSeen,
     View,
--- a/saltcourse/gossip/host.py
+++ b/saltcourse/gossip/host.py
@@ -163,13 +163,13 @@
     # ---- events -----------------------------------------------------------------------------------
 
     def connection_made(self, transport: asyncio.DatagramTransport) -> None:  # type: ignore[override]
-        """asyncio has bound the socket."""
+        """Asyncio has bound the socket."""
         # asyncio sets aside this much memory for each datagram that it reads; by default 256 KiB.
         transport.max_size = MAX_RECEIVE_BYTES  # type: ignore[attr-defined]
         self._transport = transport
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """asyncio has read a datagram."""
+        """Asyncio has read a datagram."""
         self.datagrams["received"] += 1
         self._handle(Received(addr[:2], data))
 
--- a/saltcourse/proxy/peer_link.py
+++ b/saltcourse/proxy/peer_link.py
@@ -24,7 +24,7 @@
     def __init__(self, addresses: PeerAddresses, on_message: Callable[[PeerMessageReceived], None]) -> None:
         self._addresses = addresses
         self._on_message = on_message
-        self._peer_index = {address: index for index, address in enumerate(addresses.each)}
+        self._peer_index = {address: index for index, address in enumerate(addresses.proxies)}
         self._transport: asyncio.DatagramTransport | None = None
         self.dropped_datagrams = 0  # from elsewhere, too long, or not ASCII
 
@@ -58,12 +58,12 @@
             self._transport.sendto(data, address)
 
     def _destinations(self, peer: int | None) -> tuple[Address, ...]:
-        each = self._addresses.each
+        each = self._addresses.proxies
         if peer is not None:
             return each[peer : peer + 1]
-        if self._addresses.everyone is not None:
-            return (self._addresses.everyone,)
-        return tuple(address for index, address in enumerate(each) if index != self._addresses.own)
+        if self._addresses.broadcast is not None:
+            return (self._addresses.broadcast,)
+        return tuple(address for index, address in enumerate(each) if index != self._addresses.own_index)
 
     def close(self) -> None:
         """Close the socket; messages after it are not sent."""
--- a/saltcourse/simulator_adapter.py
+++ b/saltcourse/simulator_adapter.py
@@ -50,7 +50,8 @@
     ResponseLatencyMeasured,
     TimerFired,
 )
-from saltcourse.codec.json_fields import Malformed, field, lookup, number, texts
+from saltcourse.codec.errors import InvalidObjectError
+from saltcourse.codec.json_fields import field, lookup, number, texts
 from saltcourse.codec.lines import REPORT_FIELDS
 from saltcourse.config.deployment_settings import read_settings
 
@@ -90,11 +91,11 @@
     __slots__ = ("_report_fields", "balancer")
 
     def __init__(self, seed: int, env: Message) -> None:
-        """Raise ``Malformed`` for settings that are not right."""
+        """Raise ``InvalidObjectError`` for settings that are not right."""
         try:
             settings = read_settings(env)
-        except Malformed as error:
-            raise Malformed(f"env: {error}") from None
+        except InvalidObjectError as error:
+            raise InvalidObjectError(f"env: {error}") from None
         report = field(env, "report", dict, {})
         self._report_fields = [REPORT_FIELDS.get(name, "") for name in texts(report, "fields")]
         self.balancer = Balancer(settings, seed)
@@ -105,7 +106,7 @@
         if row is None:
             return None
         if not isinstance(row, list) or not all(isinstance(value, (int, float)) for value in row):
-            raise Malformed(f"{message['msg']}: 'server_stats' is not a row of numbers")
+            raise InvalidObjectError(f"{message['msg']}: 'server_stats' is not a row of numbers")
         named = zip(self._report_fields, row, strict=False)
         return LoadReport(**{name: value for name, value in named if name})
 
@@ -124,7 +125,7 @@
 def _read_endpoint(entry: Any) -> Endpoint:
     """One entry of a list; the hot path of a large fleet, so one test covers all the common types."""
     if not isinstance(entry, dict):
-        raise Malformed("backends_changed: a member that is not an object")
+        raise InvalidObjectError("backends_changed: a member that is not an object")
     get = entry.get
     host, state = get("host"), BACKEND_STATES.get(str(get("lifecycle")))
     weight, started = get("nominal", 1), get("launched", 0)
@@ -132,7 +133,7 @@
         return Endpoint(host, state, get("az", ""), get("sku", ""), get("block", 0), weight, started)
     field(entry, "host", str)
     lookup(entry, "lifecycle", BACKEND_STATES)
-    raise Malformed(f"backends_changed: a member with a wrong value: {entry!r}")
+    raise InvalidObjectError(f"backends_changed: a member with a wrong value: {entry!r}")
 
 
 def read_request_received(message: Message, _: Instance) -> Event:
@@ -337,13 +338,13 @@
         self._instances: dict[int, Instance] = {}
 
     def reply(self, line: bytes) -> bytes:
-        """The reply to one batch; raises ``Malformed`` on what the wire does not allow."""
+        """The reply to one batch; raises ``InvalidObjectError`` on what the wire does not allow."""
         try:
             batch = orjson.loads(line)
         except orjson.JSONDecodeError as error:
-            raise Malformed(f"a line that is not JSON: {error}") from None
+            raise InvalidObjectError(f"a line that is not JSON: {error}") from None
         if not isinstance(batch, dict):
-            raise Malformed("a batch that is not an object")
+            raise InvalidObjectError("a batch that is not an object")
         now = number(batch, "at_time")
         actions: list[Message] = []
         for message in field(batch, "events", list):
@@ -352,20 +353,20 @@
 
     def _handle(self, now: float, message: Any, actions: list[Message]) -> None:
         if not isinstance(message, dict):
-            raise Malformed("an event that is not an object")
+            raise InvalidObjectError("an event that is not an object")
         name, node = message.get("msg"), field(message, "node", int)
         if name == "hello":
             self._instances[node] = Instance(field(message, "init_seed", int), field(message, "env", dict))
             return
         instance = self._instances.get(node)
         if instance is None:
-            raise Malformed(f"{name!r} for instance {node}, which has not been started")
+            raise InvalidObjectError(f"{name!r} for instance {node}, which has not been started")
         if name == "detach":
             del self._instances[node]
             return
         reader = EVENT_READERS.get(name) if isinstance(name, str) else None
         if reader is None:
-            raise Malformed(f"an unknown message {name!r}")
+            raise InvalidObjectError(f"an unknown message {name!r}")
         event = reader(message, instance)
         if event is None:
             return
@@ -383,7 +384,7 @@
     for line in source:
         try:
             reply = adapter.reply(line)
-        except Malformed as error:
+        except InvalidObjectError as error:
             print(f"simulator_adapter: {error}", file=sys.stderr)
             return EXIT_MALFORMED
         sink.write(reply + b"\n")
--- a/tests/config/test_deployment_settings.py
+++ b/tests/config/test_deployment_settings.py
@@ -20,7 +20,7 @@
 from saltcourse import simulator_adapter
 from saltcourse.balancing.balancer import Balancer
 from saltcourse.balancing.events import EndpointsUpdated, EndpointUpdateKind
-from saltcourse.codec.json_fields import Malformed
+from saltcourse.codec.errors import InvalidObjectError
 from saltcourse.config import ConfigError, read_config
 from saltcourse.config.deployment_settings import read_settings
 
@@ -216,7 +216,7 @@
 )
 def test_an_element_that_makes_no_sense_is_named_with_its_index(path: JsonPath, new: Any, named: str) -> None:
     settings = replaced(SETTINGS, path, new)
-    with pytest.raises(Malformed, match=named):
+    with pytest.raises(InvalidObjectError, match=named):
         read_settings(settings)
     with pytest.raises(ConfigError, match=named):
         read_config(CONFIG | {"settings": settings}, {})
--- a/tests/config/test_proxy_config.py
+++ b/tests/config/test_proxy_config.py
@@ -70,7 +70,12 @@
             read_config(values, {})
         return
     peers = read_config(values, {}).peers
-    assert peers is not None and peers.each[2] == ("h", 3) and peers.everyone == ("h", 8) and peers.own == 1
+    assert (
+        peers is not None
+        and peers.proxies[2] == ("h", 3)
+        and peers.broadcast == ("h", 8)
+        and peers.own_index == 1
+    )
     values["settings"]["self_index"] = 3
     with pytest.raises(ConfigError, match="self_index"):
         read_config(values, {})
--- a/tests/proxy/test_connection_monitor.py
+++ b/tests/proxy/test_connection_monitor.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+
 from saltcourse.balancing.events import ConnectionResumed, ResponseLatencyMeasured
 from saltcourse.balancing.response_latency import SILENT_AFTER_SECONDS, ResponseLatencyMeter
 from saltcourse.proxy.connection_monitor import CHECK_INTERVAL_SECONDS, ConnectionMonitor
--- a/tests/proxy/test_health_check.py
+++ b/tests/proxy/test_health_check.py
@@ -5,8 +5,8 @@
 import asyncio
 
 from saltcourse.balancing.events import AttemptStatus, HealthCheckFinished, LoadReport
-from saltcourse.proxy.health_check import HealthCheck
 from saltcourse.proxy.clock import Clock
+from saltcourse.proxy.health_check import HealthCheck
 
 
 def test_a_health_check_brings_back_the_load_report_of_its_answer() -> None:
--- a/tests/proxy/test_pending_connections.py
+++ b/tests/proxy/test_pending_connections.py
@@ -6,7 +6,6 @@
 import socket
 from contextlib import suppress
 
-
 from saltcourse.proxy.descriptors import OWN_DESCRIPTORS
 from saltcourse.proxy.pending_connections import MAX_CLOSING, MIN_PENDING, PendingConnections
 from saltcourse.proxy.stream import SocketStream
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -9,7 +9,7 @@
 import pytest
 
 from saltcourse import simulator_adapter
-from saltcourse.codec.json_fields import Malformed
+from saltcourse.codec.errors import InvalidObjectError
 from saltcourse.config.deployment_settings import read_settings
 from saltcourse.simulator_adapter import Adapter, serve
 
@@ -102,7 +102,7 @@
 def test_detach_forgets_and_hello_starts_anew() -> None:
     adapter = started()
     adapter.reply(batch({"msg": "detach", "node": 3}))
-    with pytest.raises(Malformed, match="instance 3"):
+    with pytest.raises(InvalidObjectError, match="instance 3"):
         adapter.reply(batch(ACCEPT))
     adapter.reply(batch(HELLO))
 
