--- a/saltcourse/gossip/aggregation.py
+++ b/saltcourse/gossip/aggregation.py
@@ -16,6 +16,7 @@
 import random
 from collections.abc import Sequence
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from saltcourse.gossip.messages import (
     Gossip,
@@ -64,6 +65,13 @@
     children: frozenset[MemberId]
 
 
+class AggregationStep(NamedTuple):
+    """What one interval gives."""
+
+    sends: list[Send]
+    zone_sum: ZoneSum | None  # at the root only: to be broadcast
+
+
 class Aggregation:
     """One member's part in the tree of its zone, and the newest sums of all zones."""
 
@@ -112,25 +120,24 @@
         """When ``tick`` is to be called, in seconds on the clock of ``now``."""
         return self._tally_at
 
-    def tick(
-        self, now: float, me: MemberRecord, zone_members: Sequence[MemberRecord]
-    ) -> tuple[list[Send], ZoneSum | None]:
+    def tick(self, now: float, me: MemberRecord, zone_members: Sequence[MemberRecord]) -> AggregationStep:
         """Send the subtree's tally to the parent; at the root, return the zone's sum to be broadcast.
 
         ``zone_members``: the live ones of this member's zone, without it.
         """
         if now < self._tally_at:
-            return [], None
+            return AggregationStep([], None)
         self._tally_at = now + self._interval * self._random.uniform(0.9, 1.1)
         self._zone = me.zone
         if me.role is not Role.PROXY or me.status is not Status.ALIVE:
-            return [], None
+            return AggregationStep([], None)
         self._update_place(me, zone_members)
         tally = self._sum_subtree(now)
         parent = self._place.parent
         if parent is None:
-            return [], self._publish_if_time(now, tally)
-        return [Send(parent.address, tally, Priority.MEMBERSHIP), *self._correct_root(parent)], None
+            return AggregationStep([], self._publish_if_time(now, tally))
+        sends = [Send(parent.address, tally, Priority.MEMBERSHIP), *self._correct_root(parent)]
+        return AggregationStep(sends, None)
 
     def _update_place(self, me: MemberRecord, zone_members: Sequence[MemberRecord]) -> None:
         """Skip where the sequence is the same: ``Membership.live`` makes a new one for each change."""
--- a/saltcourse/gossip/failure_detector.py
+++ b/saltcourse/gossip/failure_detector.py
@@ -13,6 +13,7 @@
 import random
 from collections.abc import Callable
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from saltcourse.gossip.member_table import Member, MemberTable
 from saltcourse.gossip.messages import (
@@ -86,6 +87,13 @@
     missing_nacks: int
 
 
+class AckOutcome(NamedTuple):
+    """What an Ack shows, and what is to be sent for it."""
+
+    alive: MemberId | None  # the target of an own probe
+    sends: list[Send]  # the Ack of a relayed probe, to its requester
+
+
 class ProbeOrder:
     """Round-robin over a shuffled list of the live members, shuffled anew in each round."""
 
@@ -148,19 +156,19 @@
         """A Ping of which nothing follows but that its Ack shows the target to be alive."""
         return Send(record.address, Ping(self._draw_sequence(), target, self._piggyback(target)))
 
-    def on_ack(self, now: float, sender: MemberId, message: Ack) -> tuple[MemberId | None, list[Send]]:
-        """Return the target of an own probe that the Ack proves to be alive, and what is to be relayed.
+    def on_ack(self, now: float, sender: MemberId, message: Ack) -> AckOutcome:
+        """End the own or relayed probe of this sequence.
 
         An Ack of a member that was not asked proves nothing.
         """
         probe = self._probes.get(message.sequence)
         if probe is not None:
-            return self._end_probe(sender, message.sequence, probe), []
+            return AckOutcome(self._end_probe(sender, message.sequence, probe), [])
         relayed = self._relayed.get(message.sequence)
         if relayed is not None and sender == relayed.target:
             del self._relayed[message.sequence]
-            return None, [Send(relayed.requester, Ack(relayed.sequence))]
-        return None, []
+            return AckOutcome(None, [Send(relayed.requester, Ack(relayed.sequence))])
+        return AckOutcome(None, [])
 
     def _end_probe(self, sender: MemberId, sequence: int, probe: Probe) -> MemberId | None:
         if sender != probe.target and (probe.relays is None or sender not in probe.relays):
--- a/saltcourse/gossip/membership.py
+++ b/saltcourse/gossip/membership.py
@@ -355,10 +355,10 @@
             self._queue.add(self._id, self.me)
 
     def _tick_zones(self, now: float) -> list[Send]:
-        silent, checks = self._zones.evaluate(now)
+        silent, to_ping = self._zones.evaluate(now)
         for zone in silent:
             self._merger.hold_zone(zone)
-        return self._ping_once(checks)
+        return self._ping_once(to_ping)
 
     def _ping_once(self, members: list[MemberId]) -> list[Send]:
         return [self._detector.ping_once(member, self._table.members[member].record) for member in members]
--- a/saltcourse/gossip/zone_silence.py
+++ b/saltcourse/gossip/zone_silence.py
@@ -17,6 +17,7 @@
 
 import random
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from saltcourse.gossip.member_table import MemberTable, ZoneIndex
 from saltcourse.gossip.messages import MemberId, Status
@@ -51,6 +52,13 @@
         self.checked.clear()
 
 
+class ZoneEvaluation(NamedTuple):
+    """What one evaluation has found."""
+
+    silent: list[str]  # zones that are unreachable from now on
+    to_ping: list[MemberId]  # to find out about other zones
+
+
 class ZoneSilence:
     """What this member knows of each zone's silence."""
 
@@ -109,28 +117,28 @@
 
     # ---- time -------------------------------------------------------------------------------------
 
-    def evaluate(self, now: float) -> tuple[list[str], list[MemberId]]:
-        """Return zones that have fallen silent, and members to ping to find out about others."""
+    def evaluate(self, now: float) -> ZoneEvaluation:
+        """Look at all zones, CHECKS_PER_INTERVAL times in a probe interval; nothing in between."""
         if now < self._evaluate_at:
-            return [], []
+            return ZoneEvaluation([], [])
         self._evaluate_at = now + self._check_interval
         self._forget_empty()
         isolated = self.is_isolated(now)
-        silent = []
-        checks: list[MemberId] = []
+        silent: list[str] = []
+        to_ping: list[MemberId] = []
         if now - self._last_contact_at > self._silence / 2:
-            checks += self._choose_anyone()
+            to_ping += self._choose_anyone()
         for name, zone in self._zones.items():
             if not zone.reachable:
                 continue
             if isolated or self._is_silent(now, name, zone):
                 silent.append(name)
-            elif self._needs_check(now, name, zone) and len(checks) < MAX_CHECKS_PER_TICK:
-                checks += self._choose_check(now, name, zone)
+            elif self._needs_check(now, name, zone) and len(to_ping) < MAX_CHECKS_PER_TICK:
+                to_ping += self._choose_check(now, name, zone)
         for name in silent:
             self._zones[name].reachable = False
             self.unreachable[name] = None
-        return silent, checks
+        return ZoneEvaluation(silent, to_ping)
 
     def _is_silent(self, now: float, name: str, zone: ZoneWatch) -> bool:
         if now - zone.last_contact_at <= self._silence:
