--- a/saltcourse/proxy/actor.py
+++ b/saltcourse/proxy/actor.py
@@ -6,11 +6,11 @@
 from __future__ import annotations
 
 import asyncio
+from asyncio import Queue
 from collections.abc import Coroutine
 from typing import Any, Generic, TypeVar
 
 import structlog
-from tornado.queues import Queue
 
 log = structlog.get_logger("saltcourse")
 Message = TypeVar("Message")
