--- a/tests/proxy/running_proxy.py
+++ b/tests/proxy/running_proxy.py
@@ -177,6 +177,23 @@
         return number, self.remotes[-1]
 
 
+def record_then(messages: list[Any], send: Callable[[Any], None]) -> Callable[[Any], None]:
+    """Keeps each message in ``messages`` before it is sent on."""
+
+    def record_and_send(message: Any) -> None:
+        messages.append(message)
+        send(message)
+
+    return record_and_send
+
+
+def record_dispatcher_messages(proxy: RunningProxy) -> list[Any]:
+    """What client connections send to the dispatcher from now on; it gets them all the same."""
+    messages: list[Any] = []
+    proxy.server.context.send_to_dispatcher = record_then(messages, proxy.server.dispatcher.send)
+    return messages
+
+
 def write_open_line_in_parts(monkeypatch: pytest.MonkeyPatch, seconds: float) -> None:
     """The first OPEN line goes in two parts.
 
--- a/tests/proxy/test_client_connection.py
+++ b/tests/proxy/test_client_connection.py
@@ -11,6 +11,7 @@
 
 import pytest
 
+from saltcourse.balancing.events import AttemptFinished, AttemptStatus, ClientDisconnected
 from saltcourse.balancing.settings import DeduplicationScope, Idempotency
 from saltcourse.proxy.client_connection import ClientConnection, ConnectionState
 from saltcourse.proxy.messages import BeginAttempt, ClientClosed, NewRequest
@@ -21,6 +22,8 @@
     RunningProxy,
     has_left,
     nothing_connected,
+    record_dispatcher_messages,
+    record_then,
     run_loop_turns,
     wait_until,
     write_open_line_in_parts,
@@ -145,6 +148,36 @@
     asyncio.run(play())
 
 
+def test_the_balancer_learns_at_once_that_the_client_left_before_its_attempt(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """An attempt was to begin for a client that had left, and the reader had not seen the end yet.
+
+    The attempt gave itself up, but the balancer was never notified that the client had disconnected. Both are
+    reported by the connection as it is asked to begin: the attempt was not sent, and nobody waits any more.
+    """
+
+    async def play() -> None:
+        gate = hold_reader(monkeypatch)
+        async with RunningProxy() as proxy:
+            proxy.server.context.send_to_dispatcher = lambda message: None
+            client = await proxy.client(OPEN.format(900))
+            connection = client.connection
+            await wait_until(lambda: connection.state is ConnectionState.WAITING)
+            client.sock.close()
+            await wait_until(lambda: has_left(connection))
+            sent = record_dispatcher_messages(proxy)
+            connection.send(BeginAttempt("a", "s0", 0, 0.9, proxy.backends[0].getsockname()))
+            await wait_until(lambda: not proxy.server.clients)
+            attempts = [message for message in sent if isinstance(message, AttemptFinished)]
+            assert [(each.status, each.final) for each in attempts] == [(AttemptStatus.NOT_SENT, True)]
+            assert ClientDisconnected("a") in sent
+            assert nothing_connected(proxy.backends[0])
+            gate.set()
+
+    asyncio.run(play())
+
+
 def test_the_open_line_is_not_written_when_the_client_left_during_the_connect(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -198,6 +231,37 @@
     asyncio.run(play())
 
 
+def test_no_retry_is_asked_for_when_the_client_left_during_its_first_attempt(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """A client left during its first attempt, which then failed, before the reader had seen the client's end.
+
+    The balancer was asked for a retry, which it drew a backend and spent retry budget for. The attempt's
+    outcome has to be final, and no second attempt is ordered.
+    """
+
+    async def play() -> None:
+        gate = hold_reader(monkeypatch)
+        async with RunningProxy(2) as proxy:
+            sent = record_dispatcher_messages(proxy)
+            client = await proxy.client(OPEN.format(1200))
+            _, backend = await proxy.accept_any()
+            await backend.line()
+            ordered: list[object] = []
+            monkeypatch.setattr(client.connection, "send", record_then(ordered, client.connection.send))
+            client.sock.close()
+            await wait_until(lambda: has_left(client.connection))
+            await backend.send("BUSY", b"\r\n")
+            await backend.sees("end")
+            await run_loop_turns()
+            outcomes = [message for message in sent if isinstance(message, AttemptFinished)]
+            assert [(each.status, each.final) for each in outcomes] == [(AttemptStatus.FULL, True)]
+            assert not [message for message in ordered if isinstance(message, BeginAttempt)]
+            gate.set()
+
+    asyncio.run(play())
+
+
 def test_a_burst_of_clients_that_leave_forwards_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     """Sixty clients left at once while their requests were decided.
 
--- a/tests/proxy/test_draining.py
+++ b/tests/proxy/test_draining.py
@@ -5,15 +5,17 @@
 import asyncio
 import json
 import os
+import re
 import signal
 import subprocess
 import sys
 import time
+from dataclasses import replace
 from pathlib import Path
 
 import pytest
 
-from saltcourse.balancing.settings import RequestClass
+from saltcourse.balancing.settings import Idempotency, RequestClass
 from saltcourse.proxy import draining
 from saltcourse.proxy.draining import (
     ANSWER_MARGIN_SECONDS,
@@ -142,6 +144,31 @@
     asyncio.run(play())
 
 
+def test_the_attempt_of_a_late_request_gets_only_the_time_that_the_proxy_still_runs() -> None:
+    """The rest of a request came while the proxy was leaving, with a deadline after its end.
+
+    The request was to be answered only after the proxy's end, so its attempt had all of the client's time and
+    the balancer could neither retry nor reject it. The backend has to be given less than the drain's time.
+    """
+    request_class = replace(SHORT, idempotency=Idempotency.NOT_IDEMPOTENT)  # one attempt has all the time
+    answers_due = DrainTimeline.for_classes([request_class]).answers_due
+
+    async def play() -> None:
+        async with RunningProxy(request_class=request_class) as proxy:
+            client = await proxy.client()
+            await client.send("OPEN a b c=quick,d=60", b"")
+            await wait_until(lambda: client.connection.stream.buffer.has_data)
+            proxy.server.leave.set()
+            await wait_until(lambda: proxy.server.phase is Phase.MIGRATING)
+            await client.send("000", b"\r\n")
+            found = re.search(r"\bd=(\d+)", await (await proxy.accept()).line())
+            assert found is not None
+            assert 0 < int(found.group(1)) <= 1000 * answers_due
+            assert await client.line() in ("BUSY", "ERR")
+
+    asyncio.run(play())
+
+
 def start_held_up(tmp_path: Path) -> tuple[subprocess.Popen[bytes], Path]:
     """A process that stands at the opening of its configuration: a pipe that nobody has written to."""
     pipe = tmp_path / "config.json"
