--- /dev/null
+++ b/tests/proxy/test_peer_link.py
@@ -0,0 +1,38 @@
+"""The socket between proxies on loopback: which datagrams are taken, and where messages go."""
+
+from __future__ import annotations
+
+import asyncio
+
+from saltcourse.balancing.actions import SendPeerMessage
+from saltcourse.balancing.events import PeerMessageReceived
+from saltcourse.config import PeerAddresses
+from saltcourse.proxy.peer_link import PeerLink
+from tests.free_ports import free_addresses
+
+
+def test_only_what_a_peer_sends_from_its_own_address_is_taken() -> None:
+    async def play() -> tuple[list[PeerMessageReceived], int]:
+        each = free_addresses(3)
+        got: asyncio.Queue[PeerMessageReceived] = asyncio.Queue()
+        links = [PeerLink(PeerAddresses(each[i], each, None, i), got.put_nowait) for i in (0, 1)]
+        for link in links:
+            await link.open()
+        loop = asyncio.get_running_loop()
+        stranger, _ = await loop.create_datagram_endpoint(
+            asyncio.DatagramProtocol, local_addr=("127.0.0.1", 0)
+        )
+        for data in (b"2AAAAAAAA", b"\xff", b"x" * 300):
+            stranger.sendto(data, each[1])
+        links[0]._transport.sendto(b"x" * 300, each[1])  # type: ignore[union-attr]
+        links[0]._transport.sendto(b"\xff\n", each[1])  # type: ignore[union-attr]
+        links[0].send_message(SendPeerMessage("x" * 300))
+        links[0].send_message(SendPeerMessage("hello", 1))
+        links[0].send_message(SendPeerMessage("to all"))  # the third is not there, and nobody minds
+        found = [await got.get(), await got.get()]
+        for end in (stranger, *links):
+            end.close()
+        return found, links[1].dropped_datagrams
+
+    found, strange = asyncio.run(play())
+    assert found == [PeerMessageReceived(0, "hello"), PeerMessageReceived(0, "to all")] and strange == 5
--- a/tests/shared_state/test_processes.py
+++ b/tests/shared_state/test_processes.py
@@ -19,8 +19,8 @@
 from typing import Any
 
 from tests.admin.test_server import EXAMPLE, free_port
+from tests.free_ports import free_addresses
 from tests.proxy.test_process_replacement import admin_answer
-from tests.shared_state.test_shared_state import free_addresses
 
 COUNT, BACKENDS = 4, 3
 LEASE_TERM = 2.0  # s
--- a/tests/shared_state/test_shared_state.py
+++ b/tests/shared_state/test_shared_state.py
@@ -2,8 +2,6 @@
 
 from __future__ import annotations
 
-import asyncio
-import socket
 from collections.abc import Callable
 from typing import Any
 
@@ -19,9 +17,7 @@
     PeerMessageReceived,
     ResponseLatencyMeasured,
 )
-from saltcourse.config import PeerAddresses
 from saltcourse.emulator.simnet import Link
-from saltcourse.proxy.peer_link import PeerLink
 from saltcourse.shared_state.codec import MAX_BYTES
 from saltcourse.shared_state.ejections import Ejections
 from saltcourse.shared_state.health_check_budget import HealthCheckBudget
@@ -32,17 +28,6 @@
 from tests.shared_state.simulated_proxies import SILENCE_SECONDS, SimulatedProxies, run_with_faults
 
 
-def free_addresses(count: int) -> tuple[tuple[str, int], ...]:
-    """UDP addresses that nobody holds; all are held at once while they are sought, so that they differ."""
-    held = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(count)]
-    for sock in held:
-        sock.bind(("127.0.0.1", 0))
-    found = tuple(sock.getsockname() for sock in held)
-    for sock in held:
-        sock.close()
-    return found
-
-
 @pytest.mark.parametrize("seed", range(16))
 def test_replicas_agree_budgets_hold_and_ejections_end_after_faults(seed: int) -> None:
     # Messages are lost, late and duplicated; a proxy is cut off for longer than a lease, another is
@@ -220,30 +205,3 @@
         node.handle(PeerMessageReceived(1, text))
     node.run(2.0)
     assert before < 2.0 and node.backend("s0").ceiling == pytest.approx(0.7 * 10.0)
-
-
-def test_only_what_a_peer_sends_from_its_own_address_is_taken() -> None:
-    async def play() -> tuple[list[PeerMessageReceived], int]:
-        each = free_addresses(3)
-        got: asyncio.Queue[PeerMessageReceived] = asyncio.Queue()
-        links = [PeerLink(PeerAddresses(each[i], each, None, i), got.put_nowait) for i in (0, 1)]
-        for link in links:
-            await link.open()
-        loop = asyncio.get_running_loop()
-        stranger, _ = await loop.create_datagram_endpoint(
-            asyncio.DatagramProtocol, local_addr=("127.0.0.1", 0)
-        )
-        for data in (b"2AAAAAAAA", b"\xff", b"x" * 300):
-            stranger.sendto(data, each[1])
-        links[0]._transport.sendto(b"x" * 300, each[1])  # type: ignore[union-attr]
-        links[0]._transport.sendto(b"\xff\n", each[1])  # type: ignore[union-attr]
-        links[0].send_message(SendPeerMessage("x" * 300))
-        links[0].send_message(SendPeerMessage("hello", 1))
-        links[0].send_message(SendPeerMessage("to all"))  # the third is not there, and nobody minds
-        found = [await got.get(), await got.get()]
-        for end in (stranger, *links):
-            end.close()
-        return found, links[1].dropped_datagrams
-
-    found, strange = asyncio.run(play())
-    assert found == [PeerMessageReceived(0, "hello"), PeerMessageReceived(0, "to all")] and strange == 5
