--- /dev/null
+++ b/tests/cli/test_gossip.py
@@ -0,0 +1,122 @@
+"""The commands with gossip, as an operator meets them: exit codes, and the line that says why."""
+
+from __future__ import annotations
+
+import re
+import socket
+from pathlib import Path
+
+import pytest
+from click.testing import CliRunner
+
+from saltcourse.cli.main import main
+from saltcourse.gossip.errors import StoreError
+from saltcourse.gossip.messages import ReplicaState
+from saltcourse.gossip.store import ReplicaStore
+from tests.cli.gossip_commands import PROXY_SECTION, free_port, on_loopback, run_command, write_config
+from tests.config.operator_files import GOSSIP_SECTION, write_operator_file
+
+
+@pytest.mark.parametrize(
+    "text, peers, arguments, named",
+    [
+        (PROXY_SECTION, False, ["serve"], "gossip: .*'settings.limits.peers'"),
+        (PROXY_SECTION, False, ["check-config"], "gossip: .*'settings.limits.peers'"),
+        (GOSSIP_SECTION, True, ["serve"], "gossip.role: must be PROXY for a proxy"),
+        (PROXY_SECTION, True, ["control"], "gossip.role: must be CONTROL for a control member"),
+        ("fleet {}", True, ["control"], "a control member needs an operator's file with gossip"),
+        (
+            GOSSIP_SECTION.replace("n1", "z" * 17),
+            True,
+            ["control"],
+            r"txtpb:5: gossip.zone: must be 1 to 16 bytes",
+        ),
+    ],
+)
+def test_commands_end_with_code_2_and_a_clear_line(
+    text: str, peers: bool, arguments: list[str], named: str, tmp_path: Path
+) -> None:
+    full = [*arguments, "--operator", str(write_operator_file(tmp_path, text))]
+    if arguments[0] != "control":
+        full += ["--config", str(write_config(tmp_path, peers))]
+    result = CliRunner().invoke(main, full)
+    assert result.exit_code == 2 and "Traceback" not in result.output
+    assert len(result.output.splitlines()) == 1 and re.search(named, result.output)
+
+
+def test_check_config_tells_of_gossip(tmp_path: Path) -> None:
+    result = CliRunner().invoke(
+        main,
+        [
+            "check-config",
+            "--config",
+            str(write_config(tmp_path)),
+            "--operator",
+            str(write_operator_file(tmp_path, PROXY_SECTION)),
+        ],
+    )
+    assert result.exit_code == 0
+    assert "gossip: p in zone n1 of north, listens on 0.0.0.0:7500, 1 seeds, 3 voters" in result.output
+
+
+@pytest.mark.parametrize(
+    "arguments, named",
+    [
+        ([], "--admin"),
+        (["--admin", "127.0.0.1"], "must be HOST:PORT"),
+        (["--admin", "127.0.0.1:1"], "nothing to publish"),
+        (["--admin", "127.0.0.1:1", "novalue"], "must be KEY=VALUE"),
+        (["--admin", "127.0.0.1:1", "=v"], "must be KEY=VALUE"),
+        (["--admin", "127.0.0.1:1", "k=v", "--delete", "k"], "stands twice"),
+    ],
+)
+def test_publish_ends_with_code_2_on_bad_usage(arguments: list[str], named: str) -> None:
+    result = CliRunner().invoke(main, ["publish", *arguments])
+    assert result.exit_code == 2 and named in result.output
+
+
+def test_an_address_that_is_taken_ends_with_code_3(tmp_path: Path) -> None:
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as taken:
+        taken.bind(("127.0.0.1", 0))
+        port = taken.getsockname()[1]
+        control = run_command(
+            "control", "--operator", str(write_operator_file(tmp_path, on_loopback(GOSSIP_SECTION, port)))
+        )
+        serve = run_command(
+            "serve",
+            "--config",
+            str(write_config(tmp_path)),
+            "--operator",
+            str(write_operator_file(tmp_path, on_loopback(PROXY_SECTION, port))),
+        )
+    with socket.socket() as taken:
+        taken.bind(("127.0.0.1", 0))
+        taken.listen()
+        admin = "{}:{}".format(*taken.getsockname())
+        file = write_operator_file(tmp_path, on_loopback(GOSSIP_SECTION, free_port()))
+        at_admin = run_command("control", "--operator", str(file), "--admin", admin)
+    for ended, named in ((control, "'gossip.listen'"), (serve, "'gossip.listen'"), (at_admin, "'--admin'")):
+        assert ended.returncode == 3, ended.stderr
+        assert f"{named}: cannot listen on 127.0.0.1:" in ended.stderr
+        assert "Address already in use" in ended.stderr and "Traceback" not in ended.stderr
+
+
+def test_a_store_that_can_not_be_used_ends_with_code_2(tmp_path: Path) -> None:
+    (tmp_path / "c0.store").write_text("this is no store" * 1_000)
+    ended = run_command(
+        "control", "--operator", str(write_operator_file(tmp_path, on_loopback(GOSSIP_SECTION, free_port())))
+    )
+    assert ended.returncode == 2 and "gossip.store_file: " in ended.stderr
+    assert "c0.store" in ended.stderr and "Traceback" not in ended.stderr
+
+
+def test_a_voter_whose_disk_fails_ends_with_code_1(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    def full(store: ReplicaStore, state: ReplicaState) -> None:
+        raise StoreError("c0.store: database or disk is full")
+
+    monkeypatch.setattr(ReplicaStore, "save", full)
+    text = re.sub(r"  voter .*c[12].*\n", "", on_loopback(GOSSIP_SECTION, free_port()))
+    text = text.replace("probe_interval_s: 2", "heartbeat_interval_s: 0.1 takeover_after_s: 0.2")
+    result = CliRunner().invoke(main, ["control", "--operator", str(write_operator_file(tmp_path, text))])
+    assert result.exit_code == 1
+    assert "gossip.store_file: c0.store: database or disk is full" in result.output
--- a/tests/config/operator_files.py
+++ b/tests/config/operator_files.py
@@ -24,6 +24,22 @@
   }
 }
 """
+GOSSIP_SECTION = """gossip {
+  me: "c0"
+  listen: "0.0.0.0:7500"
+  advertise: "10.0.0.1:7500"
+  region: "north" zone: "n1"
+  role: CONTROL
+  seed: "10.0.0.1:7500"
+  seed: "10.0.0.2:7500"
+  voter { name: "c0" address: "10.0.0.1:7500" }
+  voter { name: "c1" address: "10.0.0.2:7500" }
+  voter { name: "c2" address: "[2001:db8::0:3]:7500" }
+  key_file: "key"
+  store_file: "c0.store"
+  probe_interval_s: 2
+}
+"""
 
 
 def write_operator_file(folder: Path, text: str = GOOD, keys: str = "ab" * 32, mode: int = 0o600) -> Path:
