--- a/tests/address_failover/test_authentication.py
+++ b/tests/address_failover/test_authentication.py
@@ -72,7 +72,7 @@
     assert b.open(late[2], A) is DropReason.REPLAYED  # too old to say
 
 
-def test_what_was_recorded_before_a_restart_of_either_side_is_void() -> None:
+def test_what_was_recorded_before_a_restart_of_either_side_is_invalid() -> None:
     a, b = pair()
     recorded = a.seal("b", LeaseRelease(1))
     again = DatagramAuthenticator("b", 21, [OLD], {"a": A})
@@ -98,14 +98,14 @@
     "keys, named",
     [([], "not 0"), ([b"short"], "under 16"), ([OLD, OLD], "twice"), ([OLD, NEW, b"x" * 32], "not 3")],
 )
-def test_keys_that_can_not_be_are_refused_and_the_old_ones_stay(keys: list[bytes], named: str) -> None:
+def test_invalid_keys_are_rejected_and_the_old_ones_stay(keys: list[bytes], named: str) -> None:
     a, b = pair()
     with pytest.raises(InvalidKeysError, match=named):
         a.change_keys(keys)
     assert b.open(a.seal("b", LeaseRelease(1)), A) == AuthenticatedMessage("a", LeaseRelease(1))
 
 
-def test_strangers_and_wrong_addresses_are_dropped() -> None:
+def test_unknown_senders_and_wrong_addresses_are_dropped() -> None:
     a, b = pair()
     assert b.open(a.seal("b", LeaseRelease(1)), B) is DropReason.NOT_A_MEMBER
     assert (
--- a/tests/address_failover/test_bgp_session.py
+++ b/tests/address_failover/test_bgp_session.py
@@ -65,7 +65,7 @@
         return self
 
 
-def test_what_is_wanted_is_announced_when_the_session_stands_and_again_after_it_broke() -> None:
+def test_routes_are_announced_when_the_session_is_established_and_again_after_it_broke() -> None:
     s = SessionDriver()
     s.do("set_route", V4)
     s.establish()
@@ -117,7 +117,9 @@
         (bgp.encode_announcement(V4), 5, 0),
     ],
 )
-def test_a_peer_that_errs_is_told_how_and_left(data: bytes, code: int, subcode: int) -> None:
+def test_a_peer_that_errs_is_notified_of_its_error_and_the_session_closed(
+    data: bytes, code: int, subcode: int
+) -> None:
     s = SessionDriver()
     s.do("connected")
     s.do("received", data)
@@ -126,7 +128,7 @@
     assert s.closes == 1 and s.session.state is State.IDLE
 
 
-def test_attempts_come_ever_later_and_a_session_that_stood_starts_over() -> None:
+def test_attempts_back_off_and_a_session_that_was_established_starts_over() -> None:
     s = SessionDriver()
     times = []
     for _ in range(9):
@@ -139,7 +141,7 @@
     assert s.changes[-1].reason == "peer sent NOTIFICATION 6/2 (night)" and s.timer_at - s.now < 0.3
 
 
-def test_stopping_says_so_and_nothing_is_tried_again() -> None:
+def test_stopping_is_notified_and_nothing_is_retried() -> None:
     s = SessionDriver().establish()
     s.do("stop", "planned leave")
     assert s.sent[-1] == bgp.Notification(6, 2, b"\x0dplanned leave")
@@ -150,7 +152,7 @@
     assert s.connects == connects and s.session.state is State.STOPPED
 
 
-def test_a_hold_time_that_the_rfc_forbids_is_refused() -> None:
+def test_a_hold_time_that_the_rfc_forbids_is_rejected() -> None:
     with pytest.raises(InvalidPeeringError, match="3 s at least, not 2"):
         Peering(64512, 64512, "10.0.0.1", 2)
 
--- a/tests/address_failover/test_host.py
+++ b/tests/address_failover/test_host.py
@@ -142,7 +142,7 @@
     play(tmp_path, BOTH, scenario)
 
 
-def test_a_holder_that_hears_nobody_withdraws_before_another_announces(tmp_path: Path) -> None:
+def test_a_holder_that_receives_nothing_withdraws_before_another_announces(tmp_path: Path) -> None:
     # The holder's socket is dead, its BGP sessions are not: only its own lease can make it withdraw.
     async def scenario(site: Site) -> None:
         transport = site.members["n0"]._socket
--- a/tests/app/test_control_member.py
+++ b/tests/app/test_control_member.py
@@ -11,7 +11,7 @@
 from tests.config.operator_files import GOSSIP_SECTION, write_operator_file
 
 
-def test_a_change_of_the_section_is_told_on_sighup_and_waits_for_a_restart(tmp_path: Path) -> None:
+def test_a_changed_section_is_logged_on_sighup_and_waits_for_a_restart(tmp_path: Path) -> None:
     text = on_loopback(GOSSIP_SECTION, free_port())
     file = write_operator_file(tmp_path, text)
     process = subprocess.Popen(
--- a/tests/balancing/test_backend_report.py
+++ b/tests/balancing/test_backend_report.py
@@ -11,7 +11,7 @@
 NOW = 100.0
 
 
-def test_a_backend_without_trouble_has_no_reasons() -> None:
+def test_a_backend_without_faults_has_no_reasons() -> None:
     report = report_backend(NOW, Backend(Endpoint("s0")))
     assert report.reasons == () and not report.is_avoided
 
@@ -19,7 +19,7 @@
 @pytest.mark.parametrize(
     ("state", "reason"), [(BackendState.DRAINING, "draining"), (BackendState.REMOVED, "removed")]
 )
-def test_what_the_list_says_is_a_reason(state: BackendState, reason: str) -> None:
+def test_a_state_in_the_endpoint_list_is_a_reason(state: BackendState, reason: str) -> None:
     report = report_backend(NOW, Backend(Endpoint("s0", state)))
     assert report.reasons == (reason,) and report.is_avoided
 
--- a/tests/balancing/test_capacity_estimate.py
+++ b/tests/balancing/test_capacity_estimate.py
@@ -55,7 +55,7 @@
     ],
     ids=["old", "idle", "nothing of this proxy"],
 )
-def test_reports_that_tell_nothing_leave_the_estimate_as_it_is(useless: Backend) -> None:
+def test_reports_without_information_leave_the_estimate_as_it_is(useless: Backend) -> None:
     capacity = estimate()
     capacity.update(NOW, [useless])
     assert (capacity.slots_at_full_load, capacity.mean_reported_load) == (0.0, INITIAL_MEAN_LOAD)
--- a/tests/balancing/test_failure_attribution.py
+++ b/tests/balancing/test_failure_attribution.py
@@ -87,7 +87,7 @@
     assert backend.health.state is health
 
 
-def test_attempts_at_an_old_process_say_nothing_of_the_next_one() -> None:
+def test_attempts_at_an_old_process_do_not_count_for_the_next_one() -> None:
     # A backend is restarted. The endings of what was in flight to its old process arrive after the list has
     # told of the new one, which is not to blame.
     host = BalancerHost()
--- a/tests/balancing/test_load_shedding.py
+++ b/tests/balancing/test_load_shedding.py
@@ -27,7 +27,7 @@
     assert len(host.actions(MigrateConnection)) == len(moved)  # nowhere to go: they stay
 
 
-def test_a_slow_set_up_tells_of_queued_work_where_no_message_latency_does() -> None:
+def test_a_slow_set_up_reveals_queued_work_where_no_message_latency_does() -> None:
     # On sockets an echo does not queue behind a backend's work, so message latencies tell of no overload.
     host = BalancerHost()
     host.update_endpoints(members(2))
--- a/tests/cli/test_gossip.py
+++ b/tests/cli/test_gossip.py
@@ -44,7 +44,7 @@
     assert len(result.output.splitlines()) == 1 and re.search(named, result.output)
 
 
-def test_check_config_tells_of_gossip(tmp_path: Path) -> None:
+def test_check_config_reports_gossip(tmp_path: Path) -> None:
     result = CliRunner().invoke(
         main,
         [
--- a/tests/cli/test_proxy.py
+++ b/tests/cli/test_proxy.py
@@ -80,7 +80,7 @@
     assert b"Traceback" not in ran.stderr
 
 
-def test_check_config_tells_of_membership(tmp_path: Path) -> None:
+def test_check_config_reports_address_failover(tmp_path: Path) -> None:
     result = CliRunner().invoke(
         main,
         [
--- a/tests/codec/test_bgp.py
+++ b/tests/codec/test_bgp.py
@@ -33,7 +33,7 @@
     ]
 
 
-def test_an_update_has_the_bytes_that_the_rfc_says() -> None:
+def test_an_update_has_the_bytes_that_the_rfc_specifies() -> None:
     want = (
         "ff" * 16
         + "0031"
--- a/tests/config/test_operator.py
+++ b/tests/config/test_operator.py
@@ -74,7 +74,7 @@
         ("probes: 3", 'no field named "probes"'),
     ],
 )
-def test_terms_of_the_fleet_that_can_not_be_are_refused(text: str, named: str, tmp_path: Path) -> None:
+def test_invalid_settings_of_shared_state_are_rejected(text: str, named: str, tmp_path: Path) -> None:
     with pytest.raises(ConfigError, match=rf":2: .*{named}"):
         read_operator(write_operator_file(tmp_path, "fleet {\n  " + text + "\n}\n"), "p")
 
@@ -89,6 +89,6 @@
         (("ab" * 32 + "\n") * 2, 0o600, "same key twice"),
     ],
 )
-def test_keys_that_can_not_be_are_refused(keys: str, mode: int, named: str, tmp_path: Path) -> None:
+def test_invalid_keys_are_rejected(keys: str, mode: int, named: str, tmp_path: Path) -> None:
     with pytest.raises(ConfigError, match=rf":10: membership.key_file: .*{named}"):
         read_operator(write_operator_file(tmp_path, keys=keys, mode=mode), "p")
--- a/tests/config/test_operator_gossip.py
+++ b/tests/config/test_operator_gossip.py
@@ -108,6 +108,6 @@
         ("ab" * 32 + "\n" + "cd" * 32, 0o600, "one key, not 2"),
     ],
 )
-def test_keys_that_can_not_be_are_refused(keys: str, mode: int, named: str, tmp_path: Path) -> None:
+def test_invalid_keys_are_rejected(keys: str, mode: int, named: str, tmp_path: Path) -> None:
     with pytest.raises(ConfigError, match=rf":12: gossip.key_file: .*{named}"):
         read_operator(write_operator_file(tmp_path, GOSSIP_SECTION, keys=keys, mode=mode), "p")
--- a/tests/config/test_overlay.py
+++ b/tests/config/test_overlay.py
@@ -16,7 +16,7 @@
     return load_config(write_proxy_config(folder, peers=True), {})
 
 
-def test_an_overlay_stands_over_the_file_until_its_key_is_deleted(tmp_path: Path) -> None:
+def test_an_overlay_overrides_the_file_until_its_key_is_deleted(tmp_path: Path) -> None:
     own = proxy_config(tmp_path)
     source = ConfigurationSource(own, lambda: own)
     assert source.overlay.update({DISCOVERY_KEY: b"10.0.0.7:80", SOCKETS_KEY: b"128", "x": b"\xff"}, 1)
--- a/tests/gossip/test_aggregation.py
+++ b/tests/gossip/test_aggregation.py
@@ -324,7 +324,7 @@
     assert zone.seen() == {zone.wanted()}
 
 
-def test_the_root_tells_the_sum_once_in_each_sum_interval() -> None:
+def test_the_root_sends_the_sum_once_in_each_sum_interval() -> None:
     """Tallies come more often than that; a sum goes to the whole fleet and is passed on many times."""
     timing = Timing()
     part = Aggregation(timing, random.Random(1))
--- a/tests/gossip/test_broadcasts.py
+++ b/tests/gossip/test_broadcasts.py
@@ -60,7 +60,7 @@
     assert len(queue) == BUSY_QUEUE - 1
 
 
-def test_zone_sums_alone_are_no_news_of_members() -> None:
+def test_zone_sums_alone_are_no_member_updates() -> None:
     queue = BroadcastQueue(3.0)
     queue.add("zone", ZoneSum("zone", 1, 1, 1))
     queue.add("zone", ZoneSum("zone", 2, 1, 1))
@@ -101,7 +101,7 @@
     assert queue.take(1_000, 10) == (StatusUpdate(record_of(1).id, 0, DEAD), ZoneSum("a", 2, 1, 1))
 
 
-def test_the_broadcast_queue_is_bounded_and_keeps_the_news() -> None:
+def test_the_broadcast_queue_is_bounded_and_keeps_the_newest_updates() -> None:
     queue = BroadcastQueue(3.0)
     for member in range(MAX_QUEUED):
         queue.add(member, StatusUpdate(member, 0, SUSPECT))
--- a/tests/gossip/test_budget.py
+++ b/tests/gossip/test_budget.py
@@ -21,7 +21,7 @@
     assert bucket.take(1.0, 50)
 
 
-def test_a_bucket_tells_when_it_has_a_token_again():
+def test_a_bucket_knows_when_it_has_a_token_again():
     bucket = TokenBucket(rate=100, burst=50)
     assert bucket.available_at() < 0
     bucket.force(10.0, 80)
--- a/tests/gossip/test_codec.py
+++ b/tests/gossip/test_codec.py
@@ -127,7 +127,7 @@
 
 @settings(max_examples=200, deadline=None)
 @given(st.binary(max_size=1_400))
-def test_random_bytes_are_refused(datagram):
+def test_random_bytes_are_rejected(datagram):
     reason_of(datagram)
 
 
@@ -170,7 +170,7 @@
 
 @settings(max_examples=60, deadline=None)
 @given(any_message, st.data())
-def test_a_message_that_is_cut_or_longer_is_refused(message, data):
+def test_a_message_that_is_cut_or_longer_is_rejected(message, data):
     content = CODEC.encode(HEADER, message)[TAG_END:]
     cut = data.draw(st.integers(0, len(content) - 1))
     reason_of(signed(content[:cut]))
@@ -246,7 +246,7 @@
     ],
     ids=str,
 )
-def test_a_bad_record_under_the_right_tag_is_refused(fields):
+def test_a_bad_record_under_the_right_tag_is_rejected(fields):
     frame = HEADER_LAYOUT.pack(1, 2, 3, 4, 5, 6, 7, 5)
     assert CODEC.decode(signed(frame + b"\1" + record_bytes()))
     assert reason_of(signed(frame + b"\1" + record_bytes(**fields))) is Reason.SCHEMA
@@ -294,7 +294,7 @@
 
 
 @given(st.binary(max_size=200))
-def test_bytes_of_a_configuration_are_its_one_form_or_refused(data):
+def test_bytes_of_a_configuration_are_its_one_form_or_rejected(data):
     try:
         configuration = decode_configuration(data)
     except CodecError as error:
--- a/tests/gossip/test_configuration.py
+++ b/tests/gossip/test_configuration.py
@@ -48,7 +48,7 @@
 # ---- changes -----------------------------------------------------------------------------------------
 
 
-def test_a_change_is_applied_whole_and_tells_the_keys_that_it_touched() -> None:
+def test_a_change_is_applied_completely_and_lists_the_keys_that_it_touched() -> None:
     configuration = Configuration()
     configuration.apply(change(1, 1, ("b", b"1"), ("a", b"2")))
     assert configuration.take_changed_keys() == ("a", "b")
@@ -90,14 +90,14 @@
         assert state_of(configuration) == before
 
 
-def test_an_old_position_that_the_log_has_dropped_is_judged_by_its_epoch() -> None:
+def test_an_old_position_that_the_log_has_dropped_is_decided_by_its_epoch() -> None:
     configuration = configuration_at(300, epoch=3)
     assert configuration.relate(Position(3, 2)) is Relation.KNOWN
     assert configuration.relate(Position(1, 2)) is Relation.KNOWN
     assert configuration.relate(Position(4, 2)) is Relation.CONFLICT
 
 
-def test_a_change_that_is_too_long_or_has_no_binary_form_is_refused() -> None:
+def test_a_change_that_is_too_long_or_has_no_binary_form_is_rejected() -> None:
     configuration = configuration_at(1)
     before = state_of(configuration)
     for writes in ((("k", bytes(MAX_CHANGE_BYTES)),), (("k" * 129, b""),), (("", b""),)):
@@ -196,7 +196,7 @@
         (Position(HIGHEST, HIGHEST), Outcome.APPLIED),
     ],
 )
-def test_a_checkpoint_of_no_later_position_is_refused(position: Position, outcome: Outcome) -> None:
+def test_a_checkpoint_of_no_later_position_is_rejected(position: Position, outcome: Outcome) -> None:
     configuration = configuration_at(10, epoch=3)
     before = state_of(configuration)
     checkpoint = Checkpoint.of(position, encode_configuration([("a", b"1")]))
@@ -204,7 +204,7 @@
     assert (state_of(configuration) == before) == (outcome is not Outcome.APPLIED)
 
 
-def test_bytes_that_are_no_canonical_configuration_are_refused() -> None:
+def test_bytes_that_are_no_canonical_configuration_are_rejected() -> None:
     configuration = configuration_at(10)
     before = state_of(configuration)
     item = encode_configuration([("b", b"1")])
@@ -214,7 +214,7 @@
         assert state_of(configuration) == before
 
 
-def test_a_member_at_the_highest_position_refuses_everything() -> None:
+def test_a_member_at_the_highest_position_rejects_everything() -> None:
     configuration = Configuration()
     configuration.restore(ReplicaState(committed=Position(HIGHEST, HIGHEST)))
     assert configuration.apply(change(HIGHEST, HIGHEST)) is Outcome.DUPLICATE
--- a/tests/gossip/test_dissemination.py
+++ b/tests/gossip/test_dissemination.py
@@ -168,7 +168,7 @@
     assert member.position == Position(1, 7)
 
 
-def test_refused_changes_are_counted_by_their_reason() -> None:
+def test_rejected_changes_are_counted_by_their_reason() -> None:
     member = member_at(5)
     answer = Changes((change(4), change(7), change(6, epoch=0), change(5, epoch=2)))
     assert member.handle(0.0, A, header(5), answer) == []
@@ -181,7 +181,7 @@
     assert member.position == Position(1, 5) and member.take_actions() == []
 
 
-def test_one_action_tells_what_a_call_has_changed() -> None:
+def test_one_action_reports_what_a_call_has_changed() -> None:
     member = new_member()
     member.observe(0.0, A, header(3))
     member.handle(0.1, A, header(3), changes(1, 3))
@@ -189,7 +189,7 @@
     assert member.take_actions() == []
 
 
-def test_a_restored_control_member_tells_its_configuration_and_serves_it_without_a_log() -> None:
+def test_a_restored_control_member_announces_its_configuration_and_serves_it_without_a_log() -> None:
     member = new_member()
     member.restore(0.0, ReplicaState(committed=Position(4, 100), configuration=(("a", b"1"),)))
     assert member.take_actions() == [Applied(Position(4, 100), ("a",))]
@@ -218,7 +218,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_nothing_that_a_stranger_sends_raises_or_makes_the_state_grow(seed: int) -> None:
+def test_nothing_that_an_unknown_sender_sends_raises_or_makes_the_state_grow(seed: int) -> None:
     random = Random(seed)
     member = member_at(5)
     now = 0.0
--- a/tests/gossip/test_dissemination_fleet.py
+++ b/tests/gossip/test_dissemination_fleet.py
@@ -82,7 +82,9 @@
 
 
 @pytest.mark.parametrize("seed", [4, 5, 6])
-def test_a_cut_off_part_knows_that_it_lacks_news_and_is_current_again_after_the_cut(seed: int) -> None:
+def test_a_partitioned_group_knows_that_it_lacks_updates_and_is_current_again_after_the_partition(
+    seed: int,
+) -> None:
     fleet = Fleet(seed, 30, link=Link(loss=0.01))
     fleet.start_all()
     fleet.beat_every(1.0, 60.0)
--- a/tests/gossip/test_failure_detector.py
+++ b/tests/gossip/test_failure_detector.py
@@ -88,7 +88,7 @@
     assert lone.figure("suspicions") == 0
 
 
-def test_an_ack_of_one_that_was_not_asked_proves_nothing() -> None:
+def test_an_ack_of_a_member_that_was_not_pinged_proves_nothing() -> None:
     others = [record_of(number, f"z{number}") for number in range(1, 4)]
 
     def answer(send: Send) -> Any:
--- a/tests/gossip/test_host_datagrams.py
+++ b/tests/gossip/test_host_datagrams.py
@@ -12,7 +12,7 @@
 from tests.gossip.site import KEY, Site, until
 
 
-def test_datagrams_of_strangers_are_counted_by_reason_and_change_nothing() -> None:
+def test_datagrams_of_unknown_senders_are_counted_by_reason_and_change_nothing() -> None:
     async def run() -> None:
         site = Site(proxies=2)
         stranger = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
--- a/tests/gossip/test_member_table.py
+++ b/tests/gossip/test_member_table.py
@@ -109,7 +109,7 @@
         {"incarnation": 2**32},
     ],
 )
-def test_records_that_cannot_be_members_are_refused(wrong: dict[str, Any]) -> None:
+def test_records_that_cannot_be_members_are_rejected(wrong: dict[str, Any]) -> None:
     lone = Lone(record_of(1))
     lone.receive(record_of(1), Gossip((replace(record_of(2), **wrong),)))
     assert len(lone.membership.members) == 2
--- a/tests/gossip/test_model.py
+++ b/tests/gossip/test_model.py
@@ -47,7 +47,7 @@
     play(seed, **SMALL)
 
 
-def test_a_schedule_gives_the_same_verdict_every_time() -> None:
+def test_a_schedule_gives_the_same_result_every_time() -> None:
     assert play(3, **SMALL) == play(3, **SMALL)
 
 
--- a/tests/gossip/test_model_broken_nodes.py
+++ b/tests/gossip/test_model_broken_nodes.py
@@ -119,7 +119,7 @@
     assert not world.disagreement()
 
 
-def test_a_change_of_an_older_epoch_is_refused_behind_a_newer_one() -> None:
+def test_a_change_of_an_older_epoch_is_rejected_behind_a_newer_one() -> None:
     offer_change_of_an_older_epoch()
 
 
@@ -161,7 +161,7 @@
         publisher_dies_and_the_others_restart(forgetful)
 
 
-def test_a_node_that_never_says_stale_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_node_that_never_reports_stale_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     told = FreshnessMonitor.freshness
 
     def never_stale(self: FreshnessMonitor, now: float, behind: bool) -> Freshness:
--- a/tests/gossip/test_model_changes.py
+++ b/tests/gossip/test_model_changes.py
@@ -145,7 +145,7 @@
     change_in_force(world, tokens[-1])
 
 
-def test_50_changes_given_at_once_are_published_or_refused_and_end_everywhere() -> None:
+def test_50_changes_given_at_once_are_published_or_rejected_and_end_everywhere() -> None:
     world = formed(21, 10)
     publisher = publisher_of(world)
     tokens = [world.publish(publisher, ((f"burst/{i}", b"v" * 60),)) for i in range(50)]
--- a/tests/gossip/test_model_members.py
+++ b/tests/gossip/test_model_members.py
@@ -82,7 +82,7 @@
     within(world, AGREED_WITHIN, lambda: world.disagreement() or publishes(world), "all agree")
 
 
-def test_strangers_with_another_key_or_version_are_counted_and_stay_strangers() -> None:
+def test_senders_with_another_key_or_version_are_counted_and_stay_unknown() -> None:
     world = formed(25, 5)
     world.add("stranger", Member("stranger", world.members["proxy-1"].place, ("10.9.0.2", PORT), Role.PROXY))
     world.start("stranger", key=b"another key")
--- a/tests/gossip/test_own_record.py
+++ b/tests/gossip/test_own_record.py
@@ -60,7 +60,7 @@
     assert lone.membership.me.incarnation == 10
 
 
-def test_a_suspect_is_told_by_the_next_ping() -> None:
+def test_a_suspect_is_notified_by_the_next_ping() -> None:
     one, two = record_of(1), record_of(2)
     lone = Lone(two, one)
     lone.receive(two, Gossip((StatusUpdate(one.id, 0, SUSPECT),)))
@@ -69,7 +69,7 @@
 
 
 @pytest.mark.parametrize("status", [DEAD, LEFT])
-def test_a_departed_member_that_speaks_is_told_once_a_second(status: Status) -> None:
+def test_a_departed_member_that_sends_is_notified_once_a_second(status: Status) -> None:
     one, two = record_of(1), record_of(2)
     lone = Lone(two, one)
     lone.receive(two, Gossip((StatusUpdate(one.id, 0, status),)))
--- a/tests/gossip/test_quorum.py
+++ b/tests/gossip/test_quorum.py
@@ -88,7 +88,7 @@
     ]
 
 
-def test_messages_under_an_epoch_of_another_voter_and_of_strangers_are_passed_over() -> None:
+def test_messages_under_an_epoch_of_another_voter_and_of_unknown_senders_are_ignored() -> None:
     core = quorum()
     for message in (Prepare(4), Propose(4, change(4, 1)), LeaseRequest(4, 1)):
         assert hand(core, 2, message) == []  # epoch 4 of three voters is v1's
@@ -108,7 +108,7 @@
         assert hand(core, 1, message) == [Send(VOTERS[1].address, Rejected(5))]
 
 
-def test_an_accepted_change_is_persisted_ahead_of_its_answer_and_told_with_a_promise() -> None:
+def test_an_accepted_change_is_persisted_ahead_of_its_answer_and_sent_with_a_promise() -> None:
     core = quorum()
     persist, accepted = hand(core, 1, Propose(4, change(4, 1)))
     entry = AcceptedChange(4, change(4, 1))
@@ -127,7 +127,7 @@
     assert accepted == Send(VOTERS[1].address, Accepted(4, Position(4, 3)))
 
 
-def test_a_voter_behind_accepts_once_it_has_caught_up_and_says_so_to_the_publisher() -> None:
+def test_a_voter_behind_accepts_once_it_has_caught_up_and_notifies_the_publisher() -> None:
     core = quorum()
     assert hand(core, 1, Propose(4, change(4, 3))) == []
     persist, accepted = core.applied(0.2, Position(4, 2), {"key": b"value"})
@@ -176,7 +176,7 @@
     assert Propose(3, Change(Position(3, 2), WRITES)) in proposed
 
 
-def test_a_candidate_proposes_again_at_the_first_position_what_a_promise_tells() -> None:
+def test_a_candidate_proposes_again_at_the_first_position_what_a_promise_reports() -> None:
     core = quorum()
     core.publish(0.1, Publish(1, WRITES))
     first, second = change(2, 1), change(2, 2)
@@ -224,7 +224,9 @@
     assert Propose(6, Change(Position(6, 2), WRITES)) in proposed
 
 
-def test_a_change_whose_version_was_passed_unseen_is_neither_proposed_anew_nor_told_as_published() -> None:
+def test_a_change_whose_version_was_passed_unseen_is_neither_proposed_anew_nor_reported_as_published() -> (
+    None
+):
     core = quorum()
     core.publish(0.1, Publish(1, WRITES))
     hand(core, 1, Promise(3, Position(), 0))
@@ -259,7 +261,7 @@
     assert hand(core, 3, LeaseGrant(5, 1)) == []
 
 
-def test_what_is_too_large_or_too_much_is_refused_at_once() -> None:
+def test_what_is_too_large_or_too_much_is_rejected_at_once() -> None:
     core = quorum()
     assert core.publish(0.1, Publish(1, (("key", bytes(1_000)),))) == [
         PublishFailed(1, PublishError.TOO_LARGE)
@@ -282,7 +284,7 @@
         assert codec.decode(codec.encode(header, message)) == (header, message)
 
 
-def test_a_configuration_that_would_grow_too_large_is_refused_and_the_next_change_is_not() -> None:
+def test_a_configuration_that_would_grow_too_large_is_rejected_and_the_next_change_is_not() -> None:
     full = tuple((f"key{i:04}", bytes(900)) for i in range(288))  # 262,080 bytes encoded
     state = ReplicaState(committed=Position(1, 288), configuration=full)
     core = Quorum(VOTERS[0], VOTERS[:1], Timing(), random.Random(1), state)
--- a/tests/gossip/test_quorum_fleet.py
+++ b/tests/gossip/test_quorum_fleet.py
@@ -99,7 +99,7 @@
     assert versions == list(range(1, 41))
 
 
-def test_a_publisher_that_hears_nobody_steps_down_so_that_another_can_take_over() -> None:
+def test_a_publisher_that_receives_nothing_steps_down_so_that_another_can_take_over() -> None:
     w = world()
     w.publish("v0")
     w.net.run(1.0)
@@ -110,7 +110,7 @@
     assert publisher(w) != "v0"
 
 
-def test_without_a_majority_a_publish_is_told_as_failed_in_time_and_the_next_one_too() -> None:
+def test_without_a_majority_a_publish_is_reported_as_failed_in_time_and_the_next_one_too() -> None:
     w = world()
     for name in ("v2", "v3", "v4"):
         w.crash(name)
--- a/tests/gossip/test_snapshots.py
+++ b/tests/gossip/test_snapshots.py
@@ -179,7 +179,7 @@
     assert member.position == checkpoint.position
 
 
-def test_a_digest_that_fits_bytes_which_are_no_configuration_is_refused_as_well() -> None:
+def test_a_digest_that_fits_bytes_which_are_no_configuration_is_rejected_as_well() -> None:
     member = new_member()
     member.observe(0.0, A, header(64))
     bogus = Checkpoint.of(Position(1, 64), b"\xff" * 100)
@@ -187,7 +187,7 @@
     assert member.figures()["snapshot_invalid"] == 1 and member.position == Position()
 
 
-def test_parts_of_other_bytes_for_the_same_position_are_counted_and_refused() -> None:
+def test_parts_of_other_bytes_for_the_same_position_are_counted_and_rejected() -> None:
     checkpoint, other = checkpoint_of(5_000), checkpoint_of(5_000, fill=b"y")
     member = begin_transfer(checkpoint)
     run(member, 0.0, 0.13)
--- a/tests/gossip/test_unknown_senders.py
+++ b/tests/gossip/test_unknown_senders.py
@@ -26,7 +26,7 @@
 )
 
 
-def test_a_new_process_of_a_known_name_is_told_what_it_has_to_exceed() -> None:
+def test_a_new_process_of_a_known_name_is_sent_the_incarnation_to_exceed() -> None:
     known, new = record_of(1, incarnation=5, process=11), record_of(1, process=22)
     lone = Lone(known)
     source = ("10.9.9.9", 7777)
@@ -37,7 +37,7 @@
     assert len(told) == 1
 
 
-def test_strangers_get_what_lets_them_join_and_no_more_than_a_bound() -> None:
+def test_unknown_senders_get_what_lets_them_join_and_no_more_than_a_bound() -> None:
     lone = Lone(record_of(1))
     stranger = record_of(500)
     kinds = Counter(type(send.message) for send in lone.receive(stranger, SyncRequest(0)))
@@ -53,7 +53,7 @@
     assert lone.figure("strangers") >= 2_000
 
 
-def test_a_stranger_is_asked_for_its_table() -> None:
+def test_an_unknown_sender_is_asked_for_its_table() -> None:
     lone = Lone(record_of(1))
     lone.receive(record_of(1), SyncReply((), False))
     stranger = record_of(500)
--- a/tests/proxy/test_traffic_summary.py
+++ b/tests/proxy/test_traffic_summary.py
@@ -40,7 +40,7 @@
     assert "timeout" not in second and "rejected" not in second_total and second_total["overloaded"]
 
 
-def test_a_removed_backend_is_told_of_while_it_has_connections() -> None:
+def test_a_removed_backend_is_reported_while_it_has_connections() -> None:
     with capture_logs() as logs:
         TrafficSummary().write([report("s0", BackendState.REMOVED)], {"s0": 1}, 1, False)
     assert [entry["event"] for entry in logs] == ["backend traffic", "traffic"]
--- a/tests/shared_state/test_codec.py
+++ b/tests/shared_state/test_codec.py
@@ -38,7 +38,7 @@
 
 
 @given(st.text(max_size=300) | st.builds(lambda m, cut: encode(m)[:cut], MESSAGES, st.integers(0, 250)))
-def test_any_text_is_a_message_or_is_refused(text: str) -> None:
+def test_any_text_is_a_message_or_is_rejected(text: str) -> None:
     try:
         message = decode(text)
     except MalformedMessageError:
--- a/tests/shared_state/test_golden_messages.py
+++ b/tests/shared_state/test_golden_messages.py
@@ -137,7 +137,7 @@
 @pytest.mark.parametrize(
     ("seed", "wanted"), [(1, "7a9f9cf50f3c1d0329fdd606996b56d8"), (2, "cb2c4c3c29b3a4543c377bcb32130dc9")]
 )
-def test_proxies_in_trouble_send_and_answer_what_they_always_did(seed: int, wanted: str) -> None:
+def test_proxies_with_faults_send_and_answer_what_they_always_did(seed: int, wanted: str) -> None:
     """Losses, doubled messages, a cut, a stop and a restart."""
     proxies = RecordedProxies(seed, Link(delay=(0.0017, 0.3), loss=0.2, double=0.2))
     run_with_faults(proxies)
--- a/tests/shared_state/test_processes.py
+++ b/tests/shared_state/test_processes.py
@@ -295,5 +295,5 @@
         assert "Traceback" not in (folder / f"{i}.log").read_text()
 
 
-def test_budget_counts_and_verdicts_hold_between_processes_with_faults(tmp_path: Path) -> None:
+def test_budget_counts_and_ejection_notices_hold_between_processes_with_faults(tmp_path: Path) -> None:
     asyncio.run(play(tmp_path))
--- a/tests/shared_state/test_quota.py
+++ b/tests/shared_state/test_quota.py
@@ -19,7 +19,7 @@
     return leases
 
 
-def test_a_proxy_that_hears_nobody_has_half_a_part_and_inherits_the_others_portions_after_a_term() -> None:
+def test_a_proxy_that_receives_nothing_has_half_a_portion_and_inherits_the_others_after_a_term() -> None:
     # Nobody answers. Its own portions are not leased, and those of its predecessors may be in use by them
     # until the leases that an earlier incarnation granted have expired on the slowest clock.
     leases = started(0)
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -149,7 +149,7 @@
     assert upward_imports(imports_of(PACKAGE)) == []
 
 
-def test_each_entry_of_the_floors_stands_for_something() -> None:
+def test_each_entry_of_the_floors_names_a_module() -> None:
     """So that the table keeps up with renames."""
     assert set(FLOORS) <= set(modules_of(PACKAGE))
 
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -144,7 +144,7 @@
     assert len(sink.getvalue().splitlines()) == 1  # nothing is said to the bad line or after it
 
 
-def test_a_fault_in_the_decisions_is_told_for_its_instance() -> None:
+def test_a_fault_in_the_decisions_is_reported_for_its_instance() -> None:
     adapter = started()
     got = actions(adapter.reply(batch(ACCEPT | {"profile": "no such class"})))
     assert got[-1]["msg"] == "internal_error" and "no such class" in got[-1]["text"] and got[-1]["node"] == 3
