--- a/tests/proxy/exchange_player.py
+++ b/tests/proxy/exchange_player.py
@@ -11,7 +11,7 @@
     c1 ends, resets, closes, sees end, sees reset
     proxy ...      something done to the proxy, see ``ExchangePlayer.act_on_proxy``
 
-Steps are taken in turn and each waits for what it expects, so no verdict hangs on how fast that is.
+Steps are taken in turn and each waits for what it expects, so no result depends on how fast that is.
 
 Options: ``backends``, ``unreachable`` (backends where nothing listens), ``sockets`` (descriptor limit),
 ``polled`` (discovery is watched), the time limits of ``test_exchanges``, and any setting by its name.
@@ -50,7 +50,7 @@
             if line.startswith("== "):
                 title, _, options = line[3:].partition(" | ")
                 steps = []
-                assert title not in found, f"{title} stands twice"
+                assert title not in found, f"{title} is there twice"
                 found[title] = dict(option.split("=") for option in options.split()), steps
             elif line.strip() and not line.startswith("#"):
                 steps.append(line)
@@ -168,7 +168,7 @@
                     async with asyncio.timeout(STEP_TIMEOUT_SECONDS):
                         await self.step(step, running)
                 except TimeoutError:
-                    raise AssertionError(f"nothing came: {step}") from None
+                    raise AssertionError(f"nothing received: {step}") from None
                 except AssertionError as error:
                     raise AssertionError(f"{step}: {error}") from None
         finally:
@@ -235,8 +235,8 @@
         """Do something to the proxy.
 
         migrates: all that are established, as the balancer's MigrateConnection does. faults: the balancer
-        raises at its next event. leaves: SIGTERM. has exited: by itself. reloads: discovery has moved and
-        SIGHUP tells; breaks: SIGHUP, but the file is broken.
+        raises at its next event. leaves: SIGTERM. has exited: by itself. reloads: SIGHUP, with discovery
+        at another address; breaks: SIGHUP, but the file is broken.
         """
         dispatcher = self.server.dispatcher
         if act == "migrates":
