--- a/tests/address_failover/test_authentication.py
+++ b/tests/address_failover/test_authentication.py
@@ -1,4 +1,4 @@
-"""Datagrams between members: forged, replayed, stale, from strangers."""
+"""Datagrams between members: forged, replayed, stale, from non-members."""
 
 from __future__ import annotations
 
--- a/tests/address_failover/test_election_model.py
+++ b/tests/address_failover/test_election_model.py
@@ -54,7 +54,7 @@
         self.in_flight: frozenset[tuple[str, str, Any]] = frozenset()
         self.lease_ends: dict[str, float] = {}
         self.announced_by: dict[int, str] = {}
-        self.heard_from: dict[str, frozenset[str]] = {}  # members heard since the start
+        self.received_from: dict[str, frozenset[str]] = {}  # members that sent something since the start
         for name, member in self.members.items():
             member.random = FixedDraws()  # type: ignore[assignment]
             self.carry_out(name, member.start(0.0))
@@ -71,7 +71,7 @@
             dict(self.lease_ends),
             dict(self.announced_by),
         )
-        new.heard_from = dict(self.heard_from)
+        new.received_from = dict(self.received_from)
         return new
 
     def key(self) -> tuple[Any, ...]:
@@ -108,7 +108,7 @@
         elif kind == "deliver":
             self.in_flight -= {what}
             sender, receiver, message = what
-            self.heard_from[receiver] = self.heard_from.get(receiver, frozenset()) | {sender}
+            self.received_from[receiver] = self.received_from.get(receiver, frozenset()) | {sender}
             self.carry_out(
                 receiver, self.members[receiver].handle(self.now, MessageReceived(sender, message))
             )
@@ -123,7 +123,7 @@
             match action:
                 case SendMessage(member, message):
                     self.in_flight |= {(name, member, message)}
-                case StoreVote(Vote(_, voted, _)) if voted == name and not self.heard_from.get(name):
+                case StoreVote(Vote(_, voted, _)) if voted == name and not self.received_from.get(name):
                     raise PropertyViolationError(
                         f"{name} is a candidate though nobody could have told it that it may"
                     )
--- a/tests/admin/test_requests.py
+++ b/tests/admin/test_requests.py
@@ -52,7 +52,7 @@
 
 
 def test_a_request_cut_short_is_malformed_and_a_response_closes() -> None:
-    """A caller half-closes in the middle of its request: it is told so, and the connection ends."""
+    """A caller half-closes in the middle of its request: it gets an error, and the connection ends."""
     reader = RequestReader()
     assert reader.feed(b"GET /_ready HT") is None
     cut = reader.feed(b"")
--- a/tests/balancing/test_load_shedding.py
+++ b/tests/balancing/test_load_shedding.py
@@ -28,7 +28,7 @@
 
 
 def test_a_slow_set_up_reveals_queued_work_where_no_message_latency_does() -> None:
-    # On sockets an echo does not queue behind a backend's work, so message latencies tell of no overload.
+    # On sockets an echo does not queue behind a backend's work, so message latencies show no overload.
     host = BalancerHost()
     host.update_endpoints(members(2))
     held = [host.connect() for _ in range(40)]
--- a/tests/balancing/test_occupancy.py
+++ b/tests/balancing/test_occupancy.py
@@ -39,7 +39,7 @@
 
 
 def test_one_odd_load_does_not_set_the_measure_of_a_slot() -> None:
-    # Ten connections once counted as forty slots: the first load told was a small one, and led for long.
+    # Ten connections once counted as forty slots: the first load reported was a small one, and led for long.
     host = BalancerHost()
     host.update_endpoints(members(1))
     held = [host.connect() for _ in range(10)]
--- a/tests/balancing/test_rebalancing.py
+++ b/tests/balancing/test_rebalancing.py
@@ -27,7 +27,7 @@
 
 
 def test_the_fullest_backend_gives_up_the_stragglers_of_a_group() -> None:
-    # Connections that stood before the start were spread so that each backend paid for every group.
+    # Connections from before the start were spread so that each backend paid for every group.
     host = BalancerHost(has_groups=True)
     host.update_endpoints(members(2))
     for i, (backend, group) in enumerate([("s0", "a")] * 9 + [("s0", "b")] + [("s1", "b")] * 3):
--- a/tests/balancing/test_response_latency.py
+++ b/tests/balancing/test_response_latency.py
@@ -83,7 +83,7 @@
     meter.connection_ended("b")
     meter.latency_reports(17.0)
     assert set(meter.latency_lines) <= {"s1"}, "backends without connections are forgotten"
-    without_lines = meter_of({"a": "s0"}, slow=float("inf"))  # the settings say that no latency is sent
+    without_lines = meter_of({"a": "s0"}, slow=float("inf"))  # by the settings no latency is sent
     assert without_lines.latency_of_load_line("a", 5.0, 10.0) is None
 
 
--- a/tests/config/test_overlay.py
+++ b/tests/config/test_overlay.py
@@ -52,7 +52,7 @@
     before = source.current()
     with capture_logs() as logs:
         overlay.update(good | {key: bad}, 2)
-        overlay.update(good | {key: bad, "other": b"1"}, 3)  # the same value: told once
+        overlay.update(good | {key: bad, "other": b"1"}, 3)  # the same value: logged once
     assert [(line["key"], line["version"]) for line in logs] == [(key, 2)]
     assert source.current() == before
     assert (overlay.rejected_version, overlay.rejections) == (2, 1)
--- a/tests/gossip/dissemination_fleet.py
+++ b/tests/gossip/dissemination_fleet.py
@@ -110,7 +110,7 @@
 
 
 class Fleet:
-    """``count`` members, of whom the first ``voters`` are told of commits by the fleet itself."""
+    """``count`` members, of whom the first ``voters`` are notified of commits by the fleet itself."""
 
     def __init__(
         self,
@@ -316,5 +316,5 @@
         before = self.history[last]
         differing = {key for key in before.keys() | expected.keys() if before.get(key) != expected.get(key)}
         if not differing <= set(action.changed):
-            raise Violation(f"{host.name} did not tell all changed keys at {action.position}")
+            raise Violation(f"{host.name} did not report all changed keys at {action.position}")
         member.applied.append(action.position)
--- a/tests/gossip/golden.py
+++ b/tests/gossip/golden.py
@@ -152,7 +152,7 @@
 
 
 def quorum_history(seed: int) -> str:
-    """One random schedule of faults for voters alone: each message, and what was committed and told."""
+    """One random schedule of faults for voters alone: each message, and what was committed and published."""
     history = History()
     with sends_recorded(history):
         world = quorum_schedule.play(seed)
--- a/tests/gossip/node_fleet.py
+++ b/tests/gossip/node_fleet.py
@@ -38,7 +38,7 @@
 
 
 def deaths_of_a_cut(seed: int) -> int:
-    """Deaths told of members that were alive behind a cut, and cost a wave of objections when it heals."""
+    """Deaths reported of members alive behind a cut, with a wave of objections when it heals."""
     world = formed(seed, 15)
     begun = world.network.now
     cut_region(world, 20.0)
--- a/tests/gossip/test_aggregation.py
+++ b/tests/gossip/test_aggregation.py
@@ -330,5 +330,5 @@
     part = Aggregation(timing, random.Random(1))
     me = MemberRecord("root", ("10.0.0.1", 1), "north", "n1", Role.PROXY, 0, 1)
     times = [number * timing.tally_interval for number in range(60)]
-    told = [now for now in times if part.tick(now, me, ())[1] is not None]
-    assert len(told) == pytest.approx(60 * timing.tally_interval / timing.sum_interval, abs=1)
+    sends = [now for now in times if part.tick(now, me, ())[1] is not None]
+    assert len(sends) == pytest.approx(60 * timing.tally_interval / timing.sum_interval, abs=1)
--- a/tests/gossip/test_broadcasts.py
+++ b/tests/gossip/test_broadcasts.py
@@ -45,11 +45,11 @@
     assert len(queue) == BUSY_QUEUE + 9
 
 
-@pytest.mark.parametrize("heard", [(5, 0, Status.SUSPECT), (5, 1, Status.ALIVE), (5, 2, Status.SUSPECT)])
-def test_another_claim_about_the_same_member_does_not_count(heard: tuple[int, int, Status]) -> None:
+@pytest.mark.parametrize("duplicate", [(5, 0, Status.SUSPECT), (5, 1, Status.ALIVE), (5, 2, Status.SUSPECT)])
+def test_another_claim_about_the_same_member_does_not_count(duplicate: tuple[int, int, Status]) -> None:
     queue = filled(BUSY_QUEUE + 10)
     for _ in range(LIMIT):
-        queue.on_duplicate(*heard)
+        queue.on_duplicate(*duplicate)
     assert len(queue) == BUSY_QUEUE + 10
 
 
--- a/tests/gossip/test_configuration.py
+++ b/tests/gossip/test_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration of one member: what is applied and what is refused, the log and the checkpoints."""
+"""The configuration of one member: what is applied and what is rejected, the log and the checkpoints."""
 
 from __future__ import annotations
 
--- a/tests/gossip/test_failure_detector.py
+++ b/tests/gossip/test_failure_detector.py
@@ -158,7 +158,7 @@
         if isinstance(send.message, PingRequest):
             asked.setdefault(send.message.sequence, lone.now)
         if not isinstance(send.message, Ping) and lone.now < 3.0:
-            return others[0], Gossip()  # it is not cut off: somebody is heard
+            return others[0], Gossip()  # it is not cut off: it receives messages
         return None
 
     lone.run(2.5, silent)
--- a/tests/gossip/test_faults.py
+++ b/tests/gossip/test_faults.py
@@ -1,4 +1,4 @@
-"""Faults as the operators' page tells of them, on nine hosts on loopback: c0 to c2 vote, zones z0 to z2."""
+"""Faults as the operators' page lists them, on nine hosts on loopback: c0 to c2 vote, zones z0 to z2."""
 
 from __future__ import annotations
 
@@ -66,7 +66,10 @@
         silent = frozenset({"c2", "p2", "p5", "p8", "p11"})  # all of z2
         site.cut_off = silent
         others = [name for name in site.hosts if name not in silent]
-        await until(lambda: all(figure(site, name, "zones_unreachable") == 1 for name in others), "told")
+        await until(
+            lambda: all(figure(site, name, "zones_unreachable") == 1 for name in others),
+            "reported as unreachable",
+        )
         await asyncio.sleep(1.0)
         deaths = {name: figure(site, name, "members.dead") for name in others}
         assert set(deaths.values()) == {0}, deaths
@@ -82,7 +85,7 @@
         site.loss = 0.2
         for value in (b"1", b"2", b"3"):
             # Lost questions are asked again after 0.3, 0.6 and 1.2 s: a try fails now and then, operators
-            # are told so and publish again.
+            # are notified and publish again.
             tries = 1
             while not await published(site, "c0", value):
                 tries += 1
--- a/tests/gossip/test_freshness.py
+++ b/tests/gossip/test_freshness.py
@@ -1,6 +1,6 @@
 """Whether a member knows that it may be behind.
 
-The story: a member is cut off or stands still. Nobody can tell it so; it must notice by the missing
+The story: a member is cut off or stopped. Nobody can notify it; it must notice by the missing
 heartbeats, and must not take old datagrams that waited in its socket for news.
 """
 
--- a/tests/gossip/test_host_datagrams.py
+++ b/tests/gossip/test_host_datagrams.py
@@ -15,7 +15,7 @@
 def test_datagrams_of_unknown_senders_are_counted_by_reason_and_change_nothing() -> None:
     async def run() -> None:
         site = Site(proxies=2)
-        stranger = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        outsider = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         try:
             await site.start()
             await site.all_know(5)
@@ -32,7 +32,7 @@
                 "authentication": [forged, good[:-1] + b"\xff"],
             }
             for datagram in [each for several in sent.values() for each in several]:
-                stranger.sendto(datagram, site.addresses["p0"])
+                outsider.sendto(datagram, site.addresses["p0"])
             host = site.hosts["p0"]
             await until(lambda: sum(host.node.dropped[r] for r in sent) == 8, "eight dropped")
             assert {reason: host.node.dropped[reason] for reason in sent} == {
@@ -46,7 +46,7 @@
             assert after["gossip.bytes.received"] > before["bytes.received"]
             assert site.alive("p0") == 5
         finally:
-            stranger.close()
+            outsider.close()
             site.close()
 
     asyncio.run(run())
--- a/tests/gossip/test_host_fleet.py
+++ b/tests/gossip/test_host_fleet.py
@@ -62,10 +62,10 @@
             await until(lambda: not left.is_open, "closed")
             leaver = m.member_id("p5")
 
-            def told(name: str) -> bool:
+            def knows_of_the_leave(name: str) -> bool:
                 return site.hosts[name].node.membership.members[leaver].status is m.Status.LEFT
 
-            await until(lambda: all(told(name) for name in site.hosts), "told of the goodbye")
+            await until(lambda: all(knows_of_the_leave(name) for name in site.hosts), "notified of the leave")
         finally:
             site.close()
 
@@ -84,7 +84,7 @@
             failed = await site.hosts["c0"].publish((("k", b"2"),))
             assert isinstance(failed, m.PublishFailed) and failed.error is m.PublishError.NO_MAJORITY
             stale = m.Freshness.STALE
-            await until(lambda: site.hosts["p0"].node.dissemination.freshness is stale, "told as stale")
+            await until(lambda: site.hosts["p0"].node.dissemination.freshness is stale, "reported as stale")
             assert site.hosts["p0"].node.dissemination.configuration["k"] == b"1"
             await site.start("c2")
             await until(
--- a/tests/gossip/test_membership.py
+++ b/tests/gossip/test_membership.py
@@ -128,7 +128,7 @@
 
 
 def test_a_stopped_process_goes_on_without_harm() -> None:
-    """A process stands still for a minute and goes on: it must not take the others for dead."""
+    """A process is stopped for a minute and goes on: it must not take the others for dead."""
     fleet = fleet_of(30, zones=5)
     sleeper = fleet.hosts[9]
     fleet.stop(sleeper)
--- a/tests/gossip/test_model_broken_nodes.py
+++ b/tests/gossip/test_model_broken_nodes.py
@@ -57,7 +57,7 @@
 
 
 def patched_outcomes(monkeypatch: pytest.MonkeyPatch, outcome: Outcome) -> None:
-    """Changes that are to be refused for this reason are applied."""
+    """Changes that are to be rejected for this reason are applied."""
     check = Configuration.check
 
     def broken(self: Configuration, change: Change) -> Outcome:
@@ -130,7 +130,7 @@
 
 
 def publisher_dies_and_the_others_restart(node_class: NodeClass) -> None:
-    """A change is published, nobody else has heard that it is; those who accepted it restart."""
+    """A change is published, no other member has received that; those who accepted it restart."""
     world = formed(32, 5, Faults(loss=0.0, double=0.0), node_class)
     publisher = publisher_of(world)
     token = world.publish(publisher)
@@ -162,10 +162,10 @@
 
 
 def test_a_node_that_never_reports_stale_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    told = FreshnessMonitor.freshness
+    reported = FreshnessMonitor.freshness
 
     def never_stale(self: FreshnessMonitor, now: float, behind: bool) -> Freshness:
-        found = told(self, now, behind)
+        found = reported(self, now, behind)
         return Freshness.CURRENT if found is Freshness.STALE else found
 
     monkeypatch.setattr(FreshnessMonitor, "freshness", never_stale)
--- a/tests/gossip/test_model_changes.py
+++ b/tests/gossip/test_model_changes.py
@@ -1,7 +1,7 @@
 """Changes of the configuration in hard cases: the publisher dies at the worst moment, or regions are cut.
 
 The story: an operator publishes, and a process dies or a link is cut just then. The change is either in force
-everywhere in the end, or its operator was not told that it is published.
+everywhere in the end, or its operator was not notified that it is published.
 """
 
 from __future__ import annotations
--- a/tests/gossip/test_model_floods.py
+++ b/tests/gossip/test_model_floods.py
@@ -37,7 +37,7 @@
 FLOOD = 1_500  # datagrams of each kind
 MOST_ELEMENTS = 2_000  # in all containers of a node in a small fleet: logs, queues, counters
 MOST_ELEMENTS_WITH_FULL_TABLE = 12 * MAX_MEMBERS  # records with what is kept beside each
-STRANGER = Header(member_id("stranger"), 1, 77)
+UNKNOWN_SENDER = Header(member_id("stranger"), 1, 77)
 
 
 def records(i: int) -> MemberRecord:
@@ -50,7 +50,7 @@
     return random.Random(i).randbytes(i % 1_400)
 
 
-def forged(message: Callable[[int], Any], header: Callable[[int], Header] = lambda _: STRANGER) -> Any:
+def forged(message: Callable[[int], Any], header: Callable[[int], Header] = lambda _: UNKNOWN_SENDER) -> Any:
     codec = Codec(KEY)
     return lambda i: codec.encode(header(i), message(i))
 
@@ -63,7 +63,7 @@
     "tallies": forged(lambda i: Tally("n1", 1, 1), lambda i: Header(i + 1, 1, 1)),
     "epochs": forged(lambda i: Prepare(i), lambda i: Header(member_id("control-1"), 1, i)),
     "positions": forged(
-        lambda i: Gossip(), lambda i: Header(STRANGER.sender, 1, 1, Position(0, i), Heartbeat(0, i))
+        lambda i: Gossip(), lambda i: Header(UNKNOWN_SENDER.sender, 1, 1, Position(0, i), Heartbeat(0, i))
     ),
     "snapshots": forged(lambda i: SnapshotPart(Position(0, 64 * i), 200_000, i, 0, b"x" * 500)),
 }
--- a/tests/gossip/test_own_record.py
+++ b/tests/gossip/test_own_record.py
@@ -64,8 +64,8 @@
     one, two = record_of(1), record_of(2)
     lone = Lone(two, one)
     lone.receive(two, Gossip((StatusUpdate(one.id, 0, SUSPECT),)))
-    told = [send.message for send in pings(lone.run(3.0, answering(two))) if send.destination == one.address]
-    assert any(update == replace(one, status=SUSPECT) for update in told[0].updates)
+    sent = [send.message for send in pings(lone.run(3.0, answering(two))) if send.destination == one.address]
+    assert any(update == replace(one, status=SUSPECT) for update in sent[0].updates)
 
 
 @pytest.mark.parametrize("status", [DEAD, LEFT])
--- a/tests/gossip/test_processes.py
+++ b/tests/gossip/test_processes.py
@@ -13,12 +13,12 @@
 from saltcourse.gossip import messages as m
 from tests.gossip.site import EXAMPLE, Processes, call, figure, wait_for
 
-EVERYONE = ["c0", "c1", "c2", "m0", "p0", "p1"]
+ALL_MEMBERS = ["c0", "c1", "c2", "m0", "p0", "p1"]
 
 
 @pytest.fixture
 def processes(tmp_path: Path) -> Iterator[Processes]:
-    found = Processes(tmp_path, EVERYONE)
+    found = Processes(tmp_path, ALL_MEMBERS)
     yield found
     found.stop()
 
@@ -29,9 +29,9 @@
 
 def test_a_fleet_of_processes(processes: Processes) -> None:
     fleet = processes
-    for name in EVERYONE:
+    for name in ALL_MEMBERS:
         fleet.start(name)
-    for name in EVERYONE:
+    for name in ALL_MEMBERS:
         wait_for(
             lambda n=name: set(fleet.statuses(n).values()) == {"alive"} and len(fleet.statuses(n)) == 6,
             f"{name} knows all",
@@ -44,25 +44,25 @@
     assert (own["role"], own["zone"], own["region"]) == ("proxy", "z0", "here")
     assert all(0 <= member["since_s"] < 60 for member in members)
     publishing_through_the_command(fleet)
-    what_is_wrong_is_said(fleet)
-    the_overlay(fleet)
+    errors_are_reported(fleet)
+    the_overlay_of_a_proxy(fleet)
     a_killed_control_member(fleet)
-    a_process_that_stands_still(fleet)
-    everyone_leaves(fleet)
+    a_stopped_process(fleet)
+    all_members_leave(fleet)
 
 
 def publishing_through_the_command(fleet: Processes) -> None:
     done = fleet.publish("c0", "site/note=h\u00e9llo", "proxy/limits.sockets=500")
     assert (done.returncode, done.stderr) == (0, "") and done.stdout.startswith("published: epoch ")
-    for name in EVERYONE:
+    for name in ALL_MEMBERS:
         wait_for(lambda n=name: values(fleet, n).get("site/note") == "h\u00e9llo", f"published to {name}")
     position = call(fleet.admin["p1"], "/_gossip/configuration").json
     assert f"version {position['version']}" in done.stdout and position["freshness"] == "current"
 
 
-def what_is_wrong_is_said(fleet: Processes) -> None:
+def errors_are_reported(fleet: Processes) -> None:
     admin, path = fleet.admin["c0"], "/_gossip/configuration"
-    for body, status, said in [
+    for body, status, message in [
         (b"no json", 400, b"not JSON"),
         (b"[]", 400, b"not an object"),
         (b"{}", 400, b"no key"),
@@ -72,10 +72,10 @@
         (b'{"k": "' + b"v" * 9_000 + b'"}', 413, b"too large"),
     ]:
         reply = call(admin, path, "PUT", body)
-        assert reply.status == status and said in reply.body
+        assert reply.status == status and message in reply.body
     for name in ("p0", "m0"):
-        refused = call(fleet.admin[name], path, "PUT", b'{"k": "v"}')
-        assert refused.status == 404 and b"no control member that votes" in refused.body
+        rejected = call(fleet.admin[name], path, "PUT", b'{"k": "v"}')
+        assert rejected.status == 404 and b"no control member that votes" in rejected.body
     assert call(admin, path, "POST", b"").status == 405
     at_proxy = fleet.publish("p0", "k=v")
     assert at_proxy.returncode == 1 and "404" in at_proxy.stderr
@@ -83,8 +83,8 @@
     assert nobody.returncode == 1 and "413" in nobody.stderr
 
 
-def the_overlay(fleet: Processes) -> None:
-    """Keys of the fleet's configuration stand over the proxy's file, and a bad value changes nothing."""
+def the_overlay_of_a_proxy(fleet: Processes) -> None:
+    """Keys of the fleet's configuration override the proxy's file, and a bad value changes nothing."""
     wait_for(lambda: "sockets=500" in fleet.log("p0"), "taken over")
     assert fleet.publish("c1", "proxy/discovery=127.0.0.1:19").returncode == 0
     wait_for(lambda: "discovery=127.0.0.1:19" in fleet.log("p0"), "taken over")
@@ -117,7 +117,7 @@
     assert call(fleet.admin["c1"], "/_gossip/configuration").json["version"] > version
 
 
-def a_process_that_stands_still(fleet: Processes) -> None:
+def a_stopped_process(fleet: Processes) -> None:
     fleet.running["p1"].send_signal(signal.SIGSTOP)
     wait_for(lambda: fleet.statuses("c0")["p1"] == "dead", "found dead")
     fleet.running["p1"].send_signal(signal.SIGCONT)
@@ -125,9 +125,9 @@
     wait_for(lambda: set(fleet.statuses("p1").values()) == {"alive"}, "the others are alive for it")
 
 
-def everyone_leaves(fleet: Processes) -> None:
+def all_members_leave(fleet: Processes) -> None:
     assert fleet.end("p1") == 0
-    wait_for(lambda: fleet.statuses("c0")["p1"] == "left", "its goodbye came")
+    wait_for(lambda: fleet.statuses("c0")["p1"] == "left", "its leave was received")
     assert fleet.end("c1", signal.SIGINT) == 0
     assert fleet.end("c2") == 0
     lone = fleet.publish("c0", "k=v")
@@ -136,7 +136,7 @@
     wait_for(lambda: figure(fleet.admin["p0"], "freshness") == m.Freshness.STALE, "stale")
     assert fleet.end("c0") == 0 and fleet.end("p0", signal.SIGINT) == 0
     assert fleet.end("m0") == 0
-    for name in EVERYONE:
+    for name in ALL_MEMBERS:
         assert "Traceback" not in fleet.log(name)
     gone = fleet.publish("c0", "k=v")
     assert gone.returncode == 1 and "not published" in gone.stderr
--- a/tests/gossip/test_quorum.py
+++ b/tests/gossip/test_quorum.py
@@ -61,9 +61,9 @@
     core = Quorum(VOTERS[0], VOTERS[:1], Timing(), random.Random(1), ReplicaState())
     assert core.start(0.0) == [Persist(ReplicaState(promised=1)), AdvanceHeartbeat(Heartbeat(1, 1))]
     position = Position(1, 1)
-    persist, commit, told = core.publish(0.1, Publish(7, WRITES))
+    persist, commit, published = core.publish(0.1, Publish(7, WRITES))
     assert isinstance(persist, Persist) and persist.state.accepted[0].change.position == position
-    assert (commit, told) == (Commit(Change(position, WRITES)), Published(7, position))
+    assert (commit, published) == (Commit(Change(position, WRITES)), Published(7, position))
     (persist,) = core.applied(0.1, position, dict(WRITES))
     assert persist == Persist(ReplicaState(1, position, WRITES))
     assert core.tick(1.0) == [AdvanceHeartbeat(Heartbeat(1, 2))]
@@ -190,7 +190,7 @@
 
 
 def test_a_newer_epoch_seen_in_any_way_ends_publishing_and_the_change_goes_on_waiting() -> None:
-    def refused(core: Quorum) -> None:
+    def rejected(core: Quorum) -> None:
         hand(core, 1, Rejected(4))
 
     def heartbeat(core: Quorum) -> None:
@@ -202,7 +202,7 @@
     def prepare(core: Quorum) -> None:
         hand(core, 1, Prepare(4))
 
-    for seen in (refused, heartbeat, position, prepare):
+    for seen in (rejected, heartbeat, position, prepare):
         core = quorum()
         core.publish(0.1, Publish(1, WRITES))
         hand(core, 1, Promise(3, Position(), 0))
--- a/tests/gossip/test_quorum_faults.py
+++ b/tests/gossip/test_quorum_faults.py
@@ -42,7 +42,7 @@
 
 
 class IgnoresAccepted(Quorum):
-    """Proposes afresh where a promise tells of an accepted change."""
+    """Proposes afresh where a promise reports an accepted change."""
 
     def _recover(self, committed: Position) -> list[Change]:
         return []
--- a/tests/gossip/test_quorum_fleet.py
+++ b/tests/gossip/test_quorum_fleet.py
@@ -42,7 +42,7 @@
 
 
 def burst_time(w: World, name: str, count: int) -> float:
-    """Seconds until all of them are told as published."""
+    """Seconds until all of them are notified that it is published."""
     start = w.net.now
     for _ in range(count):
         w.publish(name)
--- a/tests/gossip/test_unknown_senders.py
+++ b/tests/gossip/test_unknown_senders.py
@@ -33,16 +33,16 @@
     sends = lone.receive(new, SyncRequest(0), source)
     assert Send(source, Gossip((known,)), Priority.MEMBERSHIP) in sends
     lone.receive(new, SyncRequest(0), source)
-    told = [send for send in lone.sends if send.message == Gossip((known,))]
-    assert len(told) == 1
+    answers = [send for send in lone.sends if send.message == Gossip((known,))]
+    assert len(answers) == 1
 
 
 def test_unknown_senders_get_what_lets_them_join_and_no_more_than_a_bound() -> None:
     lone = Lone(record_of(1))
-    stranger = record_of(500)
-    kinds = Counter(type(send.message) for send in lone.receive(stranger, SyncRequest(0)))
+    sender = record_of(500)
+    kinds = Counter(type(send.message) for send in lone.receive(sender, SyncRequest(0)))
     assert kinds[SyncReply] == 1 and set(kinds) <= {SyncReply, SyncRequest}
-    sends = lone.receive(stranger, Ping(1, lone.me.id))
+    sends = lone.receive(sender, Ping(1, lone.me.id))
     assert [send.message for send in sends if isinstance(send.message, Ack)] == [Ack(1)]
     answers: list[Send] = []
     for number in range(1_000):
@@ -56,8 +56,8 @@
 def test_an_unknown_sender_is_asked_for_its_table() -> None:
     lone = Lone(record_of(1))
     lone.receive(record_of(1), SyncReply((), False))
-    stranger = record_of(500)
-    sends = lone.receive(stranger, Ping(1, lone.me.id))
-    assert [send.destination for send in sends if isinstance(send.message, SyncRequest)] == [stranger.address]
-    lone.receive(stranger, SyncReply((stranger,), False))
-    assert lone.status(stranger) is ALIVE
+    sender = record_of(500)
+    sends = lone.receive(sender, Ping(1, lone.me.id))
+    assert [send.destination for send in sends if isinstance(send.message, SyncRequest)] == [sender.address]
+    lone.receive(sender, SyncReply((sender,), False))
+    assert lone.status(sender) is ALIVE
--- a/tests/gossip/test_zone_silence.py
+++ b/tests/gossip/test_zone_silence.py
@@ -84,8 +84,8 @@
         assert {c.zone for c in mine if not c.reachable} == far
         assert {c.zone for c in mine if c.reachable} == far
         assert host.membership.figures()["zones_unreachable"] == 0
-    told = [when for when, _, c in fleet.changes if isinstance(c, ZoneReachability) and not c.reachable]
-    assert max(told) - start < 25.0  # one that no suspicion reached finds out in its own round of probes
+    times = [when for when, _, c in fleet.changes if isinstance(c, ZoneReachability) and not c.reachable]
+    assert max(times) - start < 25.0  # one that no suspicion reached finds out in its own round of probes
 
 
 def test_the_same_check_finds_a_wave_without_the_rule(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/proxy/test_attempt.py
+++ b/tests/proxy/test_attempt.py
@@ -16,7 +16,7 @@
 
 
 class RecordingOwner:
-    """In the place of a client connection: keeps what it is told."""
+    """In the place of a client connection: keeps what it is sent."""
 
     def __init__(self) -> None:
         self.messages: list[Any] = []
--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -61,7 +61,7 @@
 
 
 def test_a_late_snapshot_does_not_undo_a_newer_watch_event() -> None:
-    """A fetch of the whole list was answered late, after a watch had told of a newer version.
+    """A fetch of the whole list was answered late, after a watch had delivered a newer version.
 
     The older list took the newer one's place, in which a backend had begun to drain.
     """
@@ -136,9 +136,9 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-@pytest.mark.parametrize("refused_after", [0.0, 3.0])
+@pytest.mark.parametrize("fails_after", [0.0, 3.0])
 def test_after_any_number_of_failures_the_list_is_fetched_before_a_change_counts_as_known(
-    seed: int, refused_after: float
+    seed: int, fails_after: float
 ) -> None:
     """Discovery failed several times and was there again right after a call had failed.
 
@@ -150,14 +150,14 @@
     while not calls():
         node.run(0.05)
     for _ in range(12):
-        node.run(refused_after)
+        node.run(fails_after)
         before, failed = calls(), node.now
         node.handle(EndpointsUpdated(EndpointUpdateKind.UNAVAILABLE))
         while calls() == before:
             node.run(0.01)
             assert node.now - failed < CHANGE_KNOWN_WITHIN
         assert node.now - failed + CALL_TURN <= CHANGE_KNOWN_WITHIN
-        if refused_after:  # it has waited for its turn already
+        if fails_after:  # it has waited for its turn already
             assert node.now - failed <= 0.5
 
 
--- a/tests/proxy/test_draining.py
+++ b/tests/proxy/test_draining.py
@@ -52,7 +52,7 @@
 def test_every_state_of_a_connection_ends_as_it_should_when_the_proxy_drains(
     monkeypatch: pytest.MonkeyPatch, state: str
 ) -> None:
-    """The proxy was told to leave while connections were in every state.
+    """The proxy was asked to leave while connections were in every state.
 
     Some ended only with the process, and with a reset. Each has to be ended while the proxy migrates, by the
     line that its state calls for and an end.
@@ -170,7 +170,7 @@
 
 
 def start_held_up(tmp_path: Path) -> tuple[subprocess.Popen[bytes], Path]:
-    """A process that stands at the opening of its configuration: a pipe that nobody has written to."""
+    """A process that waits at the opening of its configuration: a pipe that nobody has written to."""
     pipe = tmp_path / "config.json"
     os.mkfifo(pipe)
     process = subprocess.Popen(
--- a/tests/proxy/test_peer_link.py
+++ b/tests/proxy/test_peer_link.py
@@ -19,20 +19,20 @@
         for link in links:
             await link.open()
         loop = asyncio.get_running_loop()
-        stranger, _ = await loop.create_datagram_endpoint(
+        outsider, _ = await loop.create_datagram_endpoint(
             asyncio.DatagramProtocol, local_addr=("127.0.0.1", 0)
         )
         for data in (b"2AAAAAAAA", b"\xff", b"x" * 300):
-            stranger.sendto(data, each[1])
+            outsider.sendto(data, each[1])
         links[0]._transport.sendto(b"x" * 300, each[1])  # type: ignore[union-attr]
         links[0]._transport.sendto(b"\xff\n", each[1])  # type: ignore[union-attr]
         links[0].send_message(SendPeerMessage("x" * 300))
         links[0].send_message(SendPeerMessage("hello", 1))
         links[0].send_message(SendPeerMessage("to all"))  # the third is not there, and nobody minds
         found = [await got.get(), await got.get()]
-        for end in (stranger, *links):
+        for end in (outsider, *links):
             end.close()
         return found, links[1].dropped_datagrams
 
-    found, strange = asyncio.run(play())
-    assert found == [PeerMessageReceived(0, "hello"), PeerMessageReceived(0, "to all")] and strange == 5
+    found, dropped = asyncio.run(play())
+    assert found == [PeerMessageReceived(0, "hello"), PeerMessageReceived(0, "to all")] and dropped == 5
--- a/tests/proxy/test_pending_connections.py
+++ b/tests/proxy/test_pending_connections.py
@@ -57,7 +57,7 @@
             for sock in crowd[::2]:
                 with suppress(OSError):
                     sock.send(b"OPEN hal")
-            for _ in range(3):  # refused, and asked again
+            for _ in range(3):  # each call is cut off, and made again
                 async with asyncio.timeout(10.0):
                     call, _ = await asyncio.get_running_loop().sock_accept(proxy.discovery)
                 assert SocketStream.open_count + OWN_DESCRIPTORS <= 48
--- a/tests/proxy/test_process_replacement.py
+++ b/tests/proxy/test_process_replacement.py
@@ -115,7 +115,7 @@
         clients.start()
         time.sleep(0.2)
         old.send_signal(signal.SIGTERM)
-        assert established.recv(64) == b"MOVE\r\n"  # told, not cut
+        assert established.recv(64) == b"MOVE\r\n"  # ended in good order, not cut
         assert old.wait(timeout=3.0) == 0  # by itself, before the platform's SIGKILL would come
         clients.join()
         assert answers == [b"PONG\r\n"] * CLIENTS
--- a/tests/proxy/test_traffic_summary.py
+++ b/tests/proxy/test_traffic_summary.py
@@ -1,4 +1,4 @@
-"""The summary's log lines: one for each backend with something to tell, and one for all."""
+"""The summary's log lines: one for each backend with something to report, and one for all."""
 
 from __future__ import annotations
 
--- a/tests/shared_state/simulated_proxies.py
+++ b/tests/shared_state/simulated_proxies.py
@@ -1,4 +1,4 @@
-"""Proxies on the simulated network whose connections change at random, judged from outside."""
+"""Proxies on the simulated network whose connections change at random, checked from outside."""
 
 from __future__ import annotations
 
--- a/tests/shared_state/test_golden_messages.py
+++ b/tests/shared_state/test_golden_messages.py
@@ -100,7 +100,7 @@
 
 
 def test_a_site_of_eight_proxies_sends_what_it_always_sent() -> None:
-    """One message in twenty lost, numbers of connections told, 20 s."""
+    """One message in twenty lost, numbers of connections sent, 20 s."""
     site = RecordedSite(8, counts=True)
     site.net.run(20.0)
     assert (site.messages, site.sent, site.bytes) == (1285, 4075, 239863)
--- a/tests/shared_state/test_processes.py
+++ b/tests/shared_state/test_processes.py
@@ -1,4 +1,4 @@
-"""Several processes of the program on loopback, and faults between them: judged by what the backends saw.
+"""Several processes of the program on loopback, and faults between them: audited by what the backends saw.
 
 Each proxy reaches each other one through a relay, which loses, delays and cuts. The proxies are busy with
 clients all the while, so that they want more health checks than the fleet may send.
@@ -262,7 +262,7 @@
             fleet.processes[1].kill()
             await asyncio.to_thread(fleet.processes[1].wait)
             fleet.processes[1] = fleet.run(1)
-            # A backend that is gone for a moment: whoever meets it first tells the others.
+            # A backend that is gone for a moment: whoever meets it first notifies the others.
             server = backends[2].server
             assert server is not None
             server.close()
--- a/tests/shared_state/test_shared_state.py
+++ b/tests/shared_state/test_shared_state.py
@@ -97,7 +97,7 @@
 
 def test_the_share_of_a_lost_peer_is_inherited_and_its_connections_decay_to_a_bound() -> None:
     # One proxy of four is cut off for good. The others give it up after a lease term and take over what it
-    # leased from them; its connections may still stand, so they decay to the mean of the others and not to
+    # leased from them; its connections may still exist, so they decay to the mean of the others and not to
     # nothing.
     proxies = SimulatedProxies(5, Link(), count=4)
     proxies.net.run(8.0)
@@ -156,8 +156,8 @@
             node.handle(HealthCheckFinished(f"s{i}", AttemptStatus.OK, report=LoadReport(load=0.5)))
     nodes[0].handle(ConnectionResumed("old", "quick", "s4", group="a"))
     nodes[0].run(2.0)
-    for told in nodes[0].actions(SendPeerMessage):
-        nodes[1].handle(PeerMessageReceived(0, told.data))
+    for message in nodes[0].actions(SendPeerMessage):
+        nodes[1].handle(PeerMessageReceived(0, message.data))
     assert nodes[1].backend_of(nodes[1].request(group="a")) == "s4"
 
 
@@ -168,8 +168,10 @@
         node.update_endpoints(members(2))
         node.run(1.0)
     nodes[0].fail("s0")
-    for told in [a for a in nodes[0].handle(ClientDisconnected("nobody")) if isinstance(a, SendPeerMessage)]:
-        nodes[1].handle(PeerMessageReceived(0, told.data))
+    for message in [
+        a for a in nodes[0].handle(ClientDisconnected("nobody")) if isinstance(a, SendPeerMessage)
+    ]:
+        nodes[1].handle(PeerMessageReceived(0, message.data))
     out = [nodes[1].request() for _ in range(30)]
     assert [nodes[1].backend_of(r) for r in out if r in nodes[1].in_flight].count("s0") == 1
 
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -141,7 +141,7 @@
     code = serve([batch(HELLO, MEMBERS), line, batch()], sink)
     assert code == simulator_adapter.EXIT_MALFORMED
     assert error in capsys.readouterr().err
-    assert len(sink.getvalue().splitlines()) == 1  # nothing is said to the bad line or after it
+    assert len(sink.getvalue().splitlines()) == 1  # nothing is answered to the bad line or after it
 
 
 def test_a_fault_in_the_decisions_is_reported_for_its_instance() -> None:
