--- a/tests/address_failover/test_election.py
+++ b/tests/address_failover/test_election.py
@@ -1,4 +1,4 @@
-"""The election, one fault a test, on the simulated network; judged by announcements and withdrawals."""
+"""The election, one fault a test, on the simulated network; audited by announcements and withdrawals."""
 
 from __future__ import annotations
 
--- a/tests/address_failover/test_election_schedules.py
+++ b/tests/address_failover/test_election_schedules.py
@@ -1,6 +1,6 @@
 """The election under random schedules of faults, and under any order of them that Hypothesis finds.
 
-The checks judge from outside (``saltcourse.emulator.election``), and must find each broken election.
+The checks look from outside (``saltcourse.emulator.election``), and must find each broken election.
 """
 
 from __future__ import annotations
--- a/tests/address_failover/test_host.py
+++ b/tests/address_failover/test_host.py
@@ -1,4 +1,4 @@
-"""Members, sessions and programs on real sockets of loopback. Judged by the route server's record; what is
+"""Members, sessions and programs on real sockets of loopback. Audited by the route server's record; what is
 timed is timed in the simulation and in benchmarks, here only order and outcome count."""
 
 from __future__ import annotations
--- a/tests/balancing/test_balancer_model.py
+++ b/tests/balancing/test_balancer_model.py
@@ -1,6 +1,6 @@
 """A model check of the whole balancer, over any order of requests, endings, lists, restarts and late events.
 
-The machine keeps books of its own (what is in flight and established, and what was answered) and judges
+The machine keeps books of its own (what is in flight and established, and what was answered) and checks
 the balancer by them. Broken variants of single rules, at the end, must each be found.
 """
 
@@ -62,7 +62,7 @@
         self.list_all(4)
 
     def audit(self) -> None:
-        """Judge the answers and attempts since the last audit.
+        """Check the answers and attempts since the last audit.
 
         One final answer for each request, in time; no attempt at a backend that is not ready, and at one that
         warms up no more than fills it over its warm-up, were it to hold all that was ever held at once.
--- a/tests/balancing/test_request_rules.py
+++ b/tests/balancing/test_request_rules.py
@@ -118,7 +118,7 @@
 
 
 class JudgingHost(BalancerHost):
-    """Plays the host's side exactly: time-outs fire, deadlines end, and each action is judged."""
+    """Plays the host's side exactly: time-outs fire, deadlines end, and each action is checked."""
 
     def __init__(self, load_reports: bool) -> None:
         super().__init__(
@@ -270,7 +270,7 @@
 @pytest.mark.parametrize(
     ("module", "rule"), [(selection, "may_repeat_on"), (admission, "is_harmless_to_repeat")]
 )
-def test_the_judge_finds_a_broken_rule(
+def test_the_checks_find_a_broken_rule(
     module: ModuleType, rule: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(module, rule, lambda *_: True)
