--- a/tests/balancing/test_load_shedding.py
+++ b/tests/balancing/test_load_shedding.py
@@ -27,8 +27,8 @@
     assert len(host.actions(MigrateConnection)) == len(moved)  # nowhere to go: they stay
 
 
-def test_a_slow_set_up_tells_of_queued_work_where_no_message_latency_does() -> None:
-    # On sockets an echo does not queue behind a backend's work, so message latencies tell of no overload.
+def test_a_slow_set_up_reveals_queued_work_where_no_message_latency_does() -> None:
+    # On sockets an echo does not queue behind a backend's work, so message latencies show no overload.
     host = BalancerHost()
     host.update_endpoints(members(2))
     held = [host.connect() for _ in range(40)]
--- a/tests/gossip/test_failure_detector.py
+++ b/tests/gossip/test_failure_detector.py
@@ -88,7 +88,7 @@
     assert lone.figure("suspicions") == 0
 
 
-def test_an_ack_of_one_that_was_not_asked_proves_nothing() -> None:
+def test_an_ack_of_a_member_that_was_not_pinged_proves_nothing() -> None:
     others = [record_of(number, f"z{number}") for number in range(1, 4)]
 
     def answer(send: Send) -> Any:
@@ -158,7 +158,7 @@
         if isinstance(send.message, PingRequest):
             asked.setdefault(send.message.sequence, lone.now)
         if not isinstance(send.message, Ping) and lone.now < 3.0:
-            return others[0], Gossip()  # it is not cut off: somebody is heard
+            return others[0], Gossip()  # it is not cut off: it receives messages
         return None
 
     lone.run(2.5, silent)
--- a/tests/shared_state/test_processes.py
+++ b/tests/shared_state/test_processes.py
@@ -1,4 +1,4 @@
-"""Several processes of the program on loopback, and faults between them: judged by what the backends saw.
+"""Several processes of the program on loopback, and faults between them: audited by what the backends saw.
 
 Each proxy reaches each other one through a relay, which loses, delays and cuts. The proxies are busy with
 clients all the while, so that they want more health checks than the fleet may send.
@@ -19,8 +19,8 @@
 from typing import Any
 
 from tests.admin.test_server import EXAMPLE, free_port
+from tests.free_ports import free_addresses
 from tests.proxy.test_process_replacement import admin_answer
-from tests.shared_state.test_shared_state import free_addresses
 
 COUNT, BACKENDS = 4, 3
 LEASE_TERM = 2.0  # s
@@ -262,7 +262,7 @@
             fleet.processes[1].kill()
             await asyncio.to_thread(fleet.processes[1].wait)
             fleet.processes[1] = fleet.run(1)
-            # A backend that is gone for a moment: whoever meets it first tells the others.
+            # A backend that is gone for a moment: whoever meets it first notifies the others.
             server = backends[2].server
             assert server is not None
             server.close()
@@ -295,5 +295,5 @@
         assert "Traceback" not in (folder / f"{i}.log").read_text()
 
 
-def test_budget_counts_and_verdicts_hold_between_processes_with_faults(tmp_path: Path) -> None:
+def test_budget_counts_and_ejection_notices_hold_between_processes_with_faults(tmp_path: Path) -> None:
     asyncio.run(play(tmp_path))
