--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -24,10 +24,11 @@
 sys.path.insert(0, str(ROOT))
 
 from saltcourse.config import ConfigError  # noqa: E402
-from saltcourse.emulator.scale.measures import Figures, judge  # noqa: E402
+from saltcourse.emulator.scale.evaluation.evaluate import evaluate  # noqa: E402
+from saltcourse.emulator.scale.evaluation.metrics import RunMetrics  # noqa: E402
 from saltcourse.emulator.scale.mechanisms import GOSSIP, MESH, member_class  # noqa: E402
 from saltcourse.emulator.scale.records import read_records  # noqa: E402
-from saltcourse.emulator.scale.report import chart, flat_figures, table  # noqa: E402
+from saltcourse.emulator.scale.report import chart, flat_metrics, table  # noqa: E402
 from saltcourse.emulator.scale.runner import RealProcesses, RunError, RunPlan, play  # noqa: E402
 from saltcourse.emulator.scale.scenario import Scenario  # noqa: E402
 from saltcourse.emulator.scale.scenario_file import read_scenario  # noqa: E402
@@ -72,10 +73,14 @@
             print("\r\x1b[K", end="", file=sys.stderr, flush=True)
 
 
-def run_one(plan: RunPlan, folder: Path, stop: threading.Event, progress: Callable[[float], None]) -> Figures:
+def run_one(
+    plan: RunPlan, folder: Path, stop: threading.Event, progress: Callable[[float], None]
+) -> RunMetrics:
     real = start_real() if plan.real else None
     records = play(plan, folder, stop, progress, real)
-    return judge(plan.mechanism, plan.seed, records.topology, records.timeline, read_records(records.paths))
+    return evaluate(
+        plan.mechanism, plan.seed, records.topology, records.timeline, read_records(records.paths)
+    )
 
 
 def start_real() -> RealProcesses:
@@ -84,12 +89,12 @@
     return RealFleet()
 
 
-def run_all(plans: Sequence[RunPlan], at_once: int, progress: Progress, folder: Path) -> list[Figures]:
-    """Figures in the order of the plans; what failed is told and left out."""
+def run_all(plans: Sequence[RunPlan], at_once: int, progress: Progress, folder: Path) -> list[RunMetrics]:
+    """Metrics in the order of the plans; a failed run is reported on stderr and left out."""
     stop = threading.Event()
-    found: list[Figures] = []
+    found: list[RunMetrics] = []
     with ThreadPoolExecutor(at_once) as pool:
-        futures: list[Future[Figures]] = [
+        futures: list[Future[RunMetrics]] = [
             pool.submit(run_one, plan, folder, stop, progress.of(f"{plan.mechanism} {plan.size}"))
             for plan in plans
         ]
@@ -207,12 +212,12 @@
     if chart_path is not None and runs:
         draw(runs, chart_path)
     took = {"seed": seed, "took_s": round(time.monotonic() - began, 1)}
-    print(json.dumps(flat_figures(runs) | took))
+    print(json.dumps(flat_metrics(runs) | took))
     if len(runs) < len(plans):
         sys.exit(EXIT_FAILED)
 
 
-def draw(runs: Sequence[Figures], path: Path) -> None:
+def draw(runs: Sequence[RunMetrics], path: Path) -> None:
     try:
         chart(runs, path)
     except ImportError:
--- /dev/null
+++ b/saltcourse/emulator/scale/evaluation/__init__.py
@@ -0,0 +1,6 @@
+"""Evaluation of a scale run, from nothing but the records that the receivers wrote.
+
+``evaluate`` composes ``metrics.RunMetrics`` from one module for each concern: ``costs`` (bytes, CPU, memory),
+``changes`` (propagation of configuration changes), ``failures`` (failure detection and false alarms) and
+``recovery`` (restarted members, staleness, agreement after a network partition).
+"""
--- /dev/null
+++ b/saltcourse/emulator/scale/evaluation/changes.py
@@ -0,0 +1,101 @@
+"""How fast configuration changes reached the members, and whether any were lost."""
+
+from __future__ import annotations
+
+from saltcourse.emulator.scale.evaluation.metrics import Propagation
+from saltcourse.emulator.scale.evaluation.record_index import CHANGE_DEADLINE, RecordIndex
+from saltcourse.emulator.scale.records import ConfigurationSeen, Confirmed, Handed
+from saltcourse.emulator.scale.summary import spread
+from saltcourse.emulator.scale.timeline import Duty
+
+TIMED_DUTIES = (Duty.CHANGE.value, Duty.LOSE_PUBLISHER.value)
+
+
+class ChangePropagation:
+    """Timed from the first submission of a change to the moment when each member has it in force."""
+
+    def __init__(self, index: RecordIndex) -> None:
+        self._index = index
+        self._submitted: dict[int, Handed] = {}
+        for record in index.of(Handed):
+            self._submitted.setdefault(record.change, record)
+        self._timed = [change for change, record in self._submitted.items() if record.duty in TIMED_DUTIES]
+        self._applied = _first_applied(index)
+        self._confirmed = {record.change for record in index.of(Confirmed)}
+
+    @property
+    def confirmed_count(self) -> int:
+        """Changes that a voter confirmed to the operator."""
+        return len(self._confirmed)
+
+    def lost_count(self) -> int:
+        """Timed changes that are in force nowhere and were not confirmed."""
+        return sum(change not in self._confirmed and change not in self._applied for change in self._timed)
+
+    def overall(self) -> Propagation:
+        """Propagation of all timed changes of the run."""
+        return self._propagation(self._timed)
+
+    def by_phase(self) -> dict[str, Propagation]:
+        """Propagation of the changes that were first submitted in each phase."""
+        return {
+            span.name: self._propagation(
+                [change for change in self._timed if span.begin <= self._submitted[change].at < span.end]
+            )
+            for span in self._index.timeline.spans
+        }
+
+    def _propagation(self, changes: list[int]) -> Propagation:
+        """Over changes that came into force anywhere, and members that were reachable meanwhile."""
+        seconds: list[float] = []
+        missing = 0
+        in_force = [change for change in changes if change in self._applied]
+        for change in in_force:
+            submitted_at = self._submitted[change].at
+            for place in self._index.topology.places:
+                applied_at = self._applied[change].get(place.index)
+                until = submitted_at + CHANGE_DEADLINE if applied_at is None else applied_at
+                if until > self._index.end or not self._index.reachable(place.index, submitted_at, until):
+                    continue
+                if applied_at is None:
+                    missing += 1
+                else:
+                    seconds.append(applied_at - submitted_at)
+        return Propagation(spread(seconds), missing, len(in_force))
+
+
+def _first_applied(index: RecordIndex) -> dict[int, dict[int, float]]:
+    """Change -> member -> when it first had the change in force."""
+    applied: dict[int, dict[int, float]] = {}
+    for record in index.of(ConfigurationSeen):
+        for change in record.changes:
+            applied.setdefault(change, {}).setdefault(record.member, record.at)
+    _add_real_processes(index, applied)
+    return applied
+
+
+def _add_real_processes(index: RecordIndex, applied: dict[int, dict[int, float]]) -> None:
+    """Derives when the real processes had each change.
+
+    A real process reports its version and not what came with it: it has a change once it has reached the
+    version at which other members got that change.
+    """
+    versions = _lowest_versions(index)
+    for place in index.topology.real:
+        polled = sorted(
+            (record.version, record.at)
+            for record in index.of(ConfigurationSeen)
+            if record.member == place.index
+        )
+        for change, version in versions.items():
+            at = next((at for reached, at in polled if reached >= version), None)
+            if at is not None:
+                applied[change][place.index] = at
+
+
+def _lowest_versions(index: RecordIndex) -> dict[int, int]:
+    versions: dict[int, int] = {}
+    for record in index.of(ConfigurationSeen):
+        for change in record.changes:
+            versions[change] = min(versions.get(change, record.version), record.version)
+    return versions
--- /dev/null
+++ b/saltcourse/emulator/scale/evaluation/costs.py
@@ -0,0 +1,99 @@
+"""What the members of a run cost: bytes, CPU and memory."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+
+from saltcourse.emulator.scale.evaluation.metrics import CostSpread, PhaseCost, RealCost
+from saltcourse.emulator.scale.evaluation.record_index import RecordIndex
+from saltcourse.emulator.scale.records import CONTROL_PROCESS, Load, ProcessSample, WorkerUsage
+from saltcourse.emulator.scale.summary import spread, window_means
+from saltcourse.emulator.scale.timeline import PhaseSpan
+from saltcourse.emulator.scale.topology import Place
+
+WINDOW = 10  # s over which bytes and CPU are averaged; members record their load once a second
+
+
+def ordinary_cost(index: RecordIndex, places: Iterable[Place]) -> CostSpread | None:
+    """Cost of these members in the phases without faults; None without a record."""
+    members = {place.index for place in places}
+    byte_rates: list[float] = []
+    cpu_shares: list[float] = []
+    for span in index.timeline.spans:
+        if not span.ordinary:
+            continue
+        for loads in _loads_by_member(index, span, members):
+            byte_rates += _byte_rates(loads)
+            cpu_shares += _cpu_shares(loads)
+    bytes_per_s, cpu_share = spread(byte_rates), spread(cpu_shares)
+    if bytes_per_s is None or cpu_share is None:
+        return None
+    return CostSpread(bytes_per_s, cpu_share)
+
+
+def phase_costs(index: RecordIndex, places: Iterable[Place]) -> tuple[PhaseCost, ...]:
+    """The worst window of any of these members, for each phase."""
+    members = {place.index for place in places}
+    costs = []
+    for span in index.timeline.spans:
+        of_members = _loads_by_member(index, span, members)
+        byte_rates = [max(_byte_rates(loads)) for loads in of_members]
+        cpu_shares = [max(_cpu_shares(loads)) for loads in of_members]
+        costs.append(PhaseCost(span.name, max(byte_rates, default=0.0), max(cpu_shares, default=0.0)))
+    return tuple(costs)
+
+
+def real_cost(index: RecordIndex) -> RealCost | None:
+    """Cost of the real processes; None if none took part."""
+    samples = _samples_by_process(index)
+    without = samples.pop(CONTROL_PROCESS, [])
+    if not samples:
+        return None
+    cost = ordinary_cost(index, index.topology.real)
+    return RealCost(
+        processes=len(samples),
+        bytes_per_s=cost.bytes_per_s.most if cost is not None else 0.0,
+        cpu_share=max(cpu_share_of(of_process) for of_process in samples.values()),
+        cpu_share_without=cpu_share_of(without),
+        memory_mb=max(of_process[-1].memory for of_process in samples.values()) / 1e6,
+        memory_mb_without=without[-1].memory / 1e6 if without else 0.0,
+    )
+
+
+def cpu_share_of(samples: list[ProcessSample]) -> float:
+    """Share of a core, from the first sample to the last."""
+    if len(samples) < 2:
+        return 0.0
+    return (samples[-1].cpu - samples[0].cpu) / (samples[-1].at - samples[0].at)
+
+
+def memory_per_member(usage: WorkerUsage) -> float:
+    """Bytes for each member of a worker, including what the harness keeps for it."""
+    return max(usage.memory_at_end - usage.memory_without_members, 0) / max(1, usage.members)
+
+
+def _loads_by_member(index: RecordIndex, span: PhaseSpan, members: set[int]) -> list[list[Load]]:
+    found: dict[int, list[Load]] = {}
+    for load in index.of(Load):
+        if load.member in members and span.begin < load.at <= span.end:
+            found.setdefault(load.member, []).append(load)
+    return list(found.values())
+
+
+def _byte_rates(loads: list[Load]) -> list[float]:
+    return window_means([float(load.sent + load.received) for load in loads], WINDOW)
+
+
+def _cpu_shares(loads: list[Load]) -> list[float]:
+    return window_means([load.cpu for load in loads], WINDOW)
+
+
+def _samples_by_process(index: RecordIndex) -> dict[int, list[ProcessSample]]:
+    """Samples of the first ordinary phase, or of the first phase where none is ordinary."""
+    spans = index.timeline.spans
+    span = next((span for span in spans if span.ordinary), spans[0])
+    samples: dict[int, list[ProcessSample]] = {}
+    for sample in index.of(ProcessSample):
+        if span.begin <= sample.at <= span.end:
+            samples.setdefault(sample.member, []).append(sample)
+    return samples
--- a/saltcourse/emulator/scale/report.py
+++ b/saltcourse/emulator/scale/report.py
@@ -1,4 +1,4 @@
-"""The figures of all runs: one flat JSON object, a table and a chart."""
+"""The metrics of all runs: one flat JSON object, a table and a chart."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from collections.abc import Iterator, Sequence
 from pathlib import Path
 
-from saltcourse.emulator.scale.measures import Figures, worst_cut
+from saltcourse.emulator.scale.evaluation.metrics import RunMetrics, slowest_recovery
 from saltcourse.emulator.scale.mechanisms import MESH
 from saltcourse.emulator.scale.summary import Spread, growth_exponent
 
@@ -35,15 +35,15 @@
 )
 
 
-def flat_figures(runs: Sequence[Figures]) -> dict[str, Value]:
+def flat_metrics(runs: Sequence[RunMetrics]) -> dict[str, Value]:
     """Keys of the mesh begin with ``mesh_``."""
     found: dict[str, Value] = {}
-    for figures in runs:
-        for key, value in _of_size(figures):
-            found[f"{prefix(figures)}n{figures.size}_{key}"] = _rounded(value)
-    for mechanism in sorted({figures.mechanism for figures in runs}):
+    for metrics in runs:
+        for key, value in _of_size(metrics):
+            found[f"{prefix(metrics)}n{metrics.size}_{key}"] = _rounded(value)
+    for mechanism in sorted({metrics.mechanism for metrics in runs}):
         chosen = [
-            figures for figures in runs if figures.mechanism == mechanism and figures.proxies is not None
+            metrics for metrics in runs if metrics.mechanism == mechanism and metrics.proxies is not None
         ]
         start = f"{mechanism}_" if mechanism == MESH else ""
         sizes = {f.size: f.proxies.bytes_per_s.mean for f in chosen if f.proxies is not None}
@@ -53,60 +53,60 @@
     return found
 
 
-def prefix(figures: Figures) -> str:
-    return "mesh_" if figures.mechanism == MESH else ""
+def prefix(metrics: RunMetrics) -> str:
+    return "mesh_" if metrics.mechanism == MESH else ""
 
 
-def _of_size(figures: Figures) -> Iterator[tuple[str, Value]]:
-    if figures.proxies is not None:
-        yield "control_bytes_per_s_mean", figures.proxies.bytes_per_s.mean
-        yield "control_bytes_per_s_p99", figures.proxies.bytes_per_s.p99
-        yield "control_bytes_per_s_max", figures.proxies.bytes_per_s.most
-        yield "control_cpu_share_mean", figures.proxies.cpu_share.mean
-        yield "control_cpu_share_max", figures.proxies.cpu_share.most
-    if figures.control is not None:
-        yield "control_member_bytes_per_s_max", figures.control.bytes_per_s.most
-        yield "control_member_cpu_share_max", figures.control.cpu_share.most
-    yield "control_memory_mb_max", figures.memory_mb
+def _of_size(metrics: RunMetrics) -> Iterator[tuple[str, Value]]:
+    if metrics.proxies is not None:
+        yield "control_bytes_per_s_mean", metrics.proxies.bytes_per_s.mean
+        yield "control_bytes_per_s_p99", metrics.proxies.bytes_per_s.p99
+        yield "control_bytes_per_s_max", metrics.proxies.bytes_per_s.most
+        yield "control_cpu_share_mean", metrics.proxies.cpu_share.mean
+        yield "control_cpu_share_max", metrics.proxies.cpu_share.most
+    if metrics.control is not None:
+        yield "control_member_bytes_per_s_max", metrics.control.bytes_per_s.most
+        yield "control_member_cpu_share_max", metrics.control.cpu_share.most
+    yield "control_memory_mb_max", metrics.memory_mb
     for name in ("p50", "p99", "max"):
-        yield f"change_everywhere_s_{name}", _part(figures.change.seconds, name)
-    yield "changes", figures.change.events
-    yield "changes_missing", figures.change.missing
-    yield "changes_confirmed", figures.changes_confirmed
-    yield "changes_lost", figures.changes_lost
-    yield "failure_known_s_p50", _part(figures.failure.seconds, "p50")
-    yield "failure_known_everywhere_s_p50", _part(figures.failure_everywhere, "p50")
-    yield "failure_known_everywhere_s_max", _part(figures.failure_everywhere, "max")
-    yield "failures", figures.failure.events
-    yield "failures_missing", figures.failure.missing
-    yield "join_s_p50", _part(figures.joining.seconds, "p50")
-    yield "join_s_max", _part(figures.joining.seconds, "max")
-    yield "joins", figures.joining.events
-    yield "joins_missing", figures.joining.missing
-    yield "stale_known_s_max", _part(figures.staleness.seconds, "max")
-    yield "stale_missing", figures.staleness.missing
-    yield "false_suspicions", figures.false_suspicions
-    yield "false_deaths", figures.false_deaths
-    yield "after_cut_agree_s_max", worst_cut(figures.cuts)
-    yield "safety_breaches", len(figures.breaches)
-    for phase in figures.phases:
+        yield f"change_everywhere_s_{name}", _part(metrics.change.seconds, name)
+    yield "changes", metrics.change.events
+    yield "changes_missing", metrics.change.missing
+    yield "changes_confirmed", metrics.changes_confirmed
+    yield "changes_lost", metrics.changes_lost
+    yield "failure_known_s_p50", _part(metrics.failure.seconds, "p50")
+    yield "failure_known_everywhere_s_p50", _part(metrics.failure_everywhere, "p50")
+    yield "failure_known_everywhere_s_max", _part(metrics.failure_everywhere, "max")
+    yield "failures", metrics.failure.events
+    yield "failures_missing", metrics.failure.missing
+    yield "join_s_p50", _part(metrics.joining.seconds, "p50")
+    yield "join_s_max", _part(metrics.joining.seconds, "max")
+    yield "joins", metrics.joining.events
+    yield "joins_missing", metrics.joining.missing
+    yield "stale_known_s_max", _part(metrics.staleness.seconds, "max")
+    yield "stale_missing", metrics.staleness.missing
+    yield "false_suspicions", metrics.false_suspicions
+    yield "false_deaths", metrics.false_deaths
+    yield "after_cut_agree_s_max", slowest_recovery(metrics.partitions)
+    yield "safety_breaches", len(metrics.breaches)
+    for phase in metrics.phases:
         yield f"phase_{phase.name}_bytes_per_s_max", phase.bytes_per_s
         yield f"phase_{phase.name}_cpu_share_max", phase.cpu_share
-    for name, change in figures.change_by_phase.items():
+    for name, change in metrics.change_by_phase.items():
         yield f"phase_{name}_change_everywhere_s_max", _part(change.seconds, "max")
         yield f"phase_{name}_changes_missing", change.missing
-    if figures.real is not None:
-        yield "real_processes", figures.real.processes
-        yield "real_bytes_per_s_max", figures.real.bytes_per_s
-        yield "real_cpu_share_max", figures.real.cpu_share
-        yield "real_cpu_share_without", figures.real.cpu_share_without
-        yield "real_memory_mb_max", figures.real.memory_mb
-        yield "real_memory_mb_without", figures.real.memory_mb_without
-    yield "process_cpu_share_with_harness", figures.workers_cpu_per_member
-    yield "lag_p99_s", figures.lag_p99
-    yield "lag_max_s", figures.lag_max
-    yield "dropped_by_kernel", figures.dropped
-    yield "overloaded", figures.overloaded
+    if metrics.real is not None:
+        yield "real_processes", metrics.real.processes
+        yield "real_bytes_per_s_max", metrics.real.bytes_per_s
+        yield "real_cpu_share_max", metrics.real.cpu_share
+        yield "real_cpu_share_without", metrics.real.cpu_share_without
+        yield "real_memory_mb_max", metrics.real.memory_mb
+        yield "real_memory_mb_without", metrics.real.memory_mb_without
+    yield "process_cpu_share_with_harness", metrics.workers_cpu_per_member
+    yield "lag_p99_s", metrics.lag_p99
+    yield "lag_max_s", metrics.lag_max
+    yield "dropped_by_kernel", metrics.dropped
+    yield "overloaded", metrics.overloaded
 
 
 def _part(found: Spread | None, name: str) -> float | None:
@@ -119,17 +119,17 @@
     return round(value, DIGITS) if isinstance(value, float) else value
 
 
-def table(runs: Sequence[Figures]) -> str:
+def table(runs: Sequence[RunMetrics]) -> str:
     """Plain text; bytes are sent plus received, CPU is in per cent of a core, times are in seconds."""
-    rows = [COLUMNS, *[_row(figures) for figures in runs]]
+    rows = [COLUMNS, *[_row(metrics) for metrics in runs]]
     widths = [max(len(row[column]) for row in rows) for column in range(len(COLUMNS))]
     lines = ["  ".join(cell.rjust(width) for cell, width in zip(row, widths, strict=True)) for row in rows]
     return "\n".join(lines)
 
 
-def _row(figures: Figures) -> tuple[str, ...]:
-    cost = figures.proxies
-    name = f"{figures.mechanism} {figures.size}" + (" (overloaded)" if figures.overloaded else "")
+def _row(metrics: RunMetrics) -> tuple[str, ...]:
+    cost = metrics.proxies
+    name = f"{metrics.mechanism} {metrics.size}" + (" (overloaded)" if metrics.overloaded else "")
     return (
         name,
         _number(cost.bytes_per_s.mean if cost else None, 0),
@@ -137,14 +137,14 @@
         _number(cost.bytes_per_s.most if cost else None, 0),
         _number(100 * cost.cpu_share.mean if cost else None, 2),
         _number(100 * cost.cpu_share.most if cost else None, 2),
-        _number(figures.memory_mb, 2),
-        *[_number(_part(figures.change.seconds, part), 2) for part in ("p50", "p99", "max")],
-        str(figures.change.missing),
-        *[_number(_part(figures.failure_everywhere, part), 1) for part in ("p50", "max")],
-        _number(worst_cut(figures.cuts), 2),
-        str(figures.false_suspicions),
-        str(figures.false_deaths),
-        str(len(figures.breaches)),
+        _number(metrics.memory_mb, 2),
+        *[_number(_part(metrics.change.seconds, part), 2) for part in ("p50", "p99", "max")],
+        str(metrics.change.missing),
+        *[_number(_part(metrics.failure_everywhere, part), 1) for part in ("p50", "max")],
+        _number(slowest_recovery(metrics.partitions), 2),
+        str(metrics.false_suspicions),
+        str(metrics.false_deaths),
+        str(len(metrics.breaches)),
     )
 
 
@@ -152,7 +152,7 @@
     return "-" if value is None else f"{value:,.{digits}f}"
 
 
-def chart(runs: Sequence[Figures], path: Path) -> None:
+def chart(runs: Sequence[RunMetrics], path: Path) -> None:
     """Bytes and CPU of a proxy over the size of the fleet. ImportError without matplotlib."""
     importlib.import_module("matplotlib").use("Agg")
     pyplot = importlib.import_module("matplotlib.pyplot")
--- a/saltcourse/emulator/scale/runner.py
+++ b/saltcourse/emulator/scale/runner.py
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunRecords:
-    """What a run left behind, to be judged by ``measures``."""
+    """What a run left behind, to be evaluated by ``evaluation``."""
 
     plan: RunPlan
     topology: Topology
--- a/tests/emulator/test_scale_run.py
+++ b/tests/emulator/test_scale_run.py
@@ -14,9 +14,11 @@
 
 from saltcourse.config import ConfigError
 from saltcourse.emulator.scale.connections import ConnectionLives
+from saltcourse.emulator.scale.evaluation.evaluate import evaluate
+from saltcourse.emulator.scale.evaluation.metrics import slowest_recovery
+from saltcourse.emulator.scale.evaluation.recovery import true_view
 from saltcourse.emulator.scale.gossip import change_writes, changes_of, configuration_digest, is_torn
 from saltcourse.emulator.scale.history import History
-from saltcourse.emulator.scale.measures import judge, true_view, worst_cut
 from saltcourse.emulator.scale.mechanisms import GOSSIP, MESH
 from saltcourse.emulator.scale.operator import ANSWER_WITHIN, Operator
 from saltcourse.emulator.scale.orders import NOT_PUBLISHER, Publish, PublishResult
@@ -35,7 +37,7 @@
     encode,
     read_records,
 )
-from saltcourse.emulator.scale.report import flat_figures, table
+from saltcourse.emulator.scale.report import flat_metrics, table
 from saltcourse.emulator.scale.runner import RunError, RunPlan, play
 from saltcourse.emulator.scale.safety import BreachKind, find_breaches
 from saltcourse.emulator.scale.scenario import (
@@ -395,7 +397,7 @@
 
 
 def judged(topology: Topology, *records: Record):  # type: ignore[no-untyped-def]
-    return judge(GOSSIP, 1, topology, TIMELINE, [*STARTS, *records])
+    return evaluate(GOSSIP, 1, topology, TIMELINE, [*STARTS, *records])
 
 
 def applied(topology: Topology, at: float, change: int, but: tuple[int, ...] = ()) -> list[Record]:
@@ -439,7 +441,7 @@
         judged(topology, *records, Lifecycle(0.5, 9, "stop"), Lifecycle(4.0, 9, "resume")).change.missing == 0
     )
     late_start = [record for record in STARTS if record != STARTS[9]] + [Lifecycle(3.0, 9, "start")]
-    assert judge(GOSSIP, 1, topology, TIMELINE, [*late_start, *records]).change.missing == 0
+    assert evaluate(GOSSIP, 1, topology, TIMELINE, [*late_start, *records]).change.missing == 0
 
 
 def test_a_change_that_nobody_has_is_lost_only_if_it_was_handed_over(topology: Topology) -> None:
@@ -513,12 +515,15 @@
     views += [View(32.0, 0, 7, 123), View(44.0, 0, count, digest)]
     versions = [*applied(topology, 35.0, 0, but=(9,)), ConfigurationSeen(42.0, 9, 1, 1, 5, [0], [])]
     handed = Handed(35.0, 0, 0, "change")
-    found = judged(topology, *cut, *views, *versions, handed).cuts
+    found = judged(topology, *cut, *views, *versions, handed).partitions
     assert [(agreement.members, agreement.configuration) for agreement in found] == [(4.0, 2.0)]
-    assert worst_cut(found) == 4.0
-    assert worst_cut(judged(topology, *cut, *views, *versions[:-1], handed).cuts) is None
+    assert slowest_recovery(found) == 4.0
+    assert slowest_recovery(judged(topology, *cut, *views, *versions[:-1], handed).partitions) is None
     wrong_view = View(50.0, 3, count, digest ^ 1)  # the right number of the wrong members
-    assert worst_cut(judged(topology, *cut, *views[:-1], wrong_view, *versions, handed).cuts) is None
+    assert (
+        slowest_recovery(judged(topology, *cut, *views[:-1], wrong_view, *versions, handed).partitions)
+        is None
+    )
 
 
 def test_history_knows_who_was_cut_off(topology: Topology) -> None:
@@ -533,7 +538,7 @@
         topology, *[Load(float(s), p.index, 10, 20, 0.01) for s in range(1, 21) for p in topology.places]
     )
     both = [figures, replace(figures, size=60), replace(figures, mechanism=MESH)]
-    flat = flat_figures(both)
+    flat = flat_metrics(both)
     for key in (
         "control_bytes_per_s_max",
         "control_cpu_share_max",
@@ -558,7 +563,7 @@
     records = play(
         RunPlan(mechanism, short, 3, 1, workers=2), tmp_path, threading.Event(), lambda share: None
     )
-    figures = judge(mechanism, 1, records.topology, records.timeline, read_records(records.paths))
+    figures = evaluate(mechanism, 1, records.topology, records.timeline, read_records(records.paths))
     assert figures.proxies is not None and figures.proxies.bytes_per_s.mean > 100
     assert 0 < figures.proxies.cpu_share.mean < 1
     assert figures.change.events > 0 and figures.change.seconds is not None
