--- /dev/null
+++ b/saltcourse/emulator/scale/member_host.py
@@ -0,0 +1,116 @@
+"""Moves datagrams and timers of the members of one worker, over links with delay, loss and partitions."""
+
+from __future__ import annotations
+
+import time
+from collections.abc import Callable
+
+from saltcourse.emulator.scale.hollow import Observation, Output
+from saltcourse.emulator.scale.hosted_member import HostedMember
+from saltcourse.emulator.scale.sockets import Paths, Sockets
+from saltcourse.emulator.scale.timer_queue import TimerQueue
+from saltcourse.gossip.messages import PACKET_OVERHEAD_BYTES, Address, Transmit
+
+MIN_TIMER_DELAY = 0.001  # s, as in the gossip's host: a deadline that does not move must not spin
+
+
+class MemberHost:
+    """``observe`` is called with each observation that a member reports.
+
+    ``real`` are the addresses of processes of their own.
+    """
+
+    def __init__(
+        self,
+        sockets: Sockets,
+        paths: Paths,
+        timers: TimerQueue,
+        real: set[Address],
+        observe: Callable[[HostedMember, Observation], None],
+    ) -> None:
+        self._sockets = sockets
+        self._paths = paths
+        self._timers = timers
+        self._real = real
+        self._observe = observe
+
+    def datagram_arrived(self, hosted: HostedMember, source: Address, datagram: bytes) -> None:
+        """A datagram came on the member's socket: it is delivered after the link's delay, or lost."""
+        delay = self._paths.delay(hosted.place.zone, source)
+        if delay is not None:
+            self._timers.call_at(time.monotonic() + delay, lambda: self._deliver(hosted, source, datagram))
+
+    def carry_out(self, hosted: HostedMember, output: Output) -> None:
+        """Sends the datagrams of a member's step, passes its observations on and sets its timer."""
+        for transmit in output.datagrams:
+            hosted.sent += len(transmit.datagram) + PACKET_OVERHEAD_BYTES
+            if transmit.destination in self._real:
+                self._send_to_real(hosted, transmit)
+            else:
+                self._sockets.send(hosted.place.index, transmit.datagram, transmit.destination)
+        for observation in output.observations:
+            self._observe(hosted, observation)
+        self._set_timer(hosted)
+
+    def pause(self, hosted: HostedMember) -> None:
+        """Gives the member no further events; its datagrams wait."""
+        hosted.stopped = True
+        self._sockets.ignore(hosted.place.index)
+
+    def unpause(self, hosted: HostedMember) -> None:
+        """Reads the member's socket again."""
+        hosted.stopped = False
+        self._sockets.watch(hosted.place.index)
+
+    def deliver_waiting(self, hosted: HostedMember) -> None:
+        """Delivers what arrived while the member was paused."""
+        waiting, hosted.waiting = hosted.waiting, []
+        for source, datagram in waiting:
+            self._deliver(hosted, source, datagram)
+        self._set_timer(hosted)
+
+    def set_partition(self, partitioned: bool) -> None:
+        """Separates the first region from the others, or connects them again."""
+        self._paths.cut = partitioned
+
+    def _deliver(self, hosted: HostedMember, source: Address, datagram: bytes) -> None:
+        if hosted.core is None or not self._paths.open(hosted.place.zone, source):
+            return
+        if hosted.stopped:
+            hosted.waiting.append((source, datagram))
+            return
+        hosted.received += len(datagram) + PACKET_OVERHEAD_BYTES
+        self.carry_out(hosted, hosted.core.receive(time.monotonic(), source, datagram))
+
+    def _send_to_real(self, hosted: HostedMember, transmit: Transmit) -> None:
+        """Applies the link before the datagram is sent: no worker reads a real process's socket."""
+        delay = self._paths.delay(hosted.place.zone, transmit.destination)
+        if delay is None:
+            return
+
+        def send() -> None:
+            if self._paths.open(hosted.place.zone, transmit.destination):
+                self._sockets.send(hosted.place.index, transmit.datagram, transmit.destination)
+
+        self._timers.call_at(time.monotonic() + delay, send)
+
+    def _set_timer(self, hosted: HostedMember) -> None:
+        """A later deadline waits for the timer that is set; an earlier one gets its own."""
+        if hosted.core is None:
+            return
+        deadline = max(hosted.core.next_deadline, time.monotonic() + MIN_TIMER_DELAY)
+        if hosted.timer is None or deadline < hosted.timer:
+            hosted.timer = deadline
+            self._timers.call_at(deadline, lambda: self._timer_expired(hosted, deadline))
+
+    def _timer_expired(self, hosted: HostedMember, set_for: float) -> None:
+        if hosted.timer != set_for:
+            return  # an earlier one took its place
+        hosted.timer = None
+        if hosted.core is None or hosted.stopped:
+            return
+        now = time.monotonic()
+        if hosted.core.next_deadline <= now:
+            self.carry_out(hosted, hosted.core.tick(now))
+        else:
+            self._set_timer(hosted)
--- a/saltcourse/emulator/scale/operator.py
+++ b/saltcourse/emulator/scale/operator.py
@@ -8,10 +8,10 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from saltcourse.emulator.scale.orders import NOT_PUBLISHER, Publish, PublishResult
 from saltcourse.emulator.scale.records import Confirmed, Handed, NotConfirmed, Record
 from saltcourse.emulator.scale.timeline import Duty, Publication, Timeline
 from saltcourse.emulator.scale.topology import Topology
+from saltcourse.emulator.scale.worker_messages import NOT_PUBLISHER, Publish, PublishResult
 
 ANSWER_WITHIN = 5.0  # s, a little over the voters' own publish_timeout; then another one is asked
 TRY_AGAIN_AFTER = 0.2  # s
--- a/saltcourse/emulator/scale/runner.py
+++ b/saltcourse/emulator/scale/runner.py
@@ -14,7 +14,12 @@
 from typing import TypeVar
 
 from saltcourse.emulator.scale.operator import Operator
-from saltcourse.emulator.scale.orders import (
+from saltcourse.emulator.scale.records import RecordWriter
+from saltcourse.emulator.scale.scenario import Scenario
+from saltcourse.emulator.scale.timeline import Timeline, build_timeline
+from saltcourse.emulator.scale.topology import Topology, build_topology
+from saltcourse.emulator.scale.worker import run_worker
+from saltcourse.emulator.scale.worker_messages import (
     Begin,
     Bound,
     Finished,
@@ -25,11 +30,6 @@
     WorkerFailed,
     WorkerTask,
 )
-from saltcourse.emulator.scale.records import RecordWriter
-from saltcourse.emulator.scale.scenario import Scenario
-from saltcourse.emulator.scale.timeline import Timeline, build_timeline
-from saltcourse.emulator.scale.topology import Topology, build_topology
-from saltcourse.emulator.scale.worker import work
 from saltcourse.gossip.messages import Address
 
 START_WITHIN = 30.0  # s for the workers to import and bind
@@ -152,7 +152,7 @@
                 path,
             )
             ours, theirs = context.Pipe()
-            process = context.Process(target=work, args=(task, theirs), daemon=True)
+            process = context.Process(target=run_worker, args=(task, theirs), daemon=True)
             process.start()
             theirs.close()
             self._processes.append(process)
--- /dev/null
+++ b/saltcourse/emulator/scale/timer_queue.py
@@ -0,0 +1,77 @@
+"""The timers of a worker process, and how late they were handled."""
+
+from __future__ import annotations
+
+import heapq
+import time
+from collections.abc import Callable
+from random import Random
+
+from saltcourse.emulator.scale.summary import percentile
+
+LAG_SAMPLES = 4_096
+MAX_TIMERS_AT_ONCE = 256  # expired timers that run before sockets are read again
+Callback = Callable[[], None]
+
+
+class LagSample:
+    """A random sample of fixed size over the whole run, in seconds (reservoir sampling)."""
+
+    def __init__(self, random: Random) -> None:
+        self._random = random
+        self._lags: list[float] = []
+        self._count = 0
+        self.max = 0.0
+
+    def add(self, lag: float) -> None:
+        """Counts one handled timer that was ``lag`` seconds late."""
+        self._count += 1
+        self.max = max(self.max, lag)
+        if len(self._lags) < LAG_SAMPLES:
+            self._lags.append(lag)
+        elif (slot := self._random.randrange(self._count)) < LAG_SAMPLES:
+            self._lags[slot] = lag
+
+    @property
+    def p99(self) -> float:
+        """The 99th percentile, 0 without a timer."""
+        return percentile(self._lags, 0.99) if self._lags else 0.0
+
+
+class TimerQueue:
+    """Callbacks by the time of CLOCK_MONOTONIC at which they expire; equal times keep the order of calls."""
+
+    def __init__(self, random: Random) -> None:
+        self._heap: list[tuple[float, int, Callback]] = []
+        self._sequence = 0
+        self.lag = LagSample(random)
+
+    def call_at(self, when: float, callback: Callback) -> None:
+        """Runs the callback once, at or after ``when``."""
+        self._sequence += 1
+        heapq.heappush(self._heap, (when, self._sequence, callback))
+
+    def call_every(self, begin: float, interval: float, callback: Callable[[], object]) -> None:
+        """Runs the callback at whole intervals from ``begin`` on, so that no lag adds up."""
+        self._repeat(begin, interval, callback, 1)
+
+    def _repeat(self, begin: float, interval: float, callback: Callable[[], object], count: int) -> None:
+        def expire() -> None:
+            callback()
+            self._repeat(begin, interval, callback, count + 1)
+
+        self.call_at(begin + count * interval, expire)
+
+    def next_expiry(self, default: float) -> float:
+        """When the next timer expires, but not after ``default``."""
+        return min(self._heap[0][0], default) if self._heap else default
+
+    def run_expired(self) -> None:
+        """Runs up to ``MAX_TIMERS_AT_ONCE`` expired timers."""
+        for _ in range(MAX_TIMERS_AT_ONCE):
+            now = time.monotonic()
+            if not self._heap or self._heap[0][0] > now:
+                return
+            expired_at, _, callback = heapq.heappop(self._heap)
+            self.lag.add(now - expired_at)
+            callback()
--- a/tests/emulator/test_scale_run.py
+++ b/tests/emulator/test_scale_run.py
@@ -21,7 +21,6 @@
 from saltcourse.emulator.scale.history import History
 from saltcourse.emulator.scale.mechanisms import GOSSIP, MESH
 from saltcourse.emulator.scale.operator import ANSWER_WITHIN, Operator
-from saltcourse.emulator.scale.orders import NOT_PUBLISHER, Publish, PublishResult
 from saltcourse.emulator.scale.records import (
     ConfigurationSeen,
     Confirmed,
@@ -58,6 +57,7 @@
 from saltcourse.emulator.scale.summary import growth_exponent, percentile, window_means
 from saltcourse.emulator.scale.timeline import Act, Duty, PhaseSpan, Publication, Timeline, build_timeline
 from saltcourse.emulator.scale.topology import Topology, build_topology
+from saltcourse.emulator.scale.worker_messages import NOT_PUBLISHER, Publish, PublishResult
 from saltcourse.gossip.messages import Role, Status
 
 SCENARIOS = Path(__file__).parents[2] / "benchmarks" / "scenarios"
