--- a/saltcourse/emulator/election.py
+++ b/saltcourse/emulator/election.py
@@ -1,11 +1,11 @@
-"""Elections on the simulated network: random schedules of faults, judged from outside.
+"""Elections on the simulated network: random schedules of faults, checked from outside.
 
-What is judged is what members did towards the others and towards announcing, never their own state:
+The checks read what members sent to each other and announced, never their own state:
 
 - never two valid leases at one instant of true time, whatever the clocks show;
 - never two announcements in one term, and each in a newer round than the one before (ranks are made of
   rounds);
-- no member votes for itself unless a majority could have told it that it may become a candidate;
+- no member votes for itself unless a majority could have granted it the pre-vote;
 - where a majority is connected, a member holds the lease within ``HELD_WITHIN_SECONDS`` of true time.
 """
 
@@ -37,6 +37,7 @@
 from saltcourse.address_failover.timing import ElectionTiming
 from saltcourse.address_failover.vote import RecoveredState, Vote
 from saltcourse.address_failover.voters import ElectionConfig, Voter
+from saltcourse.emulator.invariants import InvariantError
 from saltcourse.emulator.simnet import Host, Link, Network
 
 HELD_WITHIN_SECONDS = 2.0
@@ -44,7 +45,7 @@
 NO_VOTE = Vote()
 
 
-class PropertyViolationError(AssertionError):
+class PropertyViolationError(InvariantError):
     """A property does not hold; the text says which and when."""
 
 
@@ -88,7 +89,7 @@
         return Host(name, rate=rate, offset=self.random.uniform(0, 1e4))
 
     def start(self, name: str, never_promised: bool = False) -> None:
-        """Start a member's process, with what its host's disk has kept."""
+        """Start a member's process, with what its host's disk has stored."""
         host = self.net.hosts[name]
         host.alive, host.stopped = True, False
         has_vote = isinstance(host.disk, Vote)
@@ -110,7 +111,7 @@
         self.net.give(self.net.hosts[name], event)
 
     def holder(self) -> str | None:
-        """The member whose lease is good now."""
+        """The member whose lease is valid now."""
         for name, lease_end in self.lease_ends.items():
             if lease_end > self.net.now:
                 return name
@@ -141,7 +142,7 @@
 
     def _store_vote(self, host: Host, vote: Vote) -> None:
         if vote.voted_for == host.name and (host.disk or NO_VOTE).term < vote.term:
-            self._judge_candidacy(host)
+            self._check_candidacy(host)
         host.disk = vote
 
     def _announce(self, name: str, term: int) -> None:
@@ -158,14 +159,16 @@
                 self._fail(f"{host.name} holds while {name} does, until {lease_end:.3f}")
         self.lease_ends[host.name] = host.true(until)
 
-    def _judge_candidacy(self, host: Host) -> None:
-        """By the network's record of who could have told it so while it asked (clocks at their worst)."""
+    def _check_candidacy(self, host: Host) -> None:
+        """By the network's record of who could have granted the pre-vote in time (clocks at their worst)."""
         since = self.net.now - 1.1 * self.timing.candidacy_timeout
         if self.transferred_at.get(host.name, -1.0) >= since:
             return
-        heard = sum(at >= since for (_, receiver), at in self.net.arrived.items() if receiver == host.name)
-        if heard + 1 < len(self.voters) // 2 + 1:
-            self._fail(f"{host.name} is a candidate, though only {heard} others could tell it that it may")
+        reachable = sum(
+            at >= since for (_, receiver), at in self.net.arrived.items() if receiver == host.name
+        )
+        if reachable + 1 < len(self.voters) // 2 + 1:
+            self._fail(f"{host.name} is a candidate, though only {reachable} others could grant the pre-vote")
 
     def _fail(self, violation: str) -> None:
         raise PropertyViolationError(f"at {self.net.now:.3f} s: {violation}")
@@ -221,7 +224,7 @@
         self.names = [voter.name for voter in world.voters]
 
     def next(self) -> None:
-        """Of nine equally likely faults; two in five befall the holder."""
+        """Of nine equally likely faults; two in five hit the lease holder."""
         name = self.world.holder() if self.draw.random() < 0.4 else None
         name = name or self.draw.choice(self.names)
         host = self.net.hosts[name]
--- a/saltcourse/emulator/gossip/network.py
+++ b/saltcourse/emulator/gossip/network.py
@@ -1,7 +1,8 @@
 """The simulated network of a fleet over zones and regions: datagrams to addresses, not to hosts.
 
-Delay depends on where the two ends stand. A partition splits the hosts into groups that do not hear each
-other; an address may be taken over by another host; a stopped host's socket holds only so many datagrams.
+Delay depends on the locations of the two ends. A partition splits the hosts into groups that cannot reach
+each other; an address may be taken over by another host; the socket of a stopped host holds a bounded
+number of datagrams.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Place:
-    """Where a host stands."""
+    """The location of a host."""
 
     region: str
     zone: str
@@ -32,7 +33,7 @@
 
 @dataclass
 class Faults(Link):
-    """What befalls each datagram, by probability; ``delay`` is the one between regions."""
+    """Faults of each datagram, by probability; ``delay`` is the one between regions."""
 
     delay: tuple[float, float] = OTHER_REGION
     loss: float = 0.01
--- a/saltcourse/emulator/gossip/world.py
+++ b/saltcourse/emulator/gossip/world.py
@@ -156,7 +156,7 @@
         self.start(host_name, clock_offset=clock_offset)
 
     def stop(self, host_name: str) -> None:
-        """Let the process stand still; datagrams wait in its socket."""
+        """Stop the process, as SIGSTOP does; datagrams wait in its socket."""
         self.network.stop(self.network.fleet[host_name])
 
     def resume(self, host_name: str) -> None:
--- a/saltcourse/emulator/scale/report.py
+++ b/saltcourse/emulator/scale/report.py
@@ -59,6 +59,15 @@
 
 
 def _of_size(metrics: RunMetrics) -> Iterator[tuple[str, Value]]:
+    yield from _costs(metrics)
+    yield from _changes(metrics)
+    yield from _failures_and_recovery(metrics)
+    yield from _phases(metrics)
+    yield from _real_processes(metrics)
+    yield from _harness(metrics)
+
+
+def _costs(metrics: RunMetrics) -> Iterator[tuple[str, Value]]:
     if metrics.proxies is not None:
         yield "control_bytes_per_s_mean", metrics.proxies.bytes_per_s.mean
         yield "control_bytes_per_s_p99", metrics.proxies.bytes_per_s.p99
@@ -69,12 +78,18 @@
         yield "control_member_bytes_per_s_max", metrics.control.bytes_per_s.max
         yield "control_member_cpu_share_max", metrics.control.cpu_share.max
     yield "control_memory_mb_max", metrics.memory_mb
+
+
+def _changes(metrics: RunMetrics) -> Iterator[tuple[str, Value]]:
     for name in ("p50", "p99", "max"):
         yield f"change_everywhere_s_{name}", _part(metrics.change.seconds, name)
     yield "changes", metrics.change.events
     yield "changes_missing", metrics.change.missing
     yield "changes_confirmed", metrics.changes_confirmed
     yield "changes_lost", metrics.changes_lost
+
+
+def _failures_and_recovery(metrics: RunMetrics) -> Iterator[tuple[str, Value]]:
     yield "failure_known_s_p50", _part(metrics.failure.seconds, "p50")
     yield "failure_known_everywhere_s_p50", _part(metrics.failure_everywhere, "p50")
     yield "failure_known_everywhere_s_max", _part(metrics.failure_everywhere, "max")
@@ -90,12 +105,18 @@
     yield "false_deaths", metrics.false_deaths
     yield "after_cut_agree_s_max", slowest_recovery(metrics.partitions)
     yield "safety_breaches", len(metrics.breaches)
+
+
+def _phases(metrics: RunMetrics) -> Iterator[tuple[str, Value]]:
     for phase in metrics.phases:
         yield f"phase_{phase.name}_bytes_per_s_max", phase.bytes_per_s
         yield f"phase_{phase.name}_cpu_share_max", phase.cpu_share
     for name, change in metrics.change_by_phase.items():
         yield f"phase_{name}_change_everywhere_s_max", _part(change.seconds, "max")
         yield f"phase_{name}_changes_missing", change.missing
+
+
+def _real_processes(metrics: RunMetrics) -> Iterator[tuple[str, Value]]:
     if metrics.real is not None:
         yield "real_processes", metrics.real.processes
         yield "real_bytes_per_s_max", metrics.real.bytes_per_s
@@ -103,6 +124,9 @@
         yield "real_cpu_share_without", metrics.real.cpu_share_without
         yield "real_memory_mb_max", metrics.real.memory_mb
         yield "real_memory_mb_without", metrics.real.memory_mb_without
+
+
+def _harness(metrics: RunMetrics) -> Iterator[tuple[str, Value]]:
     yield "process_cpu_share_with_harness", metrics.workers_cpu_per_member
     yield "lag_p99_s", metrics.lag_p99
     yield "lag_max_s", metrics.lag_max
--- a/saltcourse/emulator/simnet.py
+++ b/saltcourse/emulator/simnet.py
@@ -17,9 +17,13 @@
 ROUNDING_SECONDS = 1e-9
 
 
+class SimulationError(RuntimeError):
+    """The simulated hosts keep time from going on; the text says when."""
+
+
 @dataclass
 class Link:
-    """What befalls every message: ``delay`` is drawn evenly from a range, so messages overtake one another.
+    """The faults of a link: ``delay`` is drawn evenly from a range, so messages overtake one another.
 
     ``loss`` and ``double`` are the probabilities that a message is lost or comes twice.
     """
@@ -74,13 +78,13 @@
         heapq.heappush(self._queue, (max(when, self.now), self._order, do))
 
     def run(self, until: float) -> None:
-        """Let time go on. Raises RuntimeError when timers keep expiring without letting it."""
+        """Let time go on. Raises SimulationError when timers keep expiring without letting it."""
         at_once = 0
         while self._queue and self._queue[0][0] <= until:
             when, _, do = heapq.heappop(self._queue)
             at_once = at_once + 1 if when == self.now else 0
             if at_once > MAX_EVENTS_AT_ONCE:
-                raise RuntimeError(f"time stands still at {when:.6f} s")
+                raise SimulationError(f"time does not advance at {when:.6f} s")
             self.now = when
             do()
         self.now = until
@@ -153,5 +157,5 @@
         self.cuts |= {(one, other), (other, one)} if both else {(one, other)}
 
     def heal(self) -> None:
-        """Mend all cuts."""
+        """Remove all cuts."""
         self.cuts.clear()
