--- a/benchmarks/admin.py
+++ b/benchmarks/admin.py
@@ -1,6 +1,6 @@
 """How fast the admin address answers beside a crowd: ``python benchmarks/admin.py [--quick] [--json]``.
 
-One proxy runs as a real process on loopback. Beside it stand callers that hold admin connections with
+One proxy runs as a real process on loopback. Beside it other callers hold admin connections with
 half a call, and clients that connect to the clients' port and say nothing or half a line. Each trial
 asks `/_ready` and `/_vars` once; the time is from connecting to the last byte of the answer. The control
 is the same calls with nobody else there, in the same run. The last line is one JSON object.
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -122,18 +122,18 @@
 # ---- pages ------------------------------------------------------------------------------------------
 
 
-class UnknownMarker(Exception):
-    """A page names a table or figure that is not worked out here."""
+class UnknownMarkerError(Exception):
+    """A page names a table or figure that is not computed here."""
 
 
 def rendered(page: str, m: Measurements, scale: dict[str, Any]) -> str:
-    """The page with all that stands between markers worked out anew."""
+    """The page with everything between markers computed again. Raises UnknownMarkerError."""
     single = figures(m, scale)
 
     def fill(found: re.Match[str]) -> str:
         begin, kind, name, _, end = found.groups()
         if name not in (TABLES if kind == "table" else single):
-            raise UnknownMarker(f"{kind} {name}")
+            raise UnknownMarkerError(f"{kind} {name}")
         text = f"\n{TABLES[name](m, scale)}\n" if kind == "table" else single[name]
         return begin + text + end
 
--- a/benchmarks/capacity_model.py
+++ b/benchmarks/capacity_model.py
@@ -1,6 +1,6 @@
 """What the fleet ahead costs, worked out from measured slopes: constants and formulas, nothing else.
 
-The figures of the operators and what is assumed stand here once, each with its unit; ``Measurements`` reads
+The operators' figures and the assumptions are defined here once, each with its unit; ``Measurements`` reads
 the slopes that ``benchmarks/slopes.py --save`` kept.
 """
 
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-# ---- what the operators told ------------------------------------------------------------------------
+# ---- given by the operators ------------------------------------------------------------------------
 
 PROXIES = 490
 CONNECTIONS = 44e6
@@ -43,18 +43,18 @@
 HEADROOM = 0.3  # of a core that a process keeps for set-ups beside its ordinary work
 LONGEST_RETRY_AFTER = 1.1  # s; the longest that a site of today allows (max_retry_after_ms)
 REPAIR = DAY  # s until a failed machine is back
-SCRAPE_EVERY, SCRAPE_BYTES = 10.0, (1_000.0, 2_000.0)  # the operators' look at an admin address
+SCRAPE_EVERY, SCRAPE_BYTES = 10.0, (1_000.0, 2_000.0)  # the operators' scrape of an admin address
 
-# ---- today's fleet exchange (saltcourse/fleet) ------------------------------------------------------
+# ---- the mesh of shared state (saltcourse/shared_state) --------------------------------------------
 
 CASA_MAIN_RATE = 2.75  # new connections a second at each proxy in benchmarks/fleet.py
 PACKET_BYTES = 28  # IPv4 and UDP headers
 PAIR_RECORD_BYTES = 9  # a pair of server and group on the wire: sign and two names of four characters
 MESSAGE_BYTES, MESSAGE_HEAD = 256, 9
 MESH_PACE = 0.05  # s between messages of one proxy to all
-MOST_ENTRIES = 4_096  # of one peer's table that are kept
+MOST_ENTRIES = 4_096  # of one peer's table that are stored
 
-MAGLEV_ENTRIES = 65_537  # of a table that stands for a hash over all push servers
+MAGLEV_ENTRIES = 65_537  # of a table that serves as a hash over all backends
 
 # ---- ranges and how they are shown ------------------------------------------------------------------
 
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -29,7 +29,7 @@
 
 SIZES = (4, 40, 200)
 ARRIVALS = 2.75  # new connections a second at one proxy: casa-main's 11 over its four
-LIFE = 36.5  # s that a connection stands, in the mean of casa-main's 22 to 51
+LIFE = 36.5  # s that a connection lasts, in the mean of casa-main's 22 to 51
 SERVERS_A_PROXY = 3.4  # of casa-main: 13.5 servers, 4 proxies
 STEP = 0.1
 
@@ -49,7 +49,7 @@
         self.net = Network(size, hosts, Link((0.0017, 0.028), 0.05), self.got, None)
         self.held: list[dict[str, Held]] = [{s: Held() for s in self.servers} for _ in range(size)]
         self.pairs: list[dict[tuple[str, str], int]] = [{} for _ in range(size)]
-        told = partial(
+        settings_of = partial(
             Settings,
             (RequestClass("c", 0.5, 3.0),),
             proxy_count=size,
@@ -58,7 +58,8 @@
             shared_state=SharedStateSettings(share_connection_counts=counts),
         )
         self.cores = [
-            SharedState(told(proxy_index=i), self.random.getrandbits(12), self.held[i]) for i in range(size)
+            SharedState(settings_of(proxy_index=i), self.random.getrandbits(12), self.held[i])
+            for i in range(size)
         ]
         self.sent = self.bytes = self.taken = 0
         self.cpu = 0.0
@@ -111,7 +112,7 @@
             self.texts.append(text)
 
     def wrong(self) -> int:
-        """Copies that differ from what their owner has told or is about to tell."""
+        """Replicas that differ from what their owner has sent or is about to send."""
         return sum(
             1
             for i, core in enumerate(self.cores)
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -2,7 +2,7 @@
 
 Sites of 3, 9 and 31 members on loopback, all in one process and on real UDP: CPU and bytes a second for each
 member, and of one that is sent 10,000 junk datagrams a second. A ratio to an asyncio loop that only receives
-the same datagrams stands beside the latter. The last line is one JSON object.
+the same datagrams is given beside the latter. The last line is one JSON object.
 """
 
 from __future__ import annotations
@@ -53,18 +53,18 @@
 
 
 async def site(count: int) -> list[Counted]:
-    seats = tuple(Voter(f"m{i}", priority=count - i) for i in range(count))
-    where = dict(zip([s.name for s in seats], places(count), strict=True))
+    voters = tuple(Voter(f"m{i}", priority=count - i) for i in range(count))
+    where = dict(zip([s.name for s in voters], places(count), strict=True))
     key, members = os.urandom(32), []
-    for number, seat in enumerate(seats):
-        others = {n: p for n, p in where.items() if n != seat.name}
+    for number, voter in enumerate(voters):
+        others = {n: p for n, p in where.items() if n != voter.name}
         member = Counted(
-            ElectionConfig(seats, seat.name, ElectionTiming()),
-            DatagramAuthenticator(seat.name, time.time_ns() // 1000 + number, [key], others),
+            ElectionConfig(voters, voter.name, ElectionTiming()),
+            DatagramAuthenticator(voter.name, time.time_ns() // 1000 + number, [key], others),
             number,
             None,
         )
-        await member.start(where[seat.name])
+        await member.start(where[voter.name])
         members.append(member)
     await asyncio.sleep(SETTLE)
     return members
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -1,7 +1,7 @@
 """What control costs as the fleet grows: ``python benchmarks/scale.py [--quick] [--json] [--sizes 30,120]``.
 
 The program's own cores, many to a worker process, exchange real UDP datagrams on loopback, through the
-delays, losses and failures of a scenario file; the run is judged by what the receivers recorded.
+delays, losses and failures of a scenario file; the run is evaluated by what the receivers recorded.
 docs/measurements/scale.md says how each figure comes about. The last line is one JSON object with flat keys;
 keys of the mesh begin with ``mesh_``.
 """
@@ -15,8 +15,9 @@
 import time
 from collections.abc import Callable, Sequence
 from concurrent.futures import Future, ThreadPoolExecutor, wait
-from dataclasses import replace
+from dataclasses import dataclass, replace
 from pathlib import Path
+from typing import Any
 
 import click
 
@@ -40,6 +41,31 @@
 EXIT_FAILED, EXIT_USAGE, EXIT_INTERRUPTED = 1, 2, 130
 
 
+@dataclass(frozen=True, slots=True)
+class Options:
+    """The command line."""
+
+    quick: bool
+    only_json: bool
+    seed: int
+    sizes: tuple[int, ...] | None
+    path: Path | None
+    mechanism: str
+    real: int | None
+    chart_path: Path | None
+    keep: Path | None
+
+    @property
+    def mechanisms(self) -> list[str]:
+        return [MESH, GOSSIP] if self.mechanism == "both" else [self.mechanism]
+
+    @property
+    def real_proxies(self) -> int:
+        if self.real is not None:
+            return self.real
+        return REAL_QUICK if self.quick else REAL
+
+
 class Progress:
     """One line for each run: drawn anew on a terminal, now and then elsewhere."""
 
@@ -166,57 +192,55 @@
 @click.option(
     "--keep", type=click.Path(path_type=Path, file_okay=False), help="Keep the records in this folder."
 )
-def main(
-    quick: bool,
-    only_json: bool,
-    seed: int,
-    sizes: tuple[int, ...] | None,
-    path: Path | None,
-    mechanism: str,
-    real: int | None,
-    chart_path: Path | None,
-    keep: Path | None,
-) -> None:
+def main(**values: Any) -> None:
     """Measure what control costs a proxy, and how fast news gets around, over the size of the fleet."""
-    path = path or SCENARIOS / ("quick.txtpb" if quick else "ordinary.txtpb")
-    try:
-        scenario = read_scenario(path)
-        mechanisms = [MESH, GOSSIP] if mechanism == "both" else [mechanism]
-        for name in mechanisms:
-            member_class(name)
-    except ConfigError as error:
-        print(error, file=sys.stderr)
-        sys.exit(EXIT_USAGE)
-    except ImportError as error:
-        print(f"--mechanism {mechanism}: not in this version ({error})", file=sys.stderr)
-        sys.exit(EXIT_USAGE)
-    if sizes:
-        scenario = replace(scenario, sizes=sizes)
-    if real is None:
-        real = REAL_QUICK if quick else REAL
-    plans = build_plans(scenario, mechanisms, seed, real)
+    options = Options(**values)
+    scenario = chosen_scenario(options)
+    plans = build_plans(scenario, options.mechanisms, options.seed, options.real_proxies)
     began = time.monotonic()
     try:
-        with tempfile.TemporaryDirectory() as temporary:
-            folder = keep or Path(temporary)
-            folder.mkdir(parents=True, exist_ok=True)
-            at_once = len(scenario.sizes) if scenario.sizes_at_once else 1
-            runs = []
-            for name in mechanisms:  # never beside each other
-                chosen = [plan for plan in plans if plan.mechanism == name]
-                runs += run_all(chosen, at_once, Progress(only_json), folder)
+        runs = run_plans(plans, scenario, options)
     except KeyboardInterrupt:
         sys.exit(EXIT_INTERRUPTED)
-    if not only_json and runs:
+    if not options.only_json and runs:
         print(table(runs))
-    if chart_path is not None and runs:
-        draw(runs, chart_path)
-    took = {"seed": seed, "took_s": round(time.monotonic() - began, 1)}
+    if options.chart_path is not None and runs:
+        draw(runs, options.chart_path)
+    took = {"seed": options.seed, "took_s": round(time.monotonic() - began, 1)}
     print(json.dumps(flat_metrics(runs) | took))
     if len(runs) < len(plans):
         sys.exit(EXIT_FAILED)
 
 
+def chosen_scenario(options: Options) -> Scenario:
+    """Ends the program where the file or a mechanism cannot be used."""
+    path = options.path or SCENARIOS / ("quick.txtpb" if options.quick else "ordinary.txtpb")
+    try:
+        scenario = read_scenario(path)
+        for name in options.mechanisms:
+            member_class(name)
+    except ConfigError as error:
+        print(error, file=sys.stderr)
+        sys.exit(EXIT_USAGE)
+    except ImportError as error:
+        print(f"--mechanism {options.mechanism}: not in this version ({error})", file=sys.stderr)
+        sys.exit(EXIT_USAGE)
+    return replace(scenario, sizes=options.sizes) if options.sizes else scenario
+
+
+def run_plans(plans: Sequence[RunPlan], scenario: Scenario, options: Options) -> list[RunMetrics]:
+    """The mechanisms run one after another, never beside each other."""
+    runs: list[RunMetrics] = []
+    with tempfile.TemporaryDirectory() as temporary:
+        folder = options.keep or Path(temporary)
+        folder.mkdir(parents=True, exist_ok=True)
+        at_once = len(scenario.sizes) if scenario.sizes_at_once else 1
+        for name in options.mechanisms:
+            chosen = [plan for plan in plans if plan.mechanism == name]
+            runs += run_all(chosen, at_once, Progress(options.only_json), folder)
+    return runs
+
+
 def draw(runs: Sequence[RunMetrics], path: Path) -> None:
     try:
         chart(runs, path)
--- a/benchmarks/scale_real.py
+++ b/benchmarks/scale_real.py
@@ -1,7 +1,7 @@
-"""Real ``saltcourse serve`` processes that take part in a scale run, with push servers and clients;
-and one more process without the feature, to tell what the feature costs.
+"""Real ``saltcourse serve`` processes that take part in a scale run, with push servers and clients.
 
-They are judged from outside: by their admin addresses and by ``/proc``.
+One more process runs without the feature, as the control for its cost. All are observed from outside: by
+their admin addresses and by ``/proc``.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 from saltcourse.gossip.messages import Address, Role  # noqa: E402
 
 CLIENTS = 4  # connections through each process
-POLL_INTERVAL = 0.5  # s between looks at each admin address
+POLL_INTERVAL = 0.5  # s between polls of each admin address
 LOAD_INTERVAL = 1.0  # s between records of bytes, CPU and memory
 CALL_TIMEOUT = 1.0  # s
 END_TIMEOUT = 5.0  # s for a process to end by itself
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -42,7 +42,7 @@
     return git("rev-parse", "--short", "HEAD") + ("+" if git("status", "--porcelain", "saltcourse") else "")
 
 
-def measure(sizes: Sizes, tell: Callable[[str], None]) -> Results:
+def measure(sizes: Sizes, report_progress: Callable[[str], None]) -> Results:
     results = Results()
     parts: dict[str, Callable[[], None]] = {
         "data path": lambda: measure_data_path(results, sizes),
@@ -54,10 +54,10 @@
         for name, work in parts.items():
             began = time.monotonic()
             work()
-            tell(f"repetition {repetition + 1}, {name}: {time.monotonic() - began:.0f} s")
+            report_progress(f"repetition {repetition + 1}, {name}: {time.monotonic() - began:.0f} s")
     began = time.monotonic()
     measure_mesh(results, sizes)
-    tell(f"mesh, all repetitions: {time.monotonic() - began:.0f} s")
+    report_progress(f"mesh, all repetitions: {time.monotonic() - began:.0f} s")
     return results
 
 
--- a/benchmarks/slopes_data_path.py
+++ b/benchmarks/slopes_data_path.py
@@ -30,7 +30,7 @@
 ACTIVE = 100  # connections that lines pass on at the same time
 SETTING_UP = 16  # clients that connect at the same time
 CLIENT_DEADLINE_MS = 2_000  # the module keeps a timer for each request until then
-COME_AGAIN = 0.05  # s until a client that was not served comes again
+RETRY_DELAY = 0.05  # s until a client that was not served comes again
 
 
 def cpu_seconds(pid: int) -> float:
@@ -56,7 +56,7 @@
         process.wait()
 
 
-def told(process: subprocess.Popen[str]) -> Any:
+def read_message(process: subprocess.Popen[str]) -> Any:
     """What one of our own roles prints once it listens."""
     assert process.stdout is not None
     return json.loads(process.stdout.readline())
@@ -148,7 +148,7 @@
 @contextmanager
 def pass_through(push_server: int) -> Iterator[tuple[int, int]]:
     with running(str(ROLES), "--role", "pass-through", "--port", str(push_server)) as process:
-        yield process.pid, told(process)
+        yield process.pid, read_message(process)
 
 
 def free_port() -> int:
@@ -162,7 +162,7 @@
     def __init__(self) -> None:
         loop = asyncio.get_running_loop()
         self.up: asyncio.Future[bool] = loop.create_future()
-        self.moved = False  # told to come back elsewhere
+        self.moved = False  # was asked to reconnect elsewhere
         self._served = loop.create_future()
         self._owed = 0  # lines that are still to come
         self._rest = b""
@@ -208,20 +208,20 @@
 
     def __init__(self, port: int, settle: float) -> None:
         self.settle = settle
-        self.port, self.standing = port, list[Client]()
-        self.came_again = 0  # clients that were refused or moved
+        self.port, self.established = port, list[Client]()
+        self.retries = 0  # clients that were rejected or migrated
         self._number = 0
 
     async def open(self) -> Client:
-        """A connection that stands; a refused client comes again."""
+        """An established connection; a rejected client retries."""
         while True:
             client = await self._connect()
             client.transport.write(self._first_line())
             if await client.up:
                 return client
             client.transport.close()
-            self.came_again += 1
-            await asyncio.sleep(COME_AGAIN)
+            self.retries += 1
+            await asyncio.sleep(RETRY_DELAY)
 
     def _first_line(self) -> bytes:
         self._number += 1
@@ -234,28 +234,28 @@
                 _, client = await loop.create_connection(Client, HOST, self.port)
                 return client
             except ConnectionRefusedError:  # the process has just been started
-                await asyncio.sleep(COME_AGAIN)
+                await asyncio.sleep(RETRY_DELAY)
 
     async def hold(self, count: int) -> None:
-        """Come or go until ``count`` stand."""
-        while len(self.standing) != count:
-            while len(self.standing) > count:
-                self.standing.pop().transport.close()
-            missing = count - len(self.standing)
+        """Connect or disconnect until ``count`` are established."""
+        while len(self.established) != count:
+            while len(self.established) > count:
+                self.established.pop().transport.close()
+            missing = count - len(self.established)
             await in_parallel([partial(self._add, len(part)) for part in split(missing, SETTING_UP)])
             await asyncio.sleep(self.settle)
             self._drop_moved()
 
     def _drop_moved(self) -> None:
-        for client in self.standing:
+        for client in self.established:
             if client.moved:
                 client.transport.close()
-                self.came_again += 1
-        self.standing = [client for client in self.standing if not client.moved]
+                self.retries += 1
+        self.established = [client for client in self.established if not client.moved]
 
     async def _add(self, count: int) -> None:
         for _ in range(count):
-            self.standing.append(await self.open())
+            self.established.append(await self.open())
 
     async def come_and_go(self, count: int) -> None:
         await in_parallel([partial(self._pass, len(part)) for part in split(count, SETTING_UP)])
@@ -277,7 +277,7 @@
 
     async def push(self, requests: int, lines: int) -> None:
         """On all connections at once."""
-        await in_parallel([partial(client.push_again, requests, lines) for client in self.standing])
+        await in_parallel([partial(client.push_again, requests, lines) for client in self.established])
 
 
 def split(count: int, parts: int) -> list[range]:
@@ -316,7 +316,7 @@
 
     await crowd.hold(ACTIVE)
     await asyncio.sleep(timers)
-    alone = [await cost(pid, crowd.standing[0].push_again, n) for n in sizes.lines_alone]
+    alone = [await cost(pid, crowd.established[0].push_again, n) for n in sizes.lines_alone]
     results.add(f"line_alone{suffix}", "ms", "trip", sizes.lines_alone, alone)
     trips = [await cost(pid, lambda n: crowd.push(n // ACTIVE, 1), n) for n in sizes.lines]
     results.add(f"line_trip{suffix}", "ms", "trip", sizes.lines, trips)
@@ -324,7 +324,7 @@
     results.add(f"delivery{suffix}", "ms", "line", sizes.lines, deliveries)
     set_ups = [await cost(pid, crowd.come_and_go, n, timers) for n in sizes.set_ups]
     results.add(f"set_up{suffix}", "ms", "set_up", sizes.set_ups, set_ups)
-    return crowd.came_again
+    return crowd.retries
 
 
 async def refusals(results: Results, pid: int, port: int, sizes: Sizes) -> None:
@@ -338,11 +338,11 @@
 
 def measure_data_path(results: Results, sizes: Sizes) -> None:
     with running(str(ROLES), "--role", "push-servers") as process:
-        ports = told(process)
+        ports = read_message(process)
         with saltcourse(ports["discovery"], ports["servers"]) as (pid, port):
-            came_again = asyncio.run(data_path(results, "", pid, port, sizes))
-        if came_again:
-            click.echo(f"{came_again} clients were refused or moved and came again", err=True)
+            retries = asyncio.run(data_path(results, "", pid, port, sizes))
+        if retries:
+            click.echo(f"{retries} clients were refused or moved and came again", err=True)
         with saltcourse(free_port(), {}) as (pid, port):
             asyncio.run(refusals(results, pid, port, sizes))
         with pass_through(ports["servers"]["toy-0"]) as (pid, port):
--- a/benchmarks/slopes_mesh.py
+++ b/benchmarks/slopes_mesh.py
@@ -18,16 +18,17 @@
 
 HOST = "127.0.0.1"
 RESTART_SECONDS = 2.0  # of virtual time, in which a proxy that restarts hears all tables
-OBSERVERS = 2  # proxies of the mesh that hear all others and are measured
+OBSERVERS = 2  # proxies of the mesh that receive from all others and are measured
 DATAGRAM = bytes(111)  # of usual size
 BATCH = 100  # datagrams that a socket's buffer surely holds
 
 
 class ObservedSite(Site):
-    """A fleet in which only the first proxies hear all others, as every proxy does in a real one.
+    """A fleet in which only the first proxies receive from all others, as every proxy does in a real one.
 
-    The others tell all that they have to tell, but hear only the observers. So the cost of a run grows with
-    the fleet's size and not with its square; what the observers send, receive and keep is the same.
+    The others send all that they have to send, but receive only from the observers. So the cost of a run
+    grows with the fleet's size and not with its square; what the observers send, receive and store is as
+    in a real fleet.
     """
 
     def __init__(self, size: int, crowd: int, seed: int) -> None:
@@ -73,19 +74,19 @@
 
     def restart_first(self) -> None:
         """The first proxy's process is another from now on: it holds the same and knows nothing of others."""
-        told = Settings(
+        settings = Settings(
             (RequestClass("c", 0.5, 3.0),),
             proxy_count=self.size,
             peers_allowed=True,
             has_groups=True,
             shared_state=SharedStateSettings(share_connection_counts=True),
         )
-        core = self.cores[0] = SharedState(told, self.cores[0].outbox.incarnation + 1, self.held[0])
+        core = self.cores[0] = SharedState(settings, self.cores[0].outbox.incarnation + 1, self.held[0])
         for pair in self.pairs[0]:
             core.record_group(*pair, True)
 
     def sent_bytes(self) -> float:
-        """Bytes of one proxy in the mean: to all as every proxy tells them, to one as the observers do."""
+        """Mean bytes of one proxy: to all as every proxy sends them, to one as the observers do."""
         return self.to_all * (self.size - 1) / self.size + self.to_one / OBSERVERS
 
 
@@ -161,7 +162,7 @@
 
 
 class Receiver(asyncio.DatagramProtocol):
-    """Counts what comes, and tells when a batch is whole."""
+    """Counts datagrams, and signals when a batch is complete."""
 
     def __init__(self) -> None:
         self.count = 0
--- a/benchmarks/slopes_results.py
+++ b/benchmarks/slopes_results.py
@@ -19,7 +19,7 @@
     lines_alone: tuple[int, ...] = (500, 1_000, 2_000)  # on one connection, one after another
     set_ups: tuple[int, ...] = (200, 400, 800)
     fleet: tuple[int, ...] = (20, 40, 80, 160, 490)
-    fleet_settle: float = 10.0  # s of virtual time from the fleet's start, until whole tables are told
+    fleet_settle: float = 10.0  # s of virtual time from the fleet's start, until whole tables are sent
     fleet_seconds: float = 8.0  # s of virtual time that are measured: two of the fleet's heartbeats
     crowds: tuple[int, ...] = (1, 2, 4)  # times the new connections of ``fleet.ARRIVALS``
     servers: tuple[int, ...] = (10, 100, 1_000, 2_000, 5_000)
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -41,8 +41,8 @@
 WINDOWS_SHOWN = 4
 
 
-class Unplayable(Exception):
-    """A day that gave no report; the text is the bench's own last lines."""
+class NoReportError(Exception):
+    """A run gave no report; the text is the bench's own last lines."""
 
 
 @dataclass(frozen=True)
@@ -100,7 +100,7 @@
         folder = Path(tempfile.mkdtemp(prefix="spread-"))
         try:
             if self.stopped.is_set():
-                raise Unplayable("stopped")
+                raise NoReportError("stopped")
             process = subprocess.Popen(
                 [
                     str(self.program),
@@ -132,7 +132,7 @@
             try:
                 return read_run(json.loads((folder / "report").read_text()), folder / "logs")
             except (OSError, ValueError, KeyError):
-                raise Unplayable(f"{day}: no report: " + " / ".join(said.splitlines()[-3:])) from None
+                raise NoReportError(f"{day}: no report: " + " / ".join(said.splitlines()[-3:])) from None
         finally:
             shutil.rmtree(folder, ignore_errors=True)
             self.lanes.put(lane)
@@ -143,7 +143,7 @@
             os.killpg(process.pid, signal.SIGTERM)
 
 
-def tell(day: str, runs: list[Run]) -> None:
+def print_day(day: str, runs: list[Run]) -> None:
     scores = sorted(run.score for run in runs)
     worst, best = min(runs, key=lambda r: r.score), max(runs, key=lambda r: r.score)
     click.echo(
@@ -202,60 +202,78 @@
     if not program.exists():
         click.echo(f"--kit: no bench at {program}: this benchmark needs the operators' kit", err=True)
         sys.exit(2)
+    check_days(days)
+    blocks = core_blocks(lanes)
+    chosen = list(days or (QUICK_DAYS if quick else DAYS))
+    plan = [day for _ in range(QUICK_RUNS if quick else runs) for day in chosen]
+    began = time.monotonic()
+    found, failed = play_all(Bench(program, site, (repo or here).resolve(), why, blocks), len(blocks), plan)
+    result: dict[str, float | int] = {}
+    for day, played in found.items():
+        if not played:
+            continue
+        if not only_json:
+            print_day(day, played)
+        result |= day_result(day, played)
+    click.echo(json.dumps(result | {"unplayed_runs": failed, "took_s": round(time.monotonic() - began, 1)}))
+    sys.exit(1 if failed else 0)
+
+
+def check_days(days: tuple[str, ...]) -> None:
     for day in days:
         if not re.fullmatch(r"[a-z+]+:\d+|r[0-9a-f]+", day):
             click.echo(f"DAYS: '{day}' is neither KIND:SEED nor a recorded day's name", err=True)
             sys.exit(2)
+
+
+def core_blocks(lanes: int | None) -> list[str]:
+    """The cores of each lane, as a list with commas."""
     cores = sorted(os.sched_getaffinity(0))
     most = max(1, (len(cores) - 1) // CORES_A_LANE)
     if lanes and lanes > most:
         click.echo(f"--lanes: {lanes} of {CORES_A_LANE} cores each do not fit on {len(cores)}", err=True)
         sys.exit(2)
-    blocks = [
-        ",".join(str(c) for c in cores[i * CORES_A_LANE : (i + 1) * CORES_A_LANE])
+    return [
+        ",".join(str(core) for core in cores[i * CORES_A_LANE : (i + 1) * CORES_A_LANE])
         for i in range(lanes or most)
     ]
-    chosen = list(days or (QUICK_DAYS if quick else DAYS))
-    bench = Bench(program, site, (repo or here).resolve(), why, blocks)
-    began = time.monotonic()
-    found: dict[str, list[Run]] = {day: [] for day in chosen}
+
+
+def play_all(bench: Bench, at_once: int, plan: list[str]) -> tuple[dict[str, list[Run]], int]:
+    """The runs of each day, and how many gave no report. Ctrl-C keeps what has ended."""
+    found: dict[str, list[Run]] = {day: [] for day in plan}
     failed = 0
-    plan = [day for _ in range(QUICK_RUNS if quick else runs) for day in chosen]
     try:
         with (
-            ThreadPoolExecutor(len(blocks)) as pool,
+            ThreadPoolExecutor(at_once) as pool,
             click.progressbar(length=len(plan), label="days", file=sys.stderr) as bar,
         ):
             try:
                 for day, future in [(day, pool.submit(bench.play, day)) for day in plan]:
                     try:
                         found[day].append(future.result())
-                    except Unplayable as wrong:
+                    except NoReportError as error:
                         failed += 1
-                        click.echo(f"\n{wrong}", err=True)
+                        click.echo(f"\n{error}", err=True)
                     bar.update(1)
             except KeyboardInterrupt:
                 bench.stop()
                 raise
     except KeyboardInterrupt:
         click.echo("\nstopped; what follows is what had ended", err=True)
-    result: dict[str, float | int] = {}
-    for day, played in found.items():
-        if not played:
-            continue
-        if not only_json:
-            tell(day, played)
-        name = re.sub(r"\W+", "_", day.partition(":")[0])
-        scores = [run.score for run in played]
-        result |= {
-            f"{name}_runs": len(played),
-            f"{name}_min_score": round(min(scores), 3),
-            f"{name}_median_score": round(statistics.median(scores), 3),
-            f"{name}_max_score": round(max(scores), 3),
-            f"{name}_rules_broken_runs": sum(bool(run.broken) for run in played),
-        }
-    click.echo(json.dumps(result | {"unplayed_runs": failed, "took_s": round(time.monotonic() - began, 1)}))
-    sys.exit(1 if failed else 0)
+    return found, failed
+
+
+def day_result(day: str, played: list[Run]) -> dict[str, float | int]:
+    name = re.sub(r"\W+", "_", day.partition(":")[0])
+    scores = [run.score for run in played]
+    return {
+        f"{name}_runs": len(played),
+        f"{name}_min_score": round(min(scores), 3),
+        f"{name}_median_score": round(statistics.median(scores), 3),
+        f"{name}_max_score": round(max(scores), 3),
+        f"{name}_rules_broken_runs": sum(bool(run.broken) for run in played),
+    }
 
 
 if __name__ == "__main__":
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -33,7 +33,7 @@
 SIGNALS = {"kill9": signal.SIGKILL, "sigstop": signal.SIGSTOP, "sigterm": signal.SIGTERM}
 FAILURES = tuple(SIGNALS)
 PATIENCE = 20.0  # s after which a trial counts as failed
-SETTLE = 1.5  # s between trials, so that a returned member's sessions stand
+SETTLE = 1.5  # s between trials, so that a returned member's sessions are established
 
 
 class Site:
--- a/tests/benchmarks/test_capacity.py
+++ b/tests/benchmarks/test_capacity.py
@@ -316,7 +316,7 @@
 
 
 def test_an_unknown_marker_is_an_error(measurements: Measurements) -> None:
-    with pytest.raises(capacity.UnknownMarker, match="table nonsense"):
+    with pytest.raises(capacity.UnknownMarkerError, match="table nonsense"):
         capacity.rendered("<!-- table: nonsense -->\n<!-- end -->", measurements, {})
 
 
