--- /dev/null
+++ b/tests/emulator/scale/conftest.py
@@ -0,0 +1,21 @@
+"""Fixtures of the scale emulator's tests."""
+
+from __future__ import annotations
+
+from pathlib import Path
+
+import pytest
+
+from saltcourse.emulator.scale.scenario import Scenario
+from saltcourse.emulator.scale.topology import Topology, build_topology
+from tests.emulator.scale.cases import SMALL, scenario_of
+
+
+@pytest.fixture
+def scenario(tmp_path: Path) -> Scenario:
+    return scenario_of(SMALL, tmp_path)
+
+
+@pytest.fixture
+def topology(scenario: Scenario) -> Topology:
+    return build_topology(scenario, 6)
--- /dev/null
+++ b/tests/emulator/scale/test_history.py
@@ -0,0 +1,20 @@
+"""Which members ran and could reach each other."""
+
+from __future__ import annotations
+
+from saltcourse.emulator.scale.history import History
+from saltcourse.emulator.scale.records import Lifecycle
+from saltcourse.emulator.scale.topology import Topology
+from tests.emulator.scale.cases import STARTS
+
+
+def test_history_knows_which_members_were_separated(topology: Topology) -> None:
+    """A partition of one second separates the east, which lacks a majority of the voters."""
+    history = History(topology, [*STARTS, Lifecycle(5, -1, "cut"), Lifecycle(6, -1, "heal")])  # type: ignore[list-item]
+    east = next(place.index for place in topology.places if place.region == "east")
+    assert (
+        history.in_minority(east, 0, 10)
+        and not history.in_minority(east, 7, 10)
+        and not history.in_minority(0, 0, 10)
+    )
+    assert history.partitioned_between(0, east, 5.5, 5.6) and not history.partitioned_between(0, 1, 5.5, 5.6)
--- /dev/null
+++ b/tests/emulator/scale/test_safety.py
@@ -0,0 +1,45 @@
+"""The checker of safety properties, with sound and with broken records."""
+
+from __future__ import annotations
+
+import pytest
+
+from saltcourse.emulator.scale.records import Confirmed, Lifecycle, Record
+from saltcourse.emulator.scale.safety import BreachKind, find_breaches
+from tests.emulator.scale.cases import configuration_seen
+
+SOUND = [
+    configuration_seen(1, 0, 1, 1, 11),
+    configuration_seen(2, 0, 1, 2, 12),
+    configuration_seen(3, 0, 6, 3, 13),
+    configuration_seen(1.5, 1, 1, 1, 11),
+    configuration_seen(3.5, 1, 6, 3, 13),
+    Lifecycle(4, 1, "kill"),
+    Lifecycle(5, 1, "start"),
+    configuration_seen(6, 1, 1, 2, 12),
+    configuration_seen(7, 1, 6, 3, 13),
+    Confirmed(3.1, 3, 0, 6, 3),
+]
+
+
+def test_sound_records_show_no_breach() -> None:
+    assert find_breaches(SOUND) == []
+    assert find_breaches(reversed(SOUND)) == []
+
+
+@pytest.mark.parametrize(
+    ("broken", "kind"),
+    [
+        (configuration_seen(8, 0, 1, 2, 12), BreachKind.WENT_BACK),
+        (configuration_seen(8, 0, 6, 3, 13), BreachKind.WENT_BACK),  # the same version twice
+        (configuration_seen(8, 0, 1, 4, 14), BreachKind.OLDER_EPOCH),
+        (configuration_seen(8, 0, 6, 4, 14, torn=(4,)), BreachKind.HALF_CHANGE),
+        (configuration_seen(8, 2, 6, 3, 99), BreachKind.DIVERGED),
+        (configuration_seen(8, 2, 7, 3, 13), BreachKind.DIVERGED),
+        (configuration_seen(8, 2, 2, 4, 14), BreachKind.OLDER_EPOCH),  # at another member than the newer one
+        (Confirmed(8, 9, 0, 5, 3), BreachKind.LOST_CONFIRMED),
+    ],
+)
+def test_each_breach_is_caught(broken: Record, kind: BreachKind) -> None:
+    """One member breaks one safety property in an otherwise sound run. The checker must name it."""
+    assert kind in [breach.kind for breach in find_breaches([*SOUND, broken])]
