--- /dev/null
+++ b/tests/emulator/scale/test_publications.py
@@ -0,0 +1,60 @@
+"""The operator's changes at a hosted member."""
+
+from __future__ import annotations
+
+import time
+from collections.abc import Iterator
+from pathlib import Path
+
+import pytest
+
+from saltcourse.emulator.scale.hollow import PublicationConfirmed
+from saltcourse.emulator.scale.publications import PublicationResults
+from saltcourse.emulator.scale.scenario import Scenario
+from saltcourse.emulator.scale.timeline import Act
+from saltcourse.emulator.scale.topology import Topology
+from saltcourse.emulator.scale.worker_messages import DOWN, Publish, PublishResult
+from tests.emulator.scale.worker_parts import MEMBER, WorkerParts, worker_parts
+
+
+@pytest.fixture
+def parts(scenario: Scenario, topology: Topology, tmp_path: Path) -> Iterator[WorkerParts]:
+    with worker_parts(scenario, topology, tmp_path) as found:
+        yield found
+
+
+@pytest.mark.parametrize("acts", [(), (Act.START, Act.STOP), (Act.START, Act.KILL)])
+def test_a_member_that_does_not_run_rejects_a_change(parts: WorkerParts, acts: tuple[Act, ...]) -> None:
+    """The operator submits a change to a voter that is down or stopped. It must get a result at once, so
+    that it can try another voter.
+    """
+    for act in acts:
+        parts.faults.apply(parts.hosted, act)
+    parts.publications.publish(Publish(7, MEMBER))
+    assert parts.results == [PublishResult(7, MEMBER, DOWN)]
+
+
+def test_a_kill_ends_the_publications_in_flight(parts: WorkerParts) -> None:
+    """A member is killed before it has a result for a change. The operator's connection breaks: it gets one
+    failure for that change, and none for a change that was confirmed before.
+    """
+    parts.faults.apply(parts.hosted, Act.START)
+    parts.publications.publish(Publish(1, MEMBER))
+    parts.publications.publish(Publish(2, MEMBER))
+    PublicationResults(parts.results.append).confirmed(parts.hosted, PublicationConfirmed(1, 4, 9))
+    parts.faults.apply(parts.hosted, Act.KILL)
+    assert parts.results == [PublishResult(1, MEMBER, "", 4, 9), PublishResult(2, MEMBER, DOWN)]
+
+
+def test_a_publisher_is_killed_after_it_took_the_change(parts: WorkerParts) -> None:
+    """A scenario loses the publisher just after a change was submitted. The process takes the change first,
+    is then killed, and a new one is started.
+    """
+    parts.faults.apply(parts.hosted, Act.START)
+    old = parts.core
+    parts.publications.publish(Publish(3, MEMBER, kill_after=1e-6, restart_after=1e-6))
+    assert old.published == [3] and parts.hosted.core is old
+    while parts.timers.next_expiry(time.monotonic() + 60) < time.monotonic() + 1:
+        parts.timers.run_expired()
+    assert parts.core is not old
+    assert parts.results == [PublishResult(3, MEMBER, DOWN)]
