--- a/saltcourse/emulator/gossip/checker.py
+++ b/saltcourse/emulator/gossip/checker.py
@@ -5,9 +5,9 @@
 - a process applies positions that strictly rise, its epoch never falls, and it goes forward only by an
   ``Applied`` that it reported;
 - one version has one position, and the configuration at a position is the same at all members and times;
-- a change is there whole or not at all, and a change that was reported as published to its operator is in
-  every later version of everybody;
-- on the smaller side of a cut nothing is published that was not agreed before the cut;
+- a change is applied completely or not at all, and a change that was reported as published to its operator
+  is in every later version of all members;
+- on the minority side of a partition nothing is published that was not agreed before it;
 - a member without a majority of the voters for ``stale_after`` + ``STALE_SLACK_SECONDS`` has reported STALE;
 - tables and queues stay within their bounds, and nothing raises or spins.
 """
@@ -35,7 +35,7 @@
 )
 from saltcourse.gossip.node import Node
 
-STALE_SLACK_SECONDS = 6.0  # for which the last heartbeat still goes from member to member on the smaller side
+STALE_SLACK_SECONDS = 6.0  # for which the last heartbeat is still passed on within the minority side
 MAX_EVENTS_PER_SECOND = 20_000  # of one process; more is a node that wakes itself without end
 LEFT_KEY = "check/left"  # each change writes the same value to both: a half change shows
 RIGHT_KEY = "check/right"
@@ -83,7 +83,7 @@
         self.published: dict[int, Position] = {}  # token -> position
         self.failed: dict[int, PublishError] = {}
         self.member_events: list[MemberEvent] = []
-        self.minority_versions: dict[str, int] = {}  # voter on a smaller side -> what it may publish
+        self.minority_versions: dict[str, int] = {}  # voter on a minority side -> what it may publish
 
     # ---- actions ----------------------------------------------------------------------------------
 
--- a/saltcourse/emulator/gossip/object_count.py
+++ b/saltcourse/emulator/gossip/object_count.py
@@ -1,4 +1,4 @@
-"""How much a simulated process keeps: a bound that holds whatever the names of its tables are."""
+"""The number of objects that a simulated process stores, independent of the names of its tables."""
 
 from __future__ import annotations
 
--- a/saltcourse/emulator/gossip/schedule.py
+++ b/saltcourse/emulator/gossip/schedule.py
@@ -12,7 +12,7 @@
 from saltcourse.gossip.messages import Action, Applied, Freshness, Persist, Published, Transmit, Write
 from saltcourse.gossip.node import Node
 
-FORMED_WITHIN = 20.0  # s from the start of all to a publisher that everybody hears
+FORMED_WITHIN = 20.0  # s from the start of all to a publisher whose heartbeats reach all
 SETTLED_WITHIN = 30.0  # s from the last fault to agreement; a takeover may have to come first
 CHANGE_WITHIN = 5.0  # s from an operator's wish to its being in force everywhere
 PROXIES = (7, 15)  # fewest and most, drawn by each schedule
--- a/saltcourse/emulator/gossip_quorum/checker.py
+++ b/saltcourse/emulator/gossip_quorum/checker.py
@@ -1,7 +1,7 @@
 """Invariants of the quorum, checked from outside: what voters commit, answer their operators and store.
 
 - a version has one change for all voters at all times; versions have no gap; epochs never fall along them;
-- when a change is committed, a majority of the disks holds it;
+- when a change is committed, a majority of the disks has it;
 - a change that was reported as published is in the sequence, with the operator's writes, and its result is
   reported once.
 """
--- a/saltcourse/emulator/scale/timeline.py
+++ b/saltcourse/emulator/scale/timeline.py
@@ -188,8 +188,8 @@
 
     def _kill(self, at: float, fault: terms.Kill) -> None:
         machines = self._topology.machines()
-        whole = [m for m in sorted(machines) if not self._gone & set(_indexes(machines[m]))]
-        chosen = self._random.sample(whole, min(fault.machines, len(whole)))
+        intact = [m for m in sorted(machines) if not self._gone & set(_indexes(machines[m]))]
+        chosen = self._random.sample(intact, min(fault.machines, len(intact)))
         members = [index for machine in chosen for index in _indexes(machines[machine])]
         if fault.restart_after > 0:
             self._outage(at, members, fault.restart_after)
--- a/saltcourse/emulator/simnet.py
+++ b/saltcourse/emulator/simnet.py
@@ -42,7 +42,7 @@
     offset: float = 0.0
     alive: bool = False
     stopped: bool = False
-    life: int = 0  # incarnation: which process runs; timers of an earlier one are void
+    life: int = 0  # incarnation: which process runs; timers of an earlier one are ignored
     waiting: list[Any] = field(default_factory=list)  # events that came while the process was stopped
     timer: int = 0  # number of the newest timer, which alone counts
     disk: Any = None  # what the process has stored
