--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -94,49 +94,48 @@
         self.out: set[subprocess.Popen[str]] = set()
 
     def play(self, day: str) -> Run:
-        kind, colon, seed = day.partition(":")
-        words = [str(self.site), "--rough", kind, "--seed", seed] if colon else ["replay", kind]
+        """Raises NoReportError when the bench left no report, or after ``stop``."""
         lane = self.lanes.get()
         folder = Path(tempfile.mkdtemp(prefix="spread-"))
         try:
             if self.stopped.is_set():
                 raise NoReportError("stopped")
-            process = subprocess.Popen(
-                [
-                    str(self.program),
-                    *words,
-                    "--cpus",
-                    lane,
-                    "--no-build",
-                    "--json",
-                    str(folder / "report"),
-                    "--logs",
-                    str(folder / "logs"),
-                    "--why",
-                    self.why,
-                ],
-                cwd=self.repo,
-                stdout=subprocess.PIPE,
-                stderr=subprocess.STDOUT,
-                text=True,
-                start_new_session=True,
-            )
-            self.out.add(process)
-            try:
-                said, _ = process.communicate(timeout=RUN_LIMIT)
-            except subprocess.TimeoutExpired:
-                os.killpg(process.pid, signal.SIGTERM)
-                said, _ = process.communicate()
-            finally:
-                self.out.discard(process)
+            output = self._run_bench(self._command(day, lane, folder))
             try:
                 return read_run(json.loads((folder / "report").read_text()), folder / "logs")
             except (OSError, ValueError, KeyError):
-                raise NoReportError(f"{day}: no report: " + " / ".join(said.splitlines()[-3:])) from None
+                last_lines = " / ".join(output.splitlines()[-3:])
+                raise NoReportError(f"{day}: no report: {last_lines}") from None
         finally:
             shutil.rmtree(folder, ignore_errors=True)
             self.lanes.put(lane)
 
+    def _command(self, day: str, lane: str, folder: Path) -> list[str]:
+        kind, colon, seed = day.partition(":")
+        chosen_day = [str(self.site), "--rough", kind, "--seed", seed] if colon else ["replay", kind]
+        outputs = ["--json", str(folder / "report"), "--logs", str(folder / "logs"), "--why", self.why]
+        return [str(self.program), *chosen_day, "--cpus", lane, "--no-build", *outputs]
+
+    def _run_bench(self, command: list[str]) -> str:
+        """Its output. The bench is asked to end after ``RUN_LIMIT`` seconds."""
+        process = subprocess.Popen(
+            command,
+            cwd=self.repo,
+            stdout=subprocess.PIPE,
+            stderr=subprocess.STDOUT,
+            text=True,
+            start_new_session=True,
+        )
+        self.out.add(process)
+        try:
+            output, _ = process.communicate(timeout=RUN_LIMIT)
+        except subprocess.TimeoutExpired:
+            os.killpg(process.pid, signal.SIGTERM)
+            output, _ = process.communicate()
+        finally:
+            self.out.discard(process)
+        return output
+
     def stop(self) -> None:
         self.stopped.set()
         for process in list(self.out):
