--- a/saltcourse/emulator/gossip/schedule.py
+++ b/saltcourse/emulator/gossip/schedule.py
@@ -12,12 +12,12 @@
 from saltcourse.gossip.messages import Action, Applied, Freshness, Persist, Published, Transmit, Write
 from saltcourse.gossip.node import Node
 
-FORMED_WITHIN = 20.0  # s from the start of all to a publisher that everybody hears
+FORMED_WITHIN = 20.0  # s from the start of all to a publisher whose heartbeats reach all
 SETTLED_WITHIN = 30.0  # s from the last fault to agreement; a takeover may have to come first
 CHANGE_WITHIN = 5.0  # s from an operator's wish to its being in force everywhere
 PROXIES = (7, 15)  # fewest and most, drawn by each schedule
 FAULT_SECONDS = 40.0
-MOST_STOPPED = 8.0  # s for which a process stands still
+MOST_STOPPED = 8.0  # s for which a process is stopped
 STEPS = (0.1, 0.5, 1.5, 4.0)  # s between faults
 JUNK_BYTES = 1_300
 REPLAYED = 60  # datagrams at once
