--- a/saltcourse/address_failover/command_announcer.py
+++ b/saltcourse/address_failover/command_announcer.py
@@ -41,7 +41,7 @@
 
     Exit code 0 is success. A program that fails to announce, or hangs, makes this member unavailable for a
     while; one that fails to withdraw is run again until it succeeds, for an announcement that stays behind
-    is worse.
+    is worse. While a withdrawal fails, later commands wait and this member still counts as available.
     """
 
     def __init__(
--- a/saltcourse/address_failover/election.py
+++ b/saltcourse/address_failover/election.py
@@ -3,7 +3,9 @@
 The rules that this file lives by:
 
 1. A *promise* is given by a voter to one member: the voter helps nobody else until ``lease_duration`` has
-   passed on its own clock. Votes and acknowledged renewals are promises. An active promise is never broken.
+   passed on its own clock. Votes and acknowledged renewals are promises. An active promise is kept, with two
+   exceptions: its receiver gives it back (``LeaseRelease``), or a candidate to whom the holder transferred
+   the lease of that promise asks for a vote (``transferred_term``).
 2. A *lease* counts from when the request was sent, not from its answer, and is shorter than the promise by
    what two clocks may differ. So while a majority's promises hold up a lease, nobody else can get a
    majority.
@@ -326,7 +328,9 @@
         if not available and self.role is Role.HOLDER:
             self._actions.append(LogEvent("service address cannot be announced"))
             self._transfer_lease()
-            return  # the lease is over: the timer, which is set to at once, makes this member a follower
+            # Still HOLDER with an ended lease: the timer, due at once, logs "lease expired", withdraws again
+            # and follows.
+            return
         if not available and self.role is Role.CANDIDATE:
             self._abandon_candidacy()
         if self.role is not Role.HOLDER:
--- a/saltcourse/address_failover/timing.py
+++ b/saltcourse/address_failover/timing.py
@@ -21,6 +21,7 @@
     safety_margin: float = (
         0.03  # a holder withdraws so long before its lease ends: withdrawing takes time too
     )
+    # Not in the operator's file: fixed whatever the lease.
     retry_interval: float = 0.06  # between repeats of a vote request that was not answered
     candidacy_timeout: float = 0.25  # after which a round of vote requests is given up
     start_jitter: float = 0.05  # candidates of one priority start within this time
--- a/saltcourse/address_failover/vote_store.py
+++ b/saltcourse/address_failover/vote_store.py
@@ -1,8 +1,9 @@
 """The durable vote of a member, for sites whose disk survives a restart: one row in an SQLite file.
 
 SQLite is in the standard library and durable against power loss with ``synchronous=FULL``. A write takes
-place only when the vote changes, never for a renewal. A file that is torn, foreign or another member's is
-an error: to begin anew could mean a second vote in the same term.
+place only when the vote, the newest term or the receiver of the last promise changes; a holder's further
+renewals write nothing. A file that is torn, foreign or another member's is an error: to begin anew could
+mean a second vote in the same term.
 """
 
 from __future__ import annotations
--- a/saltcourse/app/proxy.py
+++ b/saltcourse/app/proxy.py
@@ -49,7 +49,11 @@
         return self._with_shared_state(load_config(self._config_path, self._environment, reloading=True))
 
     def _with_shared_state(self, config: Config) -> Config:
-        """The operator's terms of shared state are part of the settings that the decisions are made under."""
+        """Put the operator's terms of shared state into the settings that the decisions are made under.
+
+        They are those of the section ``fleet`` as read at the start; a reload neither takes a change of the
+        section over nor logs it.
+        """
         if self.operator is None or self.operator.shared_state is None:
             return config
         settings = replace(config.settings, shared_state=self.operator.shared_state)
--- a/saltcourse/cli/errors.py
+++ b/saltcourse/cli/errors.py
@@ -1,4 +1,13 @@
-"""Errors of the programs as exit codes: one line on standard error, and no traceback."""
+"""Errors of the programs as exit codes: one line on standard error, and no traceback.
+
+::
+
+    exit code  error
+    1          any other AppError, among them a membership address or a vote file that cannot be used;
+               a change that could not be published
+    2          ConfigError, MissingExtraError, click's usage errors
+    3          ListenError: the address of clients, of operators or of gossip cannot be bound
+"""
 
 from __future__ import annotations
 
--- a/saltcourse/config/overlay.py
+++ b/saltcourse/config/overlay.py
@@ -51,7 +51,10 @@
         return max(self._rejected.values(), default=0)
 
     def update(self, configuration: Mapping[str, bytes], version: int) -> bool:
-        """Take over a new version of the fleet's configuration; return whether any value changed."""
+        """Apply the keys that differ from the last version.
+
+        Return whether any did, rejected values included.
+        """
         keys = [
             key
             for key in (DISCOVERY_KEY, SOCKETS_KEY)
--- a/saltcourse/config/proxy_config.py
+++ b/saltcourse/config/proxy_config.py
@@ -7,7 +7,9 @@
 from saltcourse.balancing.settings import Settings
 from saltcourse.codec.endpoint_list import Address, EndpointUpdate
 
-# Fields of Config that a reload leaves as they are: sockets, names and decisions are built on them.
+# Fields of Config that a reload leaves as they are, and whose changes it logs: sockets, names and decisions
+# are built on them. Changes to ``known``, ``tells_delay``, ``limits.cores`` and ``limits.memory_mb`` are
+# neither applied nor logged.
 RESTART_REQUIRED_KEYS = ("name", "listen", "admin", "seed", "settings", "peers")
 
 
--- a/saltcourse/shared_state/table.py
+++ b/saltcourse/shared_state/table.py
@@ -2,8 +2,8 @@
 
 An entry's key is a pair of backend and group (its value is ``PAIR_VALUE``) or a backend (its value is the
 number of connections there). The owner sends changes to all, with a digest of all that it has announced; a
-replica with another digest has missed a message, requests a snapshot, and so agrees seconds after the last
-loss.
+replica whose digest differs has missed a message. It requests what followed the last message it agreed with,
+then a snapshot, and so agrees seconds after the last loss.
 """
 
 from __future__ import annotations
--- a/saltcourse/signals.py
+++ b/saltcourse/signals.py
@@ -8,7 +8,7 @@
 A process goes through these states::
 
     default --hold--> held --handle, for each signal--> handled --ignore--> ignored
-                        \--release (a command that does not serve)--> default
+                        \--release (all but serve and control)--> default
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 
 
 def release() -> None:
-    """Restore Python's defaults, and raise again what is held: for a command that does not serve."""
+    """Restore Python's defaults, and raise again what is held: for the commands that do not hold signals."""
     for number in HELD_SIGNALS:
         signal.signal(number, signal.default_int_handler if number == signal.SIGINT else signal.SIG_DFL)
     while _pending:
