--- a/saltcourse/app/gossip.py
+++ b/saltcourse/app/gossip.py
@@ -41,7 +41,7 @@
         zone=settings.zone,
         role=settings.role,
         incarnation=0,
-        process=secrets.randbits(PROCESS_BITS),
+        process_id=secrets.randbits(PROCESS_BITS),
     )
     return NodeSettings(
         me=me,
--- a/saltcourse/gossip/codec/datagram.py
+++ b/saltcourse/gossip/codec/datagram.py
@@ -28,7 +28,7 @@
 
 PREFIX = MAGIC + bytes((VERSION,))
 TAG_END = len(PREFIX) + TAG_BYTES
-# sender, incarnation, process, position, heartbeat, message type
+# sender, incarnation, process id, position, heartbeat, message type
 HEADER = Struct("!QIIIIIIB")
 HEADER_BYTES = TAG_END + HEADER.size  # of every datagram before the message
 
@@ -52,7 +52,7 @@
             fixed = HEADER.pack(
                 header.sender,
                 header.incarnation,
-                header.process,
+                header.process_id,
                 position.epoch,
                 position.version,
                 heartbeat.epoch,
@@ -82,7 +82,7 @@
 
     def _read(self, datagram: bytes) -> tuple[Header, Message]:
         reader = Reader(datagram, TAG_END)
-        sender, incarnation, process, epoch, version, heartbeat_epoch, count, code = reader.unpack(HEADER)
+        sender, incarnation, process_id, epoch, version, heartbeat_epoch, count, code = reader.unpack(HEADER)
         schema = SCHEMA_BY_CODE.get(code)
         if schema is None:
             raise CodecError(Reason.SCHEMA, f"a message of type {code}")
@@ -90,7 +90,7 @@
         reader.end()
         position = Position(epoch, version)
         heartbeat = Heartbeat(heartbeat_epoch, count)
-        return Header(sender, incarnation, process, position, heartbeat), message
+        return Header(sender, incarnation, process_id, position, heartbeat), message
 
     def _tag(self, signed: bytes) -> bytes:
         return hmac.digest(self._key, signed, HASH)[:TAG_BYTES]
--- a/saltcourse/gossip/failure_detector.py
+++ b/saltcourse/gossip/failure_detector.py
@@ -58,7 +58,7 @@
     """A probe of this member's own."""
 
     target: MemberId
-    process: int
+    process_id: int
     incarnation: int
     relays_at: float  # when others are asked
     ends_at: float
@@ -82,7 +82,7 @@
     """An own probe that ended without an Ack. ``missing_nacks``: relays that sent none either."""
 
     target: MemberId
-    process: int
+    process_id: int
     incarnation: int
     missing_nacks: int
 
@@ -148,7 +148,7 @@
         sequence = self._draw_sequence()
         relays_at = now + self._timing.probe_timeout * factor
         ends_at = now + self._timing.probe_interval * factor
-        self._probes[sequence] = Probe(target, record.process, record.incarnation, relays_at, ends_at)
+        self._probes[sequence] = Probe(target, record.process_id, record.incarnation, relays_at, ends_at)
         self.probes_begun += 1
         return Send(record.address, Ping(sequence, target, self._piggyback(target)))
 
@@ -230,7 +230,7 @@
             if probe.ends_at <= now:
                 del self._probes[sequence]
                 missing_nacks = len((probe.relays or set()) - probe.nacks)
-                failed.append(FailedProbe(probe.target, probe.process, probe.incarnation, missing_nacks))
+                failed.append(FailedProbe(probe.target, probe.process_id, probe.incarnation, missing_nacks))
         return failed
 
     def drop(self, concerned: Callable[[MemberId], bool]) -> None:
--- a/saltcourse/gossip/fields.py
+++ b/saltcourse/gossip/fields.py
@@ -175,7 +175,7 @@
         MEMBER_RECORD_KIND,
         record.role << ROLE_SHIFT | record.status,
         record.incarnation,
-        record.process,
+        record.process_id,
         len(name),
         len(region),
         len(zone),
@@ -255,7 +255,7 @@
 def decode_member_record(data: bytes) -> MemberRecord:
     """Decode exactly one record; cached by its bytes."""
     reader = Reader(data)
-    kind, flags, incarnation, process, name, region, zone, address, port = reader.unpack(MEMBER_RECORD)
+    kind, flags, incarnation, process_id, name, region, zone, address, port = reader.unpack(MEMBER_RECORD)
     role = flags >> ROLE_SHIFT
     status = flags & STATUS_MASK
     if kind != MEMBER_RECORD_KIND or role >= len(ROLES) or status >= len(STATUSES):
@@ -267,7 +267,7 @@
         address=reader.address(address, port),
         role=ROLES[role],
         incarnation=incarnation,
-        process=process,
+        process_id=process_id,
         status=STATUSES[status],
     )
 
--- a/saltcourse/gossip/member_table.py
+++ b/saltcourse/gossip/member_table.py
@@ -51,7 +51,7 @@
 def with_status(record: MemberRecord, incarnation: int, status: Status) -> MemberRecord:
     """As ``dataclasses.replace``, at a third of its time: it is called for each new update."""
     name, address, region, zone, role = record.name, record.address, record.region, record.zone, record.role
-    return MemberRecord(name, address, region, zone, role, incarnation, record.process, status)
+    return MemberRecord(name, address, region, zone, role, incarnation, record.process_id, status)
 
 
 def overrides(new: MemberRecord, current: MemberRecord) -> bool:
@@ -59,7 +59,11 @@
 
     The last criterion, the process, matters only while two processes use one name at one incarnation.
     """
-    return (new.incarnation, new.status, new.process) > (current.incarnation, current.status, current.process)
+    return (new.incarnation, new.status, new.process_id) > (
+        current.incarnation,
+        current.status,
+        current.process_id,
+    )
 
 
 def is_valid(record: MemberRecord) -> bool:
@@ -235,7 +239,7 @@
                 suspects.add(member)
             else:
                 suspects.discard(member)
-        if current.incarnation != record.incarnation or current.process != record.process:
+        if current.incarnation != record.incarnation or current.process_id != record.process_id:
             digest = _digest(member, record)
             self.digests[member % SYNC_BUCKETS] ^= entry.digest ^ digest
             entry.digest = digest
@@ -321,7 +325,7 @@
     Alive and suspect are the same here: a suspicion ends by itself. Departed members are left out, so that
     tables which forget them at different times agree.
     """
-    return _mix(member + (record.process << 32 | record.incarnation) * _MULTIPLIERS[0])
+    return _mix(member + (record.process_id << 32 | record.incarnation) * _MULTIPLIERS[0])
 
 
 def _mix(value: int) -> int:
--- a/saltcourse/gossip/membership.py
+++ b/saltcourse/gossip/membership.py
@@ -197,7 +197,7 @@
             return []
         self._zones.on_any_contact(now)
         member = self._table.get(header.sender)
-        if member is None or member.record.process != header.process:
+        if member is None or member.record.process_id != header.process_id:
             return []  # ``handle`` knows where it can be answered
         self._merger.merge_header(now, header.sender, member, header)
         if not is_departed(member.status):
@@ -206,7 +206,7 @@
 
     def handle(self, now: float, source: Address, header: Header, message: MembershipMessage) -> list[Send]:
         """A message of this part. ``observe`` was called with its header before."""
-        if header.sender == self._id and header.process == self.me.process:
+        if header.sender == self._id and header.process_id == self.me.process_id:
             return []  # an own datagram
         sends: list[Send] = []
         is_known = self._is_known(header)
@@ -271,12 +271,12 @@
     def _is_known(self, header: Header) -> bool:
         """Whether the table has the very process that sent it."""
         member = self._table.get(header.sender)
-        return member is not None and member.record.process == header.process
+        return member is not None and member.record.process_id == header.process_id
 
     def _observe_own_name(self, now: float, header: Header) -> None:
-        if header.process == self.me.process:
+        if header.process_id == self.me.process_id:
             return
-        if self._own.on_name_conflict(now, header.incarnation, header.process):
+        if self._own.on_name_conflict(now, header.incarnation, header.process_id):
             self._merger.publish_own(now)
 
     def _meet_unknown(self, now: float, source: Address, header: Header) -> list[Send]:
@@ -372,7 +372,7 @@
         entry = self._table.get(failed.target)
         if entry is None or is_departed(entry.status):
             return
-        if (entry.record.process, entry.record.incarnation) != (failed.process, failed.incarnation):
+        if (entry.record.process_id, entry.record.incarnation) != (failed.process_id, failed.incarnation):
             return
         self._probe_failures += 1
         if entry.status is Status.ALIVE and self._zones.is_reachable(entry.record.zone):
--- a/saltcourse/gossip/messages/datagram.py
+++ b/saltcourse/gossip/messages/datagram.py
@@ -18,7 +18,7 @@
 
     sender: MemberId
     incarnation: int
-    process: int
+    process_id: int
     position: Position = Position()
     heartbeat: Heartbeat = Heartbeat()
 
--- a/saltcourse/gossip/messages/membership.py
+++ b/saltcourse/gossip/messages/membership.py
@@ -35,7 +35,7 @@
 class MemberRecord:
     """A member in full.
 
-    ``incarnation`` is raised only by the member itself; ``process`` is drawn at each start, so that two
+    ``incarnation`` is raised only by the member itself; ``process_id`` is drawn at each start, so that two
     processes of one name are distinguished.
     """
 
@@ -45,7 +45,7 @@
     zone: str
     role: Role
     incarnation: int  # 32 bits
-    process: int  # 32 bits
+    process_id: int  # 32 bits
     status: Status = Status.ALIVE
 
     @property
--- a/saltcourse/gossip/node.py
+++ b/saltcourse/gossip/node.py
@@ -131,7 +131,7 @@
 
     def _is_own(self, header: Header) -> bool:
         me = self.membership.me
-        return header.sender == me.id and header.process == me.process
+        return header.sender == me.id and header.process_id == me.process_id
 
     def _dispatch(self, now: float, source: Address, header: Header, message: Message) -> None:
         if isinstance(message, Tally):
@@ -244,7 +244,7 @@
     def _header(self) -> Header:
         me = self.membership.me
         part = self.dissemination
-        return Header(me.id, me.incarnation, me.process, part.position, part.heartbeat)
+        return Header(me.id, me.incarnation, me.process_id, part.position, part.heartbeat)
 
     def _budget_deadline(self) -> float:
         return self._budget.available_at() if self._waiting else NEVER
--- a/saltcourse/gossip/own_record.py
+++ b/saltcourse/gossip/own_record.py
@@ -32,20 +32,20 @@
         """Whether this member has announced that it ends."""
         return self.record.status is Status.LEFT
 
-    def on_claim(self, now: float, incarnation: int, status: Status, process: int | None) -> bool:
-        """A claim about this member (about a ``process``, if it has one). Whether the record changed."""
-        if not self._is_contested(incarnation, status, process):
+    def on_claim(self, now: float, incarnation: int, status: Status, process_id: int | None) -> bool:
+        """A claim about this member (about a ``process_id``, if it has one). Whether the record changed."""
+        if not self._is_contested(incarnation, status, process_id):
             return False
-        if process is not None and process != self.record.process:
+        if process_id is not None and process_id != self.record.process_id:
             self._count_conflict(status)
         elif status is not Status.ALIVE:
             self.refutations += 1
         return self._exceed(now, incarnation)
 
-    def on_name_conflict(self, now: float, incarnation: int, process: int) -> bool:
+    def on_name_conflict(self, now: float, incarnation: int, process_id: int) -> bool:
         """A datagram came from another process of this name. Whether the record changed."""
         self.name_conflicts += 1
-        if not self._is_contested(incarnation, Status.ALIVE, process):
+        if not self._is_contested(incarnation, Status.ALIVE, process_id):
             return False
         return self._exceed(now, incarnation)
 
@@ -75,12 +75,12 @@
         self._to_exceed = max(self._to_exceed or 0, incarnation)
         return self.raise_if_allowed(now)
 
-    def _is_contested(self, incarnation: int, status: Status, process: int | None) -> bool:
+    def _is_contested(self, incarnation: int, status: Status, process_id: int | None) -> bool:
         if self.has_left:
             return False
         if incarnation != self.record.incarnation:
             return incarnation > self.record.incarnation
-        return status is not Status.ALIVE or (process is not None and process != self.record.process)
+        return status is not Status.ALIVE or (process_id is not None and process_id != self.record.process_id)
 
     def _count_conflict(self, status: Status) -> None:
         """Count no conflict for the record of a process that has ended: it is overridden once."""
--- a/saltcourse/gossip/update_merging.py
+++ b/saltcourse/gossip/update_merging.py
@@ -113,7 +113,7 @@
         if not is_valid(record):
             self.invalid_records += 1
         elif is_own:
-            self._merge_claim(now, record.incarnation, record.status, record.process)
+            self._merge_claim(now, record.incarnation, record.status, record.process_id)
         elif entry is not None:
             self._replace(now, member, entry, record, spread)
         elif self._table.has_room():
@@ -121,9 +121,9 @@
         else:
             self.table_full += 1
 
-    def _merge_claim(self, now: float, incarnation: int, status: Status, process: int | None) -> None:
+    def _merge_claim(self, now: float, incarnation: int, status: Status, process_id: int | None) -> None:
         """Merge a claim about this member itself."""
-        if not self._own.on_claim(now, incarnation, status, process):
+        if not self._own.on_claim(now, incarnation, status, process_id):
             return
         if status is not Status.ALIVE:
             self._health.change(1)
--- a/tests/gossip/dissemination_fleet.py
+++ b/tests/gossip/dissemination_fleet.py
@@ -281,7 +281,7 @@
         record = member.record
         dissemination = member.dissemination
         header = Header(
-            member_id(record.name), 0, record.process, dissemination.position, dissemination.heartbeat
+            member_id(record.name), 0, record.process_id, dissemination.position, dissemination.heartbeat
         )
         size = packet_size(send.message)
         member.sent_bytes += size
--- a/tests/gossip/membership_fleet.py
+++ b/tests/gossip/membership_fleet.py
@@ -41,14 +41,16 @@
     region: str = "r",
     incarnation: int = 0,
     status: Status = ALIVE,
-    process: int = 1,
+    process_id: int = 1,
 ) -> MemberRecord:
     address = (f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}", 7000)
-    return MemberRecord(f"member-{number}", address, region, zone, Role.PROXY, incarnation, process, status)
+    return MemberRecord(
+        f"member-{number}", address, region, zone, Role.PROXY, incarnation, process_id, status
+    )
 
 
 def header_of(record: MemberRecord) -> Header:
-    return Header(record.id, record.incarnation, record.process)
+    return Header(record.id, record.incarnation, record.process_id)
 
 
 def send_size(send: Send) -> int:
--- a/tests/gossip/test_codec.py
+++ b/tests/gossip/test_codec.py
@@ -26,7 +26,7 @@
 
 KEY = b"k" * 32
 CODEC = Codec(KEY)
-HEADER = m.Header(sender=7, incarnation=1, process=2)
+HEADER = m.Header(sender=7, incarnation=1, process_id=2)
 
 u32 = st.integers(0, 2**32 - 1)
 u64 = st.integers(0, 2**64 - 1)
@@ -54,7 +54,7 @@
     zone=texts(m.MAX_LABEL_BYTES),
     role=st.sampled_from(m.Role),
     incarnation=u32,
-    process=u32,
+    process_id=u32,
     status=st.sampled_from(m.Status),
 )
 status_updates = st.builds(m.StatusUpdate, u64, u32, st.sampled_from(m.Status))
@@ -211,7 +211,7 @@
         {"address": ("host.example", 4_000)},
         {"address": ("fe80::1%eth0", 4_000)},
         {"incarnation": 2**32},
-        {"process": -1},
+        {"process_id": -1},
     ],
     ids=str,
 )
--- a/tests/gossip/test_member_table.py
+++ b/tests/gossip/test_member_table.py
@@ -71,7 +71,7 @@
 
 
 def test_precedence_is_total_between_processes() -> None:
-    one, other = record_of(1, process=1), record_of(1, process=2)
+    one, other = record_of(1, process_id=1), record_of(1, process_id=2)
     assert overrides(other, one) and not overrides(one, other)
 
 
--- a/tests/gossip/test_membership.py
+++ b/tests/gossip/test_membership.py
@@ -148,7 +148,7 @@
     old = fleet.hosts[4]
     fleet.crash(old)
     fleet.run(fleet.now + 1.0)
-    new = replace(old.membership.me, address=("10.8.8.8", 7000), process=4711)
+    new = replace(old.membership.me, address=("10.8.8.8", 7000), process_id=4711)
     host = fleet.add(new, (record_of(0).address, record_of(1).address))
     fleet.run_until_whole(20.0)
     assert host.membership.me.incarnation == 1
@@ -172,7 +172,7 @@
     """Two processes run under one name by mistake: the others must not be drawn into it."""
     fleet = fleet_of(30)
     first = fleet.hosts[4]
-    twin = replace(first.membership.me, address=("10.8.8.8", 7000), process=4711)
+    twin = replace(first.membership.me, address=("10.8.8.8", 7000), process_id=4711)
     second = fleet.add(twin, (record_of(0).address, record_of(1).address))
     fleet.run(fleet.now + 30.0)
     assert max(first.membership.me.incarnation, second.membership.me.incarnation) <= 62
--- a/tests/gossip/test_own_record.py
+++ b/tests/gossip/test_own_record.py
@@ -91,15 +91,15 @@
 
 def test_a_new_process_takes_the_name_over_with_the_next_incarnation() -> None:
     other = record_of(1)
-    lone = Lone(other, me=record_of(0, process=22))
-    lone.receive(other, SyncReply((record_of(0, incarnation=7, process=11),), False))
-    assert lone.membership.me == record_of(0, incarnation=8, process=22)
+    lone = Lone(other, me=record_of(0, process_id=22))
+    lone.receive(other, SyncReply((record_of(0, incarnation=7, process_id=11),), False))
+    assert lone.membership.me == record_of(0, incarnation=8, process_id=22)
     assert lone.figure("name_conflicts") == 0
 
 
 def test_two_live_processes_of_one_name_raise_once_a_second_and_are_counted() -> None:
     other = record_of(1)
-    one, two = Lone(other, me=record_of(0, process=11)), Lone(other, me=record_of(0, process=22))
+    one, two = Lone(other, me=record_of(0, process_id=11)), Lone(other, me=record_of(0, process_id=22))
     for step in range(200):
         for lone, rival in ((one, two), (two, one)):
             lone.now = 0.05 * step
@@ -127,7 +127,7 @@
 def test_records_that_claim_to_be_this_member_change_nothing_but_its_incarnation() -> None:
     other = record_of(1)
     lone = Lone(other)
-    forged = replace(lone.me, address=("10.66.6.6", 666), zone="b", incarnation=3, process=9)
+    forged = replace(lone.me, address=("10.66.6.6", 666), zone="b", incarnation=3, process_id=9)
     lone.receive(other, Gossip((forged, replace(forged, status=DEAD))))
     assert lone.membership.me == replace(lone.me, incarnation=4)
     assert lone.membership.members[lone.me.id].record == lone.membership.me
--- a/tests/gossip/test_unknown_senders.py
+++ b/tests/gossip/test_unknown_senders.py
@@ -27,7 +27,7 @@
 
 
 def test_a_new_process_of_a_known_name_is_told_what_it_has_to_exceed() -> None:
-    known, new = record_of(1, incarnation=5, process=11), record_of(1, process=22)
+    known, new = record_of(1, incarnation=5, process_id=11), record_of(1, process_id=22)
     lone = Lone(known)
     source = ("10.9.9.9", 7777)
     sends = lone.receive(new, SyncRequest(0), source)
--- a/tests/gossip/test_zone_silence.py
+++ b/tests/gossip/test_zone_silence.py
@@ -37,7 +37,7 @@
     lone = Lone(near, far)
     lone.run(9.0)
     assert lone.figure("zones_unreachable") == 2 and lone.status(far) is SUSPECT
-    lone.receive(near, Gossip((replace(far, zone="new", process=2, status=SUSPECT),)))
+    lone.receive(near, Gossip((replace(far, zone="new", process_id=2, status=SUSPECT),)))
     assert far.id in lone.membership._timers
 
 
