--- a/saltcourse/shared_state/ejections.py
+++ b/saltcourse/shared_state/ejections.py
@@ -2,8 +2,8 @@
 
 Its end travels in its origin's clock. A receiver knows that clock by the messages that were least delayed:
 each has the time of its sending, and the least difference to its arrival is the clocks' own and a link's
-shortest delay. So a message that was held up on its way brings an ejection that is as old as it is, or
-over.
+shortest delay. So a message that was held up on its way carries an ejection that is as old as it is,
+or over.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 )
 
 MAX_HOLD_SECONDS = 10.0  # from its arrival, for which any ejection is held
-MAX_EJECTIONS = 1024  # of all peers together; later notices are passed over
+MAX_EJECTIONS = 1024  # of all peers together; later notices are ignored
 
 
 @dataclass(frozen=True, slots=True)
@@ -78,7 +78,7 @@
         return later <= 2 * self.drift * (now - known.taken_at)
 
     def receive_notice(self, now: float, sender: int, notice: EjectionNotice) -> None:
-        """Passed over where the sender's clock is not known, for then nobody can tell how old it is."""
+        """Ignore the notice where the sender's clock is not known, for then nobody can tell how old it is."""
         if sender in self.offsets and len(self.peer_ejections) < MAX_EJECTIONS:
             self.peer_ejections[notice.backend, sender] = PeerEjection(notice.end, now + MAX_HOLD_SECONDS)
 
--- a/saltcourse/shared_state/health_check_budget.py
+++ b/saltcourse/shared_state/health_check_budget.py
@@ -10,11 +10,11 @@
 
 
 @dataclass(slots=True)
-class TokenBucket:
+class SharedTokenBucket:
     """A bucket that this proxy's share of a rate fills.
 
     What all proxies spend in any span of time stays under ``rate`` times the span plus ``burst``, for a
-    share that grows brings no tokens with it.
+    share that grows adds no tokens.
     """
 
     rate: float  # of the whole fleet, tokens per second
@@ -39,7 +39,7 @@
     def __init__(self, rate: float, leases: QuotaLeases) -> None:
         self.rate = rate
         self.leases = leases
-        self.buckets: dict[str, TokenBucket] = {}
+        self.buckets: dict[str, SharedTokenBucket] = {}
 
     def spend(self, now: float, backend: str, started_at: float) -> bool:
         """Take a token for a health check, if there is one; a new bucket fills from ``started_at``."""
@@ -48,8 +48,8 @@
             bucket = self.buckets[backend] = self._new_bucket(started_at)
         return bucket.spend(now, self.leases.share(now))
 
-    def _new_bucket(self, started_at: float) -> TokenBucket:
+    def _new_bucket(self, started_at: float) -> SharedTokenBucket:
         """Empty, unless this proxy is alone: an earlier incarnation may have spent the tokens."""
         burst = BURST_PER_PROXY * self.leases.proxy_count
         tokens = burst if self.leases.alone else 0.0
-        return TokenBucket(self.rate, burst, tokens, started_at)
+        return SharedTokenBucket(self.rate, burst, tokens, started_at)
--- a/saltcourse/shared_state/peers.py
+++ b/saltcourse/shared_state/peers.py
@@ -9,10 +9,10 @@
 
 
 class PeerRegistry:
-    """Peers go by their numbers. ``lease_term``: seconds of silence after which a peer is lost."""
+    """Peers go by their numbers. ``silence_timeout``: seconds of silence after which a peer is lost."""
 
-    def __init__(self, lease_term: float) -> None:
-        self.lease_term = lease_term
+    def __init__(self, silence_timeout: float) -> None:
+        self.silence_timeout = silence_timeout
         self.peers: dict[int, Peer] = {}
         self.lost: dict[int, LostPeer] = {}
         self.holders: dict[EntryKey, set[int]] = {}  # entry -> the peers that have it
@@ -60,7 +60,9 @@
 
     def expire(self, now: float) -> None:
         """Give up the peers that have been silent for longer than a lease term."""
-        silent = [sender for sender, peer in self.peers.items() if now > peer.received_at + self.lease_term]
+        silent = [
+            sender for sender, peer in self.peers.items() if now > peer.received_at + self.silence_timeout
+        ]
         for sender in silent:
             self.lost[sender] = LostPeer(now, self.peers[sender].connections())
             self._remove(sender)
--- a/saltcourse/shared_state/quota.py
+++ b/saltcourse/shared_state/quota.py
@@ -47,8 +47,12 @@
         self.number = 0  # of the newest request
         self.requested_at = -math.inf
 
-    def _start(self, now: float) -> None:
-        """An earlier incarnation may have granted leases: nothing is inherited before those have expired."""
+    def _ensure_inheritance_delay(self, now: float) -> None:
+        """At the first call, note until when a predecessor may use its portion.
+
+        An earlier incarnation of this proxy may have granted leases just before it ended. Nothing is
+        inherited before those have expired, or a portion would have two users.
+        """
         if not self.granted_until:
             self.granted_until = dict.fromkeys(self.predecessors, now + self._longest_grant())
 
@@ -59,14 +63,14 @@
         """This proxy's share of the whole: from ``1 / 2`` to ``3 / 2`` of an equal part."""
         if self.alone:
             return 1.0 / self.proxy_count
-        self._start(now)
+        self._ensure_inheritance_delay(now)
         leased = sum([until > now for until in self.leased_until.values()])
         inherited = sum([until <= now for until in self.granted_until.values()])
         return (1 + (leased + inherited) / len(self.successors)) / 2 / self.proxy_count
 
     def request(self, now: float) -> list[LeaseRequest]:
-        """A record to all when the next request is due; those that are no successors pass it over."""
-        self._start(now)
+        """A record to all when the next request is due; those that are no successors ignore it."""
+        self._ensure_inheritance_delay(now)
         if now < self.requested_at + self.settings.lease_term / HEARTBEATS_PER_TERM:
             return []
         self.requested_at = now
@@ -78,7 +82,7 @@
 
     def grant(self, now: float, sender: int, request: LeaseRequest) -> list[LeaseGrant]:
         """Renew a predecessor's lease: the reply to it."""
-        self._start(now)
+        self._ensure_inheritance_delay(now)
         if sender not in self.granted_until:
             return []
         self.granted_until[sender] = max(self.granted_until[sender], now + self._longest_grant())
@@ -86,7 +90,7 @@
 
     def receive_grant(self, now: float, sender: int, grant: LeaseGrant) -> None:
         """A successor has granted a request of this proxy: its lease counts from that request."""
-        self._start(now)
+        self._ensure_inheritance_delay(now)
         requested_at = self.open_requests.get(grant.number)
         if requested_at is not None and sender in self.leased_until:
             end = requested_at + self.settings.lease_term * (1 - self.settings.clock_drift)
--- a/saltcourse/shared_state/state.py
+++ b/saltcourse/shared_state/state.py
@@ -31,7 +31,7 @@
     SnapshotRequest,
 )
 from saltcourse.shared_state.outbox import Outbox, Outgoing
-from saltcourse.shared_state.peer import MISMATCH_GRACE_SECONDS, Peer
+from saltcourse.shared_state.peer import MISMATCH_GRACE_SECONDS, LostPeer, Peer
 from saltcourse.shared_state.peers import PeerRegistry
 from saltcourse.shared_state.quota import HEARTBEATS_PER_TERM, QuotaLeases
 from saltcourse.shared_state.short_names import ShortNameCache
@@ -68,25 +68,38 @@
         self.health_checks = HealthCheckBudget(self.settings.health_checks_per_second, self.leases)
         self.ejections = Ejections(self.settings.clock_drift)
         self.registry = PeerRegistry(self.settings.lease_term)
-        self.peers = self.registry.peers
-        self.lost = self.registry.lost
-        self.holders = self.registry.holders
         self.scale = 0.0  # this proxy's capacity scale: slots in a backend's whole load
         self.announced_scale = 0.0
         self.minimum_scale = 0.0  # what the capacity scale is at least; 0 while no peer reports one
         self.broadcast_at = LONG_AGO
         self.heartbeat_at = LONG_AGO
         self.checked_at = 0.0
-        self.event_at = LONG_AGO  # when anything happened here
+        self.event_at: float | None = None  # when anything happened here last
         self.trusted_from = LONG_AGO  # when the messages that waited during a stall have been taken
         self.started_at: float | None = None
         self.undecodable_messages = 0
 
+    @property
+    def peers(self) -> Mapping[int, Peer]:
+        """The peers that send, by their numbers."""
+        return self.registry.peers
+
+    @property
+    def lost(self) -> Mapping[int, LostPeer]:
+        """The peers that have fallen silent, by their numbers."""
+        return self.registry.lost
+
+    @property
+    def holders(self) -> Mapping[EntryKey, set[int]]:
+        """The peers that have an entry, by its key."""
+        return self.registry.holders
+
     # ---- for the balancing ------------------------------------------------------------------------
 
     def peer_serves_group(self, backend: str, group: str) -> bool:
         """Whether a peer has connections of the group at the backend."""
-        return bool(self.holders) and self._pair(backend, group) in self.holders
+        holders = self.registry.holders
+        return bool(holders) and self._pair(backend, group) in holders
 
     def record_group(self, backend: str, group: str, held: bool) -> None:
         """This proxy has got its first connection of the group at the backend, or lost its last."""
@@ -129,23 +142,26 @@
             self.started_at = now
         return self.started_at
 
-    # ---- messages that come -----------------------------------------------------------------------
+    # ---- incoming messages ------------------------------------------------------------------------
 
     def receive(self, now: float, sender: int, text: str) -> list[str]:
-        """Take a message; when it brings an ejection, the backends that peers have ejected."""
+        """Take a message of the peer ``sender``.
+
+        Returns the backends that peers have ejected if the message has an ejection notice, otherwise nothing.
+        """
         if sender == self.index or not 0 <= sender < self.count:
             return []
-        self._note_event(now)
+        self._detect_stall(now)
         try:
             message = decode(text)
         except MalformedMessageError:
             self.undecodable_messages += 1
             return []
-        self._take(now, sender, message)
-        brings_ejection = any([type(record) is EjectionNotice for record in message.records])
-        return self.peer_ejections(now) if brings_ejection else []
+        self._apply_message(now, sender, message)
+        has_ejection_notice = any([type(record) is EjectionNotice for record in message.records])
+        return self.peer_ejections(now) if has_ejection_notice else []
 
-    def _take(self, now: float, sender: int, message: Message) -> None:
+    def _apply_message(self, now: float, sender: int, message: Message) -> None:
         if self.registry.has_restarted(sender, message):
             self.ejections.forget_peer(sender)
         peer = self.registry.sender_of(now, sender, message)
@@ -154,10 +170,10 @@
             if isinstance(record, TABLE_RECORDS):
                 self.registry.update_replica(sender, peer, sequence, record)
             else:
-                self._take_record(now, sender, peer, record)
+                self._handle_record(now, sender, peer, record)
         peer.end_message(now)
 
-    def _take_record(self, now: float, sender: int, peer: Peer, record: OtherRecord) -> None:
+    def _handle_record(self, now: float, sender: int, peer: Peer, record: OtherRecord) -> None:
         match record:
             case LeaseRequest():
                 self.outbox.reply(sender, self.leases.grant(now, sender, record))
@@ -178,21 +194,21 @@
                 peer.scale = record.slots
                 self.minimum_scale = self.registry.minimum_scale()
 
-    def _note_event(self, now: float) -> None:
+    def _detect_stall(self, now: float) -> None:
         """After a stall, messages have waited in the socket, and nobody can tell for how long.
 
-        Their clock readings and ejections are passed over, or an ejection would outlive its end.
+        Their clock readings and ejections are ignored, or an ejection would outlive its end.
         """
-        if now > self.event_at + STALL_THRESHOLD_SECONDS > 0:
+        if self.event_at is not None and now > self.event_at + STALL_THRESHOLD_SECONDS:
             self.trusted_from = now + STALL_RECOVERY_SECONDS
         self.event_at = now
 
-    # ---- messages that go -------------------------------------------------------------------------
+    # ---- outgoing messages ------------------------------------------------------------------------
 
     def outgoing_messages(self, now: float) -> list[Outgoing]:
         """The messages to be sent now."""
         self._started(now)
-        self._note_event(now)
+        self._detect_stall(now)
         if self.count < 2 or not self._has_work(now):
             return []
         if self.outbox.sequence == 0:  # this process has just started
@@ -224,13 +240,13 @@
                 self.outbox.reply(peer, [SnapshotRequest()])
 
     def _broadcast(self, now: float) -> list[Outgoing]:
-        records = self._collect_news(now) if self._may_broadcast(now) else []
+        records = self._collect_broadcast_records(now) if self._may_broadcast(now) else []
         if not records:
             return []
         self.broadcast_at = now
         return self.outbox.broadcast(records, self.table.digest)
 
-    def _collect_news(self, now: float) -> list[Record]:
+    def _collect_broadcast_records(self, now: float) -> list[Record]:
         """What all peers are to be sent. Connection counts change all the time and wait for the heartbeat."""
         is_heartbeat = self._is_heartbeat_due(now)
         if is_heartbeat and self.settings.share_connection_counts:
--- a/saltcourse/shared_state/table.py
+++ b/saltcourse/shared_state/table.py
@@ -95,7 +95,7 @@
             del self.entries[key]
 
     def is_full(self) -> bool:
-        """Whether new entries are passed over; a full replica never agrees, however often it asks."""
+        """Whether new entries are ignored; a full replica never agrees, however often it asks."""
         return len(self.entries) >= MAX_ENTRIES
 
 
--- a/tests/shared_state/test_health_check_budget.py
+++ b/tests/shared_state/test_health_check_budget.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from saltcourse.balancing.settings import SharedStateSettings
-from saltcourse.shared_state.health_check_budget import BURST_PER_PROXY, HealthCheckBudget, TokenBucket
+from saltcourse.shared_state.health_check_budget import BURST_PER_PROXY, HealthCheckBudget, SharedTokenBucket
 from saltcourse.shared_state.quota import QuotaLeases
 
 RATE = 20.0  # health checks per second of the fleet
@@ -24,12 +24,12 @@
 
 
 def test_a_share_that_grows_brings_no_tokens_with_it() -> None:
-    bucket = TokenBucket(RATE, burst=8.0)
+    bucket = SharedTokenBucket(RATE, burst=8.0)
     assert not bucket.spend(0.0, share=0.125)
     assert not bucket.spend(0.0, share=1.0)
 
 
 def test_unused_tokens_are_kept_up_to_the_share_of_the_burst() -> None:
-    bucket = TokenBucket(RATE, burst=8.0)
+    bucket = SharedTokenBucket(RATE, burst=8.0)
     started = [bucket.spend(100.0, share=0.25) for _ in range(5)]
     assert sum(started) == 2
