--- a/saltcourse/admin/commands.py
+++ b/saltcourse/admin/commands.py
@@ -34,7 +34,7 @@
     def ready(self) -> bool:
         """Whether it can serve now."""
 
-    def figures_text(self) -> bytes:
+    def metrics_text(self) -> bytes:
         """Return the figures, one a line."""
 
     def lameduck(self, on: bool) -> bool:
@@ -48,7 +48,7 @@
     if command is Command.READY:
         return Response(200, b"yes\n") if target.ready() else Response(503, b"no\n")
     if command is Command.VARS:
-        return Response(200, target.figures_text())
+        return Response(200, target.metrics_text())
     if command in LAMEDUCK_COMMANDS:
         return _set_lameduck(target, command is Command.LAMEDUCK_ON)
     if command in GOSSIP_COMMANDS and target.gossip_handler is not None:
--- a/saltcourse/app/address_failover.py
+++ b/saltcourse/app/address_failover.py
@@ -37,7 +37,7 @@
 log = structlog.get_logger("saltcourse")
 
 
-def create_member(settings: AddressFailoverSettings) -> ElectionHost:
+def create_election_host(settings: AddressFailoverSettings) -> ElectionHost:
     """Compose a member, which is not started yet. ``VoteStoreError`` when its stored vote can't be used."""
     boot = time.time_ns() // NANOSECONDS_PER_MICROSECOND
     others = {name: address for name, address in settings.addresses.items() if name != settings.own_name}
@@ -45,7 +45,7 @@
     announcer = _create_announcer(settings, seed)
     store = VoteStore(settings.store_file, settings.own_name) if settings.store_file is not None else None
     authenticator = DatagramAuthenticator(settings.own_name, boot, list(settings.keys), others)
-    config = ElectionConfig(settings.members, settings.own_name, settings.timing)
+    config = ElectionConfig(settings.voters, settings.own_name, settings.timing)
     return ElectionHost(config, authenticator, seed, announcer, store)
 
 
@@ -76,7 +76,7 @@
     async def start(self) -> None:
         """Join the election; ``AddressFailoverStartError`` when the store or the address can't be had."""
         try:
-            self._member = create_member(self._settings)
+            self._member = create_election_host(self._settings)
             await self._member.start(self._settings.own_address)
         except VoteStoreError as error:
             raise AddressFailoverStartError(f"{STORE_FILE}: {error}") from None
--- a/saltcourse/app/control_member.py
+++ b/saltcourse/app/control_member.py
@@ -16,10 +16,10 @@
 from saltcourse.admin.requests import LAMEDUCK_COMMANDS, Command
 from saltcourse.admin.server import AdminServer
 from saltcourse.app.errors import ControlMemberError
-from saltcourse.app.gossip import Reread, create_host, figure_names, reload_section, start_host
+from saltcourse.app.gossip import Reread, create_host, prefix_metric_names, reload_section, start_host
 from saltcourse.config import ConfigError
 from saltcourse.config.operator_gossip import SECTION, GossipSettings
-from saltcourse.gossip.admin import GossipAnswers
+from saltcourse.gossip.admin import GossipAdminHandler
 from saltcourse.gossip.errors import PersistError, StoreError
 from saltcourse.gossip.host import LEAVE_GRACE, Host, StateStore
 from saltcourse.gossip.member_table import Member
@@ -60,7 +60,7 @@
         self._figures = Metrics(())
         self._figures.gauges = self._gauges
         self._host = self._create_host()
-        self._answers = GossipAnswers(self._host)
+        self._gossip_handler = GossipAdminHandler(self._host)
 
     async def run(self, admin: Address | None) -> None:
         """Run until SIGTERM or SIGINT.
@@ -95,7 +95,7 @@
         store: StateStore | None = None
         if self._settings.is_voter and self._settings.store_file is not None:
             try:
-                replica_store = ReplicaStore(self._settings.store_file, self._settings.me)
+                replica_store = ReplicaStore(self._settings.store_file, self._settings.own_name)
                 state = replica_store.load()
             except StoreError as error:
                 raise ConfigError(f"{SECTION}.store_file: {error}") from None
@@ -120,7 +120,7 @@
         if not self._host.is_open:
             return
         self._host.leave()
-        log.info("gossip left", member=self._settings.me)
+        log.info("gossip left", member=self._settings.own_name)
         await asyncio.sleep(LEAVE_GRACE)
         self._host.close()
 
@@ -129,7 +129,7 @@
     @property
     def gossip_handler(self) -> GossipHandler | None:
         """The member's answers to commands about the fleet."""
-        return self._answers
+        return self._gossip_handler
 
     def supports(self, command: Command) -> bool:
         """A control member has no clients, so it can't be drained."""
@@ -142,7 +142,7 @@
         needed = len(self._settings.voters) // 2 + 1 if self._settings.is_voter else 1
         return self._host.is_open and len(alive) >= needed
 
-    def figures_text(self) -> bytes:
+    def metrics_text(self) -> bytes:
         """Return the figures, one a line."""
         return self._figures.text()
 
@@ -151,7 +151,7 @@
         return False
 
     def _gauges(self) -> dict[str, int]:
-        return figure_names(self._host.figures())
+        return prefix_metric_names(self._host.figures())
 
 
 def _is_alive(member: Member | None) -> bool:
--- a/saltcourse/app/gossip.py
+++ b/saltcourse/app/gossip.py
@@ -13,7 +13,7 @@
 from saltcourse.app.reloading import reread_section, warn_of_changes
 from saltcourse.config.operator_gossip import FILE_KEYS, SECTION, GossipSettings
 from saltcourse.config.overlay import ConfigurationSource
-from saltcourse.gossip.admin import GossipAnswers
+from saltcourse.gossip.admin import GossipAdminHandler
 from saltcourse.gossip.errors import PersistError
 from saltcourse.gossip.host import Host, StateStore
 from saltcourse.gossip.messages import Applied, MemberRecord, ReplicaState
@@ -34,8 +34,8 @@
 
 def node_settings(settings: GossipSettings) -> NodeSettings:
     """Return the node's part of the settings, with a number drawn anew for this process."""
-    me = MemberRecord(
-        name=settings.me,
+    own_record = MemberRecord(
+        name=settings.own_name,
         address=settings.advertise,
         region=settings.region,
         zone=settings.zone,
@@ -44,7 +44,7 @@
         process_id=secrets.randbits(PROCESS_BITS),
     )
     return NodeSettings(
-        me=me,
+        own_record=own_record,
         seeds=settings.seeds,
         voters=settings.voters,
         key=settings.key,
@@ -71,7 +71,7 @@
         await host.start(settings.listen)
     except OSError as error:
         raise ListenError(f"{SECTION}.listen", "{}:{}".format(*settings.listen), error) from None
-    log.info("gossip started", member=settings.me, role=settings.role.name.lower(), zone=settings.zone)
+    log.info("gossip started", member=settings.own_name, role=settings.role.name.lower(), zone=settings.zone)
 
 
 def reload_section(old: GossipSettings, reread: Reread) -> None:
@@ -81,7 +81,7 @@
         warn_of_changes(SECTION, old, new, file_keys=FILE_KEYS)
 
 
-def figure_names(figures: dict[str, int]) -> dict[str, int]:
+def prefix_metric_names(figures: dict[str, int]) -> dict[str, int]:
     """Return the member's figures under the names that they have among those of the program."""
     return {f"{SECTION}.{NOT_IN_A_NAME.sub('_', name)}": value for name, value in figures.items()}
 
@@ -94,7 +94,7 @@
 
     def __init__(self, settings: GossipSettings, source: ConfigurationSource, reread: Reread) -> None:
         self.host: Host | None = None
-        self.answers: GossipAnswers | None = None
+        self.gossip_handler: GossipAdminHandler | None = None
         self._settings = settings
         self._source = source
         self._reread = reread
@@ -109,7 +109,7 @@
         """Join the fleet. ``ListenError`` when the address can't be had."""
         self.host = create_host(self._settings, on_applied=self._on_applied)
         await start_host(self.host, self._settings)
-        self.answers = GossipAnswers(self.host)
+        self.gossip_handler = GossipAdminHandler(self.host)
         self._report_connections()
 
     async def leave(self) -> None:
@@ -123,14 +123,14 @@
         """Log what a restart would change."""
         reload_section(self._settings, self._reread)
 
-    def figures(self) -> dict[str, int]:
+    def gauges(self) -> dict[str, int]:
         """Return the member's figures and those of the configuration; none before the start."""
         if self.host is None:
             return {}
         figures = self.host.figures()
         figures["rejected_version"] = self._source.overlay.rejected_version
         figures["rejections"] = self._source.overlay.rejections
-        return figure_names(figures)
+        return prefix_metric_names(figures)
 
     def _on_applied(self, applied: Applied) -> None:
         assert self.host is not None
--- a/saltcourse/app/witness.py
+++ b/saltcourse/app/witness.py
@@ -29,6 +29,6 @@
     member = AddressFailoverCompanion(settings, reread)
     loop.add_signal_handler(signal.SIGHUP, member.reload)
     await member.start()
-    log.info("witness started", member=settings.own_name, members=len(settings.members))
+    log.info("witness started", member=settings.own_name, members=len(settings.voters))
     await stop.wait()
     await member.leave()
--- a/saltcourse/cli/proxy.py
+++ b/saltcourse/cli/proxy.py
@@ -55,7 +55,7 @@
 def _address_failover_summary(settings: AddressFailoverSettings) -> str:
     announcer = "bgp" if settings.bgp else "command" if settings.command else "nobody (witness)"
     return (
-        f"membership: {settings.own_name} of {len(settings.members)}, service address "
+        f"membership: {settings.own_name} of {len(settings.voters)}, service address "
         f"{settings.service_address}, announced by {announcer}, vote kept in "
         f"{settings.store_file or 'memory only'}, {len(settings.keys)} keys"
     )
@@ -63,7 +63,7 @@
 
 def _gossip_summary(settings: GossipSettings) -> str:
     return (
-        f"gossip: {settings.me} in zone {settings.zone} of {settings.region}, listens on "
+        f"gossip: {settings.own_name} in zone {settings.zone} of {settings.region}, listens on "
         f"{settings.listen[0]}:{settings.listen[1]}, {len(settings.seeds)} seeds, "
         f"{len(settings.voters)} voters, {settings.bytes_per_s:g} bytes/s"
     )
--- a/saltcourse/config/operator_address_failover.py
+++ b/saltcourse/config/operator_address_failover.py
@@ -73,7 +73,7 @@
 
     own_name: str
     service_address: str
-    members: tuple[Voter, ...]
+    voters: tuple[Voter, ...]
     addresses: dict[str, Address]
     key_file: Path
     keys: tuple[bytes, ...]
@@ -85,7 +85,7 @@
     @property
     def is_witness(self) -> bool:
         """Whether this instance votes only, and never holds the address."""
-        return any(member.witness for member in self.members if member.name == self.own_name)
+        return any(voter.witness for voter in self.voters if voter.name == self.own_name)
 
     @property
     def own_address(self) -> Address:
@@ -94,7 +94,7 @@
 
 
 # Field of AddressFailoverSettings -> key of the section, where they differ.
-FILE_KEYS = {"own_name": "me", "members": "member", "addresses": "member"}
+FILE_KEYS = {"own_name": "me", "voters": "member", "addresses": "member"}
 
 
 def read_address_failover(file: OperatorFile, own_name: str) -> AddressFailoverSettings | None:
@@ -115,15 +115,15 @@
     def read(self, own_name: str) -> AddressFailoverSettings:
         section = self._section
         service_address = self._file.ip_address(f"{SECTION}.service_address", section.service_address)
-        members, addresses = self._read_members()
+        voters, addresses = self._read_voters()
         own_name = section.me or own_name
-        self._check_announcer(own_name, members)
+        self._check_announcer(own_name, voters)
         store_file = self._file.store_path(STORE_FILE, section.store_file)
         keys = self._file.secret_keys(KEY_FILE, section.key_file, MIN_KEY_LENGTH, MAX_KEYS)
         return AddressFailoverSettings(
             own_name=own_name,
             service_address=service_address,
-            members=members,
+            voters=voters,
             addresses=addresses,
             key_file=self._file.path.parent / section.key_file,
             keys=keys,
@@ -133,8 +133,8 @@
             command=self._read_command() if section.HasField("command") else None,
         )
 
-    def _read_members(self) -> tuple[tuple[Voter, ...], dict[str, Address]]:
-        members: list[Voter] = []
+    def _read_voters(self) -> tuple[tuple[Voter, ...], dict[str, Address]]:
+        voters: list[Voter] = []
         addresses: dict[str, Address] = {}
         for i, entry in enumerate(self._section.member):
             key = f"{MEMBER}[{i}]"
@@ -147,22 +147,22 @@
                 if other_address == address:
                     self._file.reject(f"{key}.address", f"is {other_name}'s address too")
             addresses[entry.name] = address
-            members.append(Voter(entry.name, entry.priority, entry.witness))
-        if not 1 <= len(members) <= MAX_VOTERS:
-            self._file.reject(MEMBER, f"from 1 to {MAX_VOTERS} members, not {len(members)}")
-        if all(member.witness for member in members):
+            voters.append(Voter(entry.name, entry.priority, entry.witness))
+        if not 1 <= len(voters) <= MAX_VOTERS:
+            self._file.reject(MEMBER, f"from 1 to {MAX_VOTERS} members, not {len(voters)}")
+        if all(voter.witness for voter in voters):
             self._file.reject(MEMBER, "all are witnesses: nobody could hold the address")
-        return tuple(members), addresses
+        return tuple(voters), addresses
 
-    def _check_announcer(self, own_name: str, members: tuple[Voter, ...]) -> None:
+    def _check_announcer(self, own_name: str, voters: tuple[Voter, ...]) -> None:
         """One way to announce the address, which a witness does not need."""
-        own_member = next((member for member in members if member.name == own_name), None)
-        if own_member is None:
+        own_voter = next((voter for voter in voters if voter.name == own_name), None)
+        if own_voter is None:
             self._file.reject(f"{SECTION}.me", f"{own_name!r} is none of the members")
         has_bgp, has_command = self._section.HasField("bgp"), self._section.HasField("command")
         if has_bgp and has_command:
             self._file.reject(f"{SECTION}.command", "beside bgp: one of them")
-        if not (own_member.witness or has_bgp or has_command):
+        if not (own_voter.witness or has_bgp or has_command):
             self._file.reject(
                 SECTION, "neither bgp nor command: this instance could not announce the address"
             )
--- a/saltcourse/config/operator_gossip.py
+++ b/saltcourse/config/operator_gossip.py
@@ -48,11 +48,11 @@
 class GossipSettings:
     """The section, checked.
 
-    ``me`` is this instance's name; ``listen`` is bound, ``advertise`` is what others send to. ``bytes_per_s``
-    bounds what is sent and received, with IP and UDP headers.
+    ``own_name`` is this instance's name; ``listen`` is bound, ``advertise`` is what others send to.
+    ``bytes_per_s`` bounds what is sent and received, with IP and UDP headers.
     """
 
-    me: str
+    own_name: str
     listen: Address
     advertise: Address
     region: str
@@ -69,11 +69,11 @@
     @property
     def is_voter(self) -> bool:
         """Whether this instance takes part in the agreement on configuration changes."""
-        return any(voter.name == self.me for voter in self.voters)
+        return any(voter.name == self.own_name for voter in self.voters)
 
 
 # Field of GossipSettings -> key of the section, where they differ.
-FILE_KEYS = {"seeds": "seed", "voters": "voter", "key": "key_file"}
+FILE_KEYS = {"own_name": "me", "seeds": "seed", "voters": "voter", "key": "key_file"}
 
 
 def read_gossip(file: OperatorFile, own_name: str) -> GossipSettings:
@@ -95,7 +95,7 @@
         advertise = self._read_advertise(listen)
         seeds = [self._read_address(f"seed[{i}]", seed) for i, seed in enumerate(section.seed)]
         settings = GossipSettings(
-            me=self._read_text("me", section.me or own_name, MAX_NAME_BYTES),
+            own_name=self._read_text("me", section.me or own_name, MAX_NAME_BYTES),
             listen=listen,
             advertise=advertise,
             region=self._read_text("region", section.region, MAX_LABEL_BYTES),
@@ -157,16 +157,16 @@
         return tuple(voters)
 
     def _check_voter(self, settings: GossipSettings) -> None:
-        voter = next((voter for voter in settings.voters if voter.name == settings.me), None)
+        voter = next((voter for voter in settings.voters if voter.name == settings.own_name), None)
         if voter is None:
             return
         if settings.role is not Role.CONTROL:
-            self._reject("role", f"must be CONTROL: {settings.me!r} is a voter")
+            self._reject("role", f"must be CONTROL: {settings.own_name!r} is a voter")
         if settings.store_file is None:
-            self._reject("store_file", f"missing: {settings.me!r} is a voter")
+            self._reject("store_file", f"missing: {settings.own_name!r} is a voter")
         if voter.address != settings.advertise:
             host, port = settings.advertise
-            self._reject("advertise", f"{host}:{port} is not the address of voter {settings.me!r}")
+            self._reject("advertise", f"{host}:{port} is not the address of voter {settings.own_name!r}")
 
     def _read_number(self, key: str, default: float, bounds: Bounds) -> float:
         if not self._section.HasField(key):
--- a/saltcourse/emulator/scale/gossip.py
+++ b/saltcourse/emulator/scale/gossip.py
@@ -142,7 +142,7 @@
     """Every member asks the control members first, and knows who votes."""
     control = [place for place in seat.topology.places if place.role is Role.CONTROL]
     return NodeSettings(
-        me=member_record(seat.place, seat.address, seat.process),
+        own_record=member_record(seat.place, seat.address, seat.process),
         seeds=tuple(seat.addresses[place.index] for place in control if place != seat.place),
         voters=tuple(Voter(place.name, seat.addresses[place.index]) for place in seat.topology.voters),
         key=seat.key,
--- a/saltcourse/gossip/admin.py
+++ b/saltcourse/gossip/admin.py
@@ -8,8 +8,7 @@
 
 import orjson
 
-from saltcourse.admin.responses import JSON
-from saltcourse.admin.responses import Response as Answer
+from saltcourse.admin.responses import JSON, Response
 from saltcourse.gossip.changes import parse_change
 from saltcourse.gossip.errors import ChangeTooLargeError, InvalidChangeError
 from saltcourse.gossip.host import Host, PublishOutcome
@@ -31,13 +30,13 @@
 }
 
 
-class GossipAnswers:
+class GossipAdminHandler:
     """Answers to calls; ``host`` may have been closed."""
 
     def __init__(self, host: Host) -> None:
         self._host = host
 
-    def members(self) -> Answer:
+    def members(self) -> Response:
         """Members with their status, and connections by zone."""
         node = self._host.node
         now = self._host.now()
@@ -61,7 +60,7 @@
         members.sort(key=lambda member: str(member["name"]))
         return _json(200, {"members": members, "zones": zones})
 
-    def configuration(self) -> Answer:
+    def configuration(self) -> Response:
         """The configuration in force here; values that are no UTF-8 in base64."""
         dissemination = self._host.node.dissemination
         values: dict[str, str] = {}
@@ -77,16 +76,16 @@
             answer["base64"] = binary
         return _json(200, answer)
 
-    async def publish(self, body: bytes) -> Answer:
+    async def publish(self, body: bytes) -> Response:
         """Publish a change (see ``parse_change``); the answer comes within the publish timeout."""
         if self._host.node.quorum is None:
             return _failure(PublishError.NOT_CONTROL)
         try:
             writes = parse_change(body)
         except ChangeTooLargeError as error:
-            return Answer(413, f"{error}\n".encode())
+            return Response(413, f"{error}\n".encode())
         except InvalidChangeError as error:
-            return Answer(400, f"{error}\n".encode())
+            return Response(400, f"{error}\n".encode())
         timeout_s = self._host.node.settings.timing.publish_timeout + PUBLISH_MARGIN
         try:
             async with asyncio.timeout(timeout_s):
@@ -95,19 +94,19 @@
             return _failure(PublishError.NO_MAJORITY)
 
 
-def _outcome(outcome: PublishOutcome) -> Answer:
+def _outcome(outcome: PublishOutcome) -> Response:
     if isinstance(outcome, Published):
         return _json(200, _position(outcome.position))
     return _failure(outcome.error)
 
 
-def _failure(error: PublishError) -> Answer:
-    return Answer(STATUS_OF_ERROR[error], f"{TEXT_OF_ERROR[error]}\n".encode())
+def _failure(error: PublishError) -> Response:
+    return Response(STATUS_OF_ERROR[error], f"{TEXT_OF_ERROR[error]}\n".encode())
 
 
 def _position(position: Position) -> dict[str, Any]:
     return {"epoch": position.epoch, "version": position.version}
 
 
-def _json(status: int, value: dict[str, Any]) -> Answer:
-    return Answer(status, orjson.dumps(value) + b"\n", content_type=JSON)
+def _json(status: int, value: dict[str, Any]) -> Response:
+    return Response(status, orjson.dumps(value) + b"\n", content_type=JSON)
--- a/saltcourse/gossip/aggregation.py
+++ b/saltcourse/gossip/aggregation.py
@@ -36,7 +36,7 @@
 CHILD_INTERVALS = 3  # a child that sent nothing for so many tally intervals falls out
 SUM_LIFETIME = 30.0  # s without a renewal, then a zone's sum is forgotten
 MAX_ZONES = 256
-MAX_COUNT = 2**32 - 1  # of members, connections and sequences
+MAX_U32 = 2**32 - 1  # of members, connections and sequences
 
 
 @dataclass(frozen=True, slots=True)
@@ -75,11 +75,11 @@
 class Aggregation:
     """One member's part in the tree of its zone, and the newest sums of all zones."""
 
-    def __init__(self, timing: Timing, source: random.Random) -> None:
+    def __init__(self, timing: Timing, rng: random.Random) -> None:
         self._interval = timing.tally_interval
         self._sum_interval = timing.sum_interval
         self._publish_at = float("-inf")
-        self._random = source
+        self._rng = rng
         self._connections = 0
         self._subtrees: dict[MemberId, Subtree] = {}
         self._sums: dict[str, KnownSum] = {}  # the one renewed last comes last
@@ -91,7 +91,7 @@
 
     def set_count(self, connections: int) -> None:
         """Set the number of client connections of this proxy."""
-        self._connections = min(max(connections, 0), MAX_COUNT)
+        self._connections = min(max(connections, 0), MAX_U32)
 
     def handle(self, now: float, header: Header, message: Tally) -> None:
         """Keep a child's tally. Those of others are ignored: they belong to another place in the tree."""
@@ -120,18 +120,20 @@
         """When ``tick`` is to be called, in seconds on the clock of ``now``."""
         return self._tally_at
 
-    def tick(self, now: float, me: MemberRecord, zone_members: Sequence[MemberRecord]) -> AggregationStep:
+    def tick(
+        self, now: float, own_record: MemberRecord, zone_members: Sequence[MemberRecord]
+    ) -> AggregationStep:
         """Send the subtree's tally to the parent; at the root, return the zone's sum to be broadcast.
 
         ``zone_members``: the live ones of this member's zone, without it.
         """
         if now < self._tally_at:
             return AggregationStep([], None)
-        self._tally_at = now + self._interval * self._random.uniform(0.9, 1.1)
-        self._zone = me.zone
-        if me.role is not Role.PROXY or me.status is not Status.ALIVE:
+        self._tally_at = now + self._interval * self._rng.uniform(0.9, 1.1)
+        self._zone = own_record.zone
+        if own_record.role is not Role.PROXY or own_record.status is not Status.ALIVE:
             return AggregationStep([], None)
-        self._update_place(me, zone_members)
+        self._update_place(own_record, zone_members)
         tally = self._sum_subtree(now)
         parent = self._place.parent
         if parent is None:
@@ -139,12 +141,12 @@
         sends = [Send(parent.address, tally, Priority.MEMBERSHIP), *self._correct_root(parent)]
         return AggregationStep(sends, None)
 
-    def _update_place(self, me: MemberRecord, zone_members: Sequence[MemberRecord]) -> None:
+    def _update_place(self, own_record: MemberRecord, zone_members: Sequence[MemberRecord]) -> None:
         """Skip where the sequence is the same: ``Membership.live`` makes a new one for each change."""
         if zone_members is self._zone_members:
             return
         self._zone_members = zone_members
-        self._place = _find_place(me, zone_members)
+        self._place = _find_place(own_record, zone_members)
         self._subtrees = {
             child: subtree for child, subtree in self._subtrees.items() if child in self._place.children
         }
@@ -159,7 +161,7 @@
                 continue
             members += subtree.members
             connections += subtree.connections
-        return Tally(self._zone, min(members, MAX_COUNT), min(connections, MAX_COUNT))
+        return Tally(self._zone, min(members, MAX_U32), min(connections, MAX_U32))
 
     def _publish_if_time(self, now: float, tally: Tally) -> ZoneSum | None:
         if now < self._publish_at:
@@ -172,7 +174,7 @@
         self._forget_old(now)
         known = self._sums.get(self._zone)
         sequence = 1 if known is None else known.update.sequence + 1
-        if sequence > MAX_COUNT:
+        if sequence > MAX_U32:
             return None
         update = ZoneSum(self._zone, sequence, tally.members, tally.connections)
         self._keep(now, update)
@@ -201,10 +203,10 @@
         self._sums[update.zone] = KnownSum(update, now)
 
 
-def _find_place(me: MemberRecord, zone_members: Sequence[MemberRecord]) -> Place:
+def _find_place(own_record: MemberRecord, zone_members: Sequence[MemberRecord]) -> Place:
     """Control members hold no connections and take no place."""
     proxies = {record.id: record for record in zone_members if record.role is Role.PROXY}
-    own_id = me.id
+    own_id = own_record.id
     ids = sorted({own_id, *proxies})
     index = ids.index(own_id)
     children = frozenset(ids[FAN_IN * index + 1 : FAN_IN * index + 1 + FAN_IN])
--- a/saltcourse/gossip/changes.py
+++ b/saltcourse/gossip/changes.py
@@ -6,7 +6,7 @@
 
 from saltcourse.gossip.codec import change_size
 from saltcourse.gossip.errors import ChangeTooLargeError, EncodeError, InvalidChangeError
-from saltcourse.gossip.fields import MAX_COUNT, encode_text
+from saltcourse.gossip.fields import MAX_LIST_LENGTH, encode_text
 from saltcourse.gossip.messages import MAX_CHANGE_BYTES, MAX_KEY_BYTES, Change, Position, Write
 
 
@@ -42,8 +42,8 @@
             raise InvalidChangeError(
                 f"{key!r}: a key has 1 to {MAX_KEY_BYTES} bytes, no control character"
             ) from None
-    if len(writes) > MAX_COUNT:
-        raise ChangeTooLargeError(f"{len(writes)} keys; at most {MAX_COUNT} in one change")
+    if len(writes) > MAX_LIST_LENGTH:
+        raise ChangeTooLargeError(f"{len(writes)} keys; at most {MAX_LIST_LENGTH} in one change")
     try:
         change_size(Change(Position(), writes))
     except EncodeError:
--- a/saltcourse/gossip/configuration.py
+++ b/saltcourse/gossip/configuration.py
@@ -27,7 +27,7 @@
 MAX_VERSION = 2**32 - 1  # of a position on the wire
 
 
-class Relation(Enum):
+class PositionRelation(Enum):
     """How a position lies to this member's own."""
 
     AHEAD = auto()  # later in the same sequence
@@ -36,7 +36,7 @@
     CONFLICT = auto()  # of another sequence: this member has passed the version with another position
 
 
-class Outcome(Enum):
+class ApplyOutcome(Enum):
     """What came of a change or checkpoint. Nothing but ``APPLIED`` alters the state."""
 
     APPLIED = auto()
@@ -49,9 +49,9 @@
 
 
 REJECTIONS = {
-    Relation.KNOWN: Outcome.DUPLICATE,
-    Relation.STALE_EPOCH: Outcome.STALE_EPOCH,
-    Relation.CONFLICT: Outcome.CONFLICT,
+    PositionRelation.KNOWN: ApplyOutcome.DUPLICATE,
+    PositionRelation.STALE_EPOCH: ApplyOutcome.STALE_EPOCH,
+    PositionRelation.CONFLICT: ApplyOutcome.CONFLICT,
 }
 
 
@@ -74,7 +74,7 @@
         return cls(position, data, digest_of(data))
 
 
-class Configuration(Mapping[str, bytes]):
+class FleetConfiguration(Mapping[str, bytes]):
     """Read it as a mapping of keys to values; ``position`` says which version it is."""
 
     def __init__(self) -> None:
@@ -123,21 +123,21 @@
                 return change.position
         return None
 
-    def relate(self, position: Position) -> Relation:
+    def relate(self, position: Position) -> PositionRelation:
         """Compare a position with this member's own."""
         mine = self.position
         if position == mine:
-            return Relation.KNOWN
+            return PositionRelation.KNOWN
         if position.version > mine.version:
-            return Relation.AHEAD if position.epoch >= mine.epoch else Relation.STALE_EPOCH
+            return PositionRelation.AHEAD if position.epoch >= mine.epoch else PositionRelation.STALE_EPOCH
         known = self.position_at(position.version)
         if known is not None:
-            return Relation.KNOWN if position == known else Relation.CONFLICT
-        return Relation.KNOWN if position.epoch <= self._log_base.epoch else Relation.CONFLICT
+            return PositionRelation.KNOWN if position == known else PositionRelation.CONFLICT
+        return PositionRelation.KNOWN if position.epoch <= self._log_base.epoch else PositionRelation.CONFLICT
 
     def is_ahead(self, position: Position) -> bool:
         """Whether the position is later in the same sequence."""
-        return self.relate(position) is Relation.AHEAD
+        return self.relate(position) is PositionRelation.AHEAD
 
     def changes_after(self, version: int) -> list[Change] | None:
         """In order; ``None`` when the log does not go back that far."""
@@ -163,19 +163,19 @@
 
     # ---- changing -----------------------------------------------------------------------------------
 
-    def check(self, change: Change) -> Outcome:
+    def check(self, change: Change) -> ApplyOutcome:
         """What ``apply`` would do with it."""
         relation = self.relate(change.position)
-        if relation is not Relation.AHEAD:
+        if relation is not PositionRelation.AHEAD:
             return REJECTIONS[relation]
         if change.position.version != self.position.version + 1:
-            return Outcome.GAP
-        return Outcome.APPLIED if self._fits(change) else Outcome.TOO_LARGE
+            return ApplyOutcome.GAP
+        return ApplyOutcome.APPLIED if self._fits(change) else ApplyOutcome.TOO_LARGE
 
-    def apply(self, change: Change) -> Outcome:
+    def apply(self, change: Change) -> ApplyOutcome:
         """Apply a committed change whole, if it follows directly; the outcome says why not."""
         outcome = self.check(change)
-        if outcome is not Outcome.APPLIED:
+        if outcome is not ApplyOutcome.APPLIED:
             return outcome
         for key, value in change.writes:
             self._write(key, value)
@@ -188,18 +188,18 @@
             self._keep_checkpoint()
         return outcome
 
-    def load(self, checkpoint: Checkpoint) -> Outcome:
+    def load(self, checkpoint: Checkpoint) -> ApplyOutcome:
         """Replace everything by a checkpoint of a later version. The log begins anew behind it."""
         relation = self.relate(checkpoint.position)
-        if relation is not Relation.AHEAD:
+        if relation is not PositionRelation.AHEAD:
             return REJECTIONS[relation]
         try:
             values = decode_configuration(checkpoint.data)
         except CodecError:
-            return Outcome.INVALID
+            return ApplyOutcome.INVALID
         self._replace(checkpoint.position, values)
         self._checkpoints.append(checkpoint)
-        return Outcome.APPLIED
+        return ApplyOutcome.APPLIED
 
     def restore(self, state: ReplicaState) -> None:
         """Take over a control member's stored state at its start.
@@ -208,7 +208,7 @@
         an empty configuration must be served also when all control members have just restarted.
         ``EncodeError`` when the state is too large to be encoded.
         """
-        if self.relate(state.committed) is not Relation.AHEAD:
+        if self.relate(state.committed) is not PositionRelation.AHEAD:
             return
         self._replace(state.committed, dict(state.configuration))
         self._keep_checkpoint()
--- a/saltcourse/gossip/dissemination.py
+++ b/saltcourse/gossip/dissemination.py
@@ -15,7 +15,7 @@
 from collections import Counter
 from random import Random
 
-from saltcourse.gossip.configuration import Configuration, Outcome, Relation
+from saltcourse.gossip.configuration import ApplyOutcome, FleetConfiguration, PositionRelation
 from saltcourse.gossip.fetching import Fetcher, Sample
 from saltcourse.gossip.freshness import FreshnessMonitor
 from saltcourse.gossip.messages import (
@@ -51,16 +51,16 @@
     """One member's part in it, free of I/O: each call returns what is to be sent."""
 
     def __init__(
-        self, timing: Timing, random: Random, sample: Sample, configuration: Configuration | None = None
+        self, timing: Timing, rng: Random, sample: Sample, configuration: FleetConfiguration | None = None
     ) -> None:
-        self.configuration = configuration if configuration is not None else Configuration()
+        self.configuration = configuration if configuration is not None else FleetConfiguration()
         self.freshness = Freshness.STALE
         self._timing = timing
         self._sample = sample
         self._counters: Counter[str] = Counter()
         self._monitor = FreshnessMonitor(timing)
         self._server = ChangeServer(self.configuration, self._counters)
-        self._fetcher = Fetcher(timing, random, sample, self.configuration, self._counters)
+        self._fetcher = Fetcher(timing, rng, sample, self.configuration, self._counters)
         self._snapshots = SnapshotReceiver(timing, self.configuration, self._fetcher, self._counters)
         self._announcement_pending = False
         self._last_announcement = float("-inf")
@@ -87,10 +87,10 @@
         self._begin(now)
         sends = self._observe_heartbeat(now, header.heartbeat)
         relation = self.configuration.relate(header.position)
-        if relation is Relation.AHEAD:
+        if relation is PositionRelation.AHEAD:
             self._fetcher.note(now, source, header.position)
             sends += self._fetch_unless_busy(now, source)
-        elif relation is not Relation.KNOWN:
+        elif relation is not PositionRelation.KNOWN:
             self._counters[f"position_{relation.name.lower()}"] += 1
         return sends + self._end(now)
 
@@ -114,9 +114,9 @@
         self._begin(now)
         sends: list[Send] = []
         outcome = self._apply(change)
-        if outcome is Outcome.APPLIED:
+        if outcome is ApplyOutcome.APPLIED:
             self._announcement_pending = True
-        elif outcome is Outcome.GAP:
+        elif outcome is ApplyOutcome.GAP:
             sends = self._fetch_unless_busy(now, None)
         return sends + self._end(now)
 
@@ -201,7 +201,7 @@
             self._announcement_pending = True  # also amid a burst: others may fetch from here
         return self._fetcher.continue_after(now, source)
 
-    def _apply(self, change: Change) -> Outcome:
+    def _apply(self, change: Change) -> ApplyOutcome:
         outcome = self.configuration.apply(change)
         self._counters[f"change_{outcome.name.lower()}"] += 1
         return outcome
--- a/saltcourse/gossip/errors.py
+++ b/saltcourse/gossip/errors.py
@@ -45,7 +45,7 @@
 
 
 class ChangeTooLargeError(InvalidChangeError):
-    """More than ``MAX_CHANGE_BYTES`` or ``MAX_COUNT`` keys."""
+    """More than ``MAX_CHANGE_BYTES`` or ``MAX_LIST_LENGTH`` keys."""
 
 
 class PersistError(GossipError):
--- a/saltcourse/gossip/failure_detector.py
+++ b/saltcourse/gossip/failure_detector.py
@@ -97,15 +97,15 @@
 class ProbeOrder:
     """Round-robin over a shuffled list of the live members, shuffled anew in each round."""
 
-    def __init__(self, table: MemberTable, source: random.Random) -> None:
+    def __init__(self, table: MemberTable, rng: random.Random) -> None:
         self._table = table
-        self._random = source
+        self._rng = rng
         self._round: list[MemberId] = []  # still to be probed, the next one last
 
     def insert(self, member: MemberId) -> None:
         """A new member takes a random place in the running round."""
         self._round.append(member)
-        place = int(self._random.random() * len(self._round))
+        place = int(self._rng.random() * len(self._round))
         self._round[place], self._round[-1] = self._round[-1], self._round[place]
 
     def next(self) -> MemberId | None:
@@ -113,7 +113,7 @@
         member = self._next_of_round()
         if member is None:
             self._round = list(self._table.live_ids)
-            self._random.shuffle(self._round)
+            self._rng.shuffle(self._round)
             member = self._next_of_round()
         return member
 
@@ -128,13 +128,11 @@
 class FailureDetector:
     """Runs the probes; what follows from a failed one is for the caller to decide."""
 
-    def __init__(
-        self, timing: Timing, source: random.Random, health: LocalHealth, piggyback: Piggyback
-    ) -> None:
+    def __init__(self, timing: Timing, rng: random.Random, health: LocalHealth, piggyback: Piggyback) -> None:
         self.probes_begun = 0
         self.relays_refused = 0
         self._timing = timing
-        self._random = source
+        self._rng = rng
         self._health = health
         self._piggyback = piggyback
         self._probes: dict[int, Probe] = {}  # by sequence, as the relayed ones
@@ -249,4 +247,4 @@
         return deadline
 
     def _draw_sequence(self) -> int:
-        return self._random.getrandbits(SEQUENCE_BITS)
+        return self._rng.getrandbits(SEQUENCE_BITS)
--- a/saltcourse/gossip/fetching.py
+++ b/saltcourse/gossip/fetching.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from saltcourse.gossip.configuration import Configuration
+from saltcourse.gossip.configuration import FleetConfiguration
 from saltcourse.gossip.messages import Address, Fetch, MemberRecord, Position, Priority, Send
 from saltcourse.gossip.settings import Timing
 from saltcourse.gossip.sources import Sources
@@ -34,16 +34,16 @@
     def __init__(
         self,
         timing: Timing,
-        random: Random,
+        rng: Random,
         sample: Sample,
-        configuration: Configuration,
+        configuration: FleetConfiguration,
         counters: Counter[str],
     ) -> None:
         self._timeout = timing.fetch_timeout
         self._sample = sample
         self._configuration = configuration
         self._counters = counters
-        self._sources = Sources(timing.stale_after, random)
+        self._sources = Sources(timing.stale_after, rng)
         self._pending: PendingFetch | None = None
 
     @property
--- a/saltcourse/gossip/fields.py
+++ b/saltcourse/gossip/fields.py
@@ -35,7 +35,7 @@
 Record = TypeVar("Record")
 
 RECORD_CACHE_SIZE = 1_024  # member records and their bytes, each about 600 bytes of memory
-MAX_COUNT = 255  # records in one list: its count is one byte
+MAX_LIST_LENGTH = 255  # records in one list: its count is one byte
 MAX_VALUE_BYTES = 0xFFFE  # of one value; the next length stands for a deleted key
 DELETED = 0xFFFF  # in place of a value's length
 CONTROL_CHARACTER = re.compile("[\x00-\x1f\x7f-\x9f]")
@@ -117,7 +117,7 @@
         return socket.inet_ntop(family, self.raw(length)), port
 
     def records(self, read: Callable[[Reader], Record]) -> tuple[Record, ...]:
-        """Take a list of up to ``MAX_COUNT`` records."""
+        """Take a list of up to ``MAX_LIST_LENGTH`` records."""
         return tuple([read(self) for _ in range(self.number(U8))])
 
     def end(self) -> None:
@@ -151,7 +151,7 @@
 
 def encode_list(records: Sequence[Record], encode: Callable[[Record], bytes]) -> bytes:
     """Return the count of the records and their bytes."""
-    if len(records) > MAX_COUNT:
+    if len(records) > MAX_LIST_LENGTH:
         raise EncodeError(f"{len(records)} records in a list")
     return U8.pack(len(records)) + b"".join([encode(record) for record in records])
 
--- a/saltcourse/gossip/member_table.py
+++ b/saltcourse/gossip/member_table.py
@@ -114,9 +114,9 @@
             self._ids[index] = last
             self._indexes[last] = index
 
-    def choose(self, source: random.Random) -> MemberId:
+    def choose(self, rng: random.Random) -> MemberId:
         """IndexError when it is empty."""
-        return self._ids[int(source.random() * len(self._ids))]
+        return self._ids[int(rng.random() * len(self._ids))]
 
 
 @dataclass(slots=True)
@@ -130,8 +130,8 @@
 class MemberTable:
     """All records, the own one included. Departed members are kept in the order of their departure."""
 
-    def __init__(self, me: MemberRecord) -> None:
-        self.own_id = me.id
+    def __init__(self, own_record: MemberRecord) -> None:
+        self.own_id = own_record.id
         self.members: dict[MemberId, Member] = {}
         self.live_ids = IdSet()
         self.dead_ids = IdSet()  # without those that left
@@ -142,7 +142,7 @@
         self._departed: dict[MemberId, None] = {}
         self._buckets: list[list[MemberId]] = [[] for _ in range(SYNC_BUCKETS)]
         self._live_records: dict[str | None, tuple[MemberRecord, ...]] = {}
-        self.store(0.0, self.own_id, me)
+        self.store(0.0, self.own_id, own_record)
 
     def __len__(self) -> int:
         """Count all records, the own one included."""
--- a/saltcourse/gossip/membership.py
+++ b/saltcourse/gossip/membership.py
@@ -71,27 +71,27 @@
     """One member's view of the fleet. Free of I/O; ``now`` is in seconds and never goes back."""
 
     def __init__(
-        self, me: MemberRecord, seeds: tuple[Address, ...], timing: Timing, source: random.Random
+        self, own_record: MemberRecord, seeds: tuple[Address, ...], timing: Timing, rng: random.Random
     ) -> None:
         self._timing = timing
-        self._random = source
-        self._id = me.id
-        self._table = MemberTable(me)
-        self._own = OwnRecord(me)
+        self._rng = rng
+        self._id = own_record.id
+        self._table = MemberTable(own_record)
+        self._own = OwnRecord(own_record)
         self._health = LocalHealth()
         self._queue = BroadcastQueue(timing.retransmit_multiplier)
-        self._order = ProbeOrder(self._table, source)
+        self._order = ProbeOrder(self._table, rng)
         self._timers = SuspicionTimers()
-        self._zones = ZoneSilence(timing, source, self._table)
+        self._zones = ZoneSilence(timing, rng, self._table)
         self._merger = UpdateMerger(
             timing, self._table, self._own, self._health, self._queue, self._order, self._timers, self._zones
         )
-        self._detector = FailureDetector(timing, source, self._health, self._merger.updates_for)
-        self._sampler = MemberSampler(source, self._table, self._zones)
-        self._sync = TableSync(self._table, seeds, timing, source, self.sample)
+        self._detector = FailureDetector(timing, rng, self._health, self._merger.updates_for)
+        self._sampler = MemberSampler(rng, self._table, self._zones)
+        self._sync = TableSync(self._table, seeds, timing, rng, self.sample)
         self._probe_round = ProbeRound(timing, self._own, self._order)
         self._gossip_round = GossipRound(timing, self._queue, self._table, self._sampler)
-        self._reconnect_round = ReconnectRound(timing, source, self._own, self._table, self._zones)
+        self._reconnect_round = ReconnectRound(timing, rng, self._own, self._table, self._zones)
         self._unknown_senders = UnknownSenders()
         self._last_tick = -math.inf
         self._was_joining = False
@@ -102,7 +102,7 @@
     # ---- reads ------------------------------------------------------------------------------------
 
     @property
-    def me(self) -> MemberRecord:
+    def own_record(self) -> MemberRecord:
         """This member's own record."""
         return self._own.record
 
@@ -137,7 +137,7 @@
             "suspect": statuses[Status.SUSPECT],
             "dead": statuses[Status.DEAD],
             "left": statuses[Status.LEFT],
-            "incarnation": self.me.incarnation,
+            "incarnation": self.own_record.incarnation,
             "health": self._health.score,
             "zones_unreachable": len(self._zones.unreachable),
             "probes": self._detector.probes_begun,
@@ -167,11 +167,11 @@
     def start(self, now: float) -> list[Send]:
         """Begin the rounds, and ask the seeds for the table."""
         self._last_tick = now
-        self._probe_round.start(now, self._random)
-        self._gossip_round.start(now, self._random)
+        self._probe_round.start(now, self._rng)
+        self._gossip_round.start(now, self._rng)
         self._reconnect_round.start(now)
         self._zones.restart(now)
-        self._queue.add(self._id, self.me)
+        self._queue.add(self._id, self.own_record)
         sends = self._sync.start(now)
         self._was_joining = self._sync.is_joining
         return sends
@@ -181,7 +181,7 @@
         self._own.leave()
         self._detector.drop(lambda _: True)
         self._merger.publish_own(now)
-        message = Gossip((self.me,))
+        message = Gossip((self.own_record,))
         return [Send(record.address, message, Priority.MEMBERSHIP) for record in self.sample(LEAVE_FANOUT)]
 
     def broadcast(self, update: ZoneSum) -> None:
@@ -206,7 +206,7 @@
 
     def handle(self, now: float, source: Address, header: Header, message: MembershipMessage) -> list[Send]:
         """A message of this part. ``observe`` was called with its header before."""
-        if header.sender == self._id and header.process_id == self.me.process_id:
+        if header.sender == self._id and header.process_id == self.own_record.process_id:
             return []  # an own datagram
         sends: list[Send] = []
         is_known = self._is_known(header)
@@ -274,7 +274,7 @@
         return member is not None and member.record.process_id == header.process_id
 
     def _observe_own_name(self, now: float, header: Header) -> None:
-        if header.process_id == self.me.process_id:
+        if header.process_id == self.own_record.process_id:
             return
         if self._own.on_name_conflict(now, header.incarnation, header.process_id):
             self._merger.publish_own(now)
@@ -352,7 +352,7 @@
         """Broadcast the own record once more, now that there are members to receive it."""
         if self._was_joining and not self._sync.is_joining and len(self._table.live_ids):
             self._was_joining = False
-            self._queue.add(self._id, self.me)
+            self._queue.add(self._id, self.own_record)
 
     def _tick_zones(self, now: float) -> list[Send]:
         silent, to_ping = self._zones.evaluate(now)
--- a/saltcourse/gossip/node.py
+++ b/saltcourse/gossip/node.py
@@ -13,7 +13,6 @@
 from collections.abc import Iterable
 
 from saltcourse.gossip.aggregation import Aggregation
-from saltcourse.gossip.budget import TokenBucket
 from saltcourse.gossip.codec import Codec, CodecError
 from saltcourse.gossip.dissemination import Dissemination
 from saltcourse.gossip.membership import Membership
@@ -45,6 +44,7 @@
 from saltcourse.gossip.quorum_actions import AdvanceHeartbeat, Commit, QuorumAction
 from saltcourse.gossip.send_queue import SendQueue
 from saltcourse.gossip.settings import NodeSettings
+from saltcourse.gossip.token_bucket import TokenBucket
 
 BURST_SECONDS = 2.0  # of the byte budget that may be spent at once
 NEVER = float("inf")
@@ -53,18 +53,16 @@
 class Node:
     """``state`` is what a voter kept from an earlier process; None at its first start and for others."""
 
-    def __init__(
-        self, settings: NodeSettings, source: random.Random, state: ReplicaState | None = None
-    ) -> None:
+    def __init__(self, settings: NodeSettings, rng: random.Random, state: ReplicaState | None = None) -> None:
         timing = settings.timing
         self.settings = settings
-        self.membership = Membership(settings.me, settings.seeds, timing, source)
-        self.aggregation = Aggregation(timing, source)
-        self.dissemination = Dissemination(timing, source, self.membership.sample)
+        self.membership = Membership(settings.own_record, settings.seeds, timing, rng)
+        self.aggregation = Aggregation(timing, rng)
+        self.dissemination = Dissemination(timing, rng, self.membership.sample)
         self.quorum: Quorum | None = None
-        voter = next((v for v in settings.voters if v.name == settings.me.name), None)
+        voter = next((v for v in settings.voters if v.name == settings.own_record.name), None)
         if voter is not None:
-            self.quorum = Quorum(voter, settings.voters, timing, source, state or ReplicaState())
+            self.quorum = Quorum(voter, settings.voters, timing, rng, state or ReplicaState())
         self.sent_bytes = 0
         self.received_bytes = 0
         self.dropped: Counter[str] = Counter()
@@ -130,8 +128,8 @@
         self._pass_on_sums(now)
 
     def _is_own(self, header: Header) -> bool:
-        me = self.membership.me
-        return header.sender == me.id and header.process_id == me.process_id
+        own_record = self.membership.own_record
+        return header.sender == own_record.id and header.process_id == own_record.process_id
 
     def _dispatch(self, now: float, source: Address, header: Header, message: Message) -> None:
         if isinstance(message, Tally):
@@ -173,14 +171,14 @@
             self._carry_out(now, self.quorum.tick(now))
 
     def _tick_aggregation(self, now: float) -> None:
-        me = self.membership.me
-        sends, zone_sum = self.aggregation.tick(now, me, self.membership.live(me.zone))
+        own_record = self.membership.own_record
+        sends, zone_sum = self.aggregation.tick(now, own_record, self.membership.live(own_record.zone))
         self._send(now, sends)
         if zone_sum is not None:
             self.membership.broadcast(zone_sum)
 
     def _is_proxy(self) -> bool:
-        return self.settings.me.role is Role.PROXY
+        return self.settings.own_record.role is Role.PROXY
 
     # ---- the quorum's actions ---------------------------------------------------------------------
 
@@ -242,9 +240,11 @@
         return size
 
     def _header(self) -> Header:
-        me = self.membership.me
+        own_record = self.membership.own_record
         part = self.dissemination
-        return Header(me.id, me.incarnation, me.process_id, part.position, part.heartbeat)
+        return Header(
+            own_record.id, own_record.incarnation, own_record.process_id, part.position, part.heartbeat
+        )
 
     def _budget_deadline(self) -> float:
         return self._budget.available_at() if self._waiting else NEVER
--- a/saltcourse/gossip/proposer.py
+++ b/saltcourse/gossip/proposer.py
@@ -63,7 +63,7 @@
             if change is None:
                 break
             self._propose(change, batch)
-        self._acknowledged[self._voters.me.id] = self._acceptor.acknowledged(self._epoch)
+        self._acknowledged[self._voters.own_voter.id] = self._acceptor.acknowledged(self._epoch)
         return self._commit_accepted()
 
     def on_accepted(self, voter: MemberId, version: int) -> list[Change]:
--- a/saltcourse/gossip/publisher_lease.py
+++ b/saltcourse/gossip/publisher_lease.py
@@ -34,7 +34,7 @@
         self._grants = set()
         for voter in self._voters.others:
             batch.send(voter.address, LeaseRequest(self._epoch, self._count))
-        self._add_grant(now, self._voters.me.id, batch)
+        self._add_grant(now, self._voters.own_voter.id, batch)
 
     def on_grant(self, now: float, voter: MemberId, count: int, batch: ActionBatch) -> None:
         """A voter has granted request number ``count``; one for an earlier request is too late."""
--- a/saltcourse/gossip/quorum.py
+++ b/saltcourse/gossip/quorum.py
@@ -94,14 +94,19 @@
     """One voter. ``state`` is what it persisted last, in this process or an earlier one."""
 
     def __init__(
-        self, me: Voter, voters: tuple[Voter, ...], timing: Timing, source: random.Random, state: ReplicaState
+        self,
+        own_voter: Voter,
+        voters: tuple[Voter, ...],
+        timing: Timing,
+        rng: random.Random,
+        state: ReplicaState,
     ) -> None:
         self.phase = Phase.FOLLOWING
         self.acceptor = Acceptor(state)
-        self._voters = VoterSet(me, voters)
+        self._voters = VoterSet(own_voter, voters)
         self._timing = timing
         self._queue = PublishQueue()
-        self._takeover_timer = TakeoverTimer(self._voters.index, timing.takeover_after, source)
+        self._takeover_timer = TakeoverTimer(self._voters.index, timing.takeover_after, rng)
         self._newest_epoch = state.committed.epoch  # that was seen anywhere
         self._heartbeat = Heartbeat()  # the newest that was seen anywhere
         # Of the epoch under which this voter prepares or publishes.
@@ -263,7 +268,7 @@
         self._batch.must_persist |= self.acceptor.promise(self._epoch)
         self._promises = PromiseSet()
         for promise in self.acceptor.promises(self._epoch):
-            self._promises.add(self._voters.me.id, promise)
+            self._promises.add(self._voters.own_voter.id, promise)
         self._takeovers += 1
         self._prepare_retry.reset()
         self._send_prepares(now)
--- a/saltcourse/gossip/rounds.py
+++ b/saltcourse/gossip/rounds.py
@@ -30,9 +30,9 @@
         self._own = own
         self._order = order
 
-    def start(self, now: float, source: random.Random) -> None:
+    def start(self, now: float, rng: random.Random) -> None:
         """First round at a random time within one interval, so that members do not probe in step."""
-        self.deadline = now + source.random() * self._interval
+        self.deadline = now + rng.random() * self._interval
 
     def next_target(self, now: float) -> MemberId | None:
         """None: it is too early, there is nobody, or this member has left."""
@@ -50,11 +50,11 @@
     """
 
     def __init__(
-        self, timing: Timing, source: random.Random, own: OwnRecord, table: MemberTable, zones: ZoneSilence
+        self, timing: Timing, rng: random.Random, own: OwnRecord, table: MemberTable, zones: ZoneSilence
     ) -> None:
         self.deadline = math.inf
         self._interval = timing.reconnect_interval
-        self._random = source
+        self._rng = rng
         self._own = own
         self._table = table
         self._zones = zones
@@ -70,13 +70,13 @@
         self.deadline = _next_round(self.deadline, self._interval, now)
         candidates = []
         if len(self._table.dead_ids):
-            candidates.append(self._table.dead_ids.choose(self._random))
+            candidates.append(self._table.dead_ids.choose(self._rng))
         if self._zones.unreachable:
-            zone = self._random.choice(list(self._zones.unreachable))
-            candidates.append(self._table.zones[zone].live.choose(self._random))
+            zone = self._rng.choice(list(self._zones.unreachable))
+            candidates.append(self._table.zones[zone].live.choose(self._rng))
         if not candidates or self._own.has_left:
             return []
-        return [self._random.choice(candidates)]
+        return [self._rng.choice(candidates)]
 
 
 class GossipRound:
@@ -92,9 +92,9 @@
         self._table = table
         self._sampler = sampler
 
-    def start(self, now: float, source: random.Random) -> None:
+    def start(self, now: float, rng: random.Random) -> None:
         """First round at a random time within one interval."""
-        self.deadline = now + source.random() * self._interval
+        self.deadline = now + rng.random() * self._interval
 
     def messages(self, now: float) -> list[Send]:
         """One message for each chosen member, filled up with updates."""
--- a/saltcourse/gossip/sampling.py
+++ b/saltcourse/gossip/sampling.py
@@ -15,8 +15,8 @@
 class MemberSampler:
     """Prefers members that are likely to answer."""
 
-    def __init__(self, source: random.Random, table: MemberTable, zones: ZoneSilence) -> None:
-        self._random = source
+    def __init__(self, rng: random.Random, table: MemberTable, zones: ZoneSilence) -> None:
+        self._rng = rng
         self._table = table
         self._zones = zones
 
@@ -26,7 +26,7 @@
         others: dict[MemberId, MemberRecord] = {}
         ids = self._table.live_ids
         for _ in range(SAMPLE_TRIES * count if ids else 0):
-            member = ids.choose(self._random)
+            member = ids.choose(self._rng)
             record = self._table.members[member].record
             promising = record.status is Status.ALIVE and self._zones.is_reachable(record.zone)
             (chosen if promising else others)[member] = record
--- a/saltcourse/gossip/serving.py
+++ b/saltcourse/gossip/serving.py
@@ -6,7 +6,8 @@
 from collections.abc import Sequence
 
 from saltcourse.gossip.codec import HEADER_BYTES, change_size
-from saltcourse.gossip.configuration import Configuration, Relation
+from saltcourse.gossip.configuration import FleetConfiguration, PositionRelation
+from saltcourse.gossip.fields import MAX_LIST_LENGTH
 from saltcourse.gossip.messages import (
     MAX_DATAGRAM_BYTES,
     Address,
@@ -22,14 +23,13 @@
 
 DATAGRAM_RESERVE_BYTES = 32  # left free in an answer with changes
 CHANGES_BYTES = MAX_DATAGRAM_BYTES - HEADER_BYTES - DATAGRAM_RESERVE_BYTES
-MAX_CHANGES_IN_DATAGRAM = 255  # a list's count is one byte
 
 
 def fitting(changes: Sequence[Change]) -> tuple[Change, ...]:
     """As many of them, from the first on, as one datagram holds; at least one."""
     chosen: list[Change] = []
     room = CHANGES_BYTES
-    for change in changes[:MAX_CHANGES_IN_DATAGRAM]:
+    for change in changes[:MAX_LIST_LENGTH]:
         room -= change_size(change)
         if room < 0 and chosen:
             break
@@ -40,16 +40,16 @@
 class ChangeServer:
     """Each request gets one datagram at most, so an answer can be lost or doubled but never incomplete."""
 
-    def __init__(self, configuration: Configuration, counters: Counter[str]) -> None:
+    def __init__(self, configuration: FleetConfiguration, counters: Counter[str]) -> None:
         self._configuration = configuration
         self._counters = counters
 
     def changes(self, source: Address, message: Fetch) -> list[Send]:
         """Answer a fetch; nothing for a member that is not behind this one."""
         relation = self._configuration.relate(message.after)
-        if relation is Relation.CONFLICT:
+        if relation is PositionRelation.CONFLICT:
             self._counters["fetch_conflict"] += 1
-        if relation is not Relation.KNOWN or message.after == self._configuration.position:
+        if relation is not PositionRelation.KNOWN or message.after == self._configuration.position:
             return []
         changes = self._configuration.changes_after(message.after.version)
         if changes is None:
--- a/saltcourse/gossip/settings.py
+++ b/saltcourse/gossip/settings.py
@@ -59,7 +59,7 @@
 class NodeSettings:
     """All that a node needs to know at its start."""
 
-    me: MemberRecord  # with a ``process_id`` drawn at this start; the incarnation may be 0
+    own_record: MemberRecord  # with a ``process_id`` drawn at this start; the incarnation may be 0
     seeds: tuple[Address, ...]  # asked for the member table at the start, and again while nobody is known
     voters: tuple[Voter, ...]
     key: bytes  # shared by all members; authenticates each datagram
--- a/saltcourse/gossip/snapshot_receiver.py
+++ b/saltcourse/gossip/snapshot_receiver.py
@@ -4,7 +4,7 @@
 
 from collections import Counter
 
-from saltcourse.gossip.configuration import Configuration, Outcome, Relation
+from saltcourse.gossip.configuration import ApplyOutcome, FleetConfiguration, PositionRelation
 from saltcourse.gossip.fetching import Fetcher
 from saltcourse.gossip.messages import MAX_CONFIGURATION_BYTES, Address, Send, SnapshotPart
 from saltcourse.gossip.settings import Timing
@@ -19,7 +19,7 @@
     """
 
     def __init__(
-        self, timing: Timing, configuration: Configuration, fetcher: Fetcher, counters: Counter[str]
+        self, timing: Timing, configuration: FleetConfiguration, fetcher: Fetcher, counters: Counter[str]
     ) -> None:
         self._timing = timing
         self._configuration = configuration
@@ -65,7 +65,7 @@
 
     def _fault_of(self, part: SnapshotPart) -> PartFault | None:
         relation = self._configuration.relate(part.position)
-        if relation is not Relation.AHEAD:
+        if relation is not PositionRelation.AHEAD:
             return PartFault[relation.name]
         if part.size > MAX_CONFIGURATION_BYTES:
             return PartFault.TOO_LARGE
@@ -104,11 +104,11 @@
     def _finish(self, now: float, source: Address, transfer: SnapshotTransfer) -> list[Send]:
         self._transfer = None
         checkpoint = transfer.assembly.checkpoint()
-        outcome = Outcome.INVALID
+        outcome = ApplyOutcome.INVALID
         if checkpoint.digest == transfer.assembly.digest:
             outcome = self._configuration.load(checkpoint)
         self._counters[f"snapshot_{outcome.name.lower()}"] += 1
-        if outcome is Outcome.INVALID:
+        if outcome is ApplyOutcome.INVALID:
             self._fetcher.retry_later(now, avoid=source)
             return []
         return self._fetch_more(now)
--- a/saltcourse/gossip/sources.py
+++ b/saltcourse/gossip/sources.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from saltcourse.gossip.configuration import Configuration
+from saltcourse.gossip.configuration import FleetConfiguration
 from saltcourse.gossip.messages import Address, Position
 
 MAX_SOURCES = 8
@@ -26,10 +26,10 @@
 class Sources:
     """Claims by the address of their member."""
 
-    def __init__(self, lifetime: float, random: Random) -> None:
+    def __init__(self, lifetime: float, rng: Random) -> None:
         """``lifetime``: seconds for which a claim counts when it is not repeated."""
         self._lifetime = lifetime
-        self._random = random
+        self._rng = rng
         self._claims: dict[Address, Claim] = {}  # in the order of their last announcements
 
     def __len__(self) -> int:
@@ -43,7 +43,7 @@
         if len(self._claims) > MAX_SOURCES:
             del self._claims[next(iter(self._claims))]
 
-    def prune(self, now: float, configuration: Configuration) -> None:
+    def prune(self, now: float, configuration: FleetConfiguration) -> None:
         """Forget claims that expired, or that this member has caught up with."""
         if not self._claims:
             return
@@ -61,7 +61,7 @@
     def choose(self, exclude: Address | None) -> Address | None:
         """A random one of them, ``exclude`` left out."""
         addresses = [address for address in self._claims if address != exclude]
-        return self._random.choice(addresses) if addresses else None
+        return self._rng.choice(addresses) if addresses else None
 
     def next_deadline(self) -> float:
         """When the first claim expires."""
--- a/saltcourse/gossip/store.py
+++ b/saltcourse/gossip/store.py
@@ -34,9 +34,9 @@
     After a failed ``save`` nobody knows what is on the disk: the store is closed, and the voter must end.
     """
 
-    def __init__(self, file: Path, me: str) -> None:
+    def __init__(self, file: Path, own_name: str) -> None:
         self.file = file
-        self.me = me
+        self.own_name = own_name
         self._saved: ReplicaState | None = None  # what the tables hold; None: not loaded yet
         try:
             self._open()
@@ -55,8 +55,8 @@
             accepted = self._load_accepted()
         except sqlite3.Error as error:
             raise self._error(str(error)) from None
-        if member != self.me:
-            raise self._error(f"holds the state of {member}, not of {self.me}")
+        if member != self.own_name:
+            raise self._error(f"holds the state of {member}, not of {self.own_name}")
         state = ReplicaState(promised, Position(epoch, version), configuration, accepted)
         if digest != _digest(member, state):
             raise self._error("torn: the digest does not fit")
@@ -75,7 +75,13 @@
             committed = state.committed
             self._db.execute(
                 "INSERT OR REPLACE INTO replica VALUES (1, ?, ?, ?, ?, ?)",
-                (self.me, state.promised, committed.epoch, committed.version, _digest(self.me, state)),
+                (
+                    self.own_name,
+                    state.promised,
+                    committed.epoch,
+                    committed.version,
+                    _digest(self.own_name, state),
+                ),
             )
             self._db.execute("COMMIT")
         except sqlite3.Error as error:
--- a/saltcourse/gossip/table_sync.py
+++ b/saltcourse/gossip/table_sync.py
@@ -55,7 +55,7 @@
         table: MemberTable,
         seeds: tuple[Address, ...],
         timing: Timing,
-        source: random.Random,
+        rng: random.Random,
         sample: Callable[[int], list[MemberRecord]],
     ) -> None:
         self.pages_sent = 0
@@ -63,7 +63,7 @@
         self._table = table
         self._seeds = tuple(seed for seed in seeds if seed != table.own.address)
         self._interval = timing.sync_interval
-        self._random = source
+        self._rng = rng
         self._sample = sample
         self._session: SyncSession | None = None
         self._next_interval = FIRST_SYNC
@@ -120,7 +120,7 @@
         return len(self._table.live_ids) == 0
 
     def _join(self, now: float) -> list[Send]:
-        seeds = self._random.sample(self._seeds, min(JOIN_SEEDS, len(self._seeds)))
+        seeds = self._rng.sample(self._seeds, min(JOIN_SEEDS, len(self._seeds)))
         self._join_at = now + self._jittered(JOIN_INTERVAL)
         self._session = SyncSession(True, 0, tuple(seeds), now + PAGE_TIMEOUT + JOIN_INTERVAL)
         return [self._request(seed, self._session) for seed in seeds]
@@ -133,7 +133,7 @@
         """Compare with a seed that is not a live member. Looks through these, once in SEED_INTERVAL."""
         if not self._seeds:
             return []
-        seed = self._random.choice(self._seeds)
+        seed = self._rng.choice(self._seeds)
         if any(record.address == seed for record in self._table.live()):
             return []
         return self.compare_with(now, seed)
@@ -157,7 +157,7 @@
         return Send(peer, SyncRequest(session.cursor, digests), Priority.BULK)
 
     def _jittered(self, interval: float) -> float:
-        return interval * self._random.uniform(1 - JITTER, 1 + JITTER)
+        return interval * self._rng.uniform(1 - JITTER, 1 + JITTER)
 
     # ---- answering --------------------------------------------------------------------------------
 
--- a/saltcourse/gossip/takeover_timer.py
+++ b/saltcourse/gossip/takeover_timer.py
@@ -15,12 +15,12 @@
 
 
 class TakeoverTimer:
-    """Times on the caller's clock. Draws from the member's random source."""
+    """Times on the caller's clock. Draws from the member's random number generator."""
 
-    def __init__(self, index: int, takeover_after: float, source: random.Random) -> None:
+    def __init__(self, index: int, takeover_after: float, rng: random.Random) -> None:
         self._stagger = index * TAKEOVER_STAGGER_SECONDS
         self._takeover_after = takeover_after
-        self._random = source
+        self._rng = rng
         self._takeover_at = 0.0
         self._attempt_at = 0.0
         self._failures = 0  # step-downs since the last commit
@@ -32,12 +32,12 @@
 
     def publisher_seen(self, now: float) -> None:
         """A publisher or a candidate showed itself: the time until a takeover begins anew."""
-        stagger = self._stagger + self._random.uniform(0, TAKEOVER_STAGGER_SECONDS)
+        stagger = self._stagger + self._rng.uniform(0, TAKEOVER_STAGGER_SECONDS)
         self._takeover_at = now + self._takeover_after + stagger
 
     def back_off(self, now: float) -> None:
         """This voter stepped down: waiting changes are tried again after a randomised backoff."""
-        self._attempt_at = now + self._random.uniform(0.5, 1.5) * backoff_seconds(self._failures)
+        self._attempt_at = now + self._rng.uniform(0.5, 1.5) * backoff_seconds(self._failures)
         self._failures += 1
         self.publisher_seen(now)
 
--- a/saltcourse/gossip/unknown_senders.py
+++ b/saltcourse/gossip/unknown_senders.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from saltcourse.gossip.budget import TokenBucket
+from saltcourse.gossip.token_bucket import TokenBucket
 
 ACKS_PER_SECOND = 100.0  # to all unknown senders together
 PAGES_PER_SECOND = 20.0  # of the member table, sent to them and requested from them
--- a/saltcourse/gossip/voter_set.py
+++ b/saltcourse/gossip/voter_set.py
@@ -7,12 +7,12 @@
 
 
 class VoterSet:
-    """All voters, in the same order at each member; ``me`` is one of them."""
+    """All voters, in the same order at each member; ``own_voter`` is one of them."""
 
-    def __init__(self, me: Voter, voters: tuple[Voter, ...]) -> None:
-        self.me = me
-        self.index = voters.index(me)
-        self.others = tuple(voter for voter in voters if voter != me)
+    def __init__(self, own_voter: Voter, voters: tuple[Voter, ...]) -> None:
+        self.own_voter = own_voter
+        self.index = voters.index(own_voter)
+        self.others = tuple(voter for voter in voters if voter != own_voter)
         self._voters = voters
         self._ids = tuple(voter.id for voter in voters)
 
--- a/saltcourse/gossip/zone_silence.py
+++ b/saltcourse/gossip/zone_silence.py
@@ -62,11 +62,11 @@
 class ZoneSilence:
     """What this member knows of each zone's silence."""
 
-    def __init__(self, timing: Timing, source: random.Random, table: MemberTable) -> None:
+    def __init__(self, timing: Timing, rng: random.Random, table: MemberTable) -> None:
         self._silence = timing.zone_silence
         self._answer_time = timing.probe_interval  # that a check has
         self._check_interval = timing.probe_interval / CHECKS_PER_INTERVAL
-        self._random = source
+        self._rng = rng
         self._table = table
         self._zones: dict[str, ZoneWatch] = {}
         self._last_contact_at = 0.0
@@ -166,11 +166,11 @@
         """Return one member to ping; often none where the zone is small: the whole fleet does the same."""
         live = self._table.zones[name].live
         share = CHECKS_PER_MEMBER / CHECKS_PER_INTERVAL * len(live) / self._table.size
-        if self._random.random() >= share:
+        if self._rng.random() >= share:
             return []
         chosen = None
         for _ in range(CHECK_TRIES):
-            member = live.choose(self._random)
+            member = live.choose(self._rng)
             if self._table.members[member].status is Status.ALIVE:
                 chosen = member
                 if member not in zone.checked:
@@ -186,7 +186,7 @@
     def _choose_anyone(self) -> list[MemberId]:
         """Return a member that should answer: silence may be chance in a small fleet that is half cut off."""
         for _ in range(CHECK_TRIES if len(self._table.live_ids) else 0):
-            member = self._table.live_ids.choose(self._random)
+            member = self._table.live_ids.choose(self._rng)
             record = self._table.members[member].record
             if record.status is Status.ALIVE and self.is_reachable(record.zone):
                 return [member]
--- a/saltcourse/proxy/companion.py
+++ b/saltcourse/proxy/companion.py
@@ -37,11 +37,11 @@
     """The companion that makes the proxy a member of a fleet with gossip."""
 
     @property
-    def answers(self) -> GossipHandler | None:
+    def gossip_handler(self) -> GossipHandler | None:
         """The calls at the admin address that it answers; None before its start."""
 
     def attach(self, program: HostProgram) -> None:
         """Before its start: ``program`` tells its connections, and takes over a changed configuration."""
 
-    def figures(self) -> dict[str, int]:
+    def gauges(self) -> dict[str, int]:
         """Its gauges, by name."""
--- a/saltcourse/proxy/server.py
+++ b/saltcourse/proxy/server.py
@@ -322,13 +322,13 @@
             self._enter(Phase.SERVING)
         return True
 
-    def figures_text(self) -> bytes:
+    def metrics_text(self) -> bytes:
         """The metrics in statsd's line format."""
         return self.metrics.text()
 
     def _gauges(self) -> dict[str, int]:
         shared_state = self.dispatcher.shared_state_gauges() if self.peers is not None else {}
-        gossip = self._gossip.figures() if self._gossip is not None else {}
+        gossip = self._gossip.gauges() if self._gossip is not None else {}
         return {
             "concurrent": self.connections(),
             **self.dispatcher.backend_gauges(),
@@ -344,7 +344,7 @@
     @property
     def gossip_handler(self) -> GossipHandler | None:
         """What answers the gossip commands, where there is such a member."""
-        return self._gossip.answers if self._gossip is not None else None
+        return self._gossip.gossip_handler if self._gossip is not None else None
 
     def supports(self, command: Command) -> bool:
         """Whether the program has what the command is for."""
--- a/tests/admin/test_commands.py
+++ b/tests/admin/test_commands.py
@@ -39,7 +39,7 @@
     def ready(self) -> bool:
         return self.is_ready
 
-    def figures_text(self) -> bytes:
+    def metrics_text(self) -> bytes:
         return b"svc.concurrent:0|g\n"
 
     def lameduck(self, on: bool) -> bool:
--- a/tests/gossip/dissemination_fleet.py
+++ b/tests/gossip/dissemination_fleet.py
@@ -13,7 +13,7 @@
 
 from saltcourse.emulator.simnet import Host, Link, Network
 from saltcourse.gossip.codec import Codec
-from saltcourse.gossip.configuration import Configuration
+from saltcourse.gossip.configuration import FleetConfiguration
 from saltcourse.gossip.dissemination import Dissemination
 from saltcourse.gossip.messages import (
     PACKET_OVERHEAD_BYTES,
@@ -120,7 +120,7 @@
         link: Link | None = None,
         voters: int = 3,
         timing: Timing | None = None,
-        configuration: Callable[[], Configuration] = Configuration,
+        configuration: Callable[[], FleetConfiguration] = FleetConfiguration,
         probes: bool = True,
     ) -> None:
         self.random = Random(seed)
--- a/tests/gossip/dissemination_schedule.py
+++ b/tests/gossip/dissemination_schedule.py
@@ -8,7 +8,7 @@
 
 from saltcourse.emulator.simnet import Link
 from saltcourse.gossip.configuration import (
-    Configuration,
+    FleetConfiguration,
 )
 from saltcourse.gossip.messages import (
     Freshness,
@@ -24,7 +24,7 @@
     voters = 3
     length = 25.0
 
-    def __init__(self, seed: int, configuration: type[Configuration]) -> None:
+    def __init__(self, seed: int, configuration: type[FleetConfiguration]) -> None:
         self.random = Random(seed)
         delay = self.random.choice([(0.0002, 0.004), (0.001, 0.3)])  # the latter reorders much
         link = Link(delay=delay, loss=self.random.choice([0.0, 0.01, 0.1]), double=0.1)
--- a/tests/gossip/golden.py
+++ b/tests/gossip/golden.py
@@ -18,7 +18,7 @@
 from saltcourse.emulator.simnet import Network
 from saltcourse.gossip import messages as m
 from saltcourse.gossip.codec import SCHEMA_BY_TYPE
-from saltcourse.gossip.configuration import Configuration
+from saltcourse.gossip.configuration import FleetConfiguration
 from saltcourse.gossip.node import Node
 from tests.gossip import dissemination_schedule, membership_fleet
 
@@ -164,7 +164,7 @@
     """One random schedule of faults for the dissemination alone: each message, and each last state."""
     history = History()
     with sends_recorded(history):
-        fleet = dissemination_schedule.Schedule(seed, Configuration).play()
+        fleet = dissemination_schedule.Schedule(seed, FleetConfiguration).play()
     for member in fleet.live():
         history.add(member.record.name, member.applied, member.freshness, member.sent_bytes)
     return history.digest()
--- a/tests/gossip/membership_fleet.py
+++ b/tests/gossip/membership_fleet.py
@@ -195,11 +195,11 @@
     def _send(self, host: Host, sends: list[Send]) -> None:
         self.changes += [(self.now, host, change) for change in host.membership.take_changes()]
         for send in sends:
-            header = header_of(host.membership.me)
+            header = header_of(host.membership.own_record)
             datagram = CODEC.encode(header, send.message)
             arriving = CODEC.decode(datagram) if self.through_codec else (header, send.message)
             receiver = self.by_address.get(send.destination)
-            if receiver is None or self.is_cut(host.membership.me, receiver.membership.me):
+            if receiver is None or self.is_cut(host.membership.own_record, receiver.membership.own_record):
                 continue
             if self.log is not None:
                 self.log.append((self.now, host.address, send))
@@ -229,7 +229,7 @@
         """What the others believe of one member."""
         found: Counter[Status | None] = Counter()
         for host in self.running():
-            if host.membership.me.id != record.id:
+            if host.membership.own_record.id != record.id:
                 entry = host.membership.members.get(record.id)
                 found[None if entry is None else entry.status] += 1
         return found
@@ -240,7 +240,7 @@
     def is_whole(self) -> bool:
         """Everyone holds everyone that runs for alive, with the record that it has now."""
         running = self.running()
-        wanted = {host.membership.me.id: host.membership.me for host in running}
+        wanted = {host.membership.own_record.id: host.membership.own_record for host in running}
         for host in running:
             held = {
                 member: entry.record
--- a/tests/gossip/site.py
+++ b/tests/gossip/site.py
@@ -101,7 +101,7 @@
         voters = tuple(Voter(f"c{i}", self.addresses[f"c{i}"]) for i in range(self.controls))
         address = self.addresses[name]
         return GossipSettings(
-            me=name,
+            own_name=name,
             listen=address,
             advertise=address,
             region="here",
--- a/tests/gossip/test_aggregation.py
+++ b/tests/gossip/test_aggregation.py
@@ -13,7 +13,7 @@
 from saltcourse.gossip.aggregation import (
     CHILD_INTERVALS,
     FAN_IN,
-    MAX_COUNT,
+    MAX_U32,
     MAX_ZONES,
     SUM_LIFETIME,
     Aggregation,
@@ -253,7 +253,7 @@
 
 def test_the_highest_sequence_is_waited_out() -> None:
     part, me = aggregation_of(), record_of(1)
-    part.receive(0.0, ZoneSum("a", MAX_COUNT, 1, 1))
+    part.receive(0.0, ZoneSum("a", MAX_U32, 1, 1))
     assert part.tick(1.0, me, ()) == ([], None)
     _, update = part.tick(SUM_LIFETIME + 1.0, me, ())
     assert update == ZoneSum("a", 1, 1, 0)
@@ -272,7 +272,7 @@
     assert part.tick(1.0, me, (record_of(2),)) == ([], None)
 
 
-@pytest.mark.parametrize("connections, counted", [(-5, 0), (7, 7), (2**40, MAX_COUNT)])
+@pytest.mark.parametrize("connections, counted", [(-5, 0), (7, 7), (2**40, MAX_U32)])
 def test_counts_stay_within_their_fields(connections: int, counted: int) -> None:
     part = aggregation_of()
     part.set_count(connections)
@@ -285,9 +285,9 @@
     part = aggregation_of()
     part.tick(0.0, ordered[0], tuple(ordered[1:]))
     for child in ordered[1:]:
-        part.handle(1.0, Header(child.id, 0, 1), Tally("a", MAX_COUNT, MAX_COUNT))
+        part.handle(1.0, Header(child.id, 0, 1), Tally("a", MAX_U32, MAX_U32))
     _, update = part.tick(2.0, ordered[0], tuple(ordered[1:]))
-    assert update is not None and (update.members, update.connections) == (MAX_COUNT, MAX_COUNT)
+    assert update is not None and (update.members, update.connections) == (MAX_U32, MAX_U32)
 
 
 def test_the_zone_is_looked_through_only_when_it_has_changed() -> None:
--- a/tests/gossip/test_configuration.py
+++ b/tests/gossip/test_configuration.py
@@ -13,10 +13,10 @@
     CHECKPOINT_INTERVAL,
     CHECKPOINTS_KEPT,
     MAX_LOG_CHANGES,
+    ApplyOutcome,
     Checkpoint,
-    Configuration,
-    Outcome,
-    Relation,
+    FleetConfiguration,
+    PositionRelation,
 )
 from saltcourse.gossip.messages import (
     MAX_CHANGE_BYTES,
@@ -34,14 +34,14 @@
     return Change(Position(epoch, version), writes or ((f"key{version % 10}", b"%d" % version),))
 
 
-def configuration_at(version: int, epoch: int = 1) -> Configuration:
-    configuration = Configuration()
+def configuration_at(version: int, epoch: int = 1) -> FleetConfiguration:
+    configuration = FleetConfiguration()
     for number in range(1, version + 1):
-        assert configuration.apply(change(epoch, number)) is Outcome.APPLIED
+        assert configuration.apply(change(epoch, number)) is ApplyOutcome.APPLIED
     return configuration
 
 
-def state_of(configuration: Configuration) -> tuple[Position, dict[str, bytes], dict[str, int]]:
+def state_of(configuration: FleetConfiguration) -> tuple[Position, dict[str, bytes], dict[str, int]]:
     return configuration.position, dict(configuration), configuration.figures()
 
 
@@ -49,7 +49,7 @@
 
 
 def test_a_change_is_applied_whole_and_tells_the_keys_that_it_touched() -> None:
-    configuration = Configuration()
+    configuration = FleetConfiguration()
     configuration.apply(change(1, 1, ("b", b"1"), ("a", b"2")))
     assert configuration.take_changed_keys() == ("a", "b")
     configuration.apply(change(1, 2, ("b", None), ("c", b""), ("absent", None)))
@@ -63,28 +63,28 @@
 @pytest.mark.parametrize(
     ("position", "outcome"),
     [
-        (Position(3, 11), Outcome.APPLIED),
-        (Position(4, 11), Outcome.APPLIED),  # the next publisher
-        (Position(HIGHEST, 11), Outcome.APPLIED),
-        (Position(3, 12), Outcome.GAP),
-        (Position(HIGHEST, HIGHEST), Outcome.GAP),
-        (Position(2, 11), Outcome.STALE_EPOCH),
-        (Position(0, HIGHEST), Outcome.STALE_EPOCH),
-        (Position(3, 10), Outcome.DUPLICATE),
-        (Position(3, 1), Outcome.DUPLICATE),
-        (Position(0, 0), Outcome.DUPLICATE),
-        (Position(4, 10), Outcome.CONFLICT),
-        (Position(2, 10), Outcome.CONFLICT),
-        (Position(2, 4), Outcome.CONFLICT),
-        (Position(HIGHEST, 1), Outcome.CONFLICT),
-        (Position(1, 0), Outcome.CONFLICT),
+        (Position(3, 11), ApplyOutcome.APPLIED),
+        (Position(4, 11), ApplyOutcome.APPLIED),  # the next publisher
+        (Position(HIGHEST, 11), ApplyOutcome.APPLIED),
+        (Position(3, 12), ApplyOutcome.GAP),
+        (Position(HIGHEST, HIGHEST), ApplyOutcome.GAP),
+        (Position(2, 11), ApplyOutcome.STALE_EPOCH),
+        (Position(0, HIGHEST), ApplyOutcome.STALE_EPOCH),
+        (Position(3, 10), ApplyOutcome.DUPLICATE),
+        (Position(3, 1), ApplyOutcome.DUPLICATE),
+        (Position(0, 0), ApplyOutcome.DUPLICATE),
+        (Position(4, 10), ApplyOutcome.CONFLICT),
+        (Position(2, 10), ApplyOutcome.CONFLICT),
+        (Position(2, 4), ApplyOutcome.CONFLICT),
+        (Position(HIGHEST, 1), ApplyOutcome.CONFLICT),
+        (Position(1, 0), ApplyOutcome.CONFLICT),
     ],
 )
-def test_only_the_next_change_of_no_older_epoch_is_applied(position: Position, outcome: Outcome) -> None:
+def test_only_the_next_change_of_no_older_epoch_is_applied(position: Position, outcome: ApplyOutcome) -> None:
     configuration = configuration_at(10, epoch=3)
     before = state_of(configuration)
     assert configuration.apply(Change(position, (("key", b"new"),))) is outcome
-    if outcome is Outcome.APPLIED:
+    if outcome is ApplyOutcome.APPLIED:
         assert configuration.position == position and configuration["key"] == b"new"
     else:
         assert state_of(configuration) == before
@@ -92,42 +92,42 @@
 
 def test_an_old_position_that_the_log_has_dropped_is_judged_by_its_epoch() -> None:
     configuration = configuration_at(300, epoch=3)
-    assert configuration.relate(Position(3, 2)) is Relation.KNOWN
-    assert configuration.relate(Position(1, 2)) is Relation.KNOWN
-    assert configuration.relate(Position(4, 2)) is Relation.CONFLICT
+    assert configuration.relate(Position(3, 2)) is PositionRelation.KNOWN
+    assert configuration.relate(Position(1, 2)) is PositionRelation.KNOWN
+    assert configuration.relate(Position(4, 2)) is PositionRelation.CONFLICT
 
 
 def test_a_change_that_is_too_long_or_has_no_binary_form_is_refused() -> None:
     configuration = configuration_at(1)
     before = state_of(configuration)
     for writes in ((("k", bytes(MAX_CHANGE_BYTES)),), (("k" * 129, b""),), (("", b""),)):
-        assert configuration.apply(Change(Position(1, 2), writes)) is Outcome.TOO_LARGE
+        assert configuration.apply(Change(Position(1, 2), writes)) is ApplyOutcome.TOO_LARGE
     assert state_of(configuration) == before
 
 
 def test_the_configuration_is_bounded_exactly_by_its_encoded_size() -> None:
-    configuration = Configuration()
+    configuration = FleetConfiguration()
     version = 0
     while len(encode_configuration(configuration.items())) + 903 <= MAX_CONFIGURATION_BYTES:
         version += 1
         key = f"k{version:05}"
-        assert configuration.apply(change(1, version, (key, bytes(903 - 3 - 6)))) is Outcome.APPLIED
+        assert configuration.apply(change(1, version, (key, bytes(903 - 3 - 6)))) is ApplyOutcome.APPLIED
     room = MAX_CONFIGURATION_BYTES - len(encode_configuration(configuration.items()))
     next_version = version + 1
     too_large = change(1, next_version, ("last", bytes(room - 3 - 4 + 1)))
-    assert configuration.apply(too_large) is Outcome.TOO_LARGE
-    assert configuration.apply(change(1, next_version, ("last", bytes(room - 3 - 4)))) is Outcome.APPLIED
+    assert configuration.apply(too_large) is ApplyOutcome.TOO_LARGE
+    assert configuration.apply(change(1, next_version, ("last", bytes(room - 3 - 4)))) is ApplyOutcome.APPLIED
     assert len(encode_configuration(configuration.items())) == MAX_CONFIGURATION_BYTES
     # Full, it can still be altered, and shrinks.
     replaced = change(1, next_version + 1, ("k00001", None), ("k99999", bytes(800)))
-    assert configuration.apply(replaced) is Outcome.APPLIED
+    assert configuration.apply(replaced) is ApplyOutcome.APPLIED
 
 
 # ---- log and checkpoints -----------------------------------------------------------------------------
 
 
 def test_the_log_is_bounded_and_reaches_back_to_the_older_checkpoint() -> None:
-    configuration = Configuration()
+    configuration = FleetConfiguration()
     for version in range(1, 3 * MAX_LOG_CHANGES + 7):
         configuration.apply(change(1, version))
         figures = configuration.figures()
@@ -158,14 +158,14 @@
     by_changes = configuration_at(2 * CHECKPOINT_INTERVAL)
     first = by_changes.checkpoint_at(Position(1, CHECKPOINT_INTERVAL))
     assert first is not None
-    by_snapshot = Configuration()
-    assert by_snapshot.load(first) is Outcome.APPLIED
+    by_snapshot = FleetConfiguration()
+    assert by_snapshot.load(first) is ApplyOutcome.APPLIED
     assert by_snapshot.newest_checkpoint == first  # it can serve it itself
     for version in range(CHECKPOINT_INTERVAL + 1, 2 * CHECKPOINT_INTERVAL + 1):
         by_snapshot.apply(change(1, version))
     assert by_snapshot.newest_checkpoint == by_changes.newest_checkpoint
     items = tuple(reversed(list(by_changes.items())))
-    by_restore = Configuration()
+    by_restore = FleetConfiguration()
     by_restore.restore(ReplicaState(committed=by_changes.position, configuration=items))
     assert by_restore.newest_checkpoint == by_changes.newest_checkpoint
 
@@ -174,34 +174,34 @@
     source = configuration_at(CHECKPOINT_INTERVAL)
     checkpoint = source.newest_checkpoint
     assert checkpoint is not None
-    configuration = Configuration()
+    configuration = FleetConfiguration()
     configuration.apply(change(1, 1, ("gone", b"x"), ("key1", b"61")))
     configuration.take_changed_keys()
-    assert configuration.load(checkpoint) is Outcome.APPLIED
+    assert configuration.load(checkpoint) is ApplyOutcome.APPLIED
     assert dict(configuration) == dict(source) and configuration.position == source.position
     assert set(configuration.take_changed_keys()) == {"gone", *source} - {"key1"}  # it is 61 in both
     assert configuration.changes_after(1) is None
     assert configuration.changes_after(CHECKPOINT_INTERVAL) == []
-    assert configuration.apply(change(1, CHECKPOINT_INTERVAL + 1)) is Outcome.APPLIED
+    assert configuration.apply(change(1, CHECKPOINT_INTERVAL + 1)) is ApplyOutcome.APPLIED
 
 
 @pytest.mark.parametrize(
     ("position", "outcome"),
     [
-        (Position(3, 10), Outcome.DUPLICATE),
-        (Position(3, 9), Outcome.DUPLICATE),
-        (Position(2, 64), Outcome.STALE_EPOCH),
-        (Position(4, 10), Outcome.CONFLICT),
-        (Position(4, 9), Outcome.CONFLICT),
-        (Position(HIGHEST, HIGHEST), Outcome.APPLIED),
+        (Position(3, 10), ApplyOutcome.DUPLICATE),
+        (Position(3, 9), ApplyOutcome.DUPLICATE),
+        (Position(2, 64), ApplyOutcome.STALE_EPOCH),
+        (Position(4, 10), ApplyOutcome.CONFLICT),
+        (Position(4, 9), ApplyOutcome.CONFLICT),
+        (Position(HIGHEST, HIGHEST), ApplyOutcome.APPLIED),
     ],
 )
-def test_a_checkpoint_of_no_later_position_is_refused(position: Position, outcome: Outcome) -> None:
+def test_a_checkpoint_of_no_later_position_is_refused(position: Position, outcome: ApplyOutcome) -> None:
     configuration = configuration_at(10, epoch=3)
     before = state_of(configuration)
     checkpoint = Checkpoint.of(position, encode_configuration([("a", b"1")]))
     assert configuration.load(checkpoint) is outcome
-    assert (state_of(configuration) == before) == (outcome is not Outcome.APPLIED)
+    assert (state_of(configuration) == before) == (outcome is not ApplyOutcome.APPLIED)
 
 
 def test_bytes_that_are_no_canonical_configuration_are_refused() -> None:
@@ -210,18 +210,18 @@
     item = encode_configuration([("b", b"1")])
     unsorted = item + encode_configuration([("a", b"1")])
     for data in (item[:-1], unsorted, item + item, b"\xff" * 50, bytes(MAX_CONFIGURATION_BYTES + 1)):
-        assert configuration.load(Checkpoint.of(Position(1, 64), data)) is Outcome.INVALID
+        assert configuration.load(Checkpoint.of(Position(1, 64), data)) is ApplyOutcome.INVALID
         assert state_of(configuration) == before
 
 
 def test_a_member_at_the_highest_position_refuses_everything() -> None:
-    configuration = Configuration()
+    configuration = FleetConfiguration()
     configuration.restore(ReplicaState(committed=Position(HIGHEST, HIGHEST)))
-    assert configuration.apply(change(HIGHEST, HIGHEST)) is Outcome.DUPLICATE
-    assert configuration.apply(change(HIGHEST, HIGHEST - 1)) is Outcome.DUPLICATE
-    assert configuration.apply(change(1, HIGHEST)) is Outcome.CONFLICT
+    assert configuration.apply(change(HIGHEST, HIGHEST)) is ApplyOutcome.DUPLICATE
+    assert configuration.apply(change(HIGHEST, HIGHEST - 1)) is ApplyOutcome.DUPLICATE
+    assert configuration.apply(change(1, HIGHEST)) is ApplyOutcome.CONFLICT
     # A version beyond 32 bits is none.
-    assert configuration.apply(change(HIGHEST, HIGHEST + 1)) is Outcome.TOO_LARGE
+    assert configuration.apply(change(HIGHEST, HIGHEST + 1)) is ApplyOutcome.TOO_LARGE
 
 
 # ---- restore -----------------------------------------------------------------------------------------
@@ -229,19 +229,19 @@
 
 def test_a_restored_member_has_a_checkpoint_at_once_and_goes_on_from_it() -> None:
     items = (("a", b"1"), ("b", b"2"))
-    configuration = Configuration()
+    configuration = FleetConfiguration()
     configuration.restore(ReplicaState(committed=Position(5, 100), configuration=items))
     assert configuration.position == Position(5, 100) and dict(configuration) == dict(items)
     assert configuration.take_changed_keys() == ("a", "b")
     checkpoint = configuration.newest_checkpoint
     assert checkpoint is not None and checkpoint.position == Position(5, 100)
     assert configuration.changes_after(99) is None and configuration.changes_after(100) == []
-    assert configuration.apply(change(5, 101)) is Outcome.APPLIED
+    assert configuration.apply(change(5, 101)) is ApplyOutcome.APPLIED
     assert configuration.changes_after(100) == [change(5, 101)]
 
 
 def test_a_state_without_changes_and_an_older_one_restore_nothing() -> None:
-    configuration = Configuration()
+    configuration = FleetConfiguration()
     configuration.restore(ReplicaState(promised=7))
     assert configuration.position == Position() and configuration.newest_checkpoint is None
     assert configuration.changes_after(0) == []
@@ -278,13 +278,13 @@
             if value is not None:
                 values[key] = value
         states[changes[-1].position] = dict(values)
-    configuration = Configuration()
+    configuration = FleetConfiguration()
     for number, arrival in enumerate(arrivals):
         before = configuration.position
         offset = arrival if arrival >= 100 else before.version + arrival % 5 - 1
         if 0 <= offset < len(changes):
             outcome = configuration.apply(changes[offset])
-            assert (outcome is Outcome.APPLIED) == (offset == before.version)
+            assert (outcome is ApplyOutcome.APPLIED) == (offset == before.version)
         if number < len(strange):
             configuration.relate(strange[number])
         assert configuration.position.version == before.version + (configuration.position != before)
--- a/tests/gossip/test_dissemination_faults.py
+++ b/tests/gossip/test_dissemination_faults.py
@@ -10,8 +10,8 @@
 import pytest
 
 from saltcourse.gossip.configuration import (
-    Configuration,
-    Outcome,
+    ApplyOutcome,
+    FleetConfiguration,
 )
 from saltcourse.gossip.messages import (
     Change,
@@ -23,34 +23,34 @@
 SCHEDULES = 12
 
 
-class GapTwin(Configuration):
+class GapTwin(FleetConfiguration):
     """Broken: applies a change also where the one before it is missing."""
 
-    def check(self, change: Change) -> Outcome:
+    def check(self, change: Change) -> ApplyOutcome:
         outcome = super().check(change)
-        return Outcome.APPLIED if outcome is Outcome.GAP else outcome
+        return ApplyOutcome.APPLIED if outcome is ApplyOutcome.GAP else outcome
 
 
-class OlderTwin(Configuration):
+class OlderTwin(FleetConfiguration):
     """Broken: applies a change of an earlier position over a later one."""
 
-    def check(self, change: Change) -> Outcome:
+    def check(self, change: Change) -> ApplyOutcome:
         older = change.position.version < self.position.version
-        return Outcome.APPLIED if older else super().check(change)
+        return ApplyOutcome.APPLIED if older else super().check(change)
 
 
 def test_no_schedule_of_faults_breaks_a_rule() -> None:
     versions = 0
     snapshots = 0
     for seed in range(SCHEDULES):
-        fleet = Schedule(seed, Configuration).play()
+        fleet = Schedule(seed, FleetConfiguration).play()
         versions += fleet.position.version
         snapshots += sum(member.dissemination.figures().get("snapshot_applied", 0) for member in fleet.live())
     assert versions > SCHEDULES * 50 and snapshots > SCHEDULES  # they did something
 
 
 @pytest.mark.parametrize("broken", [GapTwin, OlderTwin])
-def test_schedules_find_a_broken_configuration(broken: type[Configuration]) -> None:
+def test_schedules_find_a_broken_configuration(broken: type[FleetConfiguration]) -> None:
     with pytest.raises(Violation, match="another configuration|went from"):
         for seed in range(SCHEDULES):
             Schedule(seed, broken).play()
@@ -58,7 +58,7 @@
 
 def test_one_seed_replays_everything() -> None:
     def trace() -> list[tuple[str, Position, int, int]]:
-        fleet = Schedule(2, Configuration).play()
+        fleet = Schedule(2, FleetConfiguration).play()
         return [
             (member.record.name, member.last_applied, member.sent_bytes, member.received_bytes)
             for member in fleet.live()
--- a/tests/gossip/test_faults.py
+++ b/tests/gossip/test_faults.py
@@ -6,7 +6,7 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import replace
 
-from saltcourse.app.gossip import create_host, figure_names
+from saltcourse.app.gossip import create_host, prefix_metric_names
 from saltcourse.gossip import messages as m
 from tests.gossip.site import QUICK, Site, until
 
@@ -121,7 +121,7 @@
             lambda: figure(site, "p5", "name_conflicts") > 0 and figure(site, "twin", "name_conflicts") > 0,
             "both know",
         )
-        assert figure_names(twin.figures())["gossip.name_conflicts"] > 0
+        assert prefix_metric_names(twin.figures())["gossip.name_conflicts"] > 0
 
     at_a_site(run)
 
--- a/tests/gossip/test_host.py
+++ b/tests/gossip/test_host.py
@@ -14,7 +14,7 @@
 import pytest
 from structlog.testing import capture_logs
 
-from saltcourse.app.gossip import figure_names
+from saltcourse.app.gossip import prefix_metric_names
 from saltcourse.gossip import messages as m
 from saltcourse.gossip.codec import Codec
 from saltcourse.gossip.errors import PersistError
@@ -73,7 +73,7 @@
 
             wanted = {"z0": 11, "z1": 11, "z2": 11}
             await until(lambda: all(sums(name) == wanted for name in site.hosts), "the sums")
-            assert figure_names(site.hosts["c0"].figures())["gossip.zone.z1.connections"] == 11
+            assert prefix_metric_names(site.hosts["c0"].figures())["gossip.zone.z1.connections"] == 11
             site.hosts["p5"].leave()
             left = site.hosts.pop("p5")
             await until(lambda: not left.is_open, "closed")
@@ -163,7 +163,7 @@
             }
             assert record.id not in host.node.membership.members
             assert host.node.dissemination.position == m.Position()
-            after = figure_names(host.figures())
+            after = prefix_metric_names(host.figures())
             assert after["gossip.dropped.authentication"] == 2
             assert after["gossip.datagrams.received"] >= 8
             assert after["gossip.bytes.received"] > before["bytes.received"]
--- a/tests/gossip/test_member_table.py
+++ b/tests/gossip/test_member_table.py
@@ -186,9 +186,9 @@
         lone.run(lone.now + pause)
         lone.receive(sender, message)
         check_indexes(lone.membership)
-        assert incarnation <= lone.membership.me.incarnation <= MAX_INCARNATION
-        incarnation = lone.membership.me.incarnation
-        assert lone.membership.me.name == lone.me.name and lone.membership.me.status is ALIVE
+        assert incarnation <= lone.membership.own_record.incarnation <= MAX_INCARNATION
+        incarnation = lone.membership.own_record.incarnation
+        assert lone.membership.own_record.name == lone.me.name and lone.membership.own_record.status is ALIVE
     assert all(send_size(send) <= MAX_DATAGRAM_BYTES for send in lone.sends)
 
 
--- a/tests/gossip/test_membership.py
+++ b/tests/gossip/test_membership.py
@@ -98,9 +98,9 @@
     crashed = fleet.now
     bound = TIMING.suspicion_multiplier * math.log10(30) * TIMING.probe_interval
     fleet.run(crashed + bound - 0.5)
-    assert fleet.statuses(gone.membership.me)[DEAD] == 0
+    assert fleet.statuses(gone.membership.own_record)[DEAD] == 0
     fleet.run(crashed + bound + 5.0)
-    assert set(fleet.statuses(gone.membership.me)) == {DEAD}
+    assert set(fleet.statuses(gone.membership.own_record)) == {DEAD}
     assert fleet.figure("dead") == 29
 
 
@@ -110,11 +110,11 @@
     leaver = fleet.hosts[3]
     fleet._send(leaver, leaver.membership.leave(fleet.now))
     fleet.run(fleet.now + 3.0)
-    assert set(fleet.statuses(leaver.membership.me)) == {LEFT}
-    assert leaver.membership.me.incarnation == 0
+    assert set(fleet.statuses(leaver.membership.own_record)) == {LEFT}
+    assert leaver.membership.own_record.incarnation == 0
     fleet.crash(leaver)
     fleet.run(fleet.now + 15.0)
-    assert set(fleet.statuses(leaver.membership.me)) == {LEFT}
+    assert set(fleet.statuses(leaver.membership.own_record)) == {LEFT}
 
 
 @pytest.mark.parametrize("seed", [1, 2])
@@ -133,13 +133,13 @@
     sleeper = fleet.hosts[9]
     fleet.stop(sleeper)
     fleet.run(fleet.now + 60.0)
-    assert set(fleet.statuses(sleeper.membership.me)) == {DEAD}
+    assert set(fleet.statuses(sleeper.membership.own_record)) == {DEAD}
     fleet.go_on(sleeper)
     fleet.run_until_whole(20.0)
     fleet.run(fleet.now + 20.0)
     assert sleeper.membership.figures()["deaths"] == 0
     assert sleeper.membership.figures()["stalls"] == 1
-    assert sum(host.membership.me.incarnation for host in fleet.hosts if host is not sleeper) == 0
+    assert sum(host.membership.own_record.incarnation for host in fleet.hosts if host is not sleeper) == 0
 
 
 def test_a_restart_under_the_same_name_at_another_address() -> None:
@@ -148,10 +148,10 @@
     old = fleet.hosts[4]
     fleet.crash(old)
     fleet.run(fleet.now + 1.0)
-    new = replace(old.membership.me, address=("10.8.8.8", 7000), process_id=4711)
+    new = replace(old.membership.own_record, address=("10.8.8.8", 7000), process_id=4711)
     host = fleet.add(new, (record_of(0).address, record_of(1).address))
     fleet.run_until_whole(20.0)
-    assert host.membership.me.incarnation == 1
+    assert host.membership.own_record.incarnation == 1
     assert host.membership.figures()["name_conflicts"] == 0
 
 
@@ -163,7 +163,7 @@
     new = replace(record_of(777, "z0"), address=old.address)
     host = fleet.add(new, (record_of(0).address, record_of(1).address))
     fleet.run(fleet.now + 20.0)
-    assert set(fleet.statuses(old.membership.me)) == {DEAD}
+    assert set(fleet.statuses(old.membership.own_record)) == {DEAD}
     assert set(fleet.statuses(new)) == {ALIVE}
     assert host.membership.figures()["misaddressed_pings"] > 0
 
@@ -172,12 +172,12 @@
     """Two processes run under one name by mistake: the others must not be drawn into it."""
     fleet = fleet_of(30)
     first = fleet.hosts[4]
-    twin = replace(first.membership.me, address=("10.8.8.8", 7000), process_id=4711)
+    twin = replace(first.membership.own_record, address=("10.8.8.8", 7000), process_id=4711)
     second = fleet.add(twin, (record_of(0).address, record_of(1).address))
     fleet.run(fleet.now + 30.0)
-    assert max(first.membership.me.incarnation, second.membership.me.incarnation) <= 62
+    assert max(first.membership.own_record.incarnation, second.membership.own_record.incarnation) <= 62
     assert first.membership.figures()["name_conflicts"] + second.membership.figures()["name_conflicts"] > 0
-    assert sum(h.membership.me.incarnation for h in fleet.hosts if h not in (first, second)) == 0
+    assert sum(h.membership.own_record.incarnation for h in fleet.hosts if h not in (first, second)) == 0
 
 
 def test_one_seed_gives_one_history() -> None:
--- a/tests/gossip/test_model_broken_nodes.py
+++ b/tests/gossip/test_model_broken_nodes.py
@@ -22,7 +22,7 @@
 from saltcourse.emulator.gossip.world import KEY, NodeClass, World
 from saltcourse.emulator.invariants import InvariantError
 from saltcourse.gossip.codec import Codec
-from saltcourse.gossip.configuration import Configuration, Outcome
+from saltcourse.gossip.configuration import ApplyOutcome, FleetConfiguration
 from saltcourse.gossip.freshness import FreshnessMonitor
 from saltcourse.gossip.membership import Membership
 from saltcourse.gossip.messages import (
@@ -56,21 +56,21 @@
             play(seed, **SMALL)
 
 
-def patched_outcomes(monkeypatch: pytest.MonkeyPatch, outcome: Outcome) -> None:
+def patched_outcomes(monkeypatch: pytest.MonkeyPatch, outcome: ApplyOutcome) -> None:
     """Changes that are to be refused for this reason are applied."""
-    check = Configuration.check
+    check = FleetConfiguration.check
 
-    def broken(self: Configuration, change: Change) -> Outcome:
+    def broken(self: FleetConfiguration, change: Change) -> ApplyOutcome:
         found = check(self, change)
         older = change.position < self.position
-        applies = found is outcome and (older or outcome is not Outcome.DUPLICATE)
-        return Outcome.APPLIED if applies else found
+        applies = found is outcome and (older or outcome is not ApplyOutcome.DUPLICATE)
+        return ApplyOutcome.APPLIED if applies else found
 
-    monkeypatch.setattr(Configuration, "check", broken)
+    monkeypatch.setattr(FleetConfiguration, "check", broken)
 
 
 def test_schedules_find_a_node_that_goes_back(monkeypatch: pytest.MonkeyPatch) -> None:
-    patched_outcomes(monkeypatch, Outcome.DUPLICATE)
+    patched_outcomes(monkeypatch, ApplyOutcome.DUPLICATE)
     caught_by_schedules()
 
 
@@ -102,7 +102,7 @@
 
 
 def test_a_node_that_applies_a_change_over_a_gap_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    patched_outcomes(monkeypatch, Outcome.GAP)
+    patched_outcomes(monkeypatch, ApplyOutcome.GAP)
     with pytest.raises(InvariantError, match="another configuration"):
         offer_a_change_over_a_gap()
 
@@ -124,7 +124,7 @@
 
 
 def test_a_node_that_takes_a_change_of_an_older_epoch_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    patched_outcomes(monkeypatch, Outcome.STALE_EPOCH)
+    patched_outcomes(monkeypatch, ApplyOutcome.STALE_EPOCH)
     with pytest.raises(InvariantError, match="goes from"):
         offer_change_of_an_older_epoch()
 
--- a/tests/gossip/test_operator.py
+++ b/tests/gossip/test_operator.py
@@ -62,7 +62,7 @@
 
 def test_a_good_section_is_read_and_one_left_out_is_off(tmp_path: Path) -> None:
     settings = gossip(write(tmp_path))
-    assert (settings.me, settings.region, settings.zone) == ("c0", "north", "n1")
+    assert (settings.own_name, settings.region, settings.zone) == ("c0", "north", "n1")
     assert settings.listen == ("0.0.0.0", 7500) and settings.advertise == ("10.0.0.1", 7500)
     assert settings.role is Role.CONTROL and settings.is_voter
     assert settings.seeds == (("10.0.0.2", 7500),)  # without its own
@@ -77,7 +77,7 @@
     text = GOOD.replace('  me: "c0"\n', "").replace("  role: CONTROL\n", "")
     text = text.replace('  advertise: "10.0.0.1:7500"\n', "").replace("0.0.0.0", "10.0.0.9")
     settings = gossip(write(tmp_path, text), "proxy-7")
-    assert settings.me == "proxy-7" and settings.role is Role.PROXY and not settings.is_voter
+    assert settings.own_name == "proxy-7" and settings.role is Role.PROXY and not settings.is_voter
     assert settings.advertise == settings.listen == ("10.0.0.9", 7500)
     assert settings.bytes_per_s == 21_000
     text = text.replace("probe_interval_s: 2", "bytes_per_s: 5000")
--- a/tests/gossip/test_own_record.py
+++ b/tests/gossip/test_own_record.py
@@ -36,10 +36,10 @@
     other = record_of(1)
     lone = Lone(other, me=record_of(0, incarnation=4))
     lone.receive(other, Gossip((StatusUpdate(lone.me.id, 4, status),)))
-    assert lone.membership.me.incarnation == 5
+    assert lone.membership.own_record.incarnation == 5
     assert lone.figure("health") == 1
     gossip = [send.message for send in lone.run(1.0, answering(other)) if isinstance(send.message, Gossip)]
-    assert any(lone.membership.me in message.updates for message in gossip)
+    assert any(lone.membership.own_record in message.updates for message in gossip)
 
 
 def test_old_accusations_are_passed_over() -> None:
@@ -47,7 +47,7 @@
     lone = Lone(other, me=record_of(0, incarnation=4))
     old = replace(lone.me, incarnation=3, status=DEAD)
     lone.receive(other, Gossip((StatusUpdate(lone.me.id, 3, DEAD), old)))
-    assert lone.membership.me.incarnation == 4
+    assert lone.membership.own_record.incarnation == 4
 
 
 def test_two_accusations_in_a_second_raise_it_once_now_and_once_then() -> None:
@@ -55,9 +55,9 @@
     lone = Lone(other)
     lone.receive(other, Gossip((StatusUpdate(lone.me.id, 0, SUSPECT),)))
     lone.receive(other, Gossip((StatusUpdate(lone.me.id, 9, DEAD),)))
-    assert lone.membership.me.incarnation == 1
+    assert lone.membership.own_record.incarnation == 1
     lone.run(1.5, answering(other))
-    assert lone.membership.me.incarnation == 10
+    assert lone.membership.own_record.incarnation == 10
 
 
 def test_a_suspect_is_told_by_the_next_ping() -> None:
@@ -93,7 +93,7 @@
     other = record_of(1)
     lone = Lone(other, me=record_of(0, process_id=22))
     lone.receive(other, SyncReply((record_of(0, incarnation=7, process_id=11),), False))
-    assert lone.membership.me == record_of(0, incarnation=8, process_id=22)
+    assert lone.membership.own_record == record_of(0, incarnation=8, process_id=22)
     assert lone.figure("name_conflicts") == 0
 
 
@@ -104,9 +104,9 @@
         for lone, rival in ((one, two), (two, one)):
             lone.now = 0.05 * step
             lone.membership.tick(lone.now)
-            lone.receive(other, Gossip((rival.membership.me,)))
-            lone.receive(rival.membership.me, Gossip((rival.membership.me,)))
-    assert 5 <= one.membership.me.incarnation <= 22
+            lone.receive(other, Gossip((rival.membership.own_record,)))
+            lone.receive(rival.membership.own_record, Gossip((rival.membership.own_record,)))
+    assert 5 <= one.membership.own_record.incarnation <= 22
     assert one.figure("name_conflicts") > 0 and two.figure("name_conflicts") > 0
 
 
@@ -116,7 +116,7 @@
     for status in (SUSPECT, DEAD, LEFT):
         lone.now += 2
         lone.receive(other, Gossip((StatusUpdate(lone.me.id, MAX_INCARNATION, status),)))
-    assert lone.membership.me.incarnation == MAX_INCARNATION
+    assert lone.membership.own_record.incarnation == MAX_INCARNATION
     assert lone.figure("incarnations_exhausted") == 2
     for send in lone.run(lone.now + 5, answering(other)):
         send_size(send)
@@ -129,8 +129,8 @@
     lone = Lone(other)
     forged = replace(lone.me, address=("10.66.6.6", 666), zone="b", incarnation=3, process_id=9)
     lone.receive(other, Gossip((forged, replace(forged, status=DEAD))))
-    assert lone.membership.me == replace(lone.me, incarnation=4)
-    assert lone.membership.members[lone.me.id].record == lone.membership.me
+    assert lone.membership.own_record == replace(lone.me, incarnation=4)
+    assert lone.membership.members[lone.me.id].record == lone.membership.own_record
 
 
 def test_own_datagrams_that_come_back_are_passed_over() -> None:
--- a/tests/gossip/test_budget.py
+++ b/tests/gossip/test_token_bucket.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from saltcourse.gossip.budget import TokenBucket
+from saltcourse.gossip.token_bucket import TokenBucket
 
 
 def test_a_bucket_spends_what_it_holds_and_fills_at_its_rate():
--- a/tests/gossip/test_zone_silence.py
+++ b/tests/gossip/test_zone_silence.py
@@ -46,12 +46,12 @@
     """Also where most members hear nothing of so small a zone for seconds by chance."""
     fleet = fleet_of(count, zones=zones)
     fleet.changes.clear()
-    gone = [host for host in fleet.hosts if host.membership.me.zone == "z3"][:crashes]
+    gone = [host for host in fleet.hosts if host.membership.own_record.zone == "z3"][:crashes]
     for host in gone:
         fleet.crash(host)
     fleet.run(fleet.now + 25.0)  # with a comparison of tables at each: a broadcast may miss one
     for host in gone:
-        assert fleet.statuses(host.membership.me) == {DEAD: count - crashes}
+        assert fleet.statuses(host.membership.own_record) == {DEAD: count - crashes}
     assert not [change for _, _, change in fleet.changes if isinstance(change, ZoneReachability)]
 
 
@@ -78,7 +78,7 @@
     assert raised <= 2 and queued <= 2 * len(fleet.hosts)
     zones = [(host, c) for _, host, c in fleet.changes if isinstance(c, ZoneReachability)]
     for host in fleet.hosts:
-        other = "r1" if host.membership.me.region == "r0" else "r0"
+        other = "r1" if host.membership.own_record.region == "r0" else "r0"
         far = {"z1", "z3", "z5"} if other == "r1" else {"z0", "z2", "z4"}
         mine = [c for h, c in zones if h is host]
         assert {c.zone for c in mine if not c.reachable} == far
@@ -138,18 +138,18 @@
     fleet = fleet_of(30, zones=5)
     alone = fleet.hosts[6]
     others = alone.membership.live()
-    fleet.is_cut = lambda sender, receiver: alone.membership.me.id in (sender.id, receiver.id)
+    fleet.is_cut = lambda sender, receiver: alone.membership.own_record.id in (sender.id, receiver.id)
     fleet.changes.clear()
     fleet.run(fleet.now + 60.0)
     assert alone.membership.figures()["deaths"] == 0
     assert alone.membership.figures()["zones_unreachable"] == len({record.zone for record in others})
     before = alone.membership.figures()["broadcasts_queued"]
-    assert set(fleet.statuses(alone.membership.me)) == {DEAD}
+    assert set(fleet.statuses(alone.membership.own_record)) == {DEAD}
     fleet.is_cut = lambda sender, receiver: False
     fleet.run_until_whole(60.0)
     fleet.run(fleet.now + 10)
     assert fleet.figure("dead") == 0
-    assert alone.membership.me.incarnation == 1
+    assert alone.membership.own_record.incarnation == 1
     assert alone.membership.figures()["broadcasts_queued"] - before <= 10
 
 
