--- a/saltcourse/address_failover/authentication.py
+++ b/saltcourse/address_failover/authentication.py
@@ -6,8 +6,8 @@
 
 Replays: each process has an incarnation number and counts its datagrams. A receiver accepts a sequence number
 once, from the newest incarnation of its sender only, and only where the sender knew the receiver's own
-incarnation; so a recording from before the receiver's restart is void too. A sender that does not know it yet
-is sent a Hello.
+incarnation; so a recording from before the receiver's restart is no longer valid either. A sender that does
+not know it yet is sent a Hello.
 """
 
 from __future__ import annotations
@@ -59,7 +59,7 @@
 
 
 @dataclass(slots=True)
-class PeerState:
+class MemberProcess:
     """What is known of another member's process."""
 
     address: tuple[str, int]
@@ -89,7 +89,7 @@
     ) -> None:
         self.own_name = own_name
         self.incarnation = incarnation
-        self.peers = {name: PeerState(address) for name, address in peer_addresses.items()}
+        self.peers = {name: MemberProcess(address) for name, address in peer_addresses.items()}
         self.dropped: Counter[DropReason] = Counter()
         self._sequence = 0
         self.change_keys(keys)
@@ -105,8 +105,8 @@
         self._keys = {key_id(key): key for key in keys}
         self._signing_key_id = key_id(keys[0])
 
-    def seal(self, receiver: str, message: Message) -> bytes:
-        """The datagram that brings a message to a member."""
+    def sign(self, receiver: str, message: Message) -> bytes:
+        """The signed datagram that carries a message to a member."""
         self._sequence += 1
         datagram = pb.Datagram(
             version=SCHEMA_VERSION,
@@ -121,15 +121,15 @@
         tag = hmac.digest(self._keys[self._signing_key_id], body, "sha256")
         return MAGIC + self._signing_key_id + tag + body
 
-    def open(self, data: bytes, source: tuple[str, int]) -> AuthenticatedMessage | DropReason:
+    def verify(self, data: bytes, source: tuple[str, int]) -> AuthenticatedMessage | DropReason:
         """Verify a datagram that came from ``source``. Any bytes may come; what is dropped is counted."""
-        body = self._verify(data)
+        body = self._verify_signature(data)
         result = body if isinstance(body, DropReason) else self._read(body, source)
         if isinstance(result, DropReason):
             self.dropped[result] += 1
         return result
 
-    def _verify(self, data: bytes) -> bytes | DropReason:
+    def _verify_signature(self, data: bytes) -> bytes | DropReason:
         if not HEADER_LENGTH < len(data) <= MAX_DATAGRAM_LENGTH or not data.startswith(MAGIC):
             return DropReason.MALFORMED
         tag_start = len(MAGIC) + KEY_ID_LENGTH
@@ -154,7 +154,7 @@
             return DropReason.UNSUPPORTED
         return self._check_replay(peer, datagram) or AuthenticatedMessage(datagram.sender, message)
 
-    def _check_replay(self, peer: PeerState, datagram: pb.Datagram) -> DropReason | None:
+    def _check_replay(self, peer: MemberProcess, datagram: pb.Datagram) -> DropReason | None:
         if datagram.boot < peer.incarnation:
             return DropReason.STALE_INCARNATION
         if datagram.to_boot != self.incarnation:
--- a/saltcourse/address_failover/election.py
+++ b/saltcourse/address_failover/election.py
@@ -92,10 +92,18 @@
 
 
 class Election:
-    """One member's part in the election. ``seed`` spreads the candidacies of members with one priority."""
+    """One member's part in the election. ``seed`` spreads the candidacies of members with one priority.
+
+    ``can_announce`` is False for a member whose announcer has not reported yet that it is available.
+    """
 
     def __init__(
-        self, config: ElectionConfig, seed: int, now: float, recovered: RecoveredState = NOTHING_RECOVERED
+        self,
+        config: ElectionConfig,
+        seed: int,
+        now: float,
+        recovered: RecoveredState = NOTHING_RECOVERED,
+        can_announce: bool = True,
     ) -> None:
         self.config = config
         self.timing = config.timing
@@ -107,7 +115,7 @@
         self.random = random.Random(seed)
         self.promises = VoterPromises(config.own_name, config.timing.lease_duration, now, recovered)
         self.role = Role.FOLLOWER
-        self.can_announce = True
+        self.can_announce = can_announce
         self.term = 0  # of the candidacy or the lease
         self.transferred_term = 0  # the term of the lease that was transferred for this candidacy; 0: none
         self.grants = Grants(config.majority, config.timing.holder_lease)
--- a/saltcourse/address_failover/host.py
+++ b/saltcourse/address_failover/host.py
@@ -78,15 +78,16 @@
         self.announcer = announcer
         self.vote_store = vote_store
         self.clock = clock
-        self.lease_ends_at = 0.0
+        # The end of the lease that the address is announced under, as the election last extended it; 0: none.
+        self.announced_until = 0.0
         self._loop = asyncio.get_running_loop()
         self._socket: asyncio.DatagramTransport | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._hello_sent_at: dict[str, float] = {}
         self._drops_logged_at = self._loop.time()
-        self.election = Election(config, seed, clock(), _recovered_state(vote_store))
-        if announcer is not None:
-            self.election.can_announce = False  # until the announcer reports that it can
+        # With an announcer: not before that reports that it is available.
+        can_announce = announcer is None
+        self.election = Election(config, seed, clock(), _recovered_state(vote_store), can_announce)
 
     async def start(self, address: tuple[str, int]) -> None:
         """Listen and take part. Raises OSError when the address cannot be used."""
@@ -116,7 +117,7 @@
     @property
     def is_holder(self) -> bool:
         """Whether the lease is good at this moment."""
-        return self.clock() < self.lease_ends_at
+        return self.clock() < self.announced_until
 
     # ---- events -----------------------------------------------------------------------------------
 
@@ -127,7 +128,7 @@
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
         """Called by asyncio for each datagram."""
         source = addr[:2]
-        received = self.authenticator.open(data, source)
+        received = self.authenticator.verify(data, source)
         if isinstance(received, DropReason):
             self._on_dropped(received, source)
         elif not isinstance(received.message, Hello):
@@ -170,7 +171,7 @@
                 case AnnounceAddress(term):
                     self._announce(term)
                 case ExtendLease(until):
-                    self.lease_ends_at = until
+                    self.announced_until = until
                 case WithdrawAddress(term):
                     self._withdraw(term)
                 case LogEvent(event, member):
@@ -188,7 +189,7 @@
             self.announcer.announce(term)
 
     def _withdraw(self, term: int) -> None:
-        self.lease_ends_at = 0.0
+        self.announced_until = 0.0
         log.info("service address withdrawn", term=term)
         if self.announcer is not None:
             self.announcer.withdraw(term)
@@ -201,15 +202,15 @@
             self.vote_store.save(vote)
         except VoteStoreError as error:
             log.error("vote cannot be stored, member stopped", reason=str(error))
-            if self.announcer is not None and self.lease_ends_at:
+            if self.announcer is not None and self.announced_until:
                 self.announcer.withdraw(vote.term)
-            self.lease_ends_at = 0.0
+            self.announced_until = 0.0
             self.close()
             return False
         return True
 
     def _send_message(self, receiver: str, message: Message) -> None:
-        self._send(receiver, self.authenticator.seal(receiver, message))
+        self._send(receiver, self.authenticator.sign(receiver, message))
 
     def _send(self, receiver: str, data: bytes) -> None:
         if self._socket is not None and not self._socket.is_closing():
--- a/saltcourse/app/address_failover.py
+++ b/saltcourse/app/address_failover.py
@@ -55,7 +55,7 @@
         return None
     bgp, command = settings.bgp, settings.command
     if bgp is not None:
-        peering = Peering(bgp.asn, bgp.peer_asn, bgp.identifier, bgp.hold)
+        peering = Peering(bgp.asn, bgp.peer_asn, bgp.identifier, bgp.hold_time)
         return BgpAnnouncer(settings.service_address, bgp.next_hop, peering, bgp.route_servers, seed)
     if command is not None:
         return CommandAnnouncer(settings.service_address, command.arguments, command.timeout)
--- a/saltcourse/config/operator_address_failover.py
+++ b/saltcourse/config/operator_address_failover.py
@@ -45,14 +45,14 @@
 
 @dataclass(frozen=True, slots=True)
 class BgpSettings:
-    """How the address is announced by BGP. ``hold`` is the hold time in seconds."""
+    """How the address is announced by BGP. ``hold_time`` in seconds."""
 
     asn: int
     peer_asn: int
     identifier: str
     next_hop: str
     route_servers: tuple[Address, ...]
-    hold: int
+    hold_time: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -198,9 +198,9 @@
         )
         if len(set(route_servers)) != len(route_servers):
             self._file.reject(f"{key}.route_server", "one stands twice")
-        hold = MIN_HOLD_SECONDS
+        hold_time = MIN_HOLD_SECONDS
         if section.HasField("hold_s"):
-            hold = int(
+            hold_time = int(
                 self._file.number_between(f"{key}.hold_s", section.hold_s, MIN_HOLD_SECONDS, MAX_HOLD_SECONDS)
             )
         version = ipaddress.ip_address(service_address).version
@@ -210,7 +210,7 @@
             identifier=self._file.ip_address(f"{key}.identifier", section.identifier, 4),
             next_hop=self._file.ip_address(f"{key}.next_hop", section.next_hop, version),
             route_servers=route_servers,
-            hold=hold,
+            hold_time=hold_time,
         )
 
     def _read_command(self) -> CommandSettings:
--- a/tests/address_failover/test_authentication.py
+++ b/tests/address_failover/test_authentication.py
@@ -44,54 +44,58 @@
         DatagramAuthenticator("a", incarnation_a, [OLD], {"b": B}),
         DatagramAuthenticator("b", incarnation_b, [OLD], {"a": A}),
     )
-    assert b.open(a.seal("b", LeaseRenewal(1, 0.0)), A) is DropReason.UNKNOWN_INCARNATION
+    assert b.verify(a.sign("b", LeaseRenewal(1, 0.0)), A) is DropReason.UNKNOWN_INCARNATION
     assert (
-        a.open(b.seal("a", Hello()), B) is DropReason.UNKNOWN_INCARNATION
+        a.verify(b.sign("a", Hello()), B) is DropReason.UNKNOWN_INCARNATION
     )  # but its incarnation is known now
-    assert b.open(a.seal("b", Hello()), A) == AuthenticatedMessage("a", Hello())
+    assert b.verify(a.sign("b", Hello()), A) == AuthenticatedMessage("a", Hello())
     return a, b
 
 
 def test_every_message_comes_out_as_it_went_in_and_once() -> None:
     a, b = pair()
     for message in MESSAGES:
-        data = a.seal("b", message)
-        assert b.open(data, A) == AuthenticatedMessage("a", message)
-        assert b.open(data, A) is DropReason.REPLAYED
+        data = a.sign("b", message)
+        assert b.verify(data, A) == AuthenticatedMessage("a", message)
+        assert b.verify(data, A) is DropReason.REPLAYED
     assert b.dropped[DropReason.REPLAYED] == len(MESSAGES)
 
 
 def test_datagrams_that_overtake_one_another_are_taken_within_the_window() -> None:
     a, b = pair()
-    late = [a.seal("b", LeaseRenewal(1, float(i))) for i in range(70)]
-    assert b.open(late[-1], A) == AuthenticatedMessage("a", LeaseRenewal(1, 69.0))
+    late = [a.sign("b", LeaseRenewal(1, float(i))) for i in range(70)]
+    assert b.verify(late[-1], A) == AuthenticatedMessage("a", LeaseRenewal(1, 69.0))
     assert (
-        b.open(late[20], A) == AuthenticatedMessage("a", LeaseRenewal(1, 20.0))
-        and b.open(late[20], A) is DropReason.REPLAYED
+        b.verify(late[20], A) == AuthenticatedMessage("a", LeaseRenewal(1, 20.0))
+        and b.verify(late[20], A) is DropReason.REPLAYED
     )
-    assert b.open(late[2], A) is DropReason.REPLAYED  # too old to say
+    assert b.verify(late[2], A) is DropReason.REPLAYED  # too old to say
 
 
 def test_what_was_recorded_before_a_restart_of_either_side_is_void() -> None:
     a, b = pair()
-    recorded = a.seal("b", LeaseRelease(1))
+    recorded = a.sign("b", LeaseRelease(1))
     again = DatagramAuthenticator("b", 21, [OLD], {"a": A})
-    assert again.open(recorded, A) is DropReason.UNKNOWN_INCARNATION
+    assert again.verify(recorded, A) is DropReason.UNKNOWN_INCARNATION
     newer = DatagramAuthenticator("a", 11, [OLD], {"b": B})
-    assert newer.open(b.seal("a", Hello()), B) is DropReason.UNKNOWN_INCARNATION
-    assert b.open(newer.seal("b", LeaseRenewal(2, 0.0)), A) == AuthenticatedMessage("a", LeaseRenewal(2, 0.0))
-    assert b.open(recorded, A) is DropReason.STALE_INCARNATION
+    assert newer.verify(b.sign("a", Hello()), B) is DropReason.UNKNOWN_INCARNATION
+    assert b.verify(newer.sign("b", LeaseRenewal(2, 0.0)), A) == AuthenticatedMessage(
+        "a", LeaseRenewal(2, 0.0)
+    )
+    assert b.verify(recorded, A) is DropReason.STALE_INCARNATION
 
 
 def test_keys_are_changed_member_by_member_without_a_gap() -> None:
     a, b = pair()
     for who, keys in [(who, keys) for keys in ([OLD, NEW], [NEW, OLD], [NEW]) for who in (a, b)]:
         who.change_keys(keys)
-        assert b.open(a.seal("b", LeaseRenewal(1, 0.0)), A) == AuthenticatedMessage("a", LeaseRenewal(1, 0.0))
-        assert a.open(b.seal("a", LeaseRenewalAck(1, 0.0)), B) == AuthenticatedMessage(
+        assert b.verify(a.sign("b", LeaseRenewal(1, 0.0)), A) == AuthenticatedMessage(
+            "a", LeaseRenewal(1, 0.0)
+        )
+        assert a.verify(b.sign("a", LeaseRenewalAck(1, 0.0)), B) == AuthenticatedMessage(
             "b", LeaseRenewalAck(1, 0.0)
         )
-    assert b.open(pair()[0].seal("b", LeaseRenewal(1, 0.0)), A) is DropReason.UNKNOWN_KEY
+    assert b.verify(pair()[0].sign("b", LeaseRenewal(1, 0.0)), A) is DropReason.UNKNOWN_KEY
 
 
 @pytest.mark.parametrize(
@@ -102,14 +106,14 @@
     a, b = pair()
     with pytest.raises(InvalidKeysError, match=named):
         a.change_keys(keys)
-    assert b.open(a.seal("b", LeaseRelease(1)), A) == AuthenticatedMessage("a", LeaseRelease(1))
+    assert b.verify(a.sign("b", LeaseRelease(1)), A) == AuthenticatedMessage("a", LeaseRelease(1))
 
 
 def test_strangers_and_wrong_addresses_are_dropped() -> None:
     a, b = pair()
-    assert b.open(a.seal("b", LeaseRelease(1)), B) is DropReason.NOT_A_MEMBER
+    assert b.verify(a.sign("b", LeaseRelease(1)), B) is DropReason.NOT_A_MEMBER
     assert (
-        DatagramAuthenticator("c", 1, [OLD], {"a": A}).open(a.seal("b", LeaseRelease(1)), A)
+        DatagramAuthenticator("c", 1, [OLD], {"a": A}).verify(a.sign("b", LeaseRelease(1)), A)
         is DropReason.NOT_A_MEMBER
     )
 
@@ -117,9 +121,9 @@
 @given(st.integers(0, 200), st.integers(1, 255), st.binary(max_size=600))
 def test_no_byte_changed_and_no_junk_gets_through(at: int, flip: int, junk: bytes) -> None:
     a, b = pair()
-    data = bytearray(a.seal("b", VoteRequest(65, 1.5)))
+    data = bytearray(a.sign("b", VoteRequest(65, 1.5)))
     data[at % len(data)] ^= flip
-    assert isinstance(b.open(bytes(data), A), DropReason)
-    assert isinstance(b.open(junk, A), DropReason) and isinstance(
-        b.open(bytes(data[:HEADER_LENGTH]) + junk, A), DropReason
+    assert isinstance(b.verify(bytes(data), A), DropReason)
+    assert isinstance(b.verify(junk, A), DropReason) and isinstance(
+        b.verify(bytes(data[:HEADER_LENGTH]) + junk, A), DropReason
     )
--- a/tests/address_failover/test_golden_datagrams.py
+++ b/tests/address_failover/test_golden_datagrams.py
@@ -74,11 +74,11 @@
 def test_datagrams_are_written_as_ever() -> None:
     sender = DatagramAuthenticator("a", SENDER_INCARNATION, [KEY], {"b": RECEIVER_ADDRESS})
     sender.peers["b"].incarnation = RECEIVER_INCARNATION
-    written = [sender.seal("b", message).hex() for message, _ in GOLDEN]
+    written = [sender.sign("b", message).hex() for message, _ in GOLDEN]
     assert written == [data for _, data in GOLDEN]
 
 
 @pytest.mark.parametrize("message, data", GOLDEN)
 def test_datagrams_are_read_as_ever(message: Message, data: str) -> None:
     receiver = DatagramAuthenticator("b", RECEIVER_INCARNATION, [KEY], {"a": SENDER_ADDRESS})
-    assert receiver.open(bytes.fromhex(data), SENDER_ADDRESS) == AuthenticatedMessage("a", message)
+    assert receiver.verify(bytes.fromhex(data), SENDER_ADDRESS) == AuthenticatedMessage("a", message)
--- a/tests/config/test_operator.py
+++ b/tests/config/test_operator.py
@@ -22,7 +22,7 @@
     settings = address_failover(write_operator_file(tmp_path))
     assert settings.addresses["w"] == ("::1", 7001) and settings.timing.renewal_interval == pytest.approx(0.1)
     assert not settings.is_witness
-    assert settings.bgp is not None and settings.bgp.hold == 3 and settings.store_file is None
+    assert settings.bgp is not None and settings.bgp.hold_time == 3 and settings.store_file is None
     assert read_operator(write_operator_file(tmp_path, "# nothing\n"), "p").address_failover is None
     fleet = read_operator(write_operator_file(tmp_path, "fleet { term_s: 3 counts: true }"), "p").shared_state
     assert fleet is not None and (fleet.lease_term, fleet.clock_drift, fleet.share_connection_counts) == (
