--- a/saltcourse/app/control_member.py
+++ b/saltcourse/app/control_member.py
@@ -20,7 +20,7 @@
 from saltcourse.config import ConfigError
 from saltcourse.config.operator_gossip import SECTION, GossipSettings
 from saltcourse.gossip.admin import GossipAdminHandler
-from saltcourse.gossip.errors import PersistError, StoreError
+from saltcourse.gossip.errors import StoreError
 from saltcourse.gossip.host import LEAVE_GRACE, Host, StateStore
 from saltcourse.gossip.member_table import Member
 from saltcourse.gossip.messages import Address, ReplicaState, Status
@@ -31,24 +31,6 @@
 log = structlog.get_logger("saltcourse")
 
 
-class VoterStore:
-    """A voter's file, which raises the error that the host expects."""
-
-    def __init__(self, store: ReplicaStore) -> None:
-        self._store = store
-
-    def save(self, state: ReplicaState) -> None:
-        """Write the state; returns once it is on the disk. ``PersistError`` when it can't be stored."""
-        try:
-            self._store.save(state)
-        except StoreError as error:
-            raise PersistError(str(error)) from None
-
-    def close(self) -> None:
-        """Close the file."""
-        self._store.close()
-
-
 class ControlMember:
     """The program, which also answers at the operators' address."""
 
@@ -56,7 +38,7 @@
         self._settings = settings
         self._reread = reread
         self._stop = asyncio.Event()
-        self._failure: PersistError | None = None
+        self._failure: StoreError | None = None
         self._figures = Metrics(())
         self._figures.gauges = self._gauges
         self._host = self._create_host()
@@ -99,10 +81,10 @@
                 state = replica_store.load()
             except StoreError as error:
                 raise ConfigError(f"{SECTION}.store_file: {error}") from None
-            store = VoterStore(replica_store)
+            store = replica_store
         return create_host(self._settings, state, store, on_failure=self._on_failure)
 
-    def _on_failure(self, error: PersistError) -> None:
+    def _on_failure(self, error: StoreError) -> None:
         self._failure = error
         self._stop.set()
 
@@ -121,6 +103,7 @@
             return
         self._host.leave()
         log.info("gossip left", member=self._settings.own_name)
+        # The member still answers meanwhile, so that others learn of its departure though a datagram is lost.
         await asyncio.sleep(LEAVE_GRACE)
         self._host.close()
 
--- a/saltcourse/app/gossip.py
+++ b/saltcourse/app/gossip.py
@@ -14,7 +14,7 @@
 from saltcourse.config.operator_gossip import FILE_KEYS, SECTION, GossipSettings
 from saltcourse.config.overlay import ConfigurationSource
 from saltcourse.gossip.admin import GossipAdminHandler
-from saltcourse.gossip.errors import PersistError
+from saltcourse.gossip.errors import StoreError
 from saltcourse.gossip.host import Host, StateStore
 from saltcourse.gossip.messages import Applied, MemberRecord, ReplicaState
 from saltcourse.gossip.node import Node
@@ -58,7 +58,7 @@
     state: ReplicaState | None = None,
     store: StateStore | None = None,
     on_applied: Callable[[Applied], None] | None = None,
-    on_failure: Callable[[PersistError], None] | None = None,
+    on_failure: Callable[[StoreError], None] | None = None,
 ) -> Host:
     """Compose a member, which is not started yet; ``state`` and ``store`` are a voter's."""
     node = Node(node_settings(settings), random.Random(secrets.randbits(SEED_BITS)), state)
--- a/saltcourse/gossip/errors.py
+++ b/saltcourse/gossip/errors.py
@@ -5,8 +5,7 @@
     EncodeError             a record without a binary form; also a ValueError
     InvalidChangeError      an operator's change that can't be published
         ChangeTooLargeError
-    PersistError            a voter's state could not be stored
-    StoreError              a voter's file can't be used
+    StoreError              a voter's file can't be used, or its state not stored
 """
 
 from __future__ import annotations
@@ -48,9 +47,5 @@
     """More than ``MAX_CHANGE_BYTES`` or ``MAX_LIST_LENGTH`` keys."""
 
 
-class PersistError(GossipError):
-    """A voter's state could not be stored."""
-
-
 class StoreError(GossipError):
-    """A voter's file can't be used; the text names it and says why."""
+    """A voter's file can't be used, or its state not stored; the text names the file and says why."""
--- a/saltcourse/gossip/host.py
+++ b/saltcourse/gossip/host.py
@@ -15,7 +15,7 @@
 
 import structlog
 
-from saltcourse.gossip.errors import PersistError
+from saltcourse.gossip.errors import StoreError
 from saltcourse.gossip.event_log import EventLog
 from saltcourse.gossip.messages import (
     Action,
@@ -54,7 +54,7 @@
     """Where a voter's state survives a restart."""
 
     def save(self, state: ReplicaState) -> None:
-        """Returns when it is on the disk; ``PersistError`` when it can't be stored."""
+        """Returns when it is on the disk; ``StoreError`` when it can't be stored."""
 
     def close(self) -> None:
         """Release the file."""
@@ -77,7 +77,7 @@
         node: Node,
         store: StateStore | None = None,
         on_applied: Callable[[Applied], None] | None = None,
-        on_failure: Callable[[PersistError], None] | None = None,
+        on_failure: Callable[[StoreError], None] | None = None,
         clock: Callable[[], float] = boot_clock,
     ) -> None:
         self.node = node
@@ -240,7 +240,7 @@
             return True
         try:
             self._store.save(state)
-        except PersistError as error:
+        except StoreError as error:
             log.error("gossip state could not be stored; this member stops", reason=str(error))
             self.close()
             if self._on_failure is not None:
--- a/tests/gossip/test_host.py
+++ b/tests/gossip/test_host.py
@@ -17,7 +17,7 @@
 from saltcourse.app.gossip import prefix_metric_names
 from saltcourse.gossip import messages as m
 from saltcourse.gossip.codec import Codec
-from saltcourse.gossip.errors import PersistError
+from saltcourse.gossip.errors import StoreError
 from saltcourse.gossip.event_log import LOG_INTERVAL, EventLog
 from saltcourse.gossip.host import MAX_UNSENT_BYTES, Host
 from saltcourse.gossip.node import Node
@@ -223,7 +223,7 @@
         self.closed = False
 
     def save(self, state: m.ReplicaState) -> None:
-        raise PersistError("disk full")
+        raise StoreError("disk full")
 
     def close(self) -> None:
         self.closed = True
@@ -237,7 +237,7 @@
         address = receiver.getsockname()
         first, second = m.Transmit(address, b"before"), m.Transmit(address, b"after")
         node = ScriptedNode(first, m.Persist(m.ReplicaState()), second)
-        store, failures = FailingStore(), list[PersistError]()
+        store, failures = FailingStore(), list[StoreError]()
         host = Host(cast(Node, node), store, on_failure=failures.append)
         await host.start(("127.0.0.1", 0))
         with capture_logs() as logs:
