--- a/saltcourse/address_failover/vote_store.py
+++ b/saltcourse/address_failover/vote_store.py
@@ -18,10 +18,10 @@
 APPLICATION_ID = 0x53616C74  # "Salt", as SQLite's application_id
 FORMAT_VERSION = 1  # as SQLite's user_version
 # Columns keep their first names: ``voted`` is Vote.voted_for, ``promised`` is Vote.promised_to.
-CREATE_TABLE = (
+CREATE_TABLES = (
     "CREATE TABLE vote (one INTEGER PRIMARY KEY CHECK (one = 1), member TEXT NOT NULL,"
     " term INTEGER NOT NULL, voted TEXT NOT NULL, promised TEXT NOT NULL,"
-    " digest TEXT NOT NULL) STRICT"
+    " digest TEXT NOT NULL) STRICT",
 )
 
 
@@ -57,7 +57,8 @@
         if is_new:
             self._db.execute(f"PRAGMA application_id={APPLICATION_ID}")
             self._db.execute(f"PRAGMA user_version={FORMAT_VERSION}")
-            self._db.execute(CREATE_TABLE)
+            for statement in CREATE_TABLES:
+                self._db.execute(statement)
         self._db.execute("COMMIT")
 
     def _check_format(self) -> None:
--- a/saltcourse/gossip/store.py
+++ b/saltcourse/gossip/store.py
@@ -14,9 +14,9 @@
 from saltcourse.gossip.errors import StoreError
 from saltcourse.gossip.messages import AcceptedChange, Change, Position, ReplicaState, Write
 
-APPLICATION = 0x53616C72  # PRAGMA application_id: "Salr"
-VERSION = 1  # PRAGMA user_version: of the tables below
-SCHEMA = (
+APPLICATION_ID = 0x53616C72  # PRAGMA application_id: "Salr"
+FORMAT_VERSION = 1  # PRAGMA user_version: of the tables below
+CREATE_TABLES = (
     "CREATE TABLE replica (one INTEGER PRIMARY KEY CHECK (one = 1), member TEXT NOT NULL,"
     " promised INTEGER NOT NULL, epoch INTEGER NOT NULL, version INTEGER NOT NULL,"
     " digest TEXT NOT NULL) STRICT",
@@ -108,17 +108,17 @@
         self._check()
 
     def _create(self) -> None:
-        self._db.execute(f"PRAGMA application_id={APPLICATION}")
-        self._db.execute(f"PRAGMA user_version={VERSION}")
-        for statement in SCHEMA:
+        self._db.execute(f"PRAGMA application_id={APPLICATION_ID}")
+        self._db.execute(f"PRAGMA user_version={FORMAT_VERSION}")
+        for statement in CREATE_TABLES:
             self._db.execute(statement)
 
     def _check(self) -> None:
-        if self._pragma("application_id") != APPLICATION:
+        if self._pragma("application_id") != APPLICATION_ID:
             raise self._error("not a replica file of this program")
         version = self._pragma("user_version")
-        if version != VERSION:
-            raise self._error(f"form {version}, this program reads {VERSION}")
+        if version != FORMAT_VERSION:
+            raise self._error(f"form {version}, this program reads {FORMAT_VERSION}")
         result = self._pragma("quick_check")
         if result != "ok":
             raise self._error(f"torn: {result}")
