--- a/saltcourse/config/operator_gossip.py
+++ b/saltcourse/config/operator_gossip.py
@@ -9,6 +9,7 @@
 from typing import Any, NoReturn
 
 from saltcourse.config.operator_file import OperatorFile
+from saltcourse.gossip.errors import EncodeError
 from saltcourse.gossip.fields import encode_text
 from saltcourse.gossip.messages import MAX_LABEL_BYTES, MAX_NAME_BYTES, Address, Role
 from saltcourse.gossip.settings import Timing, Voter, default_bytes_per_s
@@ -120,7 +121,7 @@
     def _read_text(self, key: str, text: str, max_bytes: int) -> str:
         try:
             encode_text(text, max_bytes)
-        except ValueError:
+        except EncodeError:
             self._reject(key, f"must be 1 to {max_bytes} bytes without control characters, not {text!r}")
         return text
 
--- a/saltcourse/config/operator_shared_state.py
+++ b/saltcourse/config/operator_shared_state.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from saltcourse.balancing.settings import SharedStateSettings
+from saltcourse.balancing.settings import InvalidSettingError, SharedStateSettings
 from saltcourse.config.operator_file import OperatorFile
 
 # Key of the section -> field of SharedStateSettings, where a key that is left out keeps the default.
@@ -25,6 +25,5 @@
     }
     try:
         return SharedStateSettings(share_connection_counts=section.counts, **values)
-    except ValueError as error:  # its text: "setting KEY: RANGE"
-        key, _, wanted = str(error).removeprefix("setting ").partition(": ")
-        file.reject(key, f"must be {wanted}")
+    except InvalidSettingError as error:
+        file.reject(error.setting, f"must be {error.expected}")
