--- a/saltcourse/gossip/failure_detector.py
+++ b/saltcourse/gossip/failure_detector.py
@@ -90,7 +90,7 @@
 class AckOutcome(NamedTuple):
     """What an Ack shows, and what is to be sent for it."""
 
-    alive: MemberId | None  # the target of an own probe
+    confirmed_member: MemberId | None  # the target of an own probe
     sends: list[Send]  # the Ack of a relayed probe, to its requester
 
 
@@ -231,7 +231,7 @@
                 failed.append(FailedProbe(probe.target, probe.process_id, probe.incarnation, missing_nacks))
         return failed
 
-    def drop(self, concerned: Callable[[MemberId], bool]) -> None:
+    def cancel_probes(self, concerned: Callable[[MemberId], bool]) -> None:
         """Forget own probes of some members: their silence proves nothing any more."""
         self._probes = {
             sequence: probe for sequence, probe in self._probes.items() if not concerned(probe.target)
--- a/saltcourse/gossip/update_merging.py
+++ b/saltcourse/gossip/member_updates.py
@@ -1,6 +1,6 @@
-"""What claims about members lead to: changes of the table, timers, broadcasts and actions.
+"""Applies claims about members: changes of the table, suspicion timers, broadcasts and actions.
 
-Every claim, whether it came in a message or from this member's own probes, goes through ``UpdateMerger``. The
+Every claim goes through ``MemberUpdater``, whether it came in a message or from this member's own probes. The
 cost of a claim does not grow with the fleet. A zone that falls silent or answers again costs one step for
 each of its suspects, once.
 """
@@ -30,8 +30,11 @@
 MAX_RECEIVED_SUMS = 256  # kept until they are taken
 
 
-class UpdateMerger:
-    """Owns nothing but what it hands out; the parts that it moves are given to it."""
+class MemberUpdater:
+    """Applies claims to the parts of ``Membership`` that it is given.
+
+    Of its own it keeps counters, and the changes and zone sums that wait to be taken.
+    """
 
     def __init__(
         self,
@@ -158,8 +161,8 @@
 
     # ---- zones ------------------------------------------------------------------------------------
 
-    def hold_zone(self, zone: str) -> None:
-        """A zone fell silent: its suspicions stand still, and this member adds none.
+    def pause_suspicions(self, zone: str) -> None:
+        """A zone fell silent: its suspicions are paused, and this member adds none.
 
         Those of others it still passes on: who knows of too few would take the zone for reachable.
         """
@@ -168,10 +171,10 @@
         for member in self._table.zones[zone].suspects:
             self._timers.stop(member)
 
-    def release_zone(self, now: float, zone: str, detector: FailureDetector) -> None:
+    def clear_suspicions(self, now: float, zone: str, detector: FailureDetector) -> None:
         """A silent zone answered. Probing finds out which of its members are gone."""
         self.changes.append(ZoneReachability(zone, True))
-        detector.drop(lambda member: self._is_in_zone(member, zone))
+        detector.cancel_probes(lambda member: self._is_in_zone(member, zone))
         for member in list(self._table.zones[zone].suspects):
             entry = self._table.members[member]
             alive = with_status(entry.record, entry.record.incarnation, Status.ALIVE)
@@ -223,7 +226,9 @@
         elif before.zone != record.zone and not is_departed(status):
             self._zones.member_added(now, record.zone)
         if before is None or _restarts_timer(before, record):
-            self._set_timer(now, member, record)
+            self._update_suspicion_timer(now, member, record)
+            if status is Status.DEAD:
+                self._zones.on_death(record.zone)
         if before is None or status is not before.status:
             self.changes.append(MemberChanged(record.name, record.zone, status))
         if spread:
@@ -234,12 +239,10 @@
             self._zones.member_added(now, record.zone)
             self._order.insert(member)
 
-    def _set_timer(self, now: float, member: MemberId, record: MemberRecord) -> None:
+    def _update_suspicion_timer(self, now: float, member: MemberId, record: MemberRecord) -> None:
         self._timers.stop(member)
         if record.status is Status.SUSPECT and self._zones.is_reachable(record.zone):
             self._timers.start(now, member, suspicion_timeout(self._timing, self._table.size))
-        if record.status is Status.DEAD:
-            self._zones.on_death(record.zone)
 
 
 def _restarts_timer(before: MemberRecord, record: MemberRecord) -> bool:
--- a/saltcourse/gossip/membership.py
+++ b/saltcourse/gossip/membership.py
@@ -7,7 +7,7 @@
     suspicion          timers from suspect to dead
     zone_silence       zones that cannot be reached, as opposed to many dead members
     own_record         refutations, and other processes of this name
-    update_merging     what a claim about a member leads to
+    member_updates     what a claim about a member leads to
     sampling           random choices among live members
     broadcasts         updates that are piggybacked on other messages
     rounds             probe, reconnection and gossip at constant intervals
@@ -33,6 +33,7 @@
 from saltcourse.gossip.broadcasts import BroadcastQueue
 from saltcourse.gossip.failure_detector import FailedProbe, FailureDetector, LocalHealth, ProbeOrder
 from saltcourse.gossip.member_table import Member, MemberTable, is_departed
+from saltcourse.gossip.member_updates import MemberUpdater
 from saltcourse.gossip.messages import (
     Ack,
     Address,
@@ -60,7 +61,6 @@
 from saltcourse.gossip.suspicion import SuspicionTimers, suspicion_timeout
 from saltcourse.gossip.table_sync import TableSync
 from saltcourse.gossip.unknown_senders import UnknownSenders
-from saltcourse.gossip.update_merging import UpdateMerger
 from saltcourse.gossip.zone_silence import ZoneSilence
 
 NOTIFY_INTERVAL_SECONDS = 1.0  # between two notices to one member of what is believed of it
@@ -83,10 +83,10 @@
         self._order = ProbeOrder(self._table, rng)
         self._timers = SuspicionTimers()
         self._zones = ZoneSilence(timing, rng, self._table)
-        self._merger = UpdateMerger(
+        self._updater = MemberUpdater(
             timing, self._table, self._own, self._health, self._queue, self._order, self._timers, self._zones
         )
-        self._detector = FailureDetector(timing, rng, self._health, self._merger.updates_for)
+        self._detector = FailureDetector(timing, rng, self._health, self._updater.updates_for)
         self._sampler = MemberSampler(rng, self._table, self._zones)
         self._sync = TableSync(self._table, seeds, timing, rng, self.sample)
         self._probe_round = ProbeRound(timing, self._own, self._order)
@@ -121,12 +121,12 @@
 
     def take_received(self) -> list[ZoneSum]:
         """Zone sums that came as updates since the last call; they belong to the aggregation."""
-        received, self._merger.received_sums = self._merger.received_sums, []
+        received, self._updater.received_sums = self._updater.received_sums, []
         return received
 
     def take_changes(self) -> list[MemberChanged | ZoneReachability]:
         """Changes since the last call, in order, for the host."""
-        changes, self._merger.changes = self._merger.changes, []
+        changes, self._updater.changes = self._updater.changes, []
         return changes
 
     def figures(self) -> dict[str, int]:
@@ -152,11 +152,11 @@
             "sync_pages_sent": self._sync.pages_sent,
             "syncs_given_up": self._sync.given_up,
             "probe_failures": self._probe_failures,
-            "suspicions": self._merger.suspicions,
-            "deaths": self._merger.deaths,
-            "invalid_records": self._merger.invalid_records,
-            "table_full": self._merger.table_full,
-            "zones_silent": self._merger.zones_silent,
+            "suspicions": self._updater.suspicions,
+            "deaths": self._updater.deaths,
+            "invalid_records": self._updater.invalid_records,
+            "table_full": self._updater.table_full,
+            "zones_silent": self._updater.zones_silent,
             "misaddressed_pings": self._misaddressed_pings,
             "strangers": self._unknown_senders.count,
             "stalls": self._stalls,
@@ -179,8 +179,8 @@
     def leave(self, now: float) -> list[Send]:
         """Notify a few members, who pass it on; this one refutes nothing any more."""
         self._own.leave()
-        self._detector.drop(lambda _: True)
-        self._merger.publish_own(now)
+        self._detector.cancel_probes(lambda _: True)
+        self._updater.publish_own(now)
         message = Gossip((self.own_record,))
         return [Send(record.address, message, Priority.MEMBERSHIP) for record in self.sample(LEAVE_FANOUT)]
 
@@ -199,7 +199,7 @@
         member = self._table.get(header.sender)
         if member is None or member.record.process_id != header.process_id:
             return []  # ``handle`` knows where it can be answered
-        self._merger.merge_header(now, header.sender, member, header)
+        self._updater.merge_header(now, header.sender, member, header)
         if not is_departed(member.status):
             self._on_zone_contact(now, member.record.zone)
         return self._notify_of_record(now, member, member.record.address)
@@ -221,7 +221,7 @@
         elif isinstance(message, Nack):
             self._detector.on_nack(header.sender, message)
         elif isinstance(message, Gossip):
-            self._merger.merge_updates(now, message.updates)
+            self._updater.merge_updates(now, message.updates)
         elif isinstance(message, SyncRequest):
             if is_known or self._unknown_senders.allow_page(now):
                 sends.append(Send(source, self._sync.reply(message), Priority.BULK))
@@ -232,12 +232,12 @@
     def _on_ping(
         self, now: float, source: Address, header: Header, message: Ping, is_known: bool
     ) -> list[Send]:
-        self._merger.merge_updates(now, message.updates)
+        self._updater.merge_updates(now, message.updates)
         if message.target != self._id:
             self._misaddressed_pings += 1
             return []
         if is_known:
-            return [Send(source, Ack(message.sequence, self._merger.updates_for(header.sender)))]
+            return [Send(source, Ack(message.sequence, self._updater.updates_for(header.sender)))]
         return [Send(source, Ack(message.sequence))] if self._unknown_senders.allow_ack(now) else []
 
     def _on_ack(self, now: float, header: Header, message: Ack) -> list[Send]:
@@ -245,13 +245,13 @@
         member = self._table.get(alive) if alive is not None else None
         if member is not None and not is_departed(member.status):
             self._on_zone_contact(now, member.record.zone)
-        self._merger.merge_updates(now, message.updates)
+        self._updater.merge_updates(now, message.updates)
         return sends
 
     def _on_ping_request(
         self, now: float, source: Address, message: PingRequest, is_known: bool
     ) -> list[Send]:
-        self._merger.merge_updates(now, message.updates)
+        self._updater.merge_updates(now, message.updates)
         if not is_known and not self._unknown_senders.allow_ack(now):
             return []
         if message.target == self._id:
@@ -263,7 +263,7 @@
 
     def _on_sync_reply(self, now: float, source: Address, message: SyncReply) -> list[Send]:
         """Records that a joining member reads are new to nobody else, so they are not passed on."""
-        self._merger.merge_table(now, message.records, spread=not self._sync.is_joining)
+        self._updater.merge_table(now, message.records, spread=not self._sync.is_joining)
         return self._sync.on_reply(now, source, message)
 
     # ---- senders ----------------------------------------------------------------------------------
@@ -277,7 +277,7 @@
         if header.process_id == self.own_record.process_id:
             return
         if self._own.on_name_conflict(now, header.incarnation, header.process_id):
-            self._merger.publish_own(now)
+            self._updater.publish_own(now)
 
     def _meet_unknown(self, now: float, source: Address, header: Header) -> list[Send]:
         """Ask a new member for its table, which has its record.
@@ -303,7 +303,7 @@
 
     def _on_zone_contact(self, now: float, zone: str) -> None:
         if self._zones.on_contact(now, zone):
-            self._merger.release_zone(now, zone, self._detector)
+            self._updater.clear_suspicions(now, zone, self._detector)
 
     # ---- time -------------------------------------------------------------------------------------
 
@@ -328,10 +328,10 @@
             self._resume(now)
         self._last_tick = now
         if self._own.raise_if_allowed(now):
-            self._merger.publish_own(now)
+            self._updater.publish_own(now)
         sends = self._tick_zones(now)
         self._end_probes(now)
-        sends += self._ping_once(self._merger.expire_suspicions(now))
+        sends += self._ping_once(self._updater.expire_suspicions(now))
         sends += self._detector.tick(now, self._choose_relays)
         sends += self._tick_probe(now)
         sends += self._ping_once(self._reconnect_round.targets(now))
@@ -344,7 +344,7 @@
     def _resume(self, now: float) -> None:
         """After a stall of this process: the silence of others meanwhile proves nothing."""
         self._stalls += 1
-        self._detector.drop(lambda _: True)
+        self._detector.cancel_probes(lambda _: True)
         self._timers.restart(now, suspicion_timeout(self._timing, self._table.size))
         self._zones.restart(now)
 
@@ -357,7 +357,7 @@
     def _tick_zones(self, now: float) -> list[Send]:
         silent, to_ping = self._zones.evaluate(now)
         for zone in silent:
-            self._merger.hold_zone(zone)
+            self._updater.pause_suspicions(zone)
         return self._ping_once(to_ping)
 
     def _ping_once(self, members: list[MemberId]) -> list[Send]:
@@ -377,7 +377,7 @@
         self._probe_failures += 1
         if entry.status is Status.ALIVE and self._zones.is_reachable(entry.record.zone):
             self._health.change(1 + failed.missing_nacks)
-        self._merger.suspect(now, failed.target)
+        self._updater.suspect(now, failed.target)
 
     def _choose_relays(self, target: MemberId) -> list[MemberRecord]:
         return self._sampler.relays(target, self._timing.indirect_probes)
--- a/saltcourse/gossip/node.py
+++ b/saltcourse/gossip/node.py
@@ -266,6 +266,7 @@
             "sends.dropped": self._waiting.dropped,
         }
         figures |= {f"dropped.{reason}": count for reason, count in sorted(self.dropped.items())}
+        # Short names, some of which repeat values from above under another name: operators know both.
         figures |= self.membership.figures()
         figures |= self.dissemination.figures()
         if self.quorum is not None:
--- a/saltcourse/gossip/quorum.py
+++ b/saltcourse/gossip/quorum.py
@@ -305,7 +305,10 @@
         self._propose_waiting(now)
 
     def _recover(self, committed: Position) -> list[Change]:
-        """Changes behind ``committed`` that may have been committed: they are proposed again."""
+        """Changes after ``committed`` that the majority's promises report as accepted, in order.
+
+        An earlier publisher may have committed them, so the new one proposes them again before its own.
+        """
         return self._promises.recover(committed)
 
     # ---- publishing -------------------------------------------------------------------------------
--- a/saltcourse/gossip/zone_silence.py
+++ b/saltcourse/gossip/zone_silence.py
@@ -46,7 +46,7 @@
     reachable: bool = True
 
     def restart(self, now: float) -> None:
-        """The zone has answered: what was counted against it is void."""
+        """The zone has answered: what was counted against it is no longer valid."""
         self.last_contact_at = now
         self.checks = self.deaths = 0
         self.checked.clear()
