--- a/saltcourse/cli/gossip.py
+++ b/saltcourse/cli/gossip.py
@@ -37,13 +37,13 @@
 @click.command()
 @click.option("--admin", type=AddressType(), required=True, help="The admin address of a control member.")
 @click.option("--delete", "deleted", metavar="KEY", multiple=True, help="A key to delete; can be repeated.")
-@click.argument("settings", metavar="KEY=VALUE", nargs=-1)
-def publish(admin: Address, deleted: tuple[str, ...], settings: tuple[str, ...]) -> None:
+@click.argument("assignments", metavar="KEY=VALUE", nargs=-1)
+def publish(admin: Address, deleted: tuple[str, ...], assignments: tuple[str, ...]) -> None:
     """Change the fleet's configuration: all keys given are written together.
 
     Prints the position of the change once a majority of the voters has it on disk.
     """
-    writes = _parse_writes(settings, deleted)
+    writes = _parse_writes(assignments, deleted)
     from saltcourse.admin.publish_client import PublishingError, publish_change
 
     try:
@@ -53,13 +53,13 @@
     click.echo(f"published: epoch {position.epoch}, version {position.version}")
 
 
-def _parse_writes(settings: tuple[str, ...], deleted: tuple[str, ...]) -> dict[str, str | None]:
+def _parse_writes(assignments: tuple[str, ...], deleted: tuple[str, ...]) -> dict[str, str | None]:
     """New value by key; None deletes the key."""
     writes: dict[str, str | None] = {}
-    for setting in settings:
-        key, equals, value = setting.partition("=")
+    for assignment in assignments:
+        key, equals, value = assignment.partition("=")
         if not key or not equals:
-            raise click.UsageError(f"must be KEY=VALUE, not {setting!r}")
+            raise click.UsageError(f"must be KEY=VALUE, not {assignment!r}")
         _add_write(writes, key, value)
     for key in deleted:
         _add_write(writes, key, None)
--- a/saltcourse/cli/main.py
+++ b/saltcourse/cli/main.py
@@ -19,7 +19,7 @@
     if context.invoked_subcommand not in HANDLE_SIGNALS_THEMSELVES:
         signals.release()
     if context.invoked_subcommand is None:
-        context.invoke(serve, path=None, operator=None)
+        context.invoke(serve, config_path=None, operator=None)
 
 
 @click.command()
--- a/saltcourse/cli/options.py
+++ b/saltcourse/cli/options.py
@@ -10,7 +10,7 @@
 from saltcourse.codec.endpoint_list import Address, read_address
 
 config_option = click.option(
-    "--config", "path", metavar="FILE", help="Configuration file; default $EDGE_CONFIG."
+    "--config", "config_path", metavar="FILE", help="Configuration file; default $EDGE_CONFIG."
 )
 operator_option = click.option(
     "--operator", metavar="FILE", help="The operator's own file; default $SALTCOURSE_OPERATOR, else none."
--- a/saltcourse/cli/proxy.py
+++ b/saltcourse/cli/proxy.py
@@ -21,10 +21,10 @@
 @click.command()
 @config_option
 @operator_option
-def serve(path: str | None, operator: str | None) -> None:
+def serve(config_path: str | None, operator: str | None) -> None:
     """Run the proxy until SIGTERM. SIGHUP has it read its configuration again."""
     with exit_on_error():
-        program = ProxyProgram(path, operator, os.environ)
+        program = ProxyProgram(config_path, operator, os.environ)
         set_up_logging()
         program.run()
 
@@ -32,10 +32,10 @@
 @click.command("check-config")
 @config_option
 @operator_option
-def check_config(path: str | None, operator: str | None) -> None:
+def check_config(config_path: str | None, operator: str | None) -> None:
     """Read the configuration, say what is in it, and exit."""
     with exit_on_error():
-        program = ProxyProgram(path, operator, os.environ)
+        program = ProxyProgram(config_path, operator, os.environ)
     click.echo(_proxy_summary(program.config))
     settings = program.operator
     if settings is not None and settings.address_failover is not None:
