--- a/saltcourse/gossip/zone_silence.py
+++ b/saltcourse/gossip/zone_silence.py
@@ -3,10 +3,10 @@
 A zone is unreachable when nothing was received from any of its members for ``zone_silence``, and there is
 more to it than a few dead ones: at least two members, and a fifth of the zone, are suspect or were declared
 dead since its last contact. In a large fleet a small zone may well send nothing for a while. So, while a
-member of a silent zone is suspect, others of it are sent Pings, and FRACTION_CHECKS of these have to stay
-unanswered too; after ZONE_CHECKS unanswered ones a single suspect is enough. As many different members must
-have been pinged, or all that are left. A member that receives nothing at all takes every zone for
-unreachable: it is cut off itself.
+member of a silent zone is suspect, others of it are sent Pings, and CHECKS_IF_MANY_LOST of these have to
+stay unanswered too; after CHECKS_IF_FEW_LOST unanswered ones a single suspect is enough. As many different
+members must have been pinged, or all that are left. A member that receives nothing at all takes every zone
+for unreachable: it is cut off itself.
 
 Cost that grows with the number of zones: one record each, below 1 kB. While suspicions are open, at most
 MAX_CHECKS_PER_TICK Pings at each evaluation; CHECKS_PER_MEMBER in a probe interval arrive at each member of
@@ -23,12 +23,12 @@
 from saltcourse.gossip.messages import MemberId, Status
 from saltcourse.gossip.settings import Timing
 
-SILENT_FRACTION = 5  # one in so many members of a zone
-SILENT_MEMBERS = 2
-FRACTION_CHECKS = 2  # unanswered, together with the fraction: one may go to another dead member
-ZONE_CHECKS = 4  # unanswered, in place of the fraction
+LOST_FRACTION = 5  # one in so many members of a zone
+MIN_LOST_MEMBERS = 2
+CHECKS_IF_MANY_LOST = 2  # unanswered, together with the fraction: one may go to another dead member
+CHECKS_IF_FEW_LOST = 4  # unanswered, in place of the fraction
 CHECKS_PER_MEMBER = 20.0  # each probe interval, at each member of a zone that may be silent
-MAX_CHECKED = 16  # members remembered for each zone
+MAX_CHECKED_MEMBERS = 16  # members remembered for each zone
 CHECKS_PER_INTERVAL = 2  # evaluations in each probe interval
 MAX_CHECKS_PER_TICK = 4  # zones
 CHECK_TRIES = 8  # random members tried for one that is not suspect
@@ -145,9 +145,10 @@
             return False
         index = self._table.zones[name]
         lost = len(index.suspects) + zone.deaths
-        if lost >= SILENT_MEMBERS and lost * SILENT_FRACTION >= len(index.live) + zone.deaths:
-            return self._is_checked(now, index, zone, FRACTION_CHECKS)
-        return lost > 0 and zone.checks > 0 and self._is_checked(now, index, zone, ZONE_CHECKS)
+        # Either many members are lost and a few checks confirm it, or one is lost and more checks do.
+        if lost >= MIN_LOST_MEMBERS and lost * LOST_FRACTION >= len(index.live) + zone.deaths:
+            return self._is_checked(now, index, zone, CHECKS_IF_MANY_LOST)
+        return lost > 0 and zone.checks > 0 and self._is_checked(now, index, zone, CHECKS_IF_FEW_LOST)
 
     def _is_checked(self, now: float, index: ZoneIndex, zone: ZoneWatch, required: int) -> bool:
         """Whether so many others, or all that there are, have had the time to answer and did not."""
@@ -177,7 +178,7 @@
                     break
         if chosen is None:
             return []
-        if chosen not in zone.checked and len(zone.checked) < MAX_CHECKED:
+        if chosen not in zone.checked and len(zone.checked) < MAX_CHECKED_MEMBERS:
             zone.checked.add(chosen)
             zone.checked_at = now
         zone.checks += 1
