--- a/saltcourse/address_failover/bgp_announcer.py
+++ b/saltcourse/address_failover/bgp_announcer.py
@@ -116,7 +116,7 @@
             self.carry_out(self.session.closed(self._loop.time(), reason))
 
     async def _connect(self, this_task: asyncio.Task[None] | None) -> asyncio.StreamReader | None:
-        """None where the connection was given up while it was opened. Raises OSError."""
+        """Open the connection; None where the session gave it up meanwhile. Raises OSError."""
         local = (self._source_address, 0) if self._source_address else None
         reader, writer = await asyncio.open_connection(self._host, self._port, local_addr=local)
         if self._task is not this_task:
--- a/saltcourse/address_failover/messages.py
+++ b/saltcourse/address_failover/messages.py
@@ -51,7 +51,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseRelease:
-    """The sender gives up its lease or candidacy of this term: promises to it in this term are void."""
+    """The sender gives up its lease or candidacy of this term.
+
+    Promises to it in this term are no longer valid.
+    """
 
     term: int
 
--- a/saltcourse/address_failover/vote.py
+++ b/saltcourse/address_failover/vote.py
@@ -9,7 +9,7 @@
 class Vote:
     """The newest term known, for whom this member voted in it, and to whom its last promise went.
 
-    A promise is given by a vote or by the acknowledgement of a renewal; empty names stand for nobody.
+    A promise is given by a vote or by the acknowledgement of a renewal; an empty name means nobody.
     """
 
     term: int = 0
--- a/saltcourse/admin/server.py
+++ b/saltcourse/admin/server.py
@@ -40,7 +40,7 @@
         self._connections: dict[asyncio.Task[None], IOStream] = {}  # oldest first
 
     def start(self) -> None:
-        """Listen. ``OSError`` when the address can't be had."""
+        """Listen. ``OSError`` when the address cannot be bound."""
         self._listener = start_listening(self._address, BACKLOG, self._accept_waiting)
 
     def bound_address(self) -> Address:
--- a/saltcourse/app/address_failover.py
+++ b/saltcourse/app/address_failover.py
@@ -74,7 +74,10 @@
         self._member: ElectionHost | None = None
 
     async def start(self) -> None:
-        """Join the election; ``AddressFailoverStartError`` when the store or the address can't be had."""
+        """Join the election.
+
+        ``AddressFailoverStartError`` when the vote file cannot be used or the address cannot be bound.
+        """
         try:
             self._member = create_election_host(self._settings)
             await self._member.start(self._settings.own_address)
--- a/saltcourse/app/control_member.py
+++ b/saltcourse/app/control_member.py
@@ -47,8 +47,8 @@
     async def run(self, admin: Address | None) -> None:
         """Run until SIGTERM or SIGINT.
 
-        Raises ``ListenError`` when an address can't be had, ``ControlMemberError`` when the state of a voter
-        can't be stored any more.
+        Raises ``ListenError`` when an address cannot be bound, ``ControlMemberError`` when the state of a
+        voter can't be stored any more.
         """
         self._handle_signals()
         await start_host(self._host, self._settings)
--- a/saltcourse/app/gossip.py
+++ b/saltcourse/app/gossip.py
@@ -66,7 +66,7 @@
 
 
 async def start_host(host: Host, settings: GossipSettings) -> None:
-    """Bind the member's address and join the fleet. ``ListenError`` when the address can't be had."""
+    """Bind the member's address and join the fleet. ``ListenError`` when the address cannot be bound."""
     try:
         await host.start(settings.listen)
     except OSError as error:
@@ -106,7 +106,7 @@
         self._program = program
 
     async def start(self) -> None:
-        """Join the fleet. ``ListenError`` when the address can't be had."""
+        """Join the fleet. ``ListenError`` when the address cannot be bound."""
         self.host = create_host(self._settings, on_applied=self._on_applied)
         await start_host(self.host, self._settings)
         self.gossip_handler = GossipAdminHandler(self.host)
--- a/saltcourse/gossip/broadcasts.py
+++ b/saltcourse/gossip/broadcasts.py
@@ -15,7 +15,7 @@
 HEADER_RESERVE_BYTES = 80  # of a datagram before the message; the codec's header may grow to it
 MESSAGE_RESERVE_BYTES = 16  # of a message besides its list of records
 RECORDS_ROOM_BYTES = MAX_DATAGRAM_BYTES - HEADER_RESERVE_BYTES - MESSAGE_RESERVE_BYTES
-MAX_QUEUED = 1_024  # updates; at the bound the one that was passed on most often gives way
+MAX_QUEUED = 1_024  # updates; at the bound the one that was passed on most often is dropped
 BUSY_QUEUE = 64  # updates: more than three datagrams hold
 Key = MemberId | str  # a member's id, or the zone of a sum
 
--- a/saltcourse/gossip/changes.py
+++ b/saltcourse/gossip/changes.py
@@ -11,7 +11,10 @@
 
 
 def parse_change(body: bytes) -> tuple[Write, ...]:
-    """Of ``{"key": "value", "deleted key": null}``."""
+    """Parse the JSON object ``{"key": "value", "deleted key": null}`` into writes.
+
+    Raises ``InvalidChangeError``.
+    """
     try:
         entries = orjson.loads(body)
     except orjson.JSONDecodeError as error:
--- a/saltcourse/gossip/configuration.py
+++ b/saltcourse/gossip/configuration.py
@@ -140,7 +140,7 @@
         return self.relate(position) is PositionRelation.AHEAD
 
     def changes_after(self, version: int) -> list[Change] | None:
-        """In order; ``None`` when the log does not go back that far."""
+        """Return the changes after a version, in order; ``None`` when the log does not go back that far."""
         if version < self._log_base.version:
             return None
         return [change for change in self._log if change.position.version > version]
--- a/saltcourse/gossip/dissemination.py
+++ b/saltcourse/gossip/dissemination.py
@@ -1,4 +1,4 @@
-"""Brings committed changes to every member: announcements, fetches, snapshots, freshness.
+"""Propagates committed changes to every member: announcements, fetches, snapshots, freshness.
 
 Every header carries its sender's position. A member that sees a higher one fetches the changes in between
 from that sender; a member that has just applied some announces its position to a few random others. So each
--- a/saltcourse/gossip/member_table.py
+++ b/saltcourse/gossip/member_table.py
@@ -170,7 +170,7 @@
     # ---- changes ----------------------------------------------------------------------------------
 
     def has_room(self) -> bool:
-        """Whether one more member can be stored; the one that departed first gives way if it must."""
+        """Whether one more member can be stored; the one that departed first is dropped if need be."""
         if len(self.members) < MAX_MEMBERS:
             return True
         oldest = next(iter(self._departed), None)
--- a/saltcourse/gossip/publish_queue.py
+++ b/saltcourse/gossip/publish_queue.py
@@ -20,7 +20,10 @@
 
 
 class PublishQueue:
-    """In the order in which the operators sent them, which is the order of the deadlines too."""
+    """Changes that wait, in the order in which the operators sent them.
+
+    That is the order of their deadlines too.
+    """
 
     def __init__(self) -> None:
         self._pending: dict[int, PendingPublish] = {}  # by number, in the order of arrival
--- a/saltcourse/gossip/publisher_lease.py
+++ b/saltcourse/gossip/publisher_lease.py
@@ -14,7 +14,7 @@
 
 
 class PublisherLease:
-    """Of one publisher under one epoch. ``now`` in seconds."""
+    """The lease of one publisher under one epoch. ``now`` in seconds."""
 
     def __init__(self, now: float, epoch: int, voters: VoterSet, majority: int, timing: Timing) -> None:
         self.renewal_deadline = now  # when the next request is to be sent
--- a/saltcourse/gossip/send_queue.py
+++ b/saltcourse/gossip/send_queue.py
@@ -9,7 +9,7 @@
 
 from saltcourse.gossip.messages import Changes, Fetch, Gossip, Priority, Send
 
-MAX_WAITING = {Priority.CONFIGURATION: 64, Priority.MEMBERSHIP: 8, Priority.BULK: 8}  # the oldest give way
+MAX_WAITING = {Priority.CONFIGURATION: 64, Priority.MEMBERSHIP: 8, Priority.BULK: 8}  # the oldest are dropped
 REPLACEABLE = (Changes, Fetch, Gossip)  # a newer one to the same member has all of the older
 
 
@@ -26,9 +26,9 @@
     in time asks again, and must not be answered once for each request.
 
     Of answers with changes, the one to the member that is furthest ahead goes first, and those that have
-    waited for ``answer_lifetime`` (s) are dropped, since their members have asked others meanwhile. A server
-    that can't serve all at once so brings a few to the front, who serve the rest; one that gave a little to
-    everybody would remain the only one with new changes.
+    waited for ``answer_lifetime`` (s) are dropped, since their members have asked others meanwhile. So
+    a server that can't serve all at once serves a few completely, who then serve the rest; one that gave a
+    little to everybody would remain the only one with new changes.
     """
 
     def __init__(self, answer_lifetime: float) -> None:
--- a/saltcourse/shared_state/messages.py
+++ b/saltcourse/shared_state/messages.py
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reset:
-    """The sender's table is empty but for what follows: all that it sent before is void."""
+    """The sender's table is empty but for what follows: all that it sent before is no longer valid."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/saltcourse/shared_state/peer.py
+++ b/saltcourse/shared_state/peer.py
@@ -37,7 +37,7 @@
         return sequence
 
     def end_message(self, now: float) -> None:
-        """All records of the message have been taken."""
+        """Note whether the replica agrees with the peer's table, now that the whole message is applied."""
         if self.is_synchronized():
             self.synchronized_at = now
             self.synchronized_sequence = self.sequence
--- a/saltcourse/shared_state/short_names.py
+++ b/saltcourse/shared_state/short_names.py
@@ -1,7 +1,7 @@
 """Short names of backends and groups: four digits of a hash, because a message has little room.
 
 Two identifiers that share a short name are taken for one. That makes a hint wrong, and all that a message
-brings are hints.
+carries are hints.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 def short_name(identifier: str) -> str:
-    """The name that stands for an identifier in messages."""
+    """The name that represents an identifier in messages."""
     digest = hashlib.blake2b(identifier.encode(), digest_size=NAME_LENGTH).digest()
     return encode_number(int.from_bytes(digest, "big"), NAME_LENGTH)
 
