--- a/saltcourse/app/control_member.py
+++ b/saltcourse/app/control_member.py
@@ -21,7 +21,7 @@
 from saltcourse.config.operator_gossip import SECTION, GossipSettings
 from saltcourse.gossip.admin import GossipAdminHandler
 from saltcourse.gossip.errors import StoreError
-from saltcourse.gossip.host import LEAVE_GRACE, Host, StateStore
+from saltcourse.gossip.host import LEAVE_GRACE_SECONDS, Host, StateStore
 from saltcourse.gossip.member_table import Member
 from saltcourse.gossip.messages import Address, ReplicaState, Status
 from saltcourse.gossip.store import ReplicaStore
@@ -104,7 +104,7 @@
         self._host.leave()
         log.info("gossip left", member=self._settings.own_name)
         # The member still answers meanwhile, so that others learn of its departure though a datagram is lost.
-        await asyncio.sleep(LEAVE_GRACE)
+        await asyncio.sleep(LEAVE_GRACE_SECONDS)
         self._host.close()
 
     # ---- operators' commands ----------------------------------------------------------------------
--- a/saltcourse/gossip/admin.py
+++ b/saltcourse/gossip/admin.py
@@ -14,7 +14,7 @@
 from saltcourse.gossip.host import Host, PublishOutcome
 from saltcourse.gossip.messages import Position, Published, PublishError
 
-PUBLISH_MARGIN = 2.0  # s over the node's own time for a change, after which its answer is not waited for
+PUBLISH_MARGIN_SECONDS = 2.0  # over the node's own time for a change; then its answer is not waited for
 
 STATUS_OF_ERROR = {
     PublishError.NOT_CONTROL: 404,
@@ -86,7 +86,7 @@
             return Response(413, f"{error}\n".encode())
         except InvalidChangeError as error:
             return Response(400, f"{error}\n".encode())
-        timeout_s = self._host.node.settings.timing.publish_timeout + PUBLISH_MARGIN
+        timeout_s = self._host.node.settings.timing.publish_timeout + PUBLISH_MARGIN_SECONDS
         try:
             async with asyncio.timeout(timeout_s):
                 return _outcome(await self._host.publish(writes))
--- a/saltcourse/gossip/aggregation.py
+++ b/saltcourse/gossip/aggregation.py
@@ -34,7 +34,7 @@
 
 FAN_IN = 8
 CHILD_INTERVALS = 3  # a child that sent nothing for so many tally intervals falls out
-SUM_LIFETIME = 30.0  # s without a renewal, then a zone's sum is forgotten
+SUM_LIFETIME_SECONDS = 30.0  # without a renewal, then a zone's sum is forgotten
 MAX_ZONES = 256
 MAX_U32 = 2**32 - 1  # of members, connections and sequences
 
@@ -112,7 +112,7 @@
         return True
 
     def sums(self, now: float) -> dict[str, ZoneSum]:
-        """By zone, without those that were not renewed for SUM_LIFETIME."""
+        """By zone, without those that were not renewed for SUM_LIFETIME_SECONDS."""
         self._forget_old(now)
         return {zone: known.update for zone, known in self._sums.items()}
 
@@ -194,7 +194,7 @@
         """Sums are kept in the order of their renewal, so only the oldest ones are looked at."""
         while self._sums:
             zone, oldest = next(iter(self._sums.items()))
-            if now - oldest.received_at < SUM_LIFETIME:
+            if now - oldest.received_at < SUM_LIFETIME_SECONDS:
                 return
             del self._sums[zone]
 
--- a/saltcourse/gossip/dissemination.py
+++ b/saltcourse/gossip/dissemination.py
@@ -6,8 +6,8 @@
 kind. A member that is too far behind takes a snapshot first, then the changes behind it.
 
 Cost for a member: per change one fetch and one answer at most, ``announce_fanout`` announcements sent in
-each ``ANNOUNCE_INTERVAL_S`` at most, and per heartbeat one datagram passed on. None of it grows with the
-fleet.
+each ``ANNOUNCE_INTERVAL_SECONDS`` at most, and per heartbeat one datagram passed on. None of it grows with
+the fleet.
 """
 
 from __future__ import annotations
@@ -40,8 +40,8 @@
 from saltcourse.gossip.settings import Timing
 from saltcourse.gossip.snapshot_receiver import SnapshotReceiver
 
-ANNOUNCE_INTERVAL_S = 0.05  # between rounds of announcements
-TICK_INTERVAL_S = 1.0  # at most between ticks, so that a stall of this process is noticed
+ANNOUNCE_INTERVAL_SECONDS = 0.05  # between rounds of announcements
+TICK_INTERVAL_SECONDS = 1.0  # at most between ticks, so that a stall of this process is noticed
 HEARTBEAT_FANOUT = 1  # members that a new heartbeat is passed on to: with none, some wait for over 5 s
 
 DisseminationAction = Applied | FreshnessChanged
@@ -182,13 +182,13 @@
 
     def _earliest_deadline(self) -> float:
         deadline = min(
-            self._last_tick + TICK_INTERVAL_S,
+            self._last_tick + TICK_INTERVAL_SECONDS,
             self._monitor.next_deadline(),
             self._fetcher.next_deadline(),
             self._snapshots.next_deadline(),
         )
         if self._announcement_pending:
-            deadline = min(deadline, self._last_announcement + ANNOUNCE_INTERVAL_S)
+            deadline = min(deadline, self._last_announcement + ANNOUNCE_INTERVAL_SECONDS)
         return deadline
 
     # ---- changes and announcements ------------------------------------------------------------------
@@ -212,7 +212,7 @@
         return self._fetcher.fetch(now, source)
 
     def _announce(self, now: float) -> list[Send]:
-        if not self._announcement_pending or now < self._last_announcement + ANNOUNCE_INTERVAL_S:
+        if not self._announcement_pending or now < self._last_announcement + ANNOUNCE_INTERVAL_SECONDS:
             return []
         self._announcement_pending = False
         self._last_announcement = now
--- a/saltcourse/gossip/event_log.py
+++ b/saltcourse/gossip/event_log.py
@@ -1,6 +1,6 @@
 """Log lines about a member's events, summed up.
 
-At most one line of each kind in ``LOG_INTERVAL``, however many members come and go.
+At most one line of each kind in ``LOG_INTERVAL_SECONDS``, however many members come and go.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
     ZoneReachability,
 )
 
-LOG_INTERVAL = 1.0  # s
+LOG_INTERVAL_SECONDS = 1.0
 MAX_NAMES = 8  # in one line; more are counted
 
 log = structlog.get_logger("saltcourse")
@@ -28,7 +28,7 @@
 
 
 class EventLog:
-    """Collects events from the first one on, and logs them ``LOG_INTERVAL`` later."""
+    """Collects events from the first one on, and logs them ``LOG_INTERVAL_SECONDS`` later."""
 
     def __init__(self) -> None:
         self._members: dict[str, MemberChanged] = {}  # the last change of each
@@ -40,7 +40,7 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def record(self, event: Reported) -> None:
-        """Collect an event; it is logged within ``LOG_INTERVAL``."""
+        """Collect an event; it is logged within ``LOG_INTERVAL_SECONDS``."""
         match event:
             case MemberChanged():
                 self._members[event.name] = event
@@ -53,7 +53,7 @@
             case ZoneReachability(zone, reachable):
                 self._zones[zone] = reachable
         if self._timer is None:
-            self._timer = asyncio.get_running_loop().call_later(LOG_INTERVAL, self.flush)
+            self._timer = asyncio.get_running_loop().call_later(LOG_INTERVAL_SECONDS, self.flush)
 
     def flush(self) -> None:
         """Log at once what was collected."""
--- a/saltcourse/gossip/freshness.py
+++ b/saltcourse/gossip/freshness.py
@@ -5,7 +5,7 @@
 from saltcourse.gossip.messages import Freshness, Heartbeat
 from saltcourse.gossip.settings import Timing
 
-WAKE_GRACE_S = 0.5  # after a stall, datagrams of before are read: their heartbeats prove nothing
+WAKE_GRACE_SECONDS = 0.5  # after a stall, datagrams of before are read: their heartbeats prove nothing
 
 
 class FreshnessMonitor:
@@ -33,7 +33,7 @@
     def on_stall(self, now: float) -> None:
         """This process did not run for a while; it is stale until the next new heartbeat."""
         self._fresh_until = None
-        self._ignore_until = now + WAKE_GRACE_S
+        self._ignore_until = now + WAKE_GRACE_SECONDS
 
     def freshness(self, now: float, behind: bool) -> Freshness:
         """``STALE`` also where a higher version is known: there may be still higher ones."""
--- a/saltcourse/gossip/host.py
+++ b/saltcourse/gossip/host.py
@@ -40,8 +40,8 @@
 )
 from saltcourse.gossip.node import Node
 
-LEAVE_GRACE = 0.3  # s for which a leaving member still answers, so that its goodbye gets through
-MIN_TICK_DELAY = 0.001  # s; a deadline that does not move must not spin
+LEAVE_GRACE_SECONDS = 0.3  # for which a leaving member still answers, so that its goodbye gets through
+MIN_TICK_DELAY_SECONDS = 0.001  # a deadline that does not move must not spin
 MAX_UNSENT_BYTES = 262_144  # that wait for the socket; more is dropped, as the network would
 MAX_RECEIVE_BYTES = 2_048  # of one datagram; over MAX_DATAGRAM_BYTES, so that longer ones are found out
 
@@ -104,13 +104,13 @@
         self._arm()
 
     def leave(self) -> None:
-        """Announce the departure at once, and close ``LEAVE_GRACE`` later."""
+        """Announce the departure at once, and close ``LEAVE_GRACE_SECONDS`` later."""
         if self._leaving:
             return
         self._leaving = True
         self._handle(Leave())
         self._abandon_publishing()
-        self._loop.call_later(LEAVE_GRACE, self.close)
+        self._loop.call_later(LEAVE_GRACE_SECONDS, self.close)
 
     def close(self) -> None:
         """Close socket, timer and store at once; publishers that wait are answered."""
@@ -197,7 +197,7 @@
             return
         if self._timer is not None:
             self._timer.cancel()
-        delay = max(MIN_TICK_DELAY, deadline - self._clock())
+        delay = max(MIN_TICK_DELAY_SECONDS, deadline - self._clock())
         self._timer = self._loop.call_later(delay, self._tick)
         self._timer_at = deadline
 
--- a/saltcourse/gossip/own_record.py
+++ b/saltcourse/gossip/own_record.py
@@ -1,7 +1,7 @@
 """The own record: refutation of what others claim of this member, and other processes of its name.
 
-At most one raise of the incarnation each RAISE_INTERVAL, whatever is claimed: two live processes of one name
-outbid each other at that pace and no faster.
+At most one raise of the incarnation each RAISE_INTERVAL_SECONDS, whatever is claimed: two live processes of
+one name outbid each other at that pace and no faster.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from saltcourse.gossip.member_table import MAX_INCARNATION
 from saltcourse.gossip.messages import MemberRecord, Status
 
-RAISE_INTERVAL = 1.0  # s
+RAISE_INTERVAL_SECONDS = 1.0
 
 
 class OwnRecord:
@@ -56,7 +56,7 @@
         incarnation = min(max(self._to_exceed, self.record.incarnation) + 1, MAX_INCARNATION)
         self.record = replace(self.record, incarnation=incarnation)
         self._to_exceed = None
-        self._raise_at = now + RAISE_INTERVAL
+        self._raise_at = now + RAISE_INTERVAL_SECONDS
         return True
 
     def leave(self) -> None:
--- a/saltcourse/gossip/table_sync.py
+++ b/saltcourse/gossip/table_sync.py
@@ -27,12 +27,12 @@
 )
 from saltcourse.gossip.settings import Timing
 
-JOIN_INTERVAL = 1.0  # s, between questions to the seeds while nobody is known
+JOIN_INTERVAL_SECONDS = 1.0  # between questions to the seeds while nobody is known
 JOIN_SEEDS = 3  # asked at a time
-SEED_INTERVAL = 30.0  # s, between questions to a seed that is not a live member
-PAGE_TIMEOUT = 1.0  # s, until another member is asked for the same page
+SEED_INTERVAL_SECONDS = 30.0  # between questions to a seed that is not a live member
+PAGE_TIMEOUT_SECONDS = 1.0  # until another member is asked for the same page
 PAGE_TRIES = 5  # then the comparison is given up
-FIRST_SYNC = 1.0  # s after the start; then twice as long each time, up to ``sync_interval``
+FIRST_SYNC_SECONDS = 1.0  # after the start; then twice as long each time, up to ``sync_interval``
 JITTER = 0.2  # of an interval, each way
 
 
@@ -66,7 +66,7 @@
         self._rng = rng
         self._sample = sample
         self._session: SyncSession | None = None
-        self._next_interval = FIRST_SYNC
+        self._next_interval = FIRST_SYNC_SECONDS
         self._sync_at = math.inf
         self._seed_at = math.inf
         self._join_at = math.inf  # the next question to the seeds, if nobody is known by then
@@ -80,15 +80,15 @@
 
     def start(self, now: float) -> list[Send]:
         """Ask the seeds for the whole table."""
-        self._sync_at = now + self._jittered(FIRST_SYNC)
-        self._seed_at = now + self._jittered(SEED_INTERVAL)
+        self._sync_at = now + self._jittered(FIRST_SYNC_SECONDS)
+        self._seed_at = now + self._jittered(SEED_INTERVAL_SECONDS)
         return self._join(now) if self._seeds else []
 
     def compare_with(self, now: float, peer: Address) -> list[Send]:
         """Ask one member for what differs, unless a comparison is under way."""
         if self._session is not None:
             return []
-        self._session = SyncSession(False, 0, (peer,), now + PAGE_TIMEOUT)
+        self._session = SyncSession(False, 0, (peer,), now + PAGE_TIMEOUT_SECONDS)
         return [self._request(peer, self._session)]
 
     def tick(self, now: float) -> list[Send]:
@@ -103,7 +103,7 @@
             self._next_interval = min(2 * self._next_interval, self._interval)
             sends += self._compare(now)
         if self._seed_at <= now:
-            self._seed_at = now + self._jittered(SEED_INTERVAL)
+            self._seed_at = now + self._jittered(SEED_INTERVAL_SECONDS)
             sends += self._ask_absent_seed(now)
         return sends
 
@@ -121,8 +121,8 @@
 
     def _join(self, now: float) -> list[Send]:
         seeds = self._rng.sample(self._seeds, min(JOIN_SEEDS, len(self._seeds)))
-        self._join_at = now + self._jittered(JOIN_INTERVAL)
-        self._session = SyncSession(True, 0, tuple(seeds), now + PAGE_TIMEOUT + JOIN_INTERVAL)
+        self._join_at = now + self._jittered(JOIN_INTERVAL_SECONDS)
+        self._session = SyncSession(True, 0, tuple(seeds), now + PAGE_TIMEOUT_SECONDS + JOIN_INTERVAL_SECONDS)
         return [self._request(seed, self._session) for seed in seeds]
 
     def _compare(self, now: float) -> list[Send]:
@@ -130,7 +130,7 @@
         return self.compare_with(now, peers[0].address) if peers else []
 
     def _ask_absent_seed(self, now: float) -> list[Send]:
-        """Compare with a seed that is not a live member. Looks through these, once in SEED_INTERVAL."""
+        """Compare with a seed that is not a live member, one in each SEED_INTERVAL_SECONDS."""
         if not self._seeds:
             return []
         seed = self._rng.choice(self._seeds)
@@ -149,7 +149,7 @@
 
     def _ask_page(self, now: float, session: SyncSession) -> list[Send]:
         session.peers = tuple(record.address for record in self._sample(1)) or session.peers[:1]
-        session.deadline = now + PAGE_TIMEOUT
+        session.deadline = now + PAGE_TIMEOUT_SECONDS
         return [self._request(session.peers[0], session)]
 
     def _request(self, peer: Address, session: SyncSession) -> Send:
--- a/tests/gossip/test_aggregation.py
+++ b/tests/gossip/test_aggregation.py
@@ -15,7 +15,7 @@
     FAN_IN,
     MAX_U32,
     MAX_ZONES,
-    SUM_LIFETIME,
+    SUM_LIFETIME_SECONDS,
     Aggregation,
 )
 from saltcourse.gossip.messages import (
@@ -246,8 +246,8 @@
     part.receive(0.0, ZoneSum("b", 5, 1, 10))
     part.receive(10.0, ZoneSum("c", 1, 1, 1))
     part.receive(20.0, ZoneSum("b", 6, 1, 10))
-    assert set(part.sums(20.0 + SUM_LIFETIME - 0.1)) == {"b"}
-    assert part.sums(20.0 + SUM_LIFETIME) == {}
+    assert set(part.sums(20.0 + SUM_LIFETIME_SECONDS - 0.1)) == {"b"}
+    assert part.sums(20.0 + SUM_LIFETIME_SECONDS) == {}
     assert part.receive(60.0, ZoneSum("b", 1, 1, 1))  # its root began anew
 
 
@@ -255,7 +255,7 @@
     part, me = aggregation_of(), record_of(1)
     part.receive(0.0, ZoneSum("a", MAX_U32, 1, 1))
     assert part.tick(1.0, me, ()) == ([], None)
-    _, update = part.tick(SUM_LIFETIME + 1.0, me, ())
+    _, update = part.tick(SUM_LIFETIME_SECONDS + 1.0, me, ())
     assert update == ZoneSum("a", 1, 1, 0)
 
 
@@ -264,7 +264,7 @@
     taken = [part.receive(0.0, ZoneSum(f"z{number}", 1, 1, 1)) for number in range(MAX_ZONES + 50)]
     assert sum(taken) == MAX_ZONES == len(part.sums(0.0))
     assert part.receive(0.0, ZoneSum("z3", 2, 1, 1))
-    assert part.receive(SUM_LIFETIME, ZoneSum("another", 1, 1, 1))
+    assert part.receive(SUM_LIFETIME_SECONDS, ZoneSum("another", 1, 1, 1))
 
 
 def test_a_member_that_has_left_sends_nothing() -> None:
--- a/tests/gossip/test_dissemination.py
+++ b/tests/gossip/test_dissemination.py
@@ -13,7 +13,7 @@
 from saltcourse.gossip.configuration import (
     MAX_LOG_CHANGES,
 )
-from saltcourse.gossip.dissemination import ANNOUNCE_INTERVAL_S
+from saltcourse.gossip.dissemination import ANNOUNCE_INTERVAL_SECONDS
 from saltcourse.gossip.messages import (
     MAX_CONFIGURATION_BYTES,
     Applied,
@@ -132,7 +132,7 @@
     assert {send.priority for send in announcements(sent)} == {Priority.CONFIGURATION}
     last = member.figures()["announcement_rounds"]
     assert run(member, 1.0, 5.0) == [] and member.figures()["announcement_rounds"] == last
-    assert ANNOUNCE_INTERVAL_S == 0.05
+    assert ANNOUNCE_INTERVAL_SECONDS == 0.05
 
 
 def test_a_fetched_change_is_announced_also_while_more_are_coming() -> None:
--- a/tests/gossip/test_freshness.py
+++ b/tests/gossip/test_freshness.py
@@ -6,8 +6,8 @@
 
 from __future__ import annotations
 
-from saltcourse.gossip.dissemination import TICK_INTERVAL_S, Dissemination
-from saltcourse.gossip.freshness import WAKE_GRACE_S
+from saltcourse.gossip.dissemination import TICK_INTERVAL_SECONDS, Dissemination
+from saltcourse.gossip.freshness import WAKE_GRACE_SECONDS
 from saltcourse.gossip.messages import (
     Freshness,
     FreshnessChanged,
@@ -87,14 +87,14 @@
     run(member, 0.0, 2.0)
     states(member)
     due = member.next_deadline()
-    assert due <= 2.0 + TICK_INTERVAL_S
+    assert due <= 2.0 + TICK_INTERVAL_SECONDS
     woken = due + TIMING.stall + 0.01
     member.observe(woken, A, header(beat=2))  # it waited in the socket since before
     member.tick(woken)
     assert states(member) == [Freshness.STALE] and member.heartbeat == Heartbeat(1, 2)
-    member.observe(woken + WAKE_GRACE_S, A, header(beat=2))
+    member.observe(woken + WAKE_GRACE_SECONDS, A, header(beat=2))
     assert states(member) == []
-    member.observe(woken + WAKE_GRACE_S, A, header(beat=3))
+    member.observe(woken + WAKE_GRACE_SECONDS, A, header(beat=3))
     assert states(member) == [Freshness.CURRENT]
 
 
--- a/tests/gossip/test_host.py
+++ b/tests/gossip/test_host.py
@@ -18,7 +18,7 @@
 from saltcourse.gossip import messages as m
 from saltcourse.gossip.codec import Codec
 from saltcourse.gossip.errors import StoreError
-from saltcourse.gossip.event_log import LOG_INTERVAL, EventLog
+from saltcourse.gossip.event_log import LOG_INTERVAL_SECONDS, EventLog
 from saltcourse.gossip.host import MAX_UNSENT_BYTES, Host
 from saltcourse.gossip.node import Node
 from tests.gossip.site import EXAMPLE, KEY, Processes, Site, call, figure, until, wait_for
@@ -308,7 +308,7 @@
             events.record(m.ZoneReachability("z1", False))
             events.record(m.FreshnessChanged(m.Freshness.STALE))
             assert logs == []
-            await asyncio.sleep(LOG_INTERVAL + 0.1)
+            await asyncio.sleep(LOG_INTERVAL_SECONDS + 0.1)
         assert len(logs) == 4
         by_event = {line["event"]: line for line in logs}
         changed = by_event["gossip members changed"]
