--- a/saltcourse/app/address_failover.py
+++ b/saltcourse/app/address_failover.py
@@ -4,7 +4,6 @@
 
 import secrets
 import time
-from collections.abc import Callable
 
 import structlog
 
@@ -18,7 +17,7 @@
 from saltcourse.address_failover.vote_store import VoteStore
 from saltcourse.address_failover.voters import ElectionConfig
 from saltcourse.app.errors import AddressFailoverStartError
-from saltcourse.app.reloading import reread_section, warn_of_changes
+from saltcourse.app.reloading import Reread, reread_section, warn_of_changes
 from saltcourse.config.operator_address_failover import (
     FILE_KEYS,
     KEY_FILE,
@@ -32,8 +31,6 @@
 NANOSECONDS_PER_MICROSECOND = 1000
 RELOADED_FIELDS = ("keys", "key_file")  # taken over by a reload; all else needs a restart
 
-Reread = Callable[[], AddressFailoverSettings | None]
-
 log = structlog.get_logger("saltcourse")
 
 
@@ -68,7 +65,7 @@
     ``reread`` reads the section again when the program reloads.
     """
 
-    def __init__(self, settings: AddressFailoverSettings, reread: Reread) -> None:
+    def __init__(self, settings: AddressFailoverSettings, reread: Reread[AddressFailoverSettings]) -> None:
         self._settings = settings
         self._reread = reread
         self._member: ElectionHost | None = None
--- a/saltcourse/app/control_member.py
+++ b/saltcourse/app/control_member.py
@@ -16,7 +16,8 @@
 from saltcourse.admin.requests import LAMEDUCK_COMMANDS, Command
 from saltcourse.admin.server import AdminServer
 from saltcourse.app.errors import ControlMemberError
-from saltcourse.app.gossip import Reread, create_host, prefix_metric_names, reload_section, start_host
+from saltcourse.app.gossip import create_host, prefix_metric_names, reload_section, start_host
+from saltcourse.app.reloading import Reread
 from saltcourse.config import ConfigError
 from saltcourse.config.operator_gossip import SECTION, GossipSettings
 from saltcourse.gossip.admin import GossipAdminHandler
@@ -34,7 +35,7 @@
 class ControlMember:
     """The program, which also answers at the operators' address."""
 
-    def __init__(self, settings: GossipSettings, reread: Reread) -> None:
+    def __init__(self, settings: GossipSettings, reread: Reread[GossipSettings]) -> None:
         self._settings = settings
         self._reread = reread
         self._stop = asyncio.Event()
@@ -141,7 +142,9 @@
     return member is not None and member.status is Status.ALIVE
 
 
-def run_control_member(settings: GossipSettings, reread: Reread, admin: Address | None) -> None:
+def run_control_member(
+    settings: GossipSettings, reread: Reread[GossipSettings], admin: Address | None
+) -> None:
     """Run a control member, which answers operators at ``admin`` if that is given.
 
     Raises ``ConfigError``, ``ListenError`` or ``ControlMemberError`` when it can't start or go on.
@@ -149,5 +152,5 @@
     asyncio.run(_run(settings, reread, admin))
 
 
-async def _run(settings: GossipSettings, reread: Reread, admin: Address | None) -> None:
+async def _run(settings: GossipSettings, reread: Reread[GossipSettings], admin: Address | None) -> None:
     await ControlMember(settings, reread).run(admin)
--- a/saltcourse/app/gossip.py
+++ b/saltcourse/app/gossip.py
@@ -10,7 +10,7 @@
 
 import structlog
 
-from saltcourse.app.reloading import reread_section, warn_of_changes
+from saltcourse.app.reloading import Reread, reread_section, warn_of_changes
 from saltcourse.config.operator_gossip import FILE_KEYS, SECTION, GossipSettings
 from saltcourse.config.overlay import ConfigurationSource
 from saltcourse.gossip.admin import GossipAdminHandler
@@ -29,8 +29,6 @@
 
 log = structlog.get_logger("saltcourse")
 
-Reread = Callable[[], GossipSettings | None]
-
 
 def node_settings(settings: GossipSettings) -> NodeSettings:
     """Return the node's part of the settings, with a number drawn anew for this process."""
@@ -74,7 +72,7 @@
     log.info("gossip started", member=settings.own_name, role=settings.role.name.lower(), zone=settings.zone)
 
 
-def reload_section(old: GossipSettings, reread: Reread) -> None:
+def reload_section(old: GossipSettings, reread: Reread[GossipSettings]) -> None:
     """Log what a restart would change: the section is read at the start only."""
     new = reread_section(SECTION, reread)
     if new is not None:
@@ -92,7 +90,9 @@
     ``source`` is the proxy's configuration, ``reread`` reads the section again when the program reloads.
     """
 
-    def __init__(self, settings: GossipSettings, source: ConfigurationSource, reread: Reread) -> None:
+    def __init__(
+        self, settings: GossipSettings, source: ConfigurationSource, reread: Reread[GossipSettings]
+    ) -> None:
         self.host: Host | None = None
         self.gossip_handler: GossipAdminHandler | None = None
         self._settings = settings
--- a/saltcourse/app/reloading.py
+++ b/saltcourse/app/reloading.py
@@ -14,11 +14,12 @@
     from _typeshed import DataclassInstance
 
 Section = TypeVar("Section", bound="DataclassInstance")
+Reread = Callable[[], Section | None]  # reads a section again; None where it is left out now
 
 log = structlog.get_logger("saltcourse")
 
 
-def reread_section(section: str, reread: Callable[[], Section | None]) -> Section | None:
+def reread_section(section: str, reread: Reread[Section]) -> Section | None:
     """Read a section again; None, and a log line, where it can't be used or is left out now."""
     try:
         settings = reread()
--- a/saltcourse/app/witness.py
+++ b/saltcourse/app/witness.py
@@ -7,13 +7,14 @@
 
 import structlog
 
-from saltcourse.app.address_failover import AddressFailoverCompanion, Reread
+from saltcourse.app.address_failover import AddressFailoverCompanion
+from saltcourse.app.reloading import Reread
 from saltcourse.config.operator_address_failover import AddressFailoverSettings
 
 log = structlog.get_logger("saltcourse")
 
 
-def run_witness(settings: AddressFailoverSettings, reread: Reread) -> None:
+def run_witness(settings: AddressFailoverSettings, reread: Reread[AddressFailoverSettings]) -> None:
     """Vote until SIGTERM or SIGINT; SIGHUP has the keys read again.
 
     Raises ``AddressFailoverStartError`` when it can't start.
@@ -21,7 +22,7 @@
     asyncio.run(_run(settings, reread))
 
 
-async def _run(settings: AddressFailoverSettings, reread: Reread) -> None:
+async def _run(settings: AddressFailoverSettings, reread: Reread[AddressFailoverSettings]) -> None:
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
