--- a/saltcourse/config/operator_address_failover.py
+++ b/saltcourse/config/operator_address_failover.py
@@ -36,6 +36,7 @@
 MAX_CLOCK_DRIFT = 0.05  # share
 MAX_GUARD_SHARE = 1 / 4  # of the lease
 MAX_AS_NUMBER = 2**32 - 1  # RFC 6793
+# Also in address_failover/bgp_session.py and command_announcer.py, which a configuration must not import.
 MIN_HOLD_SECONDS = 3  # RFC 4271: the shortest hold time that is not 0
 MAX_HOLD_SECONDS = 90
 DEFAULT_COMMAND_TIMEOUT_SECONDS = 1.0
