--- a/saltcourse/address_failover/election.py
+++ b/saltcourse/address_failover/election.py
@@ -40,7 +40,6 @@
 from __future__ import annotations
 
 import random
-from enum import Enum
 
 from saltcourse.address_failover.actions import (
     Action,
@@ -69,6 +68,7 @@
     VoteResponse,
 )
 from saltcourse.address_failover.promises import VoterPromises
+from saltcourse.address_failover.roles import CANDIDATE_ROLES, Candidacy, Role
 from saltcourse.address_failover.terms import next_term, term_owner, term_round
 from saltcourse.address_failover.vote import NOTHING_RECOVERED, RecoveredState
 from saltcourse.address_failover.voters import ElectionConfig
@@ -78,19 +78,6 @@
 RECENT_LEASES = 2  # lease durations within which a member was heard that may take over a lease
 
 
-class Role(Enum):
-    """What a member is in the election; see the table at the head of this file."""
-
-    FOLLOWER = "follower"
-    PRE_CANDIDATE = "pre-candidate"
-    CANDIDATE = "candidate"
-    HOLDER = "holder"
-    STOPPED = "stopped"
-
-
-CANDIDACY = (Role.PRE_CANDIDATE, Role.CANDIDATE)
-
-
 class Election:
     """One member's part in the election. ``seed`` spreads the candidacies of members with one priority.
 
@@ -121,8 +108,7 @@
         self.grants = Grants(config.majority, config.timing.holder_lease)
         self.last_received: dict[str, float] = {}  # member -> when its last message came
         self.lease_ends_at = LONG_AGO
-        self.candidacy_started_at = now
-        self.candidacy_ends_at = NEVER
+        self.candidacy = Candidacy(now, NEVER)
         self.next_candidacy_at = NEVER
         self.next_send_at = NEVER  # the next repeat of requests or renewals
         self.now = now
@@ -166,8 +152,8 @@
     def _next_deadline(self) -> float:
         if self.role is Role.HOLDER:
             return min(self.next_send_at, self.lease_ends_at)
-        if self.role in CANDIDACY:
-            return min(self.next_send_at, self.candidacy_ends_at)
+        if self.role in CANDIDATE_ROLES:
+            return min(self.next_send_at, self.candidacy.ends_at)
         return self.next_candidacy_at
 
     def _check_deadlines(self) -> None:
@@ -176,7 +162,7 @@
             self._actions.append(LogEvent("lease expired"))
             self._step_down()
             self._follow()
-        elif self.role in CANDIDACY and self.now >= self.candidacy_ends_at:
+        elif self.role in CANDIDATE_ROLES and self.now >= self.candidacy.ends_at:
             self._abandon_candidacy()
 
     def _on_timer(self) -> None:
@@ -212,8 +198,7 @@
         self.term = next_term(self.promises.vote.term, self._own_index)
         if role is Role.CANDIDATE:
             self._actions += self.promises.vote_for(self.now, self.own_name, self.term)
-        self.candidacy_started_at = self.now
-        self.candidacy_ends_at = self.now + self.timing.candidacy_timeout
+        self.candidacy = Candidacy(self.now, self.now + self.timing.candidacy_timeout)
         self._request_votes()
         self._count_grants()
 
@@ -239,10 +224,10 @@
         """A pre-vote uses up no term, so only the time tells which of two rounds a response belongs to."""
         expects_pre_vote = self.role is Role.PRE_CANDIDATE
         return (
-            self.role in CANDIDACY
+            self.role in CANDIDATE_ROLES
             and response.term == self.term
             and response.pre_vote is expects_pre_vote
-            and response.request_sent_at >= self.candidacy_started_at
+            and response.request_sent_at >= self.candidacy.started_at
         )
 
     def _is_overtaken_by(self, term: int) -> bool:
@@ -309,23 +294,12 @@
         """Step down and have the preferred one of the live members become a candidate at once."""
         term = self.term
         self._step_down()
-        successor = self._preferred_successor()
+        alive_since = self.now - RECENT_LEASES * self.timing.lease_duration
+        successor = self.config.preferred_successor(self.last_received, alive_since)
         if successor is not None:
             self._actions.append(SendMessage(successor, LeaseTransfer(term)))
             self._actions.append(LogEvent("lease transferred", successor))
 
-    def _preferred_successor(self) -> str | None:
-        """Of those that were heard lately, the one of the highest priority, then the one heard last."""
-        alive_since = self.now - RECENT_LEASES * self.timing.lease_duration
-        alive = [
-            voter
-            for voter in self.others
-            if not voter.witness and self.last_received.get(voter.name, LONG_AGO) >= alive_since
-        ]
-        if not alive:
-            return None
-        return max(alive, key=lambda voter: (voter.priority, self.last_received[voter.name])).name
-
     # ---- what the host reports --------------------------------------------------------------------------
 
     def _on_announcer(self, available: bool) -> None:
--- a/saltcourse/address_failover/voters.py
+++ b/saltcourse/address_failover/voters.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+import math
+from collections.abc import Mapping
 from dataclasses import dataclass
 
 from saltcourse.address_failover.errors import InvalidVotersError
@@ -69,6 +71,21 @@
         priorities = sorted({voter.priority for voter in self.voters if not voter.witness}, reverse=True)
         return self.timing.priority_delay * priorities.index(self.own_voter.priority)
 
+    def preferred_successor(self, last_received: Mapping[str, float], alive_since: float) -> str | None:
+        """The member to transfer a lease to: of the highest priority, then the one heard last.
+
+        ``last_received``: when each other member's last message came. Only those count that may hold the
+        lease and were heard since ``alive_since``; None where there is none.
+        """
+        alive = [
+            voter
+            for voter in self.others
+            if not voter.witness and last_received.get(voter.name, -math.inf) >= alive_since
+        ]
+        if not alive:
+            return None
+        return max(alive, key=lambda voter: (voter.priority, last_received[voter.name])).name
+
     def index_of(self, name: str) -> int:
         """The place of a voter, or -1 for a name that is none."""
         return next((index for index, voter in enumerate(self.voters) if voter.name == name), -1)
--- a/tests/address_failover/test_election_model.py
+++ b/tests/address_failover/test_election_model.py
@@ -89,7 +89,7 @@
                     m.lease_ends_at,
                     m.next_candidacy_at,
                     m.next_send_at,
-                    m.candidacy_ends_at,
+                    m.candidacy.ends_at,
                     tuple(sorted(m.grants.request_sent_at.items())),
                     m.promises.abstains_until,
                 )
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -56,6 +56,7 @@
     "saltcourse.address_failover.message_codec": WORDS,
     "saltcourse.address_failover.messages": WORDS,
     "saltcourse.address_failover.replay_window": WORDS,
+    "saltcourse.address_failover.roles": WORDS,
     "saltcourse.address_failover.terms": WORDS,
     "saltcourse.address_failover.timing": WORDS,
     "saltcourse.address_failover.vote": WORDS,
