--- a/saltcourse/address_failover/host.py
+++ b/saltcourse/address_failover/host.py
@@ -38,6 +38,7 @@
 from saltcourse.address_failover.vote import RecoveredState, Vote
 from saltcourse.address_failover.vote_store import VoteStore
 from saltcourse.address_failover.voters import ElectionConfig
+from saltcourse.boot_clock import boot_clock
 
 # Between two Hellos to one member, however many of its datagrams do not know this process.
 HELLO_INTERVAL_SECONDS = 0.05
@@ -53,11 +54,6 @@
 log = structlog.get_logger("saltcourse")
 
 
-def boot_clock() -> float:
-    """Seconds since the machine started, suspended time included."""
-    return time.clock_gettime(time.CLOCK_BOOTTIME)
-
-
 class ElectionHost(asyncio.DatagramProtocol):
     """Runs one member's ``Election``.
 
--- a/saltcourse/gossip/host.py
+++ b/saltcourse/gossip/host.py
@@ -8,13 +8,13 @@
 
 import asyncio
 import itertools
-import time
 from collections import Counter
 from collections.abc import Callable
 from typing import Protocol
 
 import structlog
 
+from saltcourse.boot_clock import boot_clock
 from saltcourse.gossip.errors import StoreError
 from saltcourse.gossip.event_log import EventLog
 from saltcourse.gossip.messages import (
@@ -60,11 +60,6 @@
         """Release the file."""
 
 
-def boot_clock() -> float:
-    """Seconds since the machine booted, suspension included."""
-    return time.clock_gettime(time.CLOCK_BOOTTIME)
-
-
 class Host(asyncio.DatagramProtocol):
     """A ``Node`` on a real UDP socket, with its timer.
 
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -39,6 +39,7 @@
     "saltcourse.config": WORDS,
     "saltcourse.codec": WORDS,
     "saltcourse.schema": WORDS,
+    "saltcourse.boot_clock": WORDS,
     "saltcourse.signals": WORDS,
     "saltcourse.metrics": WORDS,
     "saltcourse.shared_state.codec": WORDS,
