--- a/saltcourse/app/errors.py
+++ b/saltcourse/app/errors.py
@@ -1,6 +1,6 @@
 """Why a program could not start, or had to stop. Each text is for the operator.
 
-``ConfigError`` (package ``config``) and ``ListenError`` (package ``proxy``) stand beside these.
+``ConfigError`` (package ``config``) and ``ListenError`` (package ``proxy``) are defined beside these.
 """
 
 from __future__ import annotations
--- a/saltcourse/app/gossip.py
+++ b/saltcourse/app/gossip.py
@@ -25,7 +25,7 @@
 REPORT_INTERVAL_SECONDS = 1.0  # between a proxy's reports of its connection count
 PROCESS_BITS = 32
 SEED_BITS = 64
-NOT_IN_A_NAME = re.compile(r"[^A-Za-z0-9_.-]")  # a zone's name stands in figures, in statsd's line format
+NOT_IN_A_NAME = re.compile(r"[^A-Za-z0-9_.-]")  # a zone's name is part of names in statsd's line format
 
 log = structlog.get_logger("saltcourse")
 
--- a/saltcourse/gossip/dissemination.py
+++ b/saltcourse/gossip/dissemination.py
@@ -48,7 +48,7 @@
 
 
 class Dissemination:
-    """One member's part in it, free of I/O: each call returns what is to be sent."""
+    """One member's part in spreading the configuration, free of I/O: each call returns what is to be sent."""
 
     def __init__(
         self, timing: Timing, rng: Random, sample: Sample, configuration: FleetConfiguration | None = None
@@ -77,7 +77,7 @@
 
     @property
     def heartbeat(self) -> Heartbeat:
-        """The highest seen."""
+        """The highest heartbeat of a publisher that this member has seen."""
         return self._monitor.heartbeat
 
     # ---- calls of the node --------------------------------------------------------------------------
