--- a/saltcourse/address_failover/election.py
+++ b/saltcourse/address_failover/election.py
@@ -3,7 +3,9 @@
 The rules that this file lives by:
 
 1. A *promise* is given by a voter to one member: the voter helps nobody else until ``lease_duration`` has
-   passed on its own clock. Votes and acknowledged renewals are promises. An active promise is never broken.
+   passed on its own clock. Votes and acknowledged renewals are promises. An active promise is kept, with two
+   exceptions: its receiver gives it back (``LeaseRelease``), or a candidate to whom the holder transferred
+   the lease of that promise asks for a vote (``transferred_term``).
 2. A *lease* counts from when the request was sent, not from its answer, and is shorter than the promise by
    what two clocks may differ. So while a majority's promises hold up a lease, nobody else can get a
    majority.
@@ -38,7 +40,6 @@
 from __future__ import annotations
 
 import random
-from enum import Enum
 
 from saltcourse.address_failover.actions import (
     Action,
@@ -67,6 +68,7 @@
     VoteResponse,
 )
 from saltcourse.address_failover.promises import VoterPromises
+from saltcourse.address_failover.roles import CANDIDATE_ROLES, Candidacy, Role
 from saltcourse.address_failover.terms import next_term, term_owner, term_round
 from saltcourse.address_failover.vote import NOTHING_RECOVERED, RecoveredState
 from saltcourse.address_failover.voters import ElectionConfig
@@ -76,24 +78,19 @@
 RECENT_LEASES = 2  # lease durations within which a member was heard that may take over a lease
 
 
-class Role(Enum):
-    """What a member is in the election; see the table at the head of this file."""
-
-    FOLLOWER = "follower"
-    PRE_CANDIDATE = "pre-candidate"
-    CANDIDATE = "candidate"
-    HOLDER = "holder"
-    STOPPED = "stopped"
-
-
-CANDIDACY = (Role.PRE_CANDIDATE, Role.CANDIDATE)
-
-
 class Election:
-    """One member's part in the election. ``seed`` spreads the candidacies of members with one priority."""
+    """One member's part in the election. ``seed`` spreads the candidacies of members with one priority.
+
+    ``can_announce`` is False for a member whose announcer has not reported yet that it is available.
+    """
 
     def __init__(
-        self, config: ElectionConfig, seed: int, now: float, recovered: RecoveredState = NOTHING_RECOVERED
+        self,
+        config: ElectionConfig,
+        seed: int,
+        now: float,
+        recovered: RecoveredState = NOTHING_RECOVERED,
+        can_announce: bool = True,
     ) -> None:
         self.config = config
         self.timing = config.timing
@@ -105,14 +102,13 @@
         self.random = random.Random(seed)
         self.promises = VoterPromises(config.own_name, config.timing.lease_duration, now, recovered)
         self.role = Role.FOLLOWER
-        self.can_announce = True
+        self.can_announce = can_announce
         self.term = 0  # of the candidacy or the lease
         self.transferred_term = 0  # the term of the lease that was transferred for this candidacy; 0: none
         self.grants = Grants(config.majority, config.timing.holder_lease)
         self.last_received: dict[str, float] = {}  # member -> when its last message came
         self.lease_ends_at = LONG_AGO
-        self.candidacy_started_at = now
-        self.candidacy_ends_at = NEVER
+        self.candidacy = Candidacy(now, NEVER)
         self.next_candidacy_at = NEVER
         self.next_send_at = NEVER  # the next repeat of requests or renewals
         self.now = now
@@ -156,8 +152,8 @@
     def _next_deadline(self) -> float:
         if self.role is Role.HOLDER:
             return min(self.next_send_at, self.lease_ends_at)
-        if self.role in CANDIDACY:
-            return min(self.next_send_at, self.candidacy_ends_at)
+        if self.role in CANDIDATE_ROLES:
+            return min(self.next_send_at, self.candidacy.ends_at)
         return self.next_candidacy_at
 
     def _check_deadlines(self) -> None:
@@ -166,7 +162,7 @@
             self._actions.append(LogEvent("lease expired"))
             self._step_down()
             self._follow()
-        elif self.role in CANDIDACY and self.now >= self.candidacy_ends_at:
+        elif self.role in CANDIDATE_ROLES and self.now >= self.candidacy.ends_at:
             self._abandon_candidacy()
 
     def _on_timer(self) -> None:
@@ -202,8 +198,7 @@
         self.term = next_term(self.promises.vote.term, self._own_index)
         if role is Role.CANDIDATE:
             self._actions += self.promises.vote_for(self.now, self.own_name, self.term)
-        self.candidacy_started_at = self.now
-        self.candidacy_ends_at = self.now + self.timing.candidacy_timeout
+        self.candidacy = Candidacy(self.now, self.now + self.timing.candidacy_timeout)
         self._request_votes()
         self._count_grants()
 
@@ -229,10 +224,10 @@
         """A pre-vote uses up no term, so only the time tells which of two rounds a response belongs to."""
         expects_pre_vote = self.role is Role.PRE_CANDIDATE
         return (
-            self.role in CANDIDACY
+            self.role in CANDIDATE_ROLES
             and response.term == self.term
             and response.pre_vote is expects_pre_vote
-            and response.request_sent_at >= self.candidacy_started_at
+            and response.request_sent_at >= self.candidacy.started_at
         )
 
     def _is_overtaken_by(self, term: int) -> bool:
@@ -299,23 +294,12 @@
         """Step down and have the preferred one of the live members become a candidate at once."""
         term = self.term
         self._step_down()
-        successor = self._preferred_successor()
+        alive_since = self.now - RECENT_LEASES * self.timing.lease_duration
+        successor = self.config.preferred_successor(self.last_received, alive_since)
         if successor is not None:
             self._actions.append(SendMessage(successor, LeaseTransfer(term)))
             self._actions.append(LogEvent("lease transferred", successor))
 
-    def _preferred_successor(self) -> str | None:
-        """Of those that were heard lately, the one of the highest priority, then the one heard last."""
-        alive_since = self.now - RECENT_LEASES * self.timing.lease_duration
-        alive = [
-            voter
-            for voter in self.others
-            if not voter.witness and self.last_received.get(voter.name, LONG_AGO) >= alive_since
-        ]
-        if not alive:
-            return None
-        return max(alive, key=lambda voter: (voter.priority, self.last_received[voter.name])).name
-
     # ---- what the host reports --------------------------------------------------------------------------
 
     def _on_announcer(self, available: bool) -> None:
@@ -326,7 +310,9 @@
         if not available and self.role is Role.HOLDER:
             self._actions.append(LogEvent("service address cannot be announced"))
             self._transfer_lease()
-            return  # the lease is over: the timer, which is set to at once, makes this member a follower
+            # Still HOLDER with an ended lease: the timer, due at once, logs "lease expired", withdraws again
+            # and follows.
+            return
         if not available and self.role is Role.CANDIDATE:
             self._abandon_candidacy()
         if self.role is not Role.HOLDER:
--- a/saltcourse/address_failover/vote_store.py
+++ b/saltcourse/address_failover/vote_store.py
@@ -1,8 +1,9 @@
 """The durable vote of a member, for sites whose disk survives a restart: one row in an SQLite file.
 
 SQLite is in the standard library and durable against power loss with ``synchronous=FULL``. A write takes
-place only when the vote changes, never for a renewal. A file that is torn, foreign or another member's is
-an error: to begin anew could mean a second vote in the same term.
+place only when the vote, the newest term or the receiver of the last promise changes; a holder's further
+renewals write nothing. A file that is torn, foreign or another member's is an error: to begin anew could
+mean a second vote in the same term.
 """
 
 from __future__ import annotations
@@ -17,10 +18,10 @@
 APPLICATION_ID = 0x53616C74  # "Salt", as SQLite's application_id
 FORMAT_VERSION = 1  # as SQLite's user_version
 # Columns keep their first names: ``voted`` is Vote.voted_for, ``promised`` is Vote.promised_to.
-CREATE_TABLE = (
+CREATE_TABLES = (
     "CREATE TABLE vote (one INTEGER PRIMARY KEY CHECK (one = 1), member TEXT NOT NULL,"
     " term INTEGER NOT NULL, voted TEXT NOT NULL, promised TEXT NOT NULL,"
-    " digest TEXT NOT NULL) STRICT"
+    " digest TEXT NOT NULL) STRICT",
 )
 
 
@@ -56,7 +57,8 @@
         if is_new:
             self._db.execute(f"PRAGMA application_id={APPLICATION_ID}")
             self._db.execute(f"PRAGMA user_version={FORMAT_VERSION}")
-            self._db.execute(CREATE_TABLE)
+            for statement in CREATE_TABLES:
+                self._db.execute(statement)
         self._db.execute("COMMIT")
 
     def _check_format(self) -> None:
--- a/saltcourse/app/address_failover.py
+++ b/saltcourse/app/address_failover.py
@@ -4,7 +4,6 @@
 
 import secrets
 import time
-from collections.abc import Callable
 
 import structlog
 
@@ -18,7 +17,7 @@
 from saltcourse.address_failover.vote_store import VoteStore
 from saltcourse.address_failover.voters import ElectionConfig
 from saltcourse.app.errors import AddressFailoverStartError
-from saltcourse.app.reloading import reread_section, warn_of_changes
+from saltcourse.app.reloading import Reread, reread_section, warn_of_changes
 from saltcourse.config.operator_address_failover import (
     FILE_KEYS,
     KEY_FILE,
@@ -32,12 +31,10 @@
 NANOSECONDS_PER_MICROSECOND = 1000
 RELOADED_FIELDS = ("keys", "key_file")  # taken over by a reload; all else needs a restart
 
-Reread = Callable[[], AddressFailoverSettings | None]
-
 log = structlog.get_logger("saltcourse")
 
 
-def create_member(settings: AddressFailoverSettings) -> ElectionHost:
+def create_election_host(settings: AddressFailoverSettings) -> ElectionHost:
     """Compose a member, which is not started yet. ``VoteStoreError`` when its stored vote can't be used."""
     boot = time.time_ns() // NANOSECONDS_PER_MICROSECOND
     others = {name: address for name, address in settings.addresses.items() if name != settings.own_name}
@@ -45,7 +42,7 @@
     announcer = _create_announcer(settings, seed)
     store = VoteStore(settings.store_file, settings.own_name) if settings.store_file is not None else None
     authenticator = DatagramAuthenticator(settings.own_name, boot, list(settings.keys), others)
-    config = ElectionConfig(settings.members, settings.own_name, settings.timing)
+    config = ElectionConfig(settings.voters, settings.own_name, settings.timing)
     return ElectionHost(config, authenticator, seed, announcer, store)
 
 
@@ -55,7 +52,7 @@
         return None
     bgp, command = settings.bgp, settings.command
     if bgp is not None:
-        peering = Peering(bgp.asn, bgp.peer_asn, bgp.identifier, bgp.hold)
+        peering = Peering(bgp.asn, bgp.peer_asn, bgp.identifier, bgp.hold_time)
         return BgpAnnouncer(settings.service_address, bgp.next_hop, peering, bgp.route_servers, seed)
     if command is not None:
         return CommandAnnouncer(settings.service_address, command.arguments, command.timeout)
@@ -68,15 +65,18 @@
     ``reread`` reads the section again when the program reloads.
     """
 
-    def __init__(self, settings: AddressFailoverSettings, reread: Reread) -> None:
+    def __init__(self, settings: AddressFailoverSettings, reread: Reread[AddressFailoverSettings]) -> None:
         self._settings = settings
         self._reread = reread
         self._member: ElectionHost | None = None
 
     async def start(self) -> None:
-        """Join the election; ``AddressFailoverStartError`` when the store or the address can't be had."""
+        """Join the election.
+
+        ``AddressFailoverStartError`` when the vote file cannot be used or the address cannot be bound.
+        """
         try:
-            self._member = create_member(self._settings)
+            self._member = create_election_host(self._settings)
             await self._member.start(self._settings.own_address)
         except VoteStoreError as error:
             raise AddressFailoverStartError(f"{STORE_FILE}: {error}") from None
--- a/saltcourse/app/control_member.py
+++ b/saltcourse/app/control_member.py
@@ -16,12 +16,13 @@
 from saltcourse.admin.requests import LAMEDUCK_COMMANDS, Command
 from saltcourse.admin.server import AdminServer
 from saltcourse.app.errors import ControlMemberError
-from saltcourse.app.gossip import Reread, create_host, figure_names, reload_section, start_host
+from saltcourse.app.gossip import create_host, prefix_metric_names, reload_section, start_host
+from saltcourse.app.reloading import Reread
 from saltcourse.config import ConfigError
 from saltcourse.config.operator_gossip import SECTION, GossipSettings
-from saltcourse.gossip.admin import GossipAnswers
-from saltcourse.gossip.errors import PersistError, StoreError
-from saltcourse.gossip.host import LEAVE_GRACE, Host, StateStore
+from saltcourse.gossip.admin import GossipAdminHandler
+from saltcourse.gossip.errors import StoreError
+from saltcourse.gossip.host import LEAVE_GRACE_SECONDS, Host, StateStore
 from saltcourse.gossip.member_table import Member
 from saltcourse.gossip.messages import Address, ReplicaState, Status
 from saltcourse.gossip.store import ReplicaStore
@@ -31,42 +32,24 @@
 log = structlog.get_logger("saltcourse")
 
 
-class VoterStore:
-    """A voter's file, which raises the error that the host expects."""
-
-    def __init__(self, store: ReplicaStore) -> None:
-        self._store = store
-
-    def save(self, state: ReplicaState) -> None:
-        """Write the state; returns once it is on the disk. ``PersistError`` when it can't be stored."""
-        try:
-            self._store.save(state)
-        except StoreError as error:
-            raise PersistError(str(error)) from None
-
-    def close(self) -> None:
-        """Close the file."""
-        self._store.close()
-
-
 class ControlMember:
     """The program, which also answers at the operators' address."""
 
-    def __init__(self, settings: GossipSettings, reread: Reread) -> None:
+    def __init__(self, settings: GossipSettings, reread: Reread[GossipSettings]) -> None:
         self._settings = settings
         self._reread = reread
         self._stop = asyncio.Event()
-        self._failure: PersistError | None = None
+        self._failure: StoreError | None = None
         self._figures = Metrics(())
         self._figures.gauges = self._gauges
         self._host = self._create_host()
-        self._answers = GossipAnswers(self._host)
+        self._gossip_handler = GossipAdminHandler(self._host)
 
     async def run(self, admin: Address | None) -> None:
         """Run until SIGTERM or SIGINT.
 
-        Raises ``ListenError`` when an address can't be had, ``ControlMemberError`` when the state of a voter
-        can't be stored any more.
+        Raises ``ListenError`` when an address cannot be bound, ``ControlMemberError`` when the state of a
+        voter can't be stored any more.
         """
         self._handle_signals()
         await start_host(self._host, self._settings)
@@ -95,14 +78,14 @@
         store: StateStore | None = None
         if self._settings.is_voter and self._settings.store_file is not None:
             try:
-                replica_store = ReplicaStore(self._settings.store_file, self._settings.me)
+                replica_store = ReplicaStore(self._settings.store_file, self._settings.own_name)
                 state = replica_store.load()
             except StoreError as error:
                 raise ConfigError(f"{SECTION}.store_file: {error}") from None
-            store = VoterStore(replica_store)
+            store = replica_store
         return create_host(self._settings, state, store, on_failure=self._on_failure)
 
-    def _on_failure(self, error: PersistError) -> None:
+    def _on_failure(self, error: StoreError) -> None:
         self._failure = error
         self._stop.set()
 
@@ -120,8 +103,9 @@
         if not self._host.is_open:
             return
         self._host.leave()
-        log.info("gossip left", member=self._settings.me)
-        await asyncio.sleep(LEAVE_GRACE)
+        log.info("gossip left", member=self._settings.own_name)
+        # The member still answers meanwhile, so that others learn of its departure though a datagram is lost.
+        await asyncio.sleep(LEAVE_GRACE_SECONDS)
         self._host.close()
 
     # ---- operators' commands ----------------------------------------------------------------------
@@ -129,7 +113,7 @@
     @property
     def gossip_handler(self) -> GossipHandler | None:
         """The member's answers to commands about the fleet."""
-        return self._answers
+        return self._gossip_handler
 
     def supports(self, command: Command) -> bool:
         """A control member has no clients, so it can't be drained."""
@@ -142,7 +126,7 @@
         needed = len(self._settings.voters) // 2 + 1 if self._settings.is_voter else 1
         return self._host.is_open and len(alive) >= needed
 
-    def figures_text(self) -> bytes:
+    def metrics_text(self) -> bytes:
         """Return the figures, one a line."""
         return self._figures.text()
 
@@ -151,14 +135,16 @@
         return False
 
     def _gauges(self) -> dict[str, int]:
-        return figure_names(self._host.figures())
+        return prefix_metric_names(self._host.figures())
 
 
 def _is_alive(member: Member | None) -> bool:
     return member is not None and member.status is Status.ALIVE
 
 
-def run_control_member(settings: GossipSettings, reread: Reread, admin: Address | None) -> None:
+def run_control_member(
+    settings: GossipSettings, reread: Reread[GossipSettings], admin: Address | None
+) -> None:
     """Run a control member, which answers operators at ``admin`` if that is given.
 
     Raises ``ConfigError``, ``ListenError`` or ``ControlMemberError`` when it can't start or go on.
@@ -166,5 +152,5 @@
     asyncio.run(_run(settings, reread, admin))
 
 
-async def _run(settings: GossipSettings, reread: Reread, admin: Address | None) -> None:
+async def _run(settings: GossipSettings, reread: Reread[GossipSettings], admin: Address | None) -> None:
     await ControlMember(settings, reread).run(admin)
--- a/saltcourse/app/gossip.py
+++ b/saltcourse/app/gossip.py
@@ -10,11 +10,11 @@
 
 import structlog
 
-from saltcourse.app.reloading import reread_section, warn_of_changes
+from saltcourse.app.reloading import Reread, reread_section, warn_of_changes
 from saltcourse.config.operator_gossip import FILE_KEYS, SECTION, GossipSettings
 from saltcourse.config.overlay import ConfigurationSource
-from saltcourse.gossip.admin import GossipAnswers
-from saltcourse.gossip.errors import PersistError
+from saltcourse.gossip.admin import GossipAdminHandler
+from saltcourse.gossip.errors import StoreError
 from saltcourse.gossip.host import Host, StateStore
 from saltcourse.gossip.messages import Applied, MemberRecord, ReplicaState
 from saltcourse.gossip.node import Node
@@ -25,26 +25,24 @@
 REPORT_INTERVAL_SECONDS = 1.0  # between a proxy's reports of its connection count
 PROCESS_BITS = 32
 SEED_BITS = 64
-NOT_IN_A_NAME = re.compile(r"[^A-Za-z0-9_.-]")  # a zone's name stands in figures, in statsd's line format
+NOT_IN_A_NAME = re.compile(r"[^A-Za-z0-9_.-]")  # a zone's name is part of names in statsd's line format
 
 log = structlog.get_logger("saltcourse")
 
-Reread = Callable[[], GossipSettings | None]
-
 
 def node_settings(settings: GossipSettings) -> NodeSettings:
     """Return the node's part of the settings, with a number drawn anew for this process."""
-    me = MemberRecord(
-        name=settings.me,
+    own_record = MemberRecord(
+        name=settings.own_name,
         address=settings.advertise,
         region=settings.region,
         zone=settings.zone,
         role=settings.role,
         incarnation=0,
-        process=secrets.randbits(PROCESS_BITS),
+        process_id=secrets.randbits(PROCESS_BITS),
     )
     return NodeSettings(
-        me=me,
+        own_record=own_record,
         seeds=settings.seeds,
         voters=settings.voters,
         key=settings.key,
@@ -58,7 +56,7 @@
     state: ReplicaState | None = None,
     store: StateStore | None = None,
     on_applied: Callable[[Applied], None] | None = None,
-    on_failure: Callable[[PersistError], None] | None = None,
+    on_failure: Callable[[StoreError], None] | None = None,
 ) -> Host:
     """Compose a member, which is not started yet; ``state`` and ``store`` are a voter's."""
     node = Node(node_settings(settings), random.Random(secrets.randbits(SEED_BITS)), state)
@@ -66,22 +64,22 @@
 
 
 async def start_host(host: Host, settings: GossipSettings) -> None:
-    """Bind the member's address and join the fleet. ``ListenError`` when the address can't be had."""
+    """Bind the member's address and join the fleet. ``ListenError`` when the address cannot be bound."""
     try:
         await host.start(settings.listen)
     except OSError as error:
         raise ListenError(f"{SECTION}.listen", "{}:{}".format(*settings.listen), error) from None
-    log.info("gossip started", member=settings.me, role=settings.role.name.lower(), zone=settings.zone)
+    log.info("gossip started", member=settings.own_name, role=settings.role.name.lower(), zone=settings.zone)
 
 
-def reload_section(old: GossipSettings, reread: Reread) -> None:
+def reload_section(old: GossipSettings, reread: Reread[GossipSettings]) -> None:
     """Log what a restart would change: the section is read at the start only."""
     new = reread_section(SECTION, reread)
     if new is not None:
         warn_of_changes(SECTION, old, new, file_keys=FILE_KEYS)
 
 
-def figure_names(figures: dict[str, int]) -> dict[str, int]:
+def prefix_metric_names(figures: dict[str, int]) -> dict[str, int]:
     """Return the member's figures under the names that they have among those of the program."""
     return {f"{SECTION}.{NOT_IN_A_NAME.sub('_', name)}": value for name, value in figures.items()}
 
@@ -92,9 +90,11 @@
     ``source`` is the proxy's configuration, ``reread`` reads the section again when the program reloads.
     """
 
-    def __init__(self, settings: GossipSettings, source: ConfigurationSource, reread: Reread) -> None:
+    def __init__(
+        self, settings: GossipSettings, source: ConfigurationSource, reread: Reread[GossipSettings]
+    ) -> None:
         self.host: Host | None = None
-        self.answers: GossipAnswers | None = None
+        self.gossip_handler: GossipAdminHandler | None = None
         self._settings = settings
         self._source = source
         self._reread = reread
@@ -106,10 +106,10 @@
         self._program = program
 
     async def start(self) -> None:
-        """Join the fleet. ``ListenError`` when the address can't be had."""
+        """Join the fleet. ``ListenError`` when the address cannot be bound."""
         self.host = create_host(self._settings, on_applied=self._on_applied)
         await start_host(self.host, self._settings)
-        self.answers = GossipAnswers(self.host)
+        self.gossip_handler = GossipAdminHandler(self.host)
         self._report_connections()
 
     async def leave(self) -> None:
@@ -123,14 +123,14 @@
         """Log what a restart would change."""
         reload_section(self._settings, self._reread)
 
-    def figures(self) -> dict[str, int]:
+    def gauges(self) -> dict[str, int]:
         """Return the member's figures and those of the configuration; none before the start."""
         if self.host is None:
             return {}
         figures = self.host.figures()
         figures["rejected_version"] = self._source.overlay.rejected_version
         figures["rejections"] = self._source.overlay.rejections
-        return figure_names(figures)
+        return prefix_metric_names(figures)
 
     def _on_applied(self, applied: Applied) -> None:
         assert self.host is not None
--- a/saltcourse/emulator/scale/gossip.py
+++ b/saltcourse/emulator/scale/gossip.py
@@ -151,7 +151,7 @@
     """Every member joins by the control members, and knows the voters."""
     control = [place for place in context.topology.places if place.role is Role.CONTROL]
     return NodeSettings(
-        me=member_record(context.place, context.address, context.process),
+        own_record=member_record(context.place, context.address, context.process),
         seeds=tuple(context.addresses[place.index] for place in control if place != context.place),
         voters=tuple(Voter(place.name, context.addresses[place.index]) for place in context.topology.voters),
         key=context.key,
--- a/saltcourse/gossip/dissemination.py
+++ b/saltcourse/gossip/dissemination.py
@@ -1,4 +1,4 @@
-"""Brings committed changes to every member: announcements, fetches, snapshots, freshness.
+"""Propagates committed changes to every member: announcements, fetches, snapshots, freshness.
 
 Every header carries its sender's position. A member that sees a higher one fetches the changes in between
 from that sender; a member that has just applied some announces its position to a few random others. So each
@@ -6,8 +6,8 @@
 kind. A member that is too far behind takes a snapshot first, then the changes behind it.
 
 Cost for a member: per change one fetch and one answer at most, ``announce_fanout`` announcements sent in
-each ``ANNOUNCE_INTERVAL_S`` at most, and per heartbeat one datagram passed on. None of it grows with the
-fleet.
+each ``ANNOUNCE_INTERVAL_SECONDS`` at most, and per heartbeat one datagram passed on. None of it grows with
+the fleet.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from collections import Counter
 from random import Random
 
-from saltcourse.gossip.configuration import Configuration, Outcome, Relation
+from saltcourse.gossip.configuration import ApplyOutcome, FleetConfiguration, PositionRelation
 from saltcourse.gossip.fetching import Fetcher, Sample
 from saltcourse.gossip.freshness import FreshnessMonitor
 from saltcourse.gossip.messages import (
@@ -40,27 +40,27 @@
 from saltcourse.gossip.settings import Timing
 from saltcourse.gossip.snapshot_receiver import SnapshotReceiver
 
-ANNOUNCE_INTERVAL_S = 0.05  # between rounds of announcements
-TICK_INTERVAL_S = 1.0  # at most between ticks, so that a stall of this process is noticed
+ANNOUNCE_INTERVAL_SECONDS = 0.05  # between rounds of announcements
+TICK_INTERVAL_SECONDS = 1.0  # at most between ticks, so that a stall of this process is noticed
 HEARTBEAT_FANOUT = 1  # members that a new heartbeat is passed on to: with none, some wait for over 5 s
 
 DisseminationAction = Applied | FreshnessChanged
 
 
 class Dissemination:
-    """One member's part in it, free of I/O: each call returns what is to be sent."""
+    """One member's part in spreading the configuration, free of I/O: each call returns what is to be sent."""
 
     def __init__(
-        self, timing: Timing, random: Random, sample: Sample, configuration: Configuration | None = None
+        self, timing: Timing, rng: Random, sample: Sample, configuration: FleetConfiguration | None = None
     ) -> None:
-        self.configuration = configuration if configuration is not None else Configuration()
+        self.configuration = configuration if configuration is not None else FleetConfiguration()
         self.freshness = Freshness.STALE
         self._timing = timing
         self._sample = sample
         self._counters: Counter[str] = Counter()
         self._monitor = FreshnessMonitor(timing)
         self._server = ChangeServer(self.configuration, self._counters)
-        self._fetcher = Fetcher(timing, random, sample, self.configuration, self._counters)
+        self._fetcher = Fetcher(timing, rng, sample, self.configuration, self._counters)
         self._snapshots = SnapshotReceiver(timing, self.configuration, self._fetcher, self._counters)
         self._announcement_pending = False
         self._last_announcement = float("-inf")
@@ -77,7 +77,7 @@
 
     @property
     def heartbeat(self) -> Heartbeat:
-        """The highest seen."""
+        """The highest heartbeat of a publisher that this member has seen."""
         return self._monitor.heartbeat
 
     # ---- calls of the node --------------------------------------------------------------------------
@@ -87,10 +87,10 @@
         self._begin(now)
         sends = self._observe_heartbeat(now, header.heartbeat)
         relation = self.configuration.relate(header.position)
-        if relation is Relation.AHEAD:
+        if relation is PositionRelation.AHEAD:
             self._fetcher.note(now, source, header.position)
             sends += self._fetch_unless_busy(now, source)
-        elif relation is not Relation.KNOWN:
+        elif relation is not PositionRelation.KNOWN:
             self._counters[f"position_{relation.name.lower()}"] += 1
         return sends + self._end(now)
 
@@ -114,9 +114,9 @@
         self._begin(now)
         sends: list[Send] = []
         outcome = self._apply(change)
-        if outcome is Outcome.APPLIED:
+        if outcome is ApplyOutcome.APPLIED:
             self._announcement_pending = True
-        elif outcome is Outcome.GAP:
+        elif outcome is ApplyOutcome.GAP:
             sends = self._fetch_unless_busy(now, None)
         return sends + self._end(now)
 
@@ -182,13 +182,13 @@
 
     def _earliest_deadline(self) -> float:
         deadline = min(
-            self._last_tick + TICK_INTERVAL_S,
+            self._last_tick + TICK_INTERVAL_SECONDS,
             self._monitor.next_deadline(),
             self._fetcher.next_deadline(),
             self._snapshots.next_deadline(),
         )
         if self._announcement_pending:
-            deadline = min(deadline, self._last_announcement + ANNOUNCE_INTERVAL_S)
+            deadline = min(deadline, self._last_announcement + ANNOUNCE_INTERVAL_SECONDS)
         return deadline
 
     # ---- changes and announcements ------------------------------------------------------------------
@@ -201,7 +201,7 @@
             self._announcement_pending = True  # also amid a burst: others may fetch from here
         return self._fetcher.continue_after(now, source)
 
-    def _apply(self, change: Change) -> Outcome:
+    def _apply(self, change: Change) -> ApplyOutcome:
         outcome = self.configuration.apply(change)
         self._counters[f"change_{outcome.name.lower()}"] += 1
         return outcome
@@ -212,7 +212,7 @@
         return self._fetcher.fetch(now, source)
 
     def _announce(self, now: float) -> list[Send]:
-        if not self._announcement_pending or now < self._last_announcement + ANNOUNCE_INTERVAL_S:
+        if not self._announcement_pending or now < self._last_announcement + ANNOUNCE_INTERVAL_SECONDS:
             return []
         self._announcement_pending = False
         self._last_announcement = now
--- a/saltcourse/gossip/failure_detector.py
+++ b/saltcourse/gossip/failure_detector.py
@@ -58,7 +58,7 @@
     """A probe of this member's own."""
 
     target: MemberId
-    process: int
+    process_id: int
     incarnation: int
     relays_at: float  # when others are asked
     ends_at: float
@@ -82,7 +82,7 @@
     """An own probe that ended without an Ack. ``missing_nacks``: relays that sent none either."""
 
     target: MemberId
-    process: int
+    process_id: int
     incarnation: int
     missing_nacks: int
 
@@ -90,22 +90,22 @@
 class AckOutcome(NamedTuple):
     """What an Ack shows, and what is to be sent for it."""
 
-    alive: MemberId | None  # the target of an own probe
+    confirmed_member: MemberId | None  # the target of an own probe
     sends: list[Send]  # the Ack of a relayed probe, to its requester
 
 
 class ProbeOrder:
     """Round-robin over a shuffled list of the live members, shuffled anew in each round."""
 
-    def __init__(self, table: MemberTable, source: random.Random) -> None:
+    def __init__(self, table: MemberTable, rng: random.Random) -> None:
         self._table = table
-        self._random = source
+        self._rng = rng
         self._round: list[MemberId] = []  # still to be probed, the next one last
 
     def insert(self, member: MemberId) -> None:
         """A new member takes a random place in the running round."""
         self._round.append(member)
-        place = int(self._random.random() * len(self._round))
+        place = int(self._rng.random() * len(self._round))
         self._round[place], self._round[-1] = self._round[-1], self._round[place]
 
     def next(self) -> MemberId | None:
@@ -113,7 +113,7 @@
         member = self._next_of_round()
         if member is None:
             self._round = list(self._table.live_ids)
-            self._random.shuffle(self._round)
+            self._rng.shuffle(self._round)
             member = self._next_of_round()
         return member
 
@@ -128,13 +128,11 @@
 class FailureDetector:
     """Runs the probes; what follows from a failed one is for the caller to decide."""
 
-    def __init__(
-        self, timing: Timing, source: random.Random, health: LocalHealth, piggyback: Piggyback
-    ) -> None:
+    def __init__(self, timing: Timing, rng: random.Random, health: LocalHealth, piggyback: Piggyback) -> None:
         self.probes_begun = 0
         self.relays_refused = 0
         self._timing = timing
-        self._random = source
+        self._rng = rng
         self._health = health
         self._piggyback = piggyback
         self._probes: dict[int, Probe] = {}  # by sequence, as the relayed ones
@@ -148,7 +146,7 @@
         sequence = self._draw_sequence()
         relays_at = now + self._timing.probe_timeout * factor
         ends_at = now + self._timing.probe_interval * factor
-        self._probes[sequence] = Probe(target, record.process, record.incarnation, relays_at, ends_at)
+        self._probes[sequence] = Probe(target, record.process_id, record.incarnation, relays_at, ends_at)
         self.probes_begun += 1
         return Send(record.address, Ping(sequence, target, self._piggyback(target)))
 
@@ -230,10 +228,10 @@
             if probe.ends_at <= now:
                 del self._probes[sequence]
                 missing_nacks = len((probe.relays or set()) - probe.nacks)
-                failed.append(FailedProbe(probe.target, probe.process, probe.incarnation, missing_nacks))
+                failed.append(FailedProbe(probe.target, probe.process_id, probe.incarnation, missing_nacks))
         return failed
 
-    def drop(self, concerned: Callable[[MemberId], bool]) -> None:
+    def cancel_probes(self, concerned: Callable[[MemberId], bool]) -> None:
         """Forget own probes of some members: their silence proves nothing any more."""
         self._probes = {
             sequence: probe for sequence, probe in self._probes.items() if not concerned(probe.target)
@@ -249,4 +247,4 @@
         return deadline
 
     def _draw_sequence(self) -> int:
-        return self._random.getrandbits(SEQUENCE_BITS)
+        return self._rng.getrandbits(SEQUENCE_BITS)
--- a/saltcourse/gossip/fields.py
+++ b/saltcourse/gossip/fields.py
@@ -35,7 +35,7 @@
 Record = TypeVar("Record")
 
 RECORD_CACHE_SIZE = 1_024  # member records and their bytes, each about 600 bytes of memory
-MAX_COUNT = 255  # records in one list: its count is one byte
+MAX_LIST_LENGTH = 255  # records in one list: its count is one byte
 MAX_VALUE_BYTES = 0xFFFE  # of one value; the next length stands for a deleted key
 DELETED = 0xFFFF  # in place of a value's length
 CONTROL_CHARACTER = re.compile("[\x00-\x1f\x7f-\x9f]")
@@ -117,7 +117,7 @@
         return socket.inet_ntop(family, self.raw(length)), port
 
     def records(self, read: Callable[[Reader], Record]) -> tuple[Record, ...]:
-        """Take a list of up to ``MAX_COUNT`` records."""
+        """Take a list of up to ``MAX_LIST_LENGTH`` records."""
         return tuple([read(self) for _ in range(self.number(U8))])
 
     def end(self) -> None:
@@ -151,7 +151,7 @@
 
 def encode_list(records: Sequence[Record], encode: Callable[[Record], bytes]) -> bytes:
     """Return the count of the records and their bytes."""
-    if len(records) > MAX_COUNT:
+    if len(records) > MAX_LIST_LENGTH:
         raise EncodeError(f"{len(records)} records in a list")
     return U8.pack(len(records)) + b"".join([encode(record) for record in records])
 
@@ -175,7 +175,7 @@
         MEMBER_RECORD_KIND,
         record.role << ROLE_SHIFT | record.status,
         record.incarnation,
-        record.process,
+        record.process_id,
         len(name),
         len(region),
         len(zone),
@@ -255,7 +255,7 @@
 def decode_member_record(data: bytes) -> MemberRecord:
     """Decode exactly one record; cached by its bytes."""
     reader = Reader(data)
-    kind, flags, incarnation, process, name, region, zone, address, port = reader.unpack(MEMBER_RECORD)
+    kind, flags, incarnation, process_id, name, region, zone, address, port = reader.unpack(MEMBER_RECORD)
     role = flags >> ROLE_SHIFT
     status = flags & STATUS_MASK
     if kind != MEMBER_RECORD_KIND or role >= len(ROLES) or status >= len(STATUSES):
@@ -267,7 +267,7 @@
         address=reader.address(address, port),
         role=ROLES[role],
         incarnation=incarnation,
-        process=process,
+        process_id=process_id,
         status=STATUSES[status],
     )
 
--- a/saltcourse/gossip/host.py
+++ b/saltcourse/gossip/host.py
@@ -8,14 +8,14 @@
 
 import asyncio
 import itertools
-import time
 from collections import Counter
 from collections.abc import Callable
 from typing import Protocol
 
 import structlog
 
-from saltcourse.gossip.errors import PersistError
+from saltcourse.boot_clock import boot_clock
+from saltcourse.gossip.errors import StoreError
 from saltcourse.gossip.event_log import EventLog
 from saltcourse.gossip.messages import (
     Action,
@@ -40,8 +40,8 @@
 )
 from saltcourse.gossip.node import Node
 
-LEAVE_GRACE = 0.3  # s for which a leaving member still answers, so that its goodbye gets through
-MIN_TICK_DELAY = 0.001  # s; a deadline that does not move must not spin
+LEAVE_GRACE_SECONDS = 0.3  # for which a leaving member still answers, so that its goodbye gets through
+MIN_TICK_DELAY_SECONDS = 0.001  # a deadline that does not move must not spin
 MAX_UNSENT_BYTES = 262_144  # that wait for the socket; more is dropped, as the network would
 MAX_RECEIVE_BYTES = 2_048  # of one datagram; over MAX_DATAGRAM_BYTES, so that longer ones are found out
 
@@ -54,17 +54,12 @@
     """Where a voter's state survives a restart."""
 
     def save(self, state: ReplicaState) -> None:
-        """Returns when it is on the disk; ``PersistError`` when it can't be stored."""
+        """Returns when it is on the disk; ``StoreError`` when it can't be stored."""
 
     def close(self) -> None:
         """Release the file."""
 
 
-def boot_clock() -> float:
-    """Seconds since the machine booted, suspension included."""
-    return time.clock_gettime(time.CLOCK_BOOTTIME)
-
-
 class Host(asyncio.DatagramProtocol):
     """A ``Node`` on a real UDP socket, with its timer.
 
@@ -77,7 +72,7 @@
         node: Node,
         store: StateStore | None = None,
         on_applied: Callable[[Applied], None] | None = None,
-        on_failure: Callable[[PersistError], None] | None = None,
+        on_failure: Callable[[StoreError], None] | None = None,
         clock: Callable[[], float] = boot_clock,
     ) -> None:
         self.node = node
@@ -104,13 +99,13 @@
         self._arm()
 
     def leave(self) -> None:
-        """Announce the departure at once, and close ``LEAVE_GRACE`` later."""
+        """Announce the departure at once, and close ``LEAVE_GRACE_SECONDS`` later."""
         if self._leaving:
             return
         self._leaving = True
         self._handle(Leave())
         self._abandon_publishing()
-        self._loop.call_later(LEAVE_GRACE, self.close)
+        self._loop.call_later(LEAVE_GRACE_SECONDS, self.close)
 
     def close(self) -> None:
         """Close socket, timer and store at once; publishers that wait are answered."""
@@ -197,7 +192,7 @@
             return
         if self._timer is not None:
             self._timer.cancel()
-        delay = max(MIN_TICK_DELAY, deadline - self._clock())
+        delay = max(MIN_TICK_DELAY_SECONDS, deadline - self._clock())
         self._timer = self._loop.call_later(delay, self._tick)
         self._timer_at = deadline
 
@@ -240,7 +235,7 @@
             return True
         try:
             self._store.save(state)
-        except PersistError as error:
+        except StoreError as error:
             log.error("gossip state could not be stored; this member stops", reason=str(error))
             self.close()
             if self._on_failure is not None:
--- a/saltcourse/gossip/member_table.py
+++ b/saltcourse/gossip/member_table.py
@@ -51,7 +51,7 @@
 def with_status(record: MemberRecord, incarnation: int, status: Status) -> MemberRecord:
     """As ``dataclasses.replace``, at a third of its time: it is called for each new update."""
     name, address, region, zone, role = record.name, record.address, record.region, record.zone, record.role
-    return MemberRecord(name, address, region, zone, role, incarnation, record.process, status)
+    return MemberRecord(name, address, region, zone, role, incarnation, record.process_id, status)
 
 
 def overrides(new: MemberRecord, current: MemberRecord) -> bool:
@@ -59,7 +59,11 @@
 
     The last criterion, the process, matters only while two processes use one name at one incarnation.
     """
-    return (new.incarnation, new.status, new.process) > (current.incarnation, current.status, current.process)
+    return (new.incarnation, new.status, new.process_id) > (
+        current.incarnation,
+        current.status,
+        current.process_id,
+    )
 
 
 def is_valid(record: MemberRecord) -> bool:
@@ -110,9 +114,9 @@
             self._ids[index] = last
             self._indexes[last] = index
 
-    def choose(self, source: random.Random) -> MemberId:
+    def choose(self, rng: random.Random) -> MemberId:
         """IndexError when it is empty."""
-        return self._ids[int(source.random() * len(self._ids))]
+        return self._ids[int(rng.random() * len(self._ids))]
 
 
 @dataclass(slots=True)
@@ -126,8 +130,8 @@
 class MemberTable:
     """All records, the own one included. Departed members are kept in the order of their departure."""
 
-    def __init__(self, me: MemberRecord) -> None:
-        self.own_id = me.id
+    def __init__(self, own_record: MemberRecord) -> None:
+        self.own_id = own_record.id
         self.members: dict[MemberId, Member] = {}
         self.live_ids = IdSet()
         self.dead_ids = IdSet()  # without those that left
@@ -138,7 +142,7 @@
         self._departed: dict[MemberId, None] = {}
         self._buckets: list[list[MemberId]] = [[] for _ in range(SYNC_BUCKETS)]
         self._live_records: dict[str | None, tuple[MemberRecord, ...]] = {}
-        self.store(0.0, self.own_id, me)
+        self.store(0.0, self.own_id, own_record)
 
     def __len__(self) -> int:
         """Count all records, the own one included."""
@@ -166,7 +170,7 @@
     # ---- changes ----------------------------------------------------------------------------------
 
     def has_room(self) -> bool:
-        """Whether one more member can be stored; the one that departed first gives way if it must."""
+        """Whether one more member can be stored; the one that departed first is dropped if need be."""
         if len(self.members) < MAX_MEMBERS:
             return True
         oldest = next(iter(self._departed), None)
@@ -235,7 +239,7 @@
                 suspects.add(member)
             else:
                 suspects.discard(member)
-        if current.incarnation != record.incarnation or current.process != record.process:
+        if current.incarnation != record.incarnation or current.process_id != record.process_id:
             digest = _digest(member, record)
             self.digests[member % SYNC_BUCKETS] ^= entry.digest ^ digest
             entry.digest = digest
@@ -321,7 +325,7 @@
     Alive and suspect are the same here: a suspicion ends by itself. Departed members are left out, so that
     tables which forget them at different times agree.
     """
-    return _mix(member + (record.process << 32 | record.incarnation) * _MULTIPLIERS[0])
+    return _mix(member + (record.process_id << 32 | record.incarnation) * _MULTIPLIERS[0])
 
 
 def _mix(value: int) -> int:
--- a/saltcourse/gossip/zone_silence.py
+++ b/saltcourse/gossip/zone_silence.py
@@ -3,10 +3,10 @@
 A zone is unreachable when nothing was received from any of its members for ``zone_silence``, and there is
 more to it than a few dead ones: at least two members, and a fifth of the zone, are suspect or were declared
 dead since its last contact. In a large fleet a small zone may well send nothing for a while. So, while a
-member of a silent zone is suspect, others of it are sent Pings, and FRACTION_CHECKS of these have to stay
-unanswered too; after ZONE_CHECKS unanswered ones a single suspect is enough. As many different members must
-have been pinged, or all that are left. A member that receives nothing at all takes every zone for
-unreachable: it is cut off itself.
+member of a silent zone is suspect, others of it are sent Pings, and CHECKS_IF_MANY_LOST of these have to
+stay unanswered too; after CHECKS_IF_FEW_LOST unanswered ones a single suspect is enough. As many different
+members must have been pinged, or all that are left. A member that receives nothing at all takes every zone
+for unreachable: it is cut off itself.
 
 Cost that grows with the number of zones: one record each, below 1 kB. While suspicions are open, at most
 MAX_CHECKS_PER_TICK Pings at each evaluation; CHECKS_PER_MEMBER in a probe interval arrive at each member of
@@ -23,12 +23,12 @@
 from saltcourse.gossip.messages import MemberId, Status
 from saltcourse.gossip.settings import Timing
 
-SILENT_FRACTION = 5  # one in so many members of a zone
-SILENT_MEMBERS = 2
-FRACTION_CHECKS = 2  # unanswered, together with the fraction: one may go to another dead member
-ZONE_CHECKS = 4  # unanswered, in place of the fraction
+LOST_FRACTION = 5  # one in so many members of a zone
+MIN_LOST_MEMBERS = 2
+CHECKS_IF_MANY_LOST = 2  # unanswered, together with the fraction: one may go to another dead member
+CHECKS_IF_FEW_LOST = 4  # unanswered, in place of the fraction
 CHECKS_PER_MEMBER = 20.0  # each probe interval, at each member of a zone that may be silent
-MAX_CHECKED = 16  # members remembered for each zone
+MAX_CHECKED_MEMBERS = 16  # members remembered for each zone
 CHECKS_PER_INTERVAL = 2  # evaluations in each probe interval
 MAX_CHECKS_PER_TICK = 4  # zones
 CHECK_TRIES = 8  # random members tried for one that is not suspect
@@ -46,7 +46,7 @@
     reachable: bool = True
 
     def restart(self, now: float) -> None:
-        """The zone has answered: what was counted against it is void."""
+        """The zone has answered: what was counted against it is no longer valid."""
         self.last_contact_at = now
         self.checks = self.deaths = 0
         self.checked.clear()
@@ -62,11 +62,11 @@
 class ZoneSilence:
     """What this member knows of each zone's silence."""
 
-    def __init__(self, timing: Timing, source: random.Random, table: MemberTable) -> None:
+    def __init__(self, timing: Timing, rng: random.Random, table: MemberTable) -> None:
         self._silence = timing.zone_silence
         self._answer_time = timing.probe_interval  # that a check has
         self._check_interval = timing.probe_interval / CHECKS_PER_INTERVAL
-        self._random = source
+        self._rng = rng
         self._table = table
         self._zones: dict[str, ZoneWatch] = {}
         self._last_contact_at = 0.0
@@ -145,9 +145,10 @@
             return False
         index = self._table.zones[name]
         lost = len(index.suspects) + zone.deaths
-        if lost >= SILENT_MEMBERS and lost * SILENT_FRACTION >= len(index.live) + zone.deaths:
-            return self._is_checked(now, index, zone, FRACTION_CHECKS)
-        return lost > 0 and zone.checks > 0 and self._is_checked(now, index, zone, ZONE_CHECKS)
+        # Either many members are lost and a few checks confirm it, or one is lost and more checks do.
+        if lost >= MIN_LOST_MEMBERS and lost * LOST_FRACTION >= len(index.live) + zone.deaths:
+            return self._is_checked(now, index, zone, CHECKS_IF_MANY_LOST)
+        return lost > 0 and zone.checks > 0 and self._is_checked(now, index, zone, CHECKS_IF_FEW_LOST)
 
     def _is_checked(self, now: float, index: ZoneIndex, zone: ZoneWatch, required: int) -> bool:
         """Whether so many others, or all that there are, have had the time to answer and did not."""
@@ -166,18 +167,18 @@
         """Return one member to ping; often none where the zone is small: the whole fleet does the same."""
         live = self._table.zones[name].live
         share = CHECKS_PER_MEMBER / CHECKS_PER_INTERVAL * len(live) / self._table.size
-        if self._random.random() >= share:
+        if self._rng.random() >= share:
             return []
         chosen = None
         for _ in range(CHECK_TRIES):
-            member = live.choose(self._random)
+            member = live.choose(self._rng)
             if self._table.members[member].status is Status.ALIVE:
                 chosen = member
                 if member not in zone.checked:
                     break
         if chosen is None:
             return []
-        if chosen not in zone.checked and len(zone.checked) < MAX_CHECKED:
+        if chosen not in zone.checked and len(zone.checked) < MAX_CHECKED_MEMBERS:
             zone.checked.add(chosen)
             zone.checked_at = now
         zone.checks += 1
@@ -186,7 +187,7 @@
     def _choose_anyone(self) -> list[MemberId]:
         """Return a member that should answer: silence may be chance in a small fleet that is half cut off."""
         for _ in range(CHECK_TRIES if len(self._table.live_ids) else 0):
-            member = self._table.live_ids.choose(self._random)
+            member = self._table.live_ids.choose(self._rng)
             record = self._table.members[member].record
             if record.status is Status.ALIVE and self.is_reachable(record.zone):
                 return [member]
--- a/tests/gossip/test_event_log.py
+++ b/tests/gossip/test_event_log.py
@@ -7,7 +7,7 @@
 from structlog.testing import capture_logs
 
 from saltcourse.gossip import messages as m
-from saltcourse.gossip.event_log import LOG_INTERVAL, EventLog
+from saltcourse.gossip.event_log import LOG_INTERVAL_SECONDS, EventLog
 
 
 def test_a_wave_of_events_is_a_few_lines() -> None:
@@ -21,7 +21,7 @@
             events.record(m.ZoneReachability("z1", False))
             events.record(m.FreshnessChanged(m.Freshness.STALE))
             assert logs == []
-            await asyncio.sleep(LOG_INTERVAL + 0.1)
+            await asyncio.sleep(LOG_INTERVAL_SECONDS + 0.1)
         assert len(logs) == 4
         by_event = {line["event"]: line for line in logs}
         changed = by_event["gossip members changed"]
--- a/tests/gossip/test_host_datagrams.py
+++ b/tests/gossip/test_host_datagrams.py
@@ -6,7 +6,7 @@
 import socket
 from random import Random
 
-from saltcourse.app.gossip import figure_names
+from saltcourse.app.gossip import prefix_metric_names
 from saltcourse.gossip import messages as m
 from saltcourse.gossip.codec import Codec
 from tests.gossip.site import KEY, Site, until
@@ -40,7 +40,7 @@
             }
             assert record.id not in host.node.membership.members
             assert host.node.dissemination.position == m.Position()
-            after = figure_names(host.figures())
+            after = prefix_metric_names(host.figures())
             assert after["gossip.dropped.authentication"] == 2
             assert after["gossip.datagrams.received"] >= 8
             assert after["gossip.bytes.received"] > before["bytes.received"]
--- a/tests/gossip/test_host_fleet.py
+++ b/tests/gossip/test_host_fleet.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from saltcourse.app.gossip import figure_names
+from saltcourse.app.gossip import prefix_metric_names
 from saltcourse.gossip import messages as m
 from tests.gossip.site import Site, until
 
@@ -56,7 +56,7 @@
 
             wanted = {"z0": 11, "z1": 11, "z2": 11}
             await until(lambda: all(sums(name) == wanted for name in site.hosts), "the sums")
-            assert figure_names(site.hosts["c0"].figures())["gossip.zone.z1.connections"] == 11
+            assert prefix_metric_names(site.hosts["c0"].figures())["gossip.zone.z1.connections"] == 11
             site.hosts["p5"].leave()
             left = site.hosts.pop("p5")
             await until(lambda: not left.is_open, "closed")
