--- a/saltcourse/balancing/endpoint_list.py
+++ b/saltcourse/balancing/endpoint_list.py
@@ -40,7 +40,7 @@
 REMOTE_ZONE_FACTOR = 0.05  # what a free slot in another zone counts beside one in the proxy's own
 FIRST_CALL_SECONDS_PER_PROXY = 0.2  # over which proxies that start together spread their first call
 RETRY_BACKOFF_INITIAL_SECONDS = 0.5  # doubles with each failure, the first included
-MIN_RETRY_BACKOFF_SECONDS = 0.3  # proxies whose calls were rejected together call again within this
+MIN_RETRY_BACKOFF_SECONDS = 0.3  # the least wait before the next call, before the random factor
 WATCH_AFTER_FETCH_SECONDS = 0.5  # from a list that was fetched to the next watch; times 0.5 to 1.5
 
 
--- a/saltcourse/balancing/outlier_ejection.py
+++ b/saltcourse/balancing/outlier_ejection.py
@@ -5,7 +5,8 @@
 1. A backend is healthy, ejected, eligible for a probe, or being probed. ``TRANSITIONS`` gives the state
    after each event from each state, and ``record`` is the one place where a state changes.
 2. The ejection time starts at half a second, doubles with each ejection without a success in between, and
-   is at most 8 s (times 0.75 to 1.25 at random). So every ejection ends.
+   is at most 8 s (times 0.75 to 1.25 at random). An ejection ends at the first refresh of the candidates
+   after its time, up to one tick later. So every ejection ends.
 3. The probe is a reference to the request that is in flight, not a flag: whatever ends that attempt ends
    the probe, so that no backend waits for ever for a probe that is gone.
 4. Several failures in a row in one zone, without an answer from it in between, eject a whole remote zone.
--- a/saltcourse/balancing/retries.py
+++ b/saltcourse/balancing/retries.py
@@ -76,7 +76,7 @@
         self._budget -= 1
 
     def attempt_timeout(self, now: float, request: Request) -> float:
-        """Seconds for the request's last counted attempt, which begins now."""
+        """Seconds for the attempt that begins now; it is counted in ``request.attempts`` already."""
         time_left = request.deadline - now
         request_class = request.request_class
         is_last = request.attempts >= self._max_attempts
--- a/saltcourse/balancing/settings.py
+++ b/saltcourse/balancing/settings.py
@@ -1,8 +1,8 @@
 """The settings that the decisions are made under. Times are seconds, loads seconds of work per second.
 
 ``saltcourse/config/deployment_settings.py`` reads them from the deployment's JSON and maps its field names
-to those here. A value out of range raises ``InvalidSettingError`` with the deployment's own name of the
-setting.
+to those here. A value out of range raises ``InvalidSettingError`` with a name of the setting (see
+``docs/GLOSSARY.md`` for the key in the file).
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 class InvalidSettingError(ValueError):
     """A setting has a value that it may not have.
 
-    ``setting``: its name in the deployment's settings. ``expected``: what it may be.
+    ``setting``: a name of it; ``docs/GLOSSARY.md`` has the key in the file. ``expected``: what it may be.
     """
 
     def __init__(self, setting: str, expected: str) -> None:
--- a/saltcourse/balancing/slot_ceilings.py
+++ b/saltcourse/balancing/slot_ceilings.py
@@ -28,7 +28,10 @@
 
 TICK_SECONDS = 1.0  # between refreshes of small fleets; short against a connection's life
 HEADROOM_SLOTS = 2.0  # of the common ceiling above the mean occupancy, for a backend of mean capacity
-COMMON_CEILING_MEMORY_SECONDS = 60.0  # in which it is forgotten; clients return within a connection's life
+# In which the common ceiling is forgotten, at one refresh a second: slower with more than 150 candidates,
+# which are refreshed less often, and faster while the list changes. Clients return within a connection's
+# life.
+COMMON_CEILING_MEMORY_SECONDS = 60.0
 CUT_FACTOR = 0.9  # of its occupancy, to which a rejecting or dropping backend's limit is cut
 MIN_LIMIT_FACTOR = 0.5  # of the common ceiling, which a cut leaves: a backend that holds little shows little
 MIN_LIMIT_SLOTS = 0.5
--- a/saltcourse/proxy/attempt.py
+++ b/saltcourse/proxy/attempt.py
@@ -6,8 +6,9 @@
 
 Rules:
 
-1. The owner learns of UP at most once and of the end exactly once, also after ``close``: the balancer needs
-   one outcome for each attempt that it has started.
+1. The owner learns of UP at most once and of the end exactly once, also after ``close``, unless its task
+   fails, which is logged as ``task failed``: the balancer needs one outcome for each attempt that it has
+   started.
 2. The OPEN line is written only while the owner still wants an answer, which is checked before the connect
    and again before the write.
 3. The outcome says whether the request may have run: it may have when the kernel took the line's last byte.
--- a/saltcourse/proxy/dispatcher.py
+++ b/saltcourse/proxy/dispatcher.py
@@ -356,6 +356,8 @@
         record = self._requests.get(request)
         if record is None:  # its client left a moment ago
             self._summary.count_attempt(backend, AttemptStatus.NOT_SENT)
+            # It is the request's first attempt: an owner reports its last attempt as final before it
+            # finishes the request, and the balancer starts none after that.
             self.send(AttemptFinished(request, 0, AttemptStatus.NOT_SENT, 0.0, True))
             return
         last = record.last_attempt
--- a/saltcourse/proxy/health_check.py
+++ b/saltcourse/proxy/health_check.py
@@ -19,7 +19,10 @@
 
 
 class HealthCheck(Actor[None]):
-    """Runs one health check and hands its result to ``on_finished``, exactly once."""
+    """Runs one health check and hands its result to ``on_finished``, exactly once.
+
+    Unless its task fails, which is logged as ``task failed``.
+    """
 
     def __init__(
         self,
--- a/saltcourse/proxy/server.py
+++ b/saltcourse/proxy/server.py
@@ -142,6 +142,9 @@
     async def run(self) -> None:
         """Serve until SIGTERM; returns when every connection has ended or time is up.
 
+        The drain, and all its times, begin when the last companion has left: with a command announcer that
+        is up to 1.2 s after SIGTERM.
+
         Raises ``ListenError``.
         """
         await self.startup()
@@ -263,8 +266,8 @@
     def _is_short_of_descriptors(self) -> bool:
         """Whether a client that has sent a request is to be answered with BUSY.
 
-        Each client that is served needs a second descriptor, for its backend. Those that are being rejected
-        hold one only, or a crowd of them would cause further rejections.
+        Counts two descriptors for each client whose OPEN line was read, also while it is being rejected, and
+        one for any other.
         """
         held = sum(2 if client.request else 1 for client in self.clients)
         return not self._descriptors.can_serve(held)
