--- a/saltcourse/balancing/backend_report.py
+++ b/saltcourse/balancing/backend_report.py
@@ -31,8 +31,8 @@
     reasons = {
         backend.state.name.lower(): not is_ready,
         health.name.lower(): health is not HealthState.HEALTHY,
-        "recently_rejected": backend.ceilings.rejected_until > now,
-        "slow": backend.ceilings.slow_until > now,
+        "recently_rejected": backend.ceiling_record.no_overflow_until > now,
+        "slow": backend.ceiling_record.cut_until > now,
         "warming_up": backend.next_start_at > now,
     }
     return BackendReport(
--- a/saltcourse/balancing/balancer.py
+++ b/saltcourse/balancing/balancer.py
@@ -101,20 +101,20 @@
         settings, shared_state = self.settings, self.shared_state
         self._slow_start = SlowStart(settings, shared_state)
         self.capacity = CapacityEstimate(shared_state)
-        self.ceilings = SlotCeilings(settings, self._slow_start, self.capacity, shared_state)
-        self._occupancy = Occupancy(self.ceilings, shared_state)
+        self.slot_ceilings = SlotCeilings(settings, self._slow_start, self.capacity, shared_state)
+        self._occupancy = Occupancy(self.slot_ceilings, shared_state)
         self._reports = LoadReports(self._actions, shared_state)
 
     def _create_fault_rules(self) -> None:
         self.overload = OverloadDetector()
         self.ejection = OutlierEjection(self.settings.zone, self.pool, self.shared_state, self._random)
-        self._attribution = FailureAttribution(self.ejection, self.ceilings)
+        self._attribution = FailureAttribution(self.ejection, self.slot_ceilings)
 
     def _create_connection_rules(self) -> None:
         settings = self.settings
         self._migration = Migration(self._actions, self._random)
         self._shedding = LoadShedding(
-            settings, self.ceilings, self._reports, self._migration, self.shared_state
+            settings, self.slot_ceilings, self._reports, self._migration, self.shared_state
         )
         self._rebalancing = Rebalancing(settings, self.pool, self._migration)
         self._discovery_calls = DiscoveryCalls(settings, self._actions, self._random)
@@ -123,7 +123,7 @@
             self.pool,
             self._discovery_calls,
             self._slow_start,
-            self.ceilings,
+            self.slot_ceilings,
             self._migration,
             self._random,
         )
@@ -131,7 +131,7 @@
     def _create_request_rules(self) -> None:
         settings, actions = self.settings, self._actions
         affinity = GroupAffinity(settings, self.pool, self.capacity, self.shared_state)
-        self._selection = Selection(settings, self.pool, self.ceilings, affinity, self._random)
+        self._selection = Selection(settings, self.pool, self.slot_ceilings, affinity, self._random)
         retries = Retries(settings)
         self._placement = Placement(
             settings,
@@ -141,7 +141,9 @@
             retries,
             self.overload,
             FinalAnswers(settings, self.requests, actions, self._random),
-            AttemptStarter(actions, self._occupancy, self.ceilings, self._slow_start, self.ejection, retries),
+            AttemptStarter(
+                actions, self._occupancy, self.slot_ceilings, self._slow_start, self.ejection, retries
+            ),
         )
 
     # ---- what hosts call ---------------------------------------------------------------------------
@@ -205,7 +207,7 @@
     def _refresh(self, now: float) -> None:
         self.ejection.refresh_candidates(now)
         self._selection.candidates_changed()
-        self.ceilings.refresh(now, self.pool.candidates)
+        self.slot_ceilings.refresh(now, self.pool.candidates)
 
     # ---- the life of a request ---------------------------------------------------------------------
 
@@ -253,7 +255,7 @@
         self.overload.established()
         self._attribution.established(now, request, backend)
         self._shedding.setup_timed(now, backend, event.latency)
-        self.ceilings.accepted(now, backend)
+        self.slot_ceilings.accepted(now, backend)
         if backend.state is BackendState.DRAINING:  # the attempt was started before this was known
             self._migration.migrate([request])
 
@@ -315,7 +317,7 @@
         if report is not None and report.load is not None:
             self._reports.record(now, backend, report.load)
             self._shedding.load_reported(backend)
-            self.ceilings.update(now, backend)
+            self.slot_ceilings.update(now, backend)
 
     def _on_peer_message_received(self, now: float, event: PeerMessageReceived) -> None:
         for name in self.shared_state.receive(now, event.sender, event.data):
--- a/saltcourse/balancing/failure_attribution.py
+++ b/saltcourse/balancing/failure_attribution.py
@@ -53,7 +53,7 @@
             self._ejection.record(now, backend, HealthEvent.FAILURE)
         elif status is AttemptStatus.FULL:
             self.answered(now, backend, request)
-            self._ceilings.cut(now, backend, rejected=True)
+            self._ceilings.cut(now, backend, blocks_overflow=True)
         elif status is AttemptStatus.RESET and request.is_established:
             self._connection_reset(now, backend)
         elif status in (AttemptStatus.ERROR, AttemptStatus.RESET):
@@ -95,5 +95,5 @@
 
     def _connection_reset(self, now: float, backend: Backend) -> None:
         if now < backend.health.last_reset_at + RESET_PAIR_SECONDS:
-            self._ceilings.cut(now, backend, rejected=True)
+            self._ceilings.cut(now, backend, blocks_overflow=True)
         backend.health.last_reset_at = now
--- a/saltcourse/balancing/load_shedding.py
+++ b/saltcourse/balancing/load_shedding.py
@@ -69,7 +69,7 @@
     def message_timed(self, now: float, backend: Backend, latency: float) -> None:
         """React to a message that took ``latency`` seconds on a connection there."""
         slowness = latency / self._slow_message
-        record = backend.ceilings
+        record = backend.ceiling_record
         is_late = slowness > SLOWNESS_OF_OBJECTIVE
         record.late_messages = record.late_messages + 1 if is_late else 0
         if self._uses_load_reports and is_late:
@@ -77,19 +77,19 @@
         elif slowness > 1 and not self._uses_load_reports:
             self._slow_without_reports(now, backend, latency, slowness)
         elif slowness <= 1:
-            self._ceilings.end_slowness(now, backend)
+            self._ceilings.end_cut(now, backend)
 
     def _late_with_reports(self, now: float, backend: Backend, latency: float) -> None:
         # A report tells the load better than a latency does, but not that work is queued.
         self._reports.request_if_older(now, backend, BUSY_REPORT_AGE_SECONDS)
         # So long at once is a stall: work queues up slowly.
-        if latency < HUNG_LATENCY_SECONDS or backend.ceilings.late_messages > 1:
-            self._ceilings.cut(now, backend, rejected=True)
+        if latency < HUNG_LATENCY_SECONDS or backend.ceiling_record.late_messages > 1:
+            self._ceilings.cut(now, backend, blocks_overflow=True)
             self._shed(backend, SHED_SHARE_WITH_REPORTS)
 
     def _slow_without_reports(self, now: float, backend: Backend, latency: float, slowness: float) -> None:
         is_late = slowness > SLOWNESS_OF_OBJECTIVE
-        self._ceilings.cut(now, backend, rejected=is_late)
+        self._ceilings.cut(now, backend, blocks_overflow=is_late)
         if latency >= HUNG_LATENCY_SECONDS:
             self._migration.migrate_all(backend)
         elif is_late or (slowness > SLOWNESS_TO_SHED and self._ceilings.largest_free_slots > 0):
@@ -98,9 +98,9 @@
     def setup_timed(self, now: float, backend: Backend, latency: float) -> None:
         """React to a connection that was established after ``latency`` seconds."""
         if latency > SLOW_SETUP_FACTOR * self._usual_setup > 0:
-            self._ceilings.cut(now, backend, rejected=False)
+            self._ceilings.cut(now, backend, blocks_overflow=False)
             # In a burst many set-ups tell of one overload: only the one that cut the ceiling sheds.
-            if self._ceilings.largest_free_slots > 0 and backend.ceilings.cut_at == now:
+            if self._ceilings.largest_free_slots > 0 and backend.ceiling_record.cut_at == now:
                 self._shed(backend, SHED_SHARE_WITH_REPORTS if self._uses_load_reports else SHED_SHARE)
         usual = self._usual_setup or latency
         longest = SLOW_SETUP_FACTOR * usual
@@ -109,8 +109,8 @@
     def load_reported(self, backend: Backend) -> None:
         """Migrate all that is over capacity after two reports above 1 in a row behind late messages."""
         load = min(backend.report.load, backend.report.previous_load)
-        if load > 1 and backend.ceilings.late_messages >= LATE_MESSAGES_TO_BELIEVE:
-            backend.ceilings.late_messages = 0
+        if load > 1 and backend.ceiling_record.late_messages >= LATE_MESSAGES_TO_BELIEVE:
+            backend.ceiling_record.late_messages = 0
             self._ceilings.limit_to_reported_capacity(backend, load)
             self._shed(backend, 1 - TARGET_LOAD / load)
 
--- a/saltcourse/balancing/rebalancing.py
+++ b/saltcourse/balancing/rebalancing.py
@@ -2,8 +2,9 @@
 
 The rules, both only where loads are not reported:
 
-- Zone failback: while less than a tenth of the local backends are slow, 5% of the connections in other
-  zones are migrated each second. Not where groups count: a connection of a group would lose its others.
+- Zone failback: while less than a tenth of the local backends have a cut ceiling, 5% of the connections in
+  other zones are migrated each second. Not where groups count: a connection of a group would lose its
+  others.
 - Group consolidation: the fullest backend gives up what it holds above the most that it would be sent, of
   its largest group; else a group of at most two connections there, if another backend holds more of it and
   less in all. While any listed backend is ejected or probed nothing is given up for fullness: the others
@@ -28,7 +29,7 @@
 from saltcourse.balancing.state import Backend, HealthState, Request
 
 FAILBACK_SHARE_PER_SECOND = 0.05  # of the connections in other zones
-MAX_SLOW_SHARE = 0.1  # of the local backends; from it on nothing fails back
+MAX_CUT_SHARE = 0.1  # of the local backends; from it on nothing fails back
 STRAGGLERS = 2  # connections of a group, at most, that are migrated to where more of it are
 MIN_CAPACITY = 0.1  # relative; a backend that warms up is not taken for the fullest by a single connection
 
@@ -46,8 +47,8 @@
     def fail_back(self, now: float, elapsed: float) -> None:
         """Migrate a share of the connections in other zones, for a tick of ``elapsed`` seconds."""
         local = [b for b in self._pool.candidates if b.is_local]
-        slow = sum([b.ceilings.slow_until > now for b in local])
-        if self._has_groups or slow >= MAX_SLOW_SHARE * len(local):
+        cut = sum([b.ceiling_record.cut_until > now for b in local])
+        if self._has_groups or cut >= MAX_CUT_SHARE * len(local):
             return
         remote = [
             connection
--- a/saltcourse/balancing/slot_ceilings.py
+++ b/saltcourse/balancing/slot_ceilings.py
@@ -44,7 +44,7 @@
 
 def may_overflow(now: float, backend: Backend) -> bool:
     """Whether a full backend may get one more: it has not recently rejected, nor reports a full load."""
-    if backend.ceilings.rejected_until > now:
+    if backend.ceiling_record.no_overflow_until > now:
         return False
     report = backend.report
     return report.load < TARGET_LOAD or report.received_at < now - MAX_REPORT_AGE_SECONDS
@@ -124,27 +124,27 @@
         return max(ceiling * (1 - TICK_SECONDS / COMMON_CEILING_MEMORY_SECONDS), mean + HEADROOM_SLOTS)
 
     def _recover(self, now: float, backend: Backend) -> None:
-        record = backend.ceilings
-        if record.learned_limit > 0 and record.slow_until <= now:
+        record = backend.ceiling_record
+        if record.learned_limit > 0 and record.cut_until <= now:
             recovery = LIMIT_RECOVERY_FACTOR * self.common_ceiling(backend) * backend.relative_capacity
             record.learned_limit += recovery
 
     def update(self, now: float, backend: Backend) -> None:
         """Work out one backend's ceiling."""
-        record = backend.ceilings
+        record = backend.ceiling_record
         ceiling = self._unlimited_ceiling(now, backend)
         if record.learned_limit > 0:
             # Set-up work can overload a backend whose reported load is low: so its limit counts there too.
-            is_slow = record.slow_until > now
-            ceiling = min(ceiling, backend.occupancy if is_slow else record.learned_limit)
-        backend.ceiling = 0.0 if record.rejected_until > now else ceiling
+            is_cut = record.cut_until > now
+            ceiling = min(ceiling, backend.occupancy if is_cut else record.learned_limit)
+        backend.ceiling = 0.0 if record.no_overflow_until > now else ceiling
         self.note_free_slots(backend)
 
     def _unlimited_ceiling(self, now: float, backend: Backend) -> float:
         report = backend.report
         if report.load < 0:
             # Without a learned limit nothing says that it is full: what it holds is no reason to reject.
-            held = 0.0 if backend.ceilings.learned_limit > 0 else backend.occupancy
+            held = 0.0 if backend.ceiling_record.learned_limit > 0 else backend.occupancy
             return max(self.common_ceiling(backend) * backend.current_capacity, held)
         is_fresh = report.received_at > now - MAX_REPORT_AGE_SECONDS
         load = report.load if is_fresh else self._capacity.mean_reported_load
@@ -152,47 +152,48 @@
         backend.slots_at_full_load = mean_slots * backend.current_capacity
         return backend.occupancy + backend.slots_at_full_load * max(0.0, TARGET_LOAD - load)
 
-    def cut(self, now: float, backend: Backend, rejected: bool) -> None:
-        """Cut a backend that rejected or dropped (``rejected``), or is slow: it gets nothing for a while.
+    def cut(self, now: float, backend: Backend, blocks_overflow: bool) -> None:
+        """Cut a backend's ceiling.
 
-        A slow one may still overflow. One that rejects may not, and is left alone for longer each time.
+        ``blocks_overflow``: it rejected, dropped connections or missed the message objective, and gets
+        nothing until the backoff ends; else it is only slow and may still overflow by one slot.
         """
-        record = backend.ceilings
+        record = backend.ceiling_record
         if now >= record.cut_at + CUT_INTERVAL_SECONDS:
-            self._cut_limit(now, backend, rejected)
+            self._cut_limit(now, backend, blocks_overflow)
         hold = CUT_INTERVAL_SECONDS
         if not self._uses_load_reports:
             hold = REJECTION_BACKOFF_INITIAL_SECONDS * 2.0 ** max(0, record.consecutive_rejections - 1)
-        record.slow_until = max(record.slow_until, now + hold)
-        if rejected:
-            record.rejected_until = record.slow_until
-        backend.ceiling = 0.0 if rejected else min(backend.ceiling, backend.occupancy)
+        record.cut_until = max(record.cut_until, now + hold)
+        if blocks_overflow:
+            record.no_overflow_until = record.cut_until
+        backend.ceiling = 0.0 if blocks_overflow else min(backend.ceiling, backend.occupancy)
 
-    def _cut_limit(self, now: float, backend: Backend, rejected: bool) -> None:
-        record = backend.ceilings
+    def _cut_limit(self, now: float, backend: Backend, blocks_overflow: bool) -> None:
+        record = backend.ceiling_record
         record.cut_at = now
         least = MIN_LIMIT_FACTOR * backend.current_capacity * self.common_ceiling(backend)
-        factor = CUT_FACTOR if rejected else 1.0
+        factor = CUT_FACTOR if blocks_overflow else 1.0
         record.learned_limit = max(backend.occupancy * factor, least, MIN_LIMIT_SLOTS)
-        if rejected:
+        if blocks_overflow:
             record.consecutive_rejections = min(record.consecutive_rejections + 1, MAX_CONSECUTIVE_REJECTIONS)
 
-    def end_slowness(self, now: float, backend: Backend) -> None:
-        """Take in that the backend is not slow any more, unless it has recently rejected."""
-        if backend.ceilings.rejected_until <= now:
-            backend.ceilings.slow_until = now
+    def end_cut(self, now: float, backend: Backend) -> None:
+        """End the cut of a backend that is not slow any more, unless it may not overflow."""
+        if backend.ceiling_record.no_overflow_until <= now:
+            backend.ceiling_record.cut_until = now
 
     def limit_to_reported_capacity(self, backend: Backend, load: float) -> None:
         """Limit a backend that reports ``load`` (over 1) to what makes the target load."""
-        backend.ceilings.learned_limit = backend.occupancy * TARGET_LOAD / load
+        backend.ceiling_record.learned_limit = backend.occupancy * TARGET_LOAD / load
 
     def accepted(self, now: float, backend: Backend) -> None:
         """Take in that the backend accepted a connection: into its last free slot, this adds one."""
-        record = backend.ceilings
+        record = backend.ceiling_record
         if may_overflow(now, backend):
             record.consecutive_rejections = 0
         is_full = backend.ceiling - backend.occupancy < 1.0
-        if backend.report.load >= 0 or not is_full or record.rejected_until > now:
+        if backend.report.load >= 0 or not is_full or record.no_overflow_until > now:
             return
         if record.learned_limit > 0:
             record.learned_limit += 1.0
--- a/saltcourse/balancing/state.py
+++ b/saltcourse/balancing/state.py
@@ -43,8 +43,8 @@
     """Written by ``slot_ceilings``; ``late_messages`` by ``load_shedding``."""
 
     learned_limit: float = 0.0  # slots that it was seen to bear; 0 while nothing is learned
-    rejected_until: float = 0.0  # it counts as having recently rejected or dropped until then
-    slow_until: float = 0.0
+    no_overflow_until: float = 0.0  # until then it gets nothing: it rejected, dropped or was late
+    cut_until: float = 0.0  # until then it gets overflow at most, and its limit does not recover
     cut_at: float = LONG_AGO
     consecutive_rejections: int = 0  # for rejections and drops, at most 3
     late_messages: int = 0  # messages in a row that missed their latency objective
@@ -70,7 +70,7 @@
 
     __slots__ = (
         "ceiling",
-        "ceilings",
+        "ceiling_record",
         "cell",
         "connections",
         "count",
@@ -125,7 +125,7 @@
         self.ceiling = 0.0  # slots
         self.next_start_at = 0.0  # slow start: no attempt is started before
         self.health = HealthRecord()
-        self.ceilings = CeilingRecord()
+        self.ceiling_record = CeilingRecord()
         self.report = LoadReportRecord()
 
 
--- a/saltcourse/proxy/traffic_summary.py
+++ b/saltcourse/proxy/traffic_summary.py
@@ -37,11 +37,12 @@
         reports: Iterable[BackendReport],
         established: Mapping[str, int],
         requests: int,
-        is_overloaded: bool,
+        is_failing: bool,
     ) -> None:
         """Log one line for each backend and one for all, and count from 0 again.
 
         ``established``: connections by backend; ``requests``: those that are open, established or not.
+        ``is_failing``: whether more attempts failed than succeeded of late.
         """
         for report in reports:
             self._write_backend(report, established.get(report.backend, 0))
@@ -49,7 +50,7 @@
             "traffic",
             requests=requests,
             established=sum(established.values()),
-            overloaded=is_overloaded,
+            overloaded=is_failing,
             **dict(sorted(self._requests.items())),
         )
         self._attempts.clear()
--- a/tests/balancing/test_balancer_model.py
+++ b/tests/balancing/test_balancer_model.py
@@ -271,7 +271,7 @@
 class LostProbe(Balancer):
     def _create_fault_rules(self) -> None:
         super()._create_fault_rules()
-        self._attribution = ProbeOutlivesErrors(self.ejection, self.ceilings)
+        self._attribution = ProbeOutlivesErrors(self.ejection, self.slot_ceilings)
 
 
 class OccupancyOfAnswered(Occupancy):
@@ -287,7 +287,7 @@
 class LostLateEnding(Balancer):
     def _create_capacity_rules(self) -> None:
         super()._create_capacity_rules()
-        self._occupancy = OccupancyOfAnswered(self.ceilings, self.shared_state)
+        self._occupancy = OccupancyOfAnswered(self.slot_ceilings, self.shared_state)
 
 
 class EndsTwice(Balancer):
@@ -313,7 +313,9 @@
     def _create_request_rules(self) -> None:
         super()._create_request_rules()
         affinity = GroupAffinity(self.settings, self.pool, self.capacity, self.shared_state)
-        self._selection = SelectionOfDraining(self.settings, self.pool, self.ceilings, affinity, self._random)
+        self._selection = SelectionOfDraining(
+            self.settings, self.pool, self.slot_ceilings, affinity, self._random
+        )
         self._placement.selection = self._selection
 
     def _refresh(self, now: float) -> None:
--- a/tests/balancing/test_endpoint_list.py
+++ b/tests/balancing/test_endpoint_list.py
@@ -24,9 +24,13 @@
     host = BalancerHost()
     host.update_endpoints(members(2))
     backend = host.backend("s0")
-    backend.ceilings.learned_limit, backend.health.consecutive_ejections, backend.report.load = 1.0, 3, 0.99
+    backend.ceiling_record.learned_limit, backend.health.consecutive_ejections, backend.report.load = (
+        1.0,
+        3,
+        0.99,
+    )
     host.update_endpoints((Endpoint("s0", started=99.0),), EndpointUpdateKind.DELTA)
-    assert (backend.ceilings.learned_limit, backend.health.consecutive_ejections) == (
+    assert (backend.ceiling_record.learned_limit, backend.health.consecutive_ejections) == (
         0.0,
         0,
     ) and backend.report.load < 0
--- a/tests/balancing/test_failure_attribution.py
+++ b/tests/balancing/test_failure_attribution.py
@@ -38,12 +38,12 @@
     backend = host.backend(host.backend_of(held[0]))
     on = [r for r in held if host.backend_of(r) == backend.name]
     host.finish(on[0], AttemptStatus.RESET, final=True)
-    assert backend.ceilings.rejected_until <= host.now and backend.ceiling > backend.occupancy
+    assert backend.ceiling_record.no_overflow_until <= host.now and backend.ceiling > backend.occupancy
     host.run(2.0)
     host.finish(on[1], AttemptStatus.RESET, final=True)
-    assert backend.ceilings.rejected_until <= host.now
+    assert backend.ceiling_record.no_overflow_until <= host.now
     host.finish(on[2], AttemptStatus.RESET, final=True)
-    assert backend.ceilings.rejected_until > host.now and backend.ceilings.learned_limit > 10
+    assert backend.ceiling_record.no_overflow_until > host.now and backend.ceiling_record.learned_limit > 10
 
 
 @pytest.mark.parametrize("status", [AttemptStatus.ERROR, AttemptStatus.RESET])
@@ -63,7 +63,7 @@
         assert (
             backend.health.state is HealthState.HEALTHY
             and not backend.health.error_rate
-            and backend.ceilings.rejected_until <= host.now
+            and backend.ceiling_record.no_overflow_until <= host.now
         )
 
 
@@ -100,6 +100,6 @@
     backend = host.backend("s0")
     assert (
         backend.health.state is HealthState.HEALTHY
-        and backend.ceilings.rejected_until <= host.now
+        and backend.ceiling_record.no_overflow_until <= host.now
         and backend.count == 0
     )
--- a/tests/balancing/test_load_shedding.py
+++ b/tests/balancing/test_load_shedding.py
@@ -22,7 +22,7 @@
     on_slow = [r for r in held if host.backend_of(r) == slow]
     assert 1 <= len(moved) <= len(on_slow) / 5
     assert all(m.request in on_slow for m in moved)
-    host.balancer.ceilings.largest_free_slots = 0.0
+    host.balancer.slot_ceilings.largest_free_slots = 0.0
     host.handle(ResponseLatencyMeasured(held[0], QUICK.message_latency_objective))
     assert len(host.actions(MigrateConnection)) == len(moved)  # nowhere to go: they stay
 
@@ -38,7 +38,7 @@
     request = host.request()
     host.establish(request, 0.04)
     backend = host.backend(host.backend_of(request))
-    assert backend.ceilings.slow_until > host.now and backend.ceiling <= backend.occupancy + 1
+    assert backend.ceiling_record.cut_until > host.now and backend.ceiling <= backend.occupancy + 1
     moved = {m.request for m in host.actions(MigrateConnection)}
     assert moved and moved <= {r for r in [*held, request] if host.backend_of(r) == backend.name}
 
@@ -101,6 +101,6 @@
     assert len(host.actions(MigrateConnection)) == before  # one report may be bad
     host.report_loads(s0=4.1)
     backend = host.backend("s0")
-    assert len(host.actions(MigrateConnection)) > before and backend.ceilings.learned_limit == pytest.approx(
-        backend.occupancy * 0.2
-    )
+    assert len(
+        host.actions(MigrateConnection)
+    ) > before and backend.ceiling_record.learned_limit == pytest.approx(backend.occupancy * 0.2)
--- a/tests/balancing/test_rebalancing.py
+++ b/tests/balancing/test_rebalancing.py
@@ -17,10 +17,10 @@
     for i in range(40):
         host.handle(ConnectionResumed(f"old{i}", "quick", "f"))
     home = host.backend("h")
-    home.ceilings.slow_until = host.now + 3.0
+    home.ceiling_record.cut_until = host.now + 3.0
     host.run(2.5)
     assert not host.actions(MigrateConnection)  # the local backend is slow
-    home.ceilings.slow_until = 0.0
+    home.ceiling_record.cut_until = 0.0
     host.run(3.0)
     moved = {m.request for m in host.actions(MigrateConnection)}
     assert 1 <= len(moved) <= 20 and len(moved) == len(host.actions(MigrateConnection))
--- a/tests/balancing/test_selection.py
+++ b/tests/balancing/test_selection.py
@@ -19,7 +19,7 @@
     for _ in range(4000):
         first.ceiling, second.ceiling = 4.0, 2.0  # 3 and 1 free slots
         first.occupancy, second.occupancy, first.count, second.count = 1.0, 1.0, 1, 1
-        host.balancer.ceilings.largest_free_slots = 3.0
+        host.balancer.slot_ceilings.largest_free_slots = 3.0
         request = host.request()
         counts[host.backend_of(request)] += 1
         host.finish(request, AttemptStatus.CANCELLED, final=True)
@@ -30,11 +30,16 @@
     host = BalancerHost()
     host.update_endpoints(members(2))
     for backend in host.balancer.pool.backends.values():
-        backend.occupancy, backend.count, backend.ceiling, backend.ceilings.learned_limit = 3.0, 3, 3.0, 3.0
-    host.backend("s0").ceilings.rejected_until = host.now + 5
+        backend.occupancy, backend.count, backend.ceiling, backend.ceiling_record.learned_limit = (
+            3.0,
+            3,
+            3.0,
+            3.0,
+        )
+    host.backend("s0").ceiling_record.no_overflow_until = host.now + 5
     request = host.request()
     assert host.backend_of(request) == "s1"
-    host.backend("s1").ceilings.rejected_until = host.now + 5
+    host.backend("s1").ceiling_record.no_overflow_until = host.now + 5
     host.request()
     rejection = host.actions(RejectRequest)[-1]
     assert rejection.request == "r2" and 0 < rejection.retry_after <= host.settings.max_retry_after
--- a/tests/balancing/test_slot_ceilings.py
+++ b/tests/balancing/test_slot_ceilings.py
@@ -15,13 +15,13 @@
     host = BalancerHost()
     host.update_endpoints(members(1))
     backend = host.backend("s0")
-    backend.occupancy, backend.count, backend.ceiling, backend.ceilings.learned_limit = 3.0, 3, 3.5, 3.5
+    backend.occupancy, backend.count, backend.ceiling, backend.ceiling_record.learned_limit = 3.0, 3, 3.5, 3.5
     request = host.request()
     host.establish(request)
-    assert backend.ceilings.learned_limit == pytest.approx(4.5)
+    assert backend.ceiling_record.learned_limit == pytest.approx(4.5)
     request = host.request()
     host.finish(request, AttemptStatus.FULL)
-    assert backend.ceilings.learned_limit < 4.0 and not may_overflow(host.now, backend)
+    assert backend.ceiling_record.learned_limit < 4.0 and not may_overflow(host.now, backend)
 
 
 def test_slow_messages_cut_the_ceiling() -> None:
@@ -57,12 +57,12 @@
     backend = host.backend("s0")
     for _ in range(3):
         host.now += 20.0
-        host.balancer.ceilings.cut(host.now, backend, rejected=True)
-    assert backend.ceilings.rejected_until - host.now == 8.0
+        host.balancer.slot_ceilings.cut(host.now, backend, blocks_overflow=True)
+    assert backend.ceiling_record.no_overflow_until - host.now == 8.0
     host.run(20.0)
     host.connect()
-    host.balancer.ceilings.cut(host.now, backend, rejected=True)
-    assert backend.ceilings.rejected_until - host.now == 2.0
+    host.balancer.slot_ceilings.cut(host.now, backend, blocks_overflow=True)
+    assert backend.ceiling_record.no_overflow_until - host.now == 2.0
 
 
 def test_a_proxy_that_has_just_started_takes_the_clients_of_another_that_left() -> None:
--- a/tests/benchmarks/test_spread.py
+++ b/tests/benchmarks/test_spread.py
@@ -25,7 +25,7 @@
 summary = TrafficSummary()
 summary.count_attempt("s1", AttemptStatus.TIMEOUT)
 reports = [report("s1", 9.0, "ejected", "slow"), report("s2", 3.0), report("s3", 3.0, "slow")]
-summary.write(reports, {"s1": 9, "s2": 3, "s3": 3}, requests=15, is_overloaded=False)
+summary.write(reports, {"s1": 9, "s2": 3, "s3": 3}, requests=15, is_failing=False)
 """
 
 
--- a/tests/proxy/test_traffic_summary.py
+++ b/tests/proxy/test_traffic_summary.py
@@ -22,8 +22,8 @@
     summary.count_request("rejected")
     reports = [report("s0"), report("removed", BackendState.REMOVED)]
     with capture_logs() as logs:
-        summary.write(reports, {"s0": 2}, requests=3, is_overloaded=False)
-        summary.write(reports, {"s0": 2}, requests=3, is_overloaded=True)
+        summary.write(reports, {"s0": 2}, requests=3, is_failing=False)
+        summary.write(reports, {"s0": 2}, requests=3, is_failing=True)
     first, total, second, second_total = logs
     assert first == {
         "event": "backend traffic",
