--- a/saltcourse/balancing/admission.py
+++ b/saltcourse/balancing/admission.py
@@ -87,7 +87,7 @@
         self._actions = actions
         self._random = random_source
 
-    def give(self, request: Request) -> None:
+    def answer(self, request: Request) -> None:
         """Reject the request, or fail it where a repeat may do harm."""
         if is_harmless_to_repeat(request) and not request.is_in_flight:
             retry_after = self._longest_retry_after * self._random.uniform(0.5, 1)
--- a/saltcourse/balancing/attempts.py
+++ b/saltcourse/balancing/attempts.py
@@ -35,6 +35,6 @@
         if self.slow_start.is_warming_up(now, backend):
             usual_slots = self.ceilings.usual_slots(backend)
             self.slow_start.delay_next_attempt(now, backend, usual_slots, request.load)
-        self.ejection.record(now, backend, HealthEvent.ATTEMPT_STARTED, request)
+        self.ejection.apply(now, backend, HealthEvent.ATTEMPT_STARTED, request)
         timeout = self.retries.attempt_timeout(now, request)
         self.actions.append(StartAttempt(request.id, backend.name, timeout))
--- a/saltcourse/balancing/backend_report.py
+++ b/saltcourse/balancing/backend_report.py
@@ -5,6 +5,7 @@
 from dataclasses import dataclass
 
 from saltcourse.balancing.events import BackendState
+from saltcourse.balancing.outlier_ejection import AVOIDED
 from saltcourse.balancing.state import Backend, HealthState
 
 
@@ -33,7 +34,7 @@
         health.name.lower(): health is not HealthState.HEALTHY,
         "recently_rejected": backend.ceiling_record.no_overflow_until > now,
         "slow": backend.ceiling_record.cut_until > now,
-        "warming_up": backend.next_start_at > now,
+        "warming_up": backend.next_attempt_at > now,
     }
     return BackendReport(
         backend=backend.name,
@@ -41,5 +42,5 @@
         occupancy=backend.occupancy,
         ceiling=backend.ceiling,
         reasons=tuple(reason for reason, holds in reasons.items() if holds),
-        is_avoided=not is_ready or health in (HealthState.EJECTED, HealthState.PROBING),
+        is_avoided=not is_ready or health in AVOIDED,
     )
--- a/saltcourse/balancing/balancer.py
+++ b/saltcourse/balancing/balancer.py
@@ -24,8 +24,8 @@
 from saltcourse.balancing.backend_report import BackendReport, report_backend
 from saltcourse.balancing.capacity_estimate import CapacityEstimate
 from saltcourse.balancing.endpoint_list import DiscoveryCalls, EndpointList
+from saltcourse.balancing.errors import UnknownRequestClassError
 from saltcourse.balancing.events import (
-    NEVER_RAN,
     AttemptFinished,
     AttemptStatus,
     BackendState,
@@ -52,7 +52,7 @@
 from saltcourse.balancing.outlier_ejection import HealthEvent, OutlierEjection
 from saltcourse.balancing.placement import Placement
 from saltcourse.balancing.rebalancing import Rebalancing
-from saltcourse.balancing.retries import Retries
+from saltcourse.balancing.retries import Retries, record_attempt
 from saltcourse.balancing.selection import Selection
 from saltcourse.balancing.settings import Settings
 from saltcourse.balancing.slot_ceilings import TICK_SECONDS, SlotCeilings
@@ -61,9 +61,7 @@
 from saltcourse.balancing.timers import ENDPOINT_LIST_TOKEN, TICK_TOKEN, RequestTimers
 from saltcourse.shared_state.state import SharedState
 
-BACKENDS_PER_TICK_SECOND = (
-    150  # candidates for which a refresh a second is cheap; more are refreshed less often
-)
+CANDIDATES_REFRESHED_PER_SECOND = 150  # for which a refresh is cheap; more are refreshed less often
 
 
 class Balancer:
@@ -151,7 +149,7 @@
     def handle(self, now: float, event: Event) -> list[Action]:
         """Take one event at the host's time (s); the actions are to be carried out in their order.
 
-        Raises ``KeyError`` for a request class or a timer token that is not known.
+        Raises ``UnknownRequestClassError`` or ``UnknownTimerError``, both also ``KeyError``.
         """
         self._actions.clear()
         self.handlers[type(event)](now, event)  # type: ignore[operator]
@@ -195,7 +193,7 @@
 
     def _tick(self, now: float) -> None:
         self._refresh(now)
-        tick = TICK_SECONDS * max(1.0, len(self.pool.candidates) / BACKENDS_PER_TICK_SECOND)
+        tick = TICK_SECONDS * max(1.0, len(self.pool.candidates) / CANDIDATES_REFRESHED_PER_SECOND)
         self.overload.decay(tick)
         if not self.settings.uses_load_reports:
             self._rebalancing.fail_back(now, tick)
@@ -226,9 +224,13 @@
         request.backend.connections[request.id] = request
 
     def _add_request(self, event: RequestReceived | ConnectionResumed, deadline: float, flow: str) -> Request:
+        try:
+            request_class = self._classes[event.request_class]
+        except KeyError:
+            raise UnknownRequestClassError(event.request_class) from None
         request = Request(
             event.request,
-            self._classes[event.request_class],
+            request_class,
             deadline,
             self._occupancy.slots_of(event.load_hint),
             event.group if self.settings.has_groups else "",
@@ -277,9 +279,7 @@
             request.is_answered = True
             return
         self.overload.attempt_failed(status)
-        if status not in NEVER_RAN and request.may_have_run_on is None:
-            request.may_have_run_on = backend
-            request.may_have_run_at = now - event.latency
+        record_attempt(request, backend, status, now - event.latency)
         self._placement.retry(now, request)
 
     def _on_client_disconnected(self, now: float, event: ClientDisconnected) -> None:
@@ -321,4 +321,4 @@
 
     def _on_peer_message_received(self, now: float, event: PeerMessageReceived) -> None:
         for name in self.shared_state.receive(now, event.sender, event.data):
-            self.ejection.record(now, self.pool.backends[name], HealthEvent.PEER_EJECTED)
+            self.ejection.apply(now, self.pool.backends[name], HealthEvent.PEER_EJECTED)
--- a/saltcourse/balancing/endpoint_list.py
+++ b/saltcourse/balancing/endpoint_list.py
@@ -31,15 +31,15 @@
 from saltcourse.balancing.backoff import exponential_backoff
 from saltcourse.balancing.events import BackendState, Endpoint, EndpointsUpdated, EndpointUpdateKind
 from saltcourse.balancing.migration import Migration
+from saltcourse.balancing.selection import REMOTE_ZONE_FACTOR
 from saltcourse.balancing.settings import MAX_LIST_RETRY_DELAY_SECONDS, DiscoveryMode, Settings
 from saltcourse.balancing.slot_ceilings import SlotCeilings
 from saltcourse.balancing.slow_start import SlowStart
 from saltcourse.balancing.state import LONG_AGO, Backend
 from saltcourse.balancing.timers import ENDPOINT_LIST_TOKEN
 
-REMOTE_ZONE_FACTOR = 0.05  # what a free slot in another zone counts beside one in the proxy's own
 FIRST_CALL_SECONDS_PER_PROXY = 0.2  # over which proxies that start together spread their first call
-RETRY_BACKOFF_INITIAL_SECONDS = 0.5  # doubles with each failure, the first included
+RETRY_BACKOFF_INITIAL_SECONDS = 1.0  # after the first failure; doubles with each further one
 MIN_RETRY_BACKOFF_SECONDS = 0.3  # the least wait before the next call, before the random factor
 WATCH_AFTER_FETCH_SECONDS = 0.5  # from a list that was fetched to the next watch; times 0.5 to 1.5
 
@@ -75,7 +75,7 @@
         """Set the timer of the next call: backoff and call together stay within the poll interval."""
         self._failures += 1
         longest = min(self._settings.poll_interval, MAX_LIST_RETRY_DELAY_SECONDS)
-        backoff = exponential_backoff(RETRY_BACKOFF_INITIAL_SECONDS, self._failures, longest)
+        backoff = exponential_backoff(RETRY_BACKOFF_INITIAL_SECONDS, self._failures - 1, longest)
         elapsed = now - self._called_at
         wait = max(MIN_RETRY_BACKOFF_SECONDS, backoff - elapsed)
         self._set_timer(wait * (0.5 + self._random.random() / 2))
--- a/saltcourse/balancing/failure_attribution.py
+++ b/saltcourse/balancing/failure_attribution.py
@@ -44,13 +44,13 @@
         if backend.health.probe is request:
             # Before anything is made of how it ended: a probe that outlives its attempt would keep the
             # backend out of use for ever.
-            self._ejection.record(now, backend, HealthEvent.PROBE_INCONCLUSIVE)
+            self._ejection.apply(now, backend, HealthEvent.PROBE_INCONCLUSIVE)
         if request.started_at < backend.restarted_at:
             return
         if status is AttemptStatus.CONNECT_FAILED or (
             status is AttemptStatus.TIMEOUT and not request.is_established
         ):
-            self._ejection.record(now, backend, HealthEvent.FAILURE)
+            self._ejection.apply(now, backend, HealthEvent.FAILURE)
         elif status is AttemptStatus.FULL:
             self.answered(now, backend, request)
             self._ceilings.cut(now, backend, blocks_overflow=True)
@@ -70,15 +70,15 @@
     def answered(self, now: float, backend: Backend, request: Request | None) -> None:
         """Record that the backend is alive: it accepted or rejected ``request``, or a health check (None)."""
         if backend.health.error_rate <= MAX_ERROR_RATE:
-            self._ejection.record(now, backend, HealthEvent.SUCCESS)
+            self._ejection.apply(now, backend, HealthEvent.SUCCESS)
         elif backend.health.probe is request:  # it still fails often: one probe after another
-            self._ejection.record(now, backend, HealthEvent.PROBE_INCONCLUSIVE)
+            self._ejection.apply(now, backend, HealthEvent.PROBE_INCONCLUSIVE)
         self._ejection.zone_answered(backend.zone)
 
     def health_check_failed(self, now: float, backend: Backend, status: AttemptStatus) -> None:
         """Record a failed health check; a rejected one, or one that was not sent, says nothing."""
         if status is not AttemptStatus.FULL and status is not AttemptStatus.NOT_SENT:
-            self._ejection.record(now, backend, HealthEvent.FAILURE)
+            self._ejection.apply(now, backend, HealthEvent.FAILURE)
 
     def _blame(self, now: float, request: Request, suspect: FailureSuspect) -> None:
         health = suspect.backend.health
@@ -91,7 +91,7 @@
         else:
             health.error_rate += ERROR_RATE_GAIN * (1 - health.error_rate)
         if health.error_rate > MAX_ERROR_RATE or health.state is HealthState.ELIGIBLE:
-            self._ejection.record(now, suspect.backend, HealthEvent.FAILURE)
+            self._ejection.apply(now, suspect.backend, HealthEvent.FAILURE)
 
     def _connection_reset(self, now: float, backend: Backend) -> None:
         if now < backend.health.last_reset_at + RESET_PAIR_SECONDS:
--- a/saltcourse/balancing/group_affinity.py
+++ b/saltcourse/balancing/group_affinity.py
@@ -5,10 +5,10 @@
 - A group's next connection goes to a backend that holds the group (through this proxy or a peer) while that
   has free slots and is not much fuller than the mean; else to another one with free slots.
 - Among several, the choice is weighted rendezvous hashing: a draw in proportion to free slots whose chance
-  is the group's own, so that proxies that see the same free slots choose the same backend without a word
-  between them.
+  is the group's own, so that proxies that see the same free slots choose the same backend without
+  communicating.
 - Where loads are reported, a group opens at a further backend only if that has a third of its full load
-  free, and is rejected else. While the fleet is at ease, local backends come first.
+  free, and is rejected else. While the reported load is light, local backends come first.
 
 Inputs: the group, the backends that a request may go to, free slots and reported loads. Output: one backend
 or None.
@@ -31,7 +31,7 @@
 
 UNEVENNESS_SLOTS = 5.0  # above the mean, up to which a backend gets more of a group that it holds
 FURTHER_BACKEND_SHARE = 0.36  # of a backend's full load, free, for a group to open there as well
-EASY_LOAD = 0.45  # mean reported load under which crossing zones costs more than a group's further backend
+LIGHT_LOAD = 0.45  # mean reported load under which crossing zones costs more than a group's further backend
 DIGEST_BYTES = 6
 
 
@@ -93,13 +93,13 @@
         self, group: str, holding: list[Backend], allowed: list[Backend]
     ) -> Backend | None:
         least = FURTHER_BACKEND_SHARE if holding else 0.0
-        roomy = [b for b in allowed if b.ceiling - b.occupancy >= least * b.slots_at_full_load]
-        if self._capacity.mean_reported_load < EASY_LOAD:
+        with_free_slots = [b for b in allowed if b.ceiling - b.occupancy >= least * b.slots_at_full_load]
+        if self._capacity.mean_reported_load < LIGHT_LOAD:
             local = self._choose_free(group, [b for b in holding if b.is_local])
-            local = local or self._choose_free(group, [b for b in roomy if b.is_local])
+            local = local or self._choose_free(group, [b for b in with_free_slots if b.is_local])
             if local is not None:
                 return local
-        return self._choose_free(group, holding) or self._choose_free(group, roomy)
+        return self._choose_free(group, holding) or self._choose_free(group, with_free_slots)
 
     def _choose_free(self, group: str, backends: list[Backend]) -> Backend | None:
         weights = [(b.ceiling - b.occupancy) * b.zone_factor for b in backends]
--- a/saltcourse/balancing/load_shedding.py
+++ b/saltcourse/balancing/load_shedding.py
@@ -21,15 +21,15 @@
 
 from saltcourse.balancing.load_reports import BUSY_REPORT_AGE_SECONDS, TARGET_LOAD, LoadReports
 from saltcourse.balancing.migration import Migration
+from saltcourse.balancing.response_latency import HUNG_AFTER_SECONDS
 from saltcourse.balancing.settings import Settings
 from saltcourse.balancing.slot_ceilings import SlotCeilings
 from saltcourse.balancing.state import Backend, Request
 from saltcourse.shared_state.state import SharedState
 
-# Latencies over the one from which on a message is slow (``Settings.slow_message``).
+# Latencies over the one from which on a message is slow (``Settings.slow_message_latency``).
 SLOWNESS_TO_SHED = 1.5
 SLOWNESS_OF_OBJECTIVE = 3.0
-HUNG_LATENCY_SECONDS = 0.7  # that a message takes at a backend which does nothing any more
 SLOW_SETUP_FACTOR = 2.5  # of the usual set-up latency
 SETUP_LATENCY_GAIN = 0.05  # weight of the last set-up in the usual latency
 SHED_SHARE = 0.2  # of this proxy's connections there, once a second
@@ -45,7 +45,7 @@
         "_migration",
         "_reports",
         "_shared_state",
-        "_slow_message",
+        "_slow_message_latency",
         "_uses_load_reports",
         "_usual_setup",
     )
@@ -63,12 +63,12 @@
         self._migration = migration
         self._shared_state = shared_state
         self._uses_load_reports = settings.uses_load_reports
-        self._slow_message = settings.slow_message  # s
+        self._slow_message_latency = settings.slow_message_latency  # s
         self._usual_setup = 0.0  # s that a set-up takes, over all backends; 0 until one is timed
 
     def message_timed(self, now: float, backend: Backend, latency: float) -> None:
         """React to a message that took ``latency`` seconds on a connection there."""
-        slowness = latency / self._slow_message
+        slowness = latency / self._slow_message_latency
         record = backend.ceiling_record
         is_late = slowness > SLOWNESS_OF_OBJECTIVE
         record.late_messages = record.late_messages + 1 if is_late else 0
@@ -83,14 +83,14 @@
         # A report tells the load better than a latency does, but not that work is queued.
         self._reports.request_if_older(now, backend, BUSY_REPORT_AGE_SECONDS)
         # So long at once is a stall: work queues up slowly.
-        if latency < HUNG_LATENCY_SECONDS or backend.ceiling_record.late_messages > 1:
+        if latency < HUNG_AFTER_SECONDS or backend.ceiling_record.late_messages > 1:
             self._ceilings.cut(now, backend, blocks_overflow=True)
             self._shed(backend, SHED_SHARE_WITH_REPORTS)
 
     def _slow_without_reports(self, now: float, backend: Backend, latency: float, slowness: float) -> None:
         is_late = slowness > SLOWNESS_OF_OBJECTIVE
         self._ceilings.cut(now, backend, blocks_overflow=is_late)
-        if latency >= HUNG_LATENCY_SECONDS:
+        if latency >= HUNG_AFTER_SECONDS:
             self._migration.migrate_all(backend)
         elif is_late or (slowness > SLOWNESS_TO_SHED and self._ceilings.largest_free_slots > 0):
             self._shed(backend, SHED_SHARE)
--- a/saltcourse/balancing/outlier_ejection.py
+++ b/saltcourse/balancing/outlier_ejection.py
@@ -3,7 +3,7 @@
 The rules:
 
 1. A backend is healthy, ejected, eligible for a probe, or being probed. ``TRANSITIONS`` gives the state
-   after each event from each state, and ``record`` is the one place where a state changes.
+   after each event from each state, and ``apply`` is the one place where a state changes.
 2. The ejection time starts at half a second, doubles with each ejection without a success in between, and
    is at most 8 s (times 0.75 to 1.25 at random). An ejection ends at the first refresh of the candidates
    after its time, up to one tick later. So every ejection ends.
@@ -130,9 +130,7 @@
         self._random = random_source
         self._zones = ZoneEjection(local_zone, random_source)
 
-    def record(
-        self, now: float, backend: Backend, event: HealthEvent, request: Request | None = None
-    ) -> None:
+    def apply(self, now: float, backend: Backend, event: HealthEvent, request: Request | None = None) -> None:
         """Change a backend's state by an event; ``request``: the one whose attempt has been started."""
         health = backend.health
         before = health.state
@@ -171,7 +169,7 @@
         for backend in listed:
             health = backend.health
             if health.state is HealthState.EJECTED and health.ejected_until <= now:
-                self.record(now, backend, HealthEvent.EJECTION_EXPIRED)
+                self.apply(now, backend, HealthEvent.EJECTION_EXPIRED)
         zones = self._zones.ejected(now)
         self._pool.candidates = [
             backend for backend in listed if backend.health.state not in AVOIDED and backend.zone not in zones
--- a/saltcourse/balancing/placement.py
+++ b/saltcourse/balancing/placement.py
@@ -50,7 +50,7 @@
         self.retries.request_received()
         self.timers.start(request, time_left)
         if self.overload.is_overloaded:
-            self.answers.give(request)
+            self.answers.answer(request)
         else:
             self._place_after_load_check(now, request)
 
@@ -79,7 +79,7 @@
             request.load_checks = MAX_LOAD_CHECKS
             self._place_after_load_check(now, request)
         elif now >= request.deadline - self.settings.time_step / 2:
-            self.answers.give(request)
+            self.answers.answer(request)
 
     def _place_after_load_check(self, now: float, request: Request) -> None:
         backend = None
@@ -101,6 +101,6 @@
 
     def _start_or_answer(self, now: float, request: Request, backend: Backend | None) -> None:
         if backend is None:
-            self.answers.give(request)
+            self.answers.answer(request)
         else:
             self.attempts.start(now, request, backend)
--- a/saltcourse/balancing/response_latency.py
+++ b/saltcourse/balancing/response_latency.py
@@ -20,7 +20,10 @@
 from dataclasses import dataclass
 
 REPORT_INTERVAL_SECONDS = 1.0  # between the latency reports on one backend
-HUNG_AFTER_SECONDS = 0.7  # without any line back on several connections; healthy backends answer in ms
+# Without any line back on several connections; healthy backends answer in ms. ``load_shedding`` migrates all
+# connections of a backend whose message took as long: with a longer time there, a hung backend that is
+# reported here would keep its connections.
+HUNG_AFTER_SECONDS = 0.7
 HUNG_CONNECTIONS = 2  # whose unanswered lines make a backend look hung; fewer if it has fewer
 MAX_LATENCY_MILLISECONDS = 1000.0  # of a LOAD line: loads are in us of work per second, 1,900 and more
 SILENT_AFTER_SECONDS = 4.0  # without a line back; clients speak every 2 s and 7 s are allowed
@@ -48,16 +51,17 @@
 class ResponseLatencyMeter:
     """Round trips of the established connections, by backend.
 
-    ``slow`` is the latency (s) over which a backend is reported; infinity when backends never send theirs.
+    ``slow_latency`` is the latency (s) over which a backend is reported; infinity when backends never send
+    theirs.
     """
 
-    def __init__(self, slow: float) -> None:
-        self.slow = slow
+    def __init__(self, slow_latency: float) -> None:
+        self.slow_latency = slow_latency
         self.backend_of: dict[str, str] = {}  # by connection
         self.unanswered_since: dict[str, float] = {}  # connection -> when its oldest unanswered line was sent
         self.round_trips: dict[str, list[float]] = {}  # backend -> since the last reports (s)
         self.latency_lines: dict[str, _LatencyLine] = {}  # by backend
-        self.reported_slow: set[str] = set()  # backends whose last report was over ``slow``
+        self.reported_slow: set[str] = set()  # backends whose last report was over ``slow_latency``
         self.last_answer: dict[str, float] = {}  # backend -> when it last answered a line
 
     def connection_established(self, request: str, backend: str) -> None:
@@ -88,7 +92,7 @@
         is short; only after such a one may a longer latency be meant by a figure that could be a small load.
         """
         backend = self.backend_of.get(request)
-        if backend is None or self.slow == float("inf"):
+        if backend is None or self.slow_latency == float("inf"):
             return None
         last = self.latency_lines.get(backend, NO_LATENCY_LINE)
         in_spell = now - last.received < 2 * REPORT_INTERVAL_SECONDS
@@ -140,7 +144,7 @@
                 continue
             latency = _median(round_trips[backend])
             was_reported_slow = backend in self.reported_slow
-            if latency > self.slow:
+            if latency > self.slow_latency:
                 self.reported_slow.add(backend)
             elif was_reported_slow:
                 self.reported_slow.discard(backend)
@@ -155,7 +159,7 @@
         round_trips, self.round_trips = self.round_trips, {}
         for request, backend in self.backend_of.items():
             age = now - self.unanswered_since.get(request, now)
-            if age > self.slow:
+            if age > self.slow_latency:
                 round_trips.setdefault(backend, []).append(age)
         return round_trips
 
--- a/saltcourse/balancing/retries.py
+++ b/saltcourse/balancing/retries.py
@@ -17,6 +17,7 @@
 
 from __future__ import annotations
 
+from saltcourse.balancing.events import NEVER_RAN, AttemptStatus
 from saltcourse.balancing.settings import DeduplicationScope, Idempotency, Settings
 from saltcourse.balancing.state import Backend, Request
 
@@ -52,6 +53,13 @@
     return request_class.deduplication_scope is DeduplicationScope.ZONE or backend.cell == ran_on.cell
 
 
+def record_attempt(request: Request, backend: Backend, status: AttemptStatus, started_at: float) -> None:
+    """Record an attempt that ended so: the first one that may have run limits where the request may go."""
+    if status not in NEVER_RAN and request.may_have_run_on is None:
+        request.may_have_run_on = backend
+        request.may_have_run_at = started_at
+
+
 class Retries:
     """The retry budget of this proxy, and the limits of a request's attempts."""
 
@@ -83,4 +91,4 @@
         if is_last or request_class.idempotency is Idempotency.NOT_IDEMPOTENT:
             return time_left
         wanted = max(request_class.latency_objective, self._connect_timeout)
-        return time_left if time_left < wanted + MIN_ATTEMPT_SECONDS else min(wanted, time_left)
+        return time_left if time_left < wanted + MIN_ATTEMPT_SECONDS else wanted
--- a/saltcourse/balancing/selection.py
+++ b/saltcourse/balancing/selection.py
@@ -27,6 +27,7 @@
 MAX_DRAWS = 60  # before the exact scan
 SCAN_INTERVAL_SECONDS = 0.1  # so that a full fleet is not scanned for every request
 OVERFLOW_SLOTS = 1.0
+REMOTE_ZONE_FACTOR = 0.05  # what a free slot in another zone counts beside one in the proxy's own
 NEVER_SCANNED = -1.0
 
 
@@ -71,7 +72,7 @@
     def is_allowed(self, now: float, request: Request, backend: Backend) -> bool:
         """Whether an attempt of the request may go there now, whatever its free slots."""
         return (
-            backend.next_start_at <= now
+            backend.next_attempt_at <= now
             and backend.state is BackendState.READY  # it may have begun to drain while a check was in flight
             and backend not in request.tried
             and (request.may_have_run_on is None or may_repeat_on(now, request, backend))
--- a/saltcourse/balancing/settings.py
+++ b/saltcourse/balancing/settings.py
@@ -189,7 +189,7 @@
         )
 
     @property
-    def slow_message(self) -> float:
+    def slow_message_latency(self) -> float:
         """Seconds from which on a message counts as slow: a third of the shortest objective; inf if none."""
         objectives = [c.message_latency_objective for c in self.classes if c.message_latency_objective > 0]
         return min(objectives, default=math.inf) / 3
--- a/saltcourse/balancing/slot_ceilings.py
+++ b/saltcourse/balancing/slot_ceilings.py
@@ -19,11 +19,12 @@
 
 from __future__ import annotations
 
+from saltcourse.balancing.backoff import exponential_backoff
 from saltcourse.balancing.capacity_estimate import CapacityEstimate
 from saltcourse.balancing.load_reports import MAX_REPORT_AGE_SECONDS, TARGET_LOAD
 from saltcourse.balancing.settings import Settings
 from saltcourse.balancing.slow_start import SlowStart
-from saltcourse.balancing.state import Backend
+from saltcourse.balancing.state import Backend, CeilingRecord
 from saltcourse.shared_state.state import SharedState
 
 TICK_SECONDS = 1.0  # between refreshes of small fleets; short against a connection's life
@@ -37,7 +38,8 @@
 MIN_LIMIT_SLOTS = 0.5
 CUT_INTERVAL_SECONDS = 1.0  # between cuts: one overload drops many connections at once, and is one cut
 REJECTION_BACKOFF_INITIAL_SECONDS = 2.0  # without new connections after a rejection; doubles
-MAX_CONSECUTIVE_REJECTIONS = 3  # so that the backoff is at most 4 times the initial one
+REJECTION_BACKOFF_MAX_SECONDS = 8.0
+HOLD_WITH_REPORTS_SECONDS = 1.0  # the same where loads are reported: the next report says how full it is
 LIMIT_RECOVERY_FACTOR = 0.05  # of the common ceiling, which the limit regains with each tick
 MIN_USUAL_SLOTS = 0.25  # for slow start, where hardly anything is learned
 
@@ -161,14 +163,20 @@
         record = backend.ceiling_record
         if now >= record.cut_at + CUT_INTERVAL_SECONDS:
             self._cut_limit(now, backend, blocks_overflow)
-        hold = CUT_INTERVAL_SECONDS
-        if not self._uses_load_reports:
-            hold = REJECTION_BACKOFF_INITIAL_SECONDS * 2.0 ** max(0, record.consecutive_rejections - 1)
-        record.cut_until = max(record.cut_until, now + hold)
+        record.cut_until = max(record.cut_until, now + self._hold(record))
         if blocks_overflow:
             record.no_overflow_until = record.cut_until
         backend.ceiling = 0.0 if blocks_overflow else min(backend.ceiling, backend.occupancy)
 
+    def _hold(self, record: CeilingRecord) -> float:
+        """Seconds for which a cut holds."""
+        if self._uses_load_reports:
+            return HOLD_WITH_REPORTS_SECONDS
+        doublings = max(0, record.consecutive_rejections - 1)
+        return exponential_backoff(
+            REJECTION_BACKOFF_INITIAL_SECONDS, doublings, REJECTION_BACKOFF_MAX_SECONDS
+        )
+
     def _cut_limit(self, now: float, backend: Backend, blocks_overflow: bool) -> None:
         record = backend.ceiling_record
         record.cut_at = now
@@ -176,7 +184,7 @@
         factor = CUT_FACTOR if blocks_overflow else 1.0
         record.learned_limit = max(backend.occupancy * factor, least, MIN_LIMIT_SLOTS)
         if blocks_overflow:
-            record.consecutive_rejections = min(record.consecutive_rejections + 1, MAX_CONSECUTIVE_REJECTIONS)
+            record.consecutive_rejections += 1
 
     def end_cut(self, now: float, backend: Backend) -> None:
         """End the cut of a backend that is not slow any more, unless it may not overflow."""
--- a/saltcourse/balancing/slow_start.py
+++ b/saltcourse/balancing/slow_start.py
@@ -39,7 +39,7 @@
         """Whether the backend has less than its full capacity yet."""
         return self.capacity_share(now, backend) < 1.0
 
-    def start_interval(self, now: float, usual_slots: float) -> float:
+    def attempt_interval(self, now: float, usual_slots: float) -> float:
         """Seconds between this proxy's attempts of one slot each at a backend that warms up.
 
         ``usual_slots``: what this proxy usually fills on such a backend.
@@ -52,8 +52,8 @@
 
         All proxies learn of a started backend at once: each sends its first attempt at its own moment.
         """
-        backend.next_start_at = now + draw * self.start_interval(now, usual_slots)
+        backend.next_attempt_at = now + draw * self.attempt_interval(now, usual_slots)
 
     def delay_next_attempt(self, now: float, backend: Backend, usual_slots: float, load: float) -> None:
         """Set the earliest next attempt after one of ``load`` slots."""
-        backend.next_start_at = now + load * self.start_interval(now, usual_slots)
+        backend.next_attempt_at = now + load * self.attempt_interval(now, usual_slots)
--- a/saltcourse/balancing/state.py
+++ b/saltcourse/balancing/state.py
@@ -46,7 +46,7 @@
     no_overflow_until: float = 0.0  # until then it gets nothing: it rejected, dropped or was late
     cut_until: float = 0.0  # until then it gets overflow at most, and its limit does not recover
     cut_at: float = LONG_AGO
-    consecutive_rejections: int = 0  # for rejections and drops, at most 3
+    consecutive_rejections: int = 0  # or drops, until it may overflow and accepts again
     late_messages: int = 0  # messages in a row that missed their latency objective
 
 
@@ -80,7 +80,7 @@
         "is_local",
         "kind",
         "name",
-        "next_start_at",
+        "next_attempt_at",
         "occupancy",
         "relative_capacity",
         "report",
@@ -123,7 +123,7 @@
         """Forget what was learned: the backend is a new process since ``now``."""
         self.restarted_at = now  # what was sent before tells nothing of the new process
         self.ceiling = 0.0  # slots
-        self.next_start_at = 0.0  # slow start: no attempt is started before
+        self.next_attempt_at = 0.0  # slow start: no attempt is started before
         self.health = HealthRecord()
         self.ceiling_record = CeilingRecord()
         self.report = LoadReportRecord()
--- a/saltcourse/balancing/timers.py
+++ b/saltcourse/balancing/timers.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from saltcourse.balancing.actions import Action, SetTimer
+from saltcourse.balancing.errors import UnknownTimerError
 from saltcourse.balancing.state import Request
 
 TICK_TOKEN = 1  # of the timer that refreshes candidates and ceilings
@@ -26,5 +27,8 @@
         self._actions.append(SetTimer(max(0.0, delay), self._last_token))
 
     def pop(self, token: int) -> Request:
-        """The request of a timer that went off; ``KeyError`` where no such timer was set."""
-        return self.waiting.pop(token)
+        """The request of a timer that went off; raises ``UnknownTimerError``."""
+        try:
+            return self.waiting.pop(token)
+        except KeyError:
+            raise UnknownTimerError(token) from None
--- a/saltcourse/proxy/dispatcher.py
+++ b/saltcourse/proxy/dispatcher.py
@@ -374,4 +374,4 @@
 
 def _latency_meter(config: Config) -> ResponseLatencyMeter:
     """Where the backends send no latency in LOAD lines, none is reported but that of hung ones."""
-    return ResponseLatencyMeter(config.settings.slow_message if config.tells_delay else float("inf"))
+    return ResponseLatencyMeter(config.settings.slow_message_latency if config.tells_delay else float("inf"))
--- a/tests/balancing/balancer_host.py
+++ b/tests/balancing/balancer_host.py
@@ -119,7 +119,7 @@
 
     def fail(self, name: str) -> None:
         """Eject a backend, as a failure by its fault does."""
-        self.balancer.ejection.record(self.now, self.backend(name), HealthEvent.FAILURE)
+        self.balancer.ejection.apply(self.now, self.backend(name), HealthEvent.FAILURE)
 
     # ---- what is seen ------------------------------------------------------------------------------
 
--- a/tests/balancing/test_backend_report.py
+++ b/tests/balancing/test_backend_report.py
@@ -41,7 +41,7 @@
 
 def test_the_reasons_of_ceilings_and_slow_start_end_with_their_time() -> None:
     backend = Backend(Endpoint("s0"))
-    backend.ceiling_record.no_overflow_until = backend.ceiling_record.cut_until = backend.next_start_at = (
+    backend.ceiling_record.no_overflow_until = backend.ceiling_record.cut_until = backend.next_attempt_at = (
         NOW + 1
     )
     assert report_backend(NOW, backend).reasons == ("recently_rejected", "slow", "warming_up")
--- a/tests/balancing/test_balancer_model.py
+++ b/tests/balancing/test_balancer_model.py
@@ -328,7 +328,7 @@
 
     __slots__ = ()
 
-    def start_interval(self, now: float, usual_slots: float) -> float:
+    def attempt_interval(self, now: float, usual_slots: float) -> float:
         return 0.0
 
 
--- a/tests/proxy/test_connection_monitor.py
+++ b/tests/proxy/test_connection_monitor.py
@@ -17,7 +17,7 @@
         self.clock = ManualClock()
         self.migrated: list[str] = []
         self.reports: list[ResponseLatencyMeasured] = []
-        meter = ResponseLatencyMeter(slow=0.02)
+        meter = ResponseLatencyMeter(slow_latency=0.02)
         self.monitor = ConnectionMonitor(meter, self.clock, self.migrate, self.reports.append)
         for request, backend in connections.items():
             self.monitor.add(ConnectionResumed(request, "quick", backend))
