--- a/saltcourse/codec/lines.py
+++ b/saltcourse/codec/lines.py
@@ -1,6 +1,7 @@
 """The line protocol of clients and backends: CRLF lines of at most 4 KiB, and what they mean.
 
-The protocol's words are mapped to the terms of the code here and nowhere else:
+The protocol's words are mapped to the terms of the code here and nowhere else; ``REPORT_FIELDS`` maps the
+fields of load reports, also for the simulator's wire:
 
     OPEN id key fields     a request                        OpenRequest
       c=, t=, g=             request class, tenant, group
@@ -29,7 +30,7 @@
 from saltcourse.balancing.events import LoadReport
 from saltcourse.codec.errors import ProtocolError
 
-MICRO = 1e-6  # LOAD is in microseconds of work per second
+MICROSECONDS = 1e-6  # s; LOAD is in microseconds of work per second
 MAX_LINE_BYTES = 4096  # CRLF included
 MAX_TIMEOUT_MILLISECONDS = 60_000  # no client waits longer for UP: a larger `d` is a mistake
 MAX_RESUME_TIMEOUT_MILLISECONDS = 86_400_000  # of a connection from before the proxy's start
--- a/saltcourse/metrics.py
+++ b/saltcourse/metrics.py
@@ -8,8 +8,15 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable
+from enum import Enum
 
-OUTCOMES = ("success", "overload", "error")  # established (UP), rejected (BUSY), failed (ERR)
+
+class ReplyOutcome(Enum):
+    """The final answer to a client; the value is the figure's name."""
+
+    ESTABLISHED = "success"  # UP
+    REJECTED = "overload"  # BUSY
+    FAILED = "error"  # ERR
 
 
 class Metrics:
@@ -17,16 +24,16 @@
 
     def __init__(self, request_classes: Iterable[str]) -> None:
         self.replies: dict[str, dict[str, int]] = {
-            request_class: dict.fromkeys(OUTCOMES, 0) for request_class in request_classes
+            request_class: {outcome.value: 0 for outcome in ReplyOutcome} for request_class in request_classes
         }
         self.dispatches = 0
         self.gauges: Callable[[], dict[str, int]] = dict
 
-    def count_reply(self, request_class: str, outcome: str) -> None:
+    def count_reply(self, request_class: str, outcome: ReplyOutcome) -> None:
         """One final answer to a client; classes that the settings lack are not kept."""
         counts = self.replies.get(request_class)
         if counts is not None:
-            counts[outcome] += 1
+            counts[outcome.value] += 1
 
     def count_dispatch(self) -> None:
         """An attempt's OPEN line was written whole to a backend."""
--- a/saltcourse/proxy/client_connection.py
+++ b/saltcourse/proxy/client_connection.py
@@ -44,13 +44,15 @@
     ConnectionLoadChanged,
 )
 from saltcourse.codec.errors import ProtocolError
-from saltcourse.codec.lines import FAIL_LINE, MICRO, MOVE_LINE, OpenRequest, busy_line, parse_load
+from saltcourse.codec.lines import FAIL_LINE, MICROSECONDS, MOVE_LINE, OpenRequest, busy_line, parse_load
+from saltcourse.metrics import ReplyOutcome
 from saltcourse.proxy.actor import Actor, spawn
 from saltcourse.proxy.attempt import BackendAttempt
 from saltcourse.proxy.connection_context import ConnectionContext
 from saltcourse.proxy.errors import ConnectionLostError
 from saltcourse.proxy.messages import (
     AbandonAttempt,
+    AbandonReason,
     AbandonRequest,
     AttemptEnded,
     AttemptEstablished,
@@ -100,7 +102,7 @@
         self.request = ""  # the request's id, once it is read
         self._deadline = 0.0  # of the answer, on the clock (s)
         self._attempts = RequestAttempts(context)
-        self._answered = asyncio.Event()  # the client's further lines may be read
+        self._may_read_on = asyncio.Event()  # the client's further lines may be read
         self._reader: asyncio.Task[None] | None = None
         self._is_over = False
 
@@ -140,7 +142,7 @@
         if opened is None:
             return
         if self.context.is_short_of_descriptors():
-            self.context.metrics.count_reply(opened.request_class, "overload")
+            self.context.metrics.count_reply(opened.request_class, ReplyOutcome.REJECTED)
             await self._reject(busy_line(self.context.settings.longest_retry_after))
             return
         await self._serve(opened)
@@ -173,7 +175,7 @@
         self.state = ConnectionState.WAITING
         self._reader = spawn(self._read_client(), "client connection reader")
         timer = asyncio.get_running_loop().call_later(
-            time_left + OVERDUE_SECONDS, self.send, AbandonRequest("no answer in time")
+            time_left + OVERDUE_SECONDS, self.send, AbandonRequest(AbandonReason.OVERDUE)
         )
         try:
             if opened.resume_backend:
@@ -184,7 +186,7 @@
                 await self._receive(await self.mailbox.get())
         finally:
             timer.cancel()
-            self._answered.set()
+            self._may_read_on.set()
 
     # ---- lines ----------------------------------------------------------------------------------
 
@@ -195,12 +197,12 @@
             while True:
                 if self.stream.buffer.has_data:
                     self._check_client_waits()
-                    await self._answered.wait()
+                    await self._may_read_on.wait()
                 while (line := self.stream.buffer.next_line()) is not None:
                     await self._send_to_backend(line)
                 if not await self.stream.receive():
                     break
-            if self._answered.is_set():
+            if self._may_read_on.is_set():  # a line that the client's end cuts short follows as it is
                 await self._send_to_backend(self.stream.buffer.take_remaining())
         except ConnectionLostError:
             reset = True
@@ -212,7 +214,7 @@
     def _check_client_waits(self) -> None:
         """A client that sends more before its answer is failed; one that is resumed may do so."""
         if self._is_waiting and self.opened and not self.opened.resume_backend:
-            self.send(AbandonRequest("the client did not wait for its answer"))
+            self.send(AbandonRequest(AbandonReason.CLIENT_DID_NOT_WAIT))
 
     async def _send_to_backend(self, line: memoryview) -> None:
         attempt = self._attempts.current
@@ -234,7 +236,7 @@
         if load is None:
             self.context.send_to_dispatcher(LineReceived(self.request, self.context.clock.now()))
         else:
-            self.context.send_to_dispatcher(ConnectionLoadChanged(self.request, load * MICRO))
+            self.context.send_to_dispatcher(ConnectionLoadChanged(self.request, load * MICROSECONDS))
 
     # ---- messages -------------------------------------------------------------------------------
 
@@ -254,22 +256,22 @@
             case MigrateConnection() if self.state is ConnectionState.ESTABLISHED:
                 await self._migrate()
             case RejectRequest(_, retry_after) if self._is_waiting:
-                await self._answer(busy_line(retry_after), "overload")
+                await self._answer(busy_line(retry_after), ReplyOutcome.REJECTED)
             case FailRequest() if self._is_waiting:
-                await self._answer(FAIL_LINE, "error")
+                await self._answer(FAIL_LINE, ReplyOutcome.FAILED)
             case AbandonRequest(reason) if self._is_waiting:
-                log.info("request abandoned", request=self.request, reason=reason)
+                log.info("request abandoned", request=self.request, reason=reason.value)
                 self.context.send_to_dispatcher(ClientDisconnected(self.request))
-                await self._answer(FAIL_LINE, "error")
+                await self._answer(FAIL_LINE, ReplyOutcome.FAILED)
 
-    async def _answer(self, line: bytes, outcome: str) -> None:
+    async def _answer(self, line: bytes, outcome: ReplyOutcome) -> None:
         """The final answer. The attempt in flight, if any, is given up first."""
         self.state = ConnectionState.ENDED
         if self.opened is not None:
             self.context.metrics.count_reply(self.opened.request_class, outcome)
         self._attempts.close()
         self._attempts.report(AttemptStatus.CANCELLED)
-        self._answered.set()
+        self._may_read_on.set()
         if await write_within(self.stream, line, LAST_LINE_TIMEOUT_SECONDS):
             await close_gracefully(self.stream, self._reader, CLOSE_TIMEOUT_SECONDS)
 
@@ -280,14 +282,14 @@
         if not is_free or self.opened is None:
             self._attempts.report_not_sent(message)
             return
-        if self.stream.has_ended():  # this message came before the reader's word of the client's end
+        if self.stream.has_ended():  # this message came before the reader's message of the client's end
             self._attempts.report_not_sent(message)
             self.send(ClientClosed(reset=False))
             return
         self._attempts.begin(self, message, self.opened, self._deadline)
 
     def wants_answer(self) -> bool:
-        """Whether an attempt may still begin; asked of the kernel, for the reader's word may be late."""
+        """Whether an attempt may still begin; asked of the kernel, for the reader's message may be late."""
         return self._is_waiting and not self.stream.has_ended()
 
     def open_line_sent(self) -> None:
@@ -302,7 +304,7 @@
             attempt.close()
             return
         self.state = ConnectionState.ESTABLISHED
-        self.context.metrics.count_reply(self.opened.request_class, "success")
+        self.context.metrics.count_reply(self.opened.request_class, ReplyOutcome.ESTABLISHED)
         with contextlib.suppress(ConnectionLostError):  # the reader reports it
             await self.stream.write(line)
         if self.opened.resume_backend:
@@ -311,7 +313,7 @@
             established = ConnectionEstablished(self.request, begun.attempt, self._attempts.elapsed())
             self.context.send_to_dispatcher(established)
         attempt.may_relay.set()
-        self._answered.set()
+        self._may_read_on.set()
 
     async def _end_attempt(self, status: AttemptStatus, reset: bool) -> None:
         if self.state is ConnectionState.ESTABLISHED:
@@ -363,6 +365,8 @@
         if attempt.task is not None:
             await asyncio.wait([attempt.task], timeout=CLOSE_TIMEOUT_SECONDS)
         status = AttemptStatus.CANCELLED
+        # The actor takes no message while it waits here, so the attempt's end is still in the mailbox. The
+        # others have no meaning after the client's end.
         while not self.mailbox.empty():
             message = self.mailbox.get_nowait()
             if isinstance(message, AttemptEnded):
@@ -395,7 +399,7 @@
         self._attempts.drop_outcome()
         retry_by = self._deadline - 2 * RESUME_RETRY_SECONDS
         if status not in NEVER_RAN or self.context.clock.now() > retry_by:
-            await self._answer(FAIL_LINE, "error")
+            await self._answer(FAIL_LINE, ReplyOutcome.FAILED)
             return
         await asyncio.sleep(RESUME_RETRY_SECONDS)
         self._resume(opened)
--- a/saltcourse/proxy/connection_monitor.py
+++ b/saltcourse/proxy/connection_monitor.py
@@ -15,11 +15,12 @@
 import asyncio
 from collections import Counter
 from collections.abc import Callable
+from dataclasses import dataclass
 
 import structlog
 
 from saltcourse.balancing.drain_schedule import DrainSchedule
-from saltcourse.balancing.events import ConnectionResumed, ResponseLatencyMeasured
+from saltcourse.balancing.events import ConnectionResumed, RequestReceived, ResponseLatencyMeasured
 from saltcourse.balancing.response_latency import (
     REPORT_INTERVAL_SECONDS,
     LatencyReport,
@@ -33,6 +34,36 @@
 log = structlog.get_logger("saltcourse")
 
 
+@dataclass(frozen=True, slots=True)
+class EstablishedConnection:
+    """What a new balancer has to be given of an established connection."""
+
+    request: str
+    request_class: str
+    backend: str
+    tenant: str = ""
+    load_hint: float = 0.0
+    group: str = ""
+
+    @classmethod
+    def of_resumed(cls, event: ConnectionResumed) -> EstablishedConnection:
+        """A connection from before this program's start."""
+        return cls(
+            event.request, event.request_class, event.backend, event.tenant, event.load_hint, event.group
+        )
+
+    @classmethod
+    def of_request(cls, event: RequestReceived, backend: str) -> EstablishedConnection:
+        """A request that was established at ``backend``."""
+        return cls(event.request, event.request_class, backend, event.tenant, event.load_hint, event.group)
+
+    def as_resumed(self) -> ConnectionResumed:
+        """The event by which a new balancer learns of it."""
+        return ConnectionResumed(
+            self.request, self.request_class, self.backend, self.tenant, self.load_hint, self.group
+        )
+
+
 class ConnectionMonitor:
     """Owns the established connections; migrates and reports by its callbacks.
 
@@ -46,7 +77,7 @@
         migrate: Callable[[str], None],
         report: Callable[[ResponseLatencyMeasured], None],
     ) -> None:
-        self.established: dict[str, ConnectionResumed] = {}  # by request
+        self.established: dict[str, EstablishedConnection] = {}  # by request
         self._meter = meter
         self._clock = clock
         self._migrate = migrate
@@ -60,7 +91,7 @@
         """Whether every connection is migrated as soon as it is established."""
         return self._drain_schedule is not None
 
-    def add(self, connection: ConnectionResumed) -> None:
+    def add(self, connection: EstablishedConnection) -> None:
         """Monitor a connection from now on."""
         self.established[connection.request] = connection
         self._meter.connection_established(connection.request, connection.backend)
--- a/saltcourse/proxy/discovery_client.py
+++ b/saltcourse/proxy/discovery_client.py
@@ -50,7 +50,7 @@
 WATCH_WAIT_SECONDS = (  # for which a watch may wait for a change
     CHANGE_KNOWN_WITHIN_SECONDS - WATCH_SLACK_SECONDS - LIST_CALL_TIMEOUT_SECONDS / 2
 )
-MIN_WATCH_INTERVAL_SECONDS = 0.1  # a watch goes on when the next call comes within 0.2 s of an answer
+MIN_WATCH_INTERVAL_SECONDS = 0.1  # within the 0.2 s in which discovery takes the next call as the same watch
 FIRST_CALL_TIMEOUT_SECONDS = 1.2  # at a new address, doubling: the list is due within 4 s
 NEW_ADDRESS_RETRY_SECONDS = 0.2  # between calls at a new address while none has been answered
 READ_CHUNK_BYTES = 16 * 1024
@@ -87,7 +87,9 @@
                     self._change_address(address)
                 case FetchEndpoints():
                     self._begin(self._fetch(), "endpoint list fetch")
-                case WatchEndpoints() if self._is_watching:  # a call is out already and will bring changes
+                case WatchEndpoints() if self._is_watching:
+                    # A call is out already and will bring changes. The balancer is answered all the same:
+                    # an answer resets its count of failed calls.
                     nothing_new = EndpointUpdate(self._version, False, (), {})
                     self._on_endpoints(EndpointsReceived(EndpointUpdateKind.DELTA, nothing_new))
                 case WatchEndpoints():
--- a/saltcourse/proxy/dispatcher.py
+++ b/saltcourse/proxy/dispatcher.py
@@ -37,7 +37,6 @@
     BackendState,
     ConnectionEstablished,
     ConnectionLoadChanged,
-    ConnectionResumed,
     Endpoint,
     EndpointsUpdated,
     EndpointUpdateKind,
@@ -48,11 +47,15 @@
 )
 from saltcourse.balancing.response_latency import ResponseLatencyMeter
 from saltcourse.codec.endpoint_list import Address, EndpointUpdate
-from saltcourse.codec.lines import MICRO
+from saltcourse.codec.lines import MICROSECONDS
 from saltcourse.config import Config
 from saltcourse.proxy.actor import Actor
 from saltcourse.proxy.clock import Clock
-from saltcourse.proxy.connection_monitor import CHECK_INTERVAL_SECONDS, ConnectionMonitor
+from saltcourse.proxy.connection_monitor import (
+    CHECK_INTERVAL_SECONDS,
+    ConnectionMonitor,
+    EstablishedConnection,
+)
 from saltcourse.proxy.health_check import HealthCheck
 from saltcourse.proxy.messages import (
     AbandonAttempt,
@@ -69,7 +72,7 @@
     StartDraining,
     StopDraining,
 )
-from saltcourse.proxy.traffic_summary import TrafficSummary
+from saltcourse.proxy.traffic_summary import RequestOutcome, TrafficSummary
 
 SUMMARY_INTERVAL_SECONDS = 5.0
 
@@ -102,8 +105,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Outlets:
-    """Where actions go that are for no request."""
+class ActionHandlers:
+    """What carries out the actions that are for no request."""
 
     discovery: Callable[[WatchEndpoints | FetchEndpoints], None]
     peers: Callable[[SendPeerMessage], None]
@@ -112,7 +115,7 @@
 class Dispatcher(Actor[DispatcherMessage | TimerExpired]):
     """Serves the requests of all client connections with one balancer."""
 
-    def __init__(self, config: Config, clock: Clock, outlets: Outlets) -> None:
+    def __init__(self, config: Config, clock: Clock, handlers: ActionHandlers) -> None:
         super().__init__("dispatcher")
         self._settings = config.settings
         self._clock = clock
@@ -120,7 +123,7 @@
         self._addresses: dict[str, Address] = {}  # by backend; also of those that have left the list
         self._requests: dict[str, RequestRecord] = {}  # by id, until their owners finish
         self._known_endpoints = config.known  # from before the start
-        self._outlets = outlets
+        self._handlers = handlers
         self._seed = config.seed
         self._monitor = ConnectionMonitor(_latency_meter(config), clock, self._migrate, self._handle)
         self._summary = TrafficSummary()
@@ -166,14 +169,14 @@
             case AttemptFinished():
                 self._finish_attempt(event)
             case ConnectionLoadChanged(request, load):
-                latency = self._monitor.latency_of_load_line(request, load / MICRO)
+                latency = self._monitor.latency_of_load_line(request, load / MICROSECONDS)
                 self._handle(event if latency is None else ResponseLatencyMeasured(request, latency))
             case _:
                 self._handle(event)
 
     def _set_draining(self, message: StartDraining | StopDraining) -> None:
         if isinstance(message, StartDraining):
-            self._monitor.start_draining(message.begin, message.end)
+            self._monitor.start_draining(message.begin_loop_time, message.end_loop_time)
         else:
             self._monitor.stop_draining()
 
@@ -188,7 +191,7 @@
     def _resume_connection(self, message: ResumedConnection) -> None:
         request = message.event.request
         self._requests.setdefault(request, RequestRecord(message.owner))
-        self._monitor.add(message.event)
+        self._monitor.add(EstablishedConnection.of_resumed(message.event))
         self._handle(message.event)
         if self._monitor.is_draining:
             self._migrate(request)
@@ -202,17 +205,8 @@
     def _establish_connection(self, event: ConnectionEstablished) -> None:
         record = self._requests.get(event.request)
         if record is not None and record.received and record.last_attempt:
-            received = record.received
-            self._monitor.add(
-                ConnectionResumed(
-                    event.request,
-                    received.request_class,
-                    record.last_attempt.backend,
-                    received.tenant,
-                    received.load_hint,
-                    received.group,
-                )
-            )
+            backend = record.last_attempt.backend
+            self._monitor.add(EstablishedConnection.of_request(record.received, backend))
         self._handle(event)
         if self._monitor.is_draining:
             self._migrate(event.request)
@@ -311,7 +305,7 @@
         try:
             actions = self._balancer.handle(now, endpoints)
             for connection in self._monitor.established.values():
-                actions += self._balancer.handle(now, connection)
+                actions += self._balancer.handle(now, connection.as_resumed())
         except Exception:
             log.exception("new balancer failed")
             return []
@@ -322,10 +316,9 @@
             case StartAttempt():
                 self._start_attempt(action)
             case RejectRequest() | FailRequest():
-                self._summary.count_request("rejected" if isinstance(action, RejectRequest) else "failed")
-                self._send_to_owner(action.request, action)
+                self._send_answer(action)
             case MigrateConnection(request):
-                self._summary.count_request("migrated")
+                self._summary.count_request(RequestOutcome.MIGRATED)
                 self._migrate(request)
             case CancelAttempt(request, attempt):
                 self._send_to_owner(request, AbandonAttempt(attempt))
@@ -335,12 +328,17 @@
             case StartHealthCheck(backend):
                 self._start_health_check(backend)
             case WatchEndpoints() | FetchEndpoints():
-                self._outlets.discovery(action)
+                self._handlers.discovery(action)
             case SendPeerMessage():
-                self._outlets.peers(action)
+                self._handlers.peers(action)
             case Log(text):
                 log.info("balancer", text=text)
 
+    def _send_answer(self, action: RejectRequest | FailRequest) -> None:
+        is_rejected = isinstance(action, RejectRequest)
+        self._summary.count_request(RequestOutcome.REJECTED if is_rejected else RequestOutcome.FAILED)
+        self._send_to_owner(action.request, action)
+
     def _send_to_owner(self, request: str, message: ConnectionMessage) -> None:
         record = self._requests.get(request)
         if record is not None:
--- a/saltcourse/proxy/draining.py
+++ b/saltcourse/proxy/draining.py
@@ -29,7 +29,7 @@
 ANSWER_MARGIN_SECONDS = 0.25  # between the last final answers and the end: they have to be read by then
 MIGRATION_MARGIN_SECONDS = 0.5  # between the last MOVE and the end: clients leave at once, checks may be late
 SILENT_TIMEOUT_SECONDS = 0.25  # in which a client that has just connected sends its request
-LAMEDUCK_SECONDS = 4.0  # within which the operators want every client migrated
+LAMEDUCK_MIGRATION_SECONDS = 3.0  # after which all are migrated; the operators want it within 4 s
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,7 +66,7 @@
         """Migrate the established connections after the front's notice."""
         loop = asyncio.get_running_loop()
         begin = loop.time() + FRONT_NOTICE_SECONDS
-        end = loop.time() + LAMEDUCK_SECONDS - 2 * MIGRATION_MARGIN_SECONDS
+        end = loop.time() + LAMEDUCK_MIGRATION_SECONDS
         self._timer = loop.call_later(FRONT_NOTICE_SECONDS, self._send, StartDraining(begin, end))
 
     def stop(self) -> None:
--- a/saltcourse/proxy/health_check.py
+++ b/saltcourse/proxy/health_check.py
@@ -68,7 +68,7 @@
         if line is None:
             return AttemptStatus.RESET, None
         word = word_of(line)
-        if word == NO:
+        if word == NO:  # the backend answers no health checks now, which says nothing of its health
             return AttemptStatus.NOT_SENT, None
         status = AttemptStatus.OK if word == PONG else AttemptStatus.ERROR
         return status, parse_load_report(line)
--- a/saltcourse/proxy/messages.py
+++ b/saltcourse/proxy/messages.py
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
+from enum import Enum
 from typing import Protocol
 
 from saltcourse.balancing.actions import FailRequest, MigrateConnection, RejectRequest
@@ -55,11 +56,19 @@
     attempt: int
 
 
+class AbandonReason(Enum):
+    """Why a request is failed without the balancer."""
+
+    OVERDUE = "no answer in time"
+    CLIENT_DID_NOT_WAIT = "the client did not wait for its answer"
+    PROGRAM_ENDS = "the program ends"
+
+
 @dataclass(slots=True)
 class AbandonRequest:
-    """Fail the request without the balancer: its time is up, or the client broke the protocol."""
+    """Fail the request without the balancer."""
 
-    reason: str
+    reason: AbandonReason
 
 
 @dataclass(slots=True)
@@ -161,11 +170,12 @@
 class StartDraining:
     """Migrate all connections that are established, or will be, until ``StopDraining``.
 
-    They are spread between ``begin`` and ``end`` (s, the loop's time); 0 and 0 is at once.
+    They are spread between ``begin_loop_time`` and ``end_loop_time`` (s, the loop's time); 0 and 0 is at
+    once.
     """
 
-    begin: float = 0.0
-    end: float = 0.0
+    begin_loop_time: float = 0.0
+    end_loop_time: float = 0.0
 
 
 @dataclass(slots=True)
--- a/saltcourse/proxy/opening.py
+++ b/saltcourse/proxy/opening.py
@@ -1,8 +1,8 @@
 """The opening of a client connection: from its acceptance to its OPEN line, or to its end without one.
 
-    new ──PING──► resting ──► ... ──OPEN──► finished (the client connection goes on)
-     │               │
-     └───────────────┴── time up, shed, retired, PING while not serving ──► closing ──► closed
+    new ──PING──► idle ──► ... ──OPEN──► finished (the client connection goes on)
+     │              │
+     └──────────────┴── time up, shed, shutdown, PING while not serving ──► closing ──► closed
 
 Time for the first line:   2 s for a whole line, however it trickles in
 Time between two PINGs:    30 s
@@ -26,7 +26,7 @@
 from saltcourse.proxy.stream import SocketStream
 
 FIRST_LINE_TIMEOUT_SECONDS = 2.0  # for a whole first line; clients send it at once
-PING_TIMEOUT_SECONDS = 30.0  # that a connection which only sent PINGs may rest between two of them
+PING_TIMEOUT_SECONDS = 30.0  # that a connection which only sent PINGs may stay idle between two of them
 HALF_CLOSE_SECONDS = 0.25  # for a client that sent no request to end its side after ours
 SHED_HALF_CLOSE_SECONDS = 0.1  # in a crowd its descriptor is wanted sooner
 UNREAD_GRACE_SECONDS = 0.05  # for a line whose bytes have come in the very moment in which its time is up
@@ -39,7 +39,7 @@
         "_context",
         "_is_closing",
         "_is_finished",
-        "_is_resting",
+        "_is_idle_after_ping",
         "_partial_line_deadline",
         "_stream",
         "_timer",
@@ -49,7 +49,7 @@
         self._stream = stream
         self._context = context
         self._is_finished = False
-        self._is_resting = False  # it was answered a PING and has sent nothing since
+        self._is_idle_after_ping = False  # it was answered a PING and has sent nothing since
         self._is_closing = False  # our side is ended
         self._timer: asyncio.TimerHandle | None = None
         self._partial_line_deadline = 0.0  # loop time until which a program that ends waits for half a line
@@ -67,18 +67,18 @@
                 continue
             await self._stream.write(PONG_LINE)
             self._context.pending.touch(self)
-            if not self._stream.buffer.has_data and not await self._rest():
+            if not self._stream.buffer.has_data and not await self._wait_after_ping():
                 return None
             self._set_timeout(FIRST_LINE_TIMEOUT_SECONDS)
         return None if line is None else self._parse(line)
 
-    async def _rest(self) -> bool:
+    async def _wait_after_ping(self) -> bool:
         """Wait for something after a PING; False when the client has ended."""
-        self._is_resting = True
+        self._is_idle_after_ping = True
         self._set_timeout(PING_TIMEOUT_SECONDS)
         if not await self._stream.receive():
             return False
-        self._is_resting = False
+        self._is_idle_after_ping = False
         return True
 
     def _parse(self, line: memoryview) -> OpenRequest:
@@ -126,15 +126,15 @@
         """Close it now."""
         self._stream.close()
 
-    def retire(self, silent_timeout: float, partial_line_timeout: float) -> None:
+    def limit_for_shutdown(self, silent_timeout: float, partial_line_timeout: float) -> None:
         """The program ends and takes no new clients.
 
-        A connection that rests after a PING is closed at once, a silent one after ``silent_timeout`` s, one
+        A connection that is idle after a PING is closed at once, a silent one after ``silent_timeout`` s, one
         with half a line after ``partial_line_timeout`` s.
         """
         if not self._is_finished:
             self._partial_line_deadline = asyncio.get_running_loop().time() + partial_line_timeout
-            self._set_timeout(0.0 if self._is_resting else silent_timeout)
+            self._set_timeout(0.0 if self._is_idle_after_ping else silent_timeout)
 
     def _set_timeout(self, seconds: float) -> None:
         """The time counts for a whole line: one that trickles in holds its place no longer than silence."""
--- a/saltcourse/proxy/server.py
+++ b/saltcourse/proxy/server.py
@@ -40,11 +40,11 @@
 from saltcourse.proxy.connection_context import ConnectionContext, ProtocolErrorLog
 from saltcourse.proxy.descriptors import DescriptorLimit
 from saltcourse.proxy.discovery_client import ChangeAddress, DiscoveryClient
-from saltcourse.proxy.dispatcher import Dispatcher, Outlets
+from saltcourse.proxy.dispatcher import ActionHandlers, Dispatcher
 from saltcourse.proxy.draining import DrainTimeline, Lameduck
 from saltcourse.proxy.errors import ListenError
 from saltcourse.proxy.listener import ClientListener
-from saltcourse.proxy.messages import AbandonRequest, DispatcherMessage, StartDraining
+from saltcourse.proxy.messages import AbandonReason, AbandonRequest, DispatcherMessage, StartDraining
 from saltcourse.proxy.pending_connections import PendingConnections
 from saltcourse.proxy.stream import SocketStream
 
@@ -84,7 +84,7 @@
     ) -> None:
         self.config = config
         self.phase = Phase.STARTING
-        self.leave = asyncio.Event()  # set by SIGTERM: the program is to drain and exit
+        self.stop_requested = asyncio.Event()  # set by SIGTERM: the program is to drain and exit
         self.clients: set[ClientConnection] = set()
         self.clock = Clock()
         self.admin: AdminServer | None = None
@@ -113,8 +113,8 @@
         return PeerLink(self.config.peers, self._send_to_dispatcher)
 
     def _make_dispatcher(self) -> Dispatcher:
-        outlets = Outlets(discovery=self.discovery.send, peers=self._send_to_peers)
-        return Dispatcher(self.config, self.clock, outlets)
+        handlers = ActionHandlers(discovery=self.discovery.send, peers=self._send_to_peers)
+        return Dispatcher(self.config, self.clock, handlers)
 
     def _make_context(self) -> ConnectionContext:
         return ConnectionContext(
@@ -148,7 +148,7 @@
         Raises ``ListenError``.
         """
         await self.startup()
-        await self.leave.wait()
+        await self.stop_requested.wait()
         for companion in self._companions:
             await companion.leave()
         await self.drain()
@@ -174,7 +174,7 @@
         """
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
-            signals.handle(number, lambda: loop.call_soon_threadsafe(self.leave.set))
+            signals.handle(number, lambda: loop.call_soon_threadsafe(self.stop_requested.set))
         signals.handle(signal.SIGHUP, lambda: loop.call_soon_threadsafe(self.reload))
 
     async def _open_peer_link(self) -> None:
@@ -217,7 +217,7 @@
         self.dispatcher.send(StartDraining(loop.time(), begin + timeline.migrations_due))
         for client in self.clients:
             answer_time_left = begin + timeline.answers_due - loop.time()
-            client.opening.retire(draining.SILENT_TIMEOUT_SECONDS, answer_time_left)
+            client.opening.limit_for_shutdown(draining.SILENT_TIMEOUT_SECONDS, answer_time_left)
         await self._wait_for_clients(begin + timeline.duration)
 
     async def _wait_for_clients(self, end: float) -> None:
@@ -229,7 +229,7 @@
     def _abandon_requests(self) -> None:
         """No answer may be due when the program ends; requests that came late were given less time."""
         for client in self.clients:
-            client.send(AbandonRequest("the program ends"))
+            client.send(AbandonRequest(AbandonReason.PROGRAM_ENDS))
 
     def shutdown(self) -> None:
         """Ignore further signals and close what is left."""
@@ -315,7 +315,7 @@
 
     def lameduck(self, on: bool) -> bool:
         """Empty the program, or take it back into service; False once it is leaving for good."""
-        if self.leave.is_set() or self.phase in (Phase.STARTING, Phase.STOPPED):
+        if self.stop_requested.is_set() or self.phase in (Phase.STARTING, Phase.STOPPED):
             return False
         if on and self.phase is Phase.SERVING:
             self._enter(Phase.LAMEDUCK)
--- a/saltcourse/proxy/traffic_summary.py
+++ b/saltcourse/proxy/traffic_summary.py
@@ -8,6 +8,7 @@
 
 from collections import Counter
 from collections.abc import Iterable, Mapping
+from enum import Enum
 
 import structlog
 
@@ -17,6 +18,14 @@
 log = structlog.get_logger("saltcourse")
 
 
+class RequestOutcome(Enum):
+    """What the balancer decided on a request; the value is its key in the log."""
+
+    REJECTED = "rejected"
+    FAILED = "failed"
+    MIGRATED = "migrated"
+
+
 class TrafficSummary:
     """Counts outcomes between two summaries."""
 
@@ -28,9 +37,9 @@
         """An attempt, or its connection, ended so."""
         self._attempts.setdefault(backend, Counter())[status.value] += 1
 
-    def count_request(self, outcome: str) -> None:
+    def count_request(self, outcome: RequestOutcome) -> None:
         """A request was rejected or failed, or its connection migrated."""
-        self._requests[outcome] += 1
+        self._requests[outcome.value] += 1
 
     def write(
         self,
--- a/saltcourse/simulator_adapter.py
+++ b/saltcourse/simulator_adapter.py
@@ -5,7 +5,8 @@
 standard error and exit code 2. A fault inside a ``Balancer`` becomes that instance's ``internal_error``.
 
 The wire's words are mapped to the code's terms here and nowhere else: message names in ``EVENT_READERS`` and
-``ACTION_WRITERS``, values in the tables below, field names in the functions, one for each message.
+``ACTION_WRITERS``, values in the tables below, field names in the functions, one for each message. Only
+the fields of load reports are mapped in ``codec.lines`` (``REPORT_FIELDS``), which the sockets share.
 """
 
 from __future__ import annotations
@@ -52,7 +53,7 @@
 )
 from saltcourse.codec.errors import InvalidObjectError
 from saltcourse.codec.json_fields import field, lookup, number, texts
-from saltcourse.codec.lines import REPORT_FIELDS
+from saltcourse.codec.lines import MICROSECONDS, REPORT_FIELDS
 from saltcourse.config.deployment_settings import read_settings
 
 Message = dict[str, Any]  # one event or action as the wire has it
@@ -80,7 +81,6 @@
 }
 TOPIC_LOAD = 1  # "topic" of a change: its value is in microseconds of work per second
 TOPIC_LATENCY = 2  # its value is in milliseconds
-MICROSECONDS = 1e-6  # s
 MILLISECONDS = 1e-3  # s
 EXIT_MALFORMED = 2
 
--- a/tests/admin/test_server.py
+++ b/tests/admin/test_server.py
@@ -85,7 +85,7 @@
     assert (await call(admin, "GET", "/_ready"))[0] == 200
     for each in slow:
         each.close()
-    proxy.leave.set()
+    proxy.stop_requested.set()
     await asyncio.wait_for(running, 5.0)
     assert proxy.phase is Phase.STOPPED
     with pytest.raises(ConnectionRefusedError):  # the admin address ends with the program
--- a/tests/proxy/exchange_player.py
+++ b/tests/proxy/exchange_player.py
@@ -174,7 +174,7 @@
         finally:
             for remote in self.remotes.values():
                 remote.sock.close()
-            self.server.leave.set()
+            self.server.stop_requested.set()
             await running
             for task in asyncio.all_tasks() - {asyncio.current_task()}:
                 task.cancel()
@@ -244,7 +244,7 @@
         elif act == "faults":
             dispatcher._balancer = FaultyBalancer()  # type: ignore[assignment]
         elif act == "leaves":
-            self.server.leave.set()
+            self.server.stop_requested.set()
         elif act in ("reloads", "breaks"):
             self.config_is_broken = act == "breaks"
             if not self.config_is_broken:
--- a/tests/proxy/running_proxy.py
+++ b/tests/proxy/running_proxy.py
@@ -124,7 +124,7 @@
     ) -> None:
         for remote in self.remotes:
             remote.sock.close()
-        self.server.leave.set()
+        self.server.stop_requested.set()
         await self.running
         discovery = self.server.discovery
         for task in {self.server.dispatcher.task, discovery.task, *discovery._calls}:
--- a/tests/proxy/test_connection_monitor.py
+++ b/tests/proxy/test_connection_monitor.py
@@ -4,9 +4,13 @@
 
 import asyncio
 
-from saltcourse.balancing.events import ConnectionResumed, ResponseLatencyMeasured
+from saltcourse.balancing.events import ResponseLatencyMeasured
 from saltcourse.balancing.response_latency import SILENT_AFTER_SECONDS, ResponseLatencyMeter
-from saltcourse.proxy.connection_monitor import CHECK_INTERVAL_SECONDS, ConnectionMonitor
+from saltcourse.proxy.connection_monitor import (
+    CHECK_INTERVAL_SECONDS,
+    ConnectionMonitor,
+    EstablishedConnection,
+)
 from tests.proxy.manual_clock import ManualClock
 
 
@@ -20,7 +24,7 @@
         meter = ResponseLatencyMeter(slow_latency=0.02)
         self.monitor = ConnectionMonitor(meter, self.clock, self.migrate, self.reports.append)
         for request, backend in connections.items():
-            self.monitor.add(ConnectionResumed(request, "quick", backend))
+            self.monitor.add(EstablishedConnection(request, "quick", backend))
 
     def migrate(self, request: str) -> None:
         self.monitor.remove(request)
--- a/tests/proxy/test_dispatcher.py
+++ b/tests/proxy/test_dispatcher.py
@@ -32,7 +32,7 @@
 from saltcourse.codec.endpoint_list import read_endpoint_update
 from saltcourse.config import Config, Limits
 from saltcourse.proxy.clock import Clock
-from saltcourse.proxy.dispatcher import Dispatcher, Outlets
+from saltcourse.proxy.dispatcher import ActionHandlers, Dispatcher
 from saltcourse.proxy.messages import (
     AbandonAttempt,
     BeginAttempt,
@@ -91,8 +91,8 @@
         known = read_endpoint_update(ENDPOINTS)
         address = ("127.0.0.1", 0)
         config = Config("test", address, address, 7, Limits(1.0, 192, 512), known, settings(), True)
-        outlets = Outlets(self.to_discovery.append, self.to_peers.append)
-        self.dispatcher = Dispatcher(config, Clock(), outlets)
+        handlers = ActionHandlers(self.to_discovery.append, self.to_peers.append)
+        self.dispatcher = Dispatcher(config, Clock(), handlers)
         self.balancer = ScriptedBalancer()
         self.dispatcher._balancer = self.balancer  # type: ignore[assignment]
         self.owner = Owner()
--- a/tests/proxy/test_draining.py
+++ b/tests/proxy/test_draining.py
@@ -80,7 +80,7 @@
             if state == "established":
                 await backend.send("UP 1", b"\r\n")
                 assert await client.line() == "UP 1"
-            proxy.server.leave.set()
+            proxy.server.stop_requested.set()
             await wait_until(lambda: proxy.server.phase is Phase.MIGRATING)
             if state == "half and its rest":
                 await client.send("ick,d=900", b"\r\n")
@@ -112,7 +112,7 @@
             await client.send("OPEN a b c=qu", b"")
             await wait_until(lambda: client.connection.stream.buffer.has_data)
             silent = await proxy.client()
-            proxy.server.leave.set()
+            proxy.server.stop_requested.set()
             await silent.sees("end")
             await client.send("ick,d=900", b"\r\n")
             backend = await proxy.accept()
@@ -132,7 +132,7 @@
             client = await proxy.client()
             await client.send("OPEN a b c=quick,d=60", b"")
             await wait_until(lambda: client.connection.stream.buffer.has_data)
-            proxy.server.leave.set()
+            proxy.server.stop_requested.set()
             await wait_until(lambda: proxy.server.phase is Phase.MIGRATING)
             await client.send("000", b"\r\n")
             await (await proxy.accept()).line()  # and nothing ever comes back
--- a/tests/proxy/test_hostile_clients.py
+++ b/tests/proxy/test_hostile_clients.py
@@ -81,7 +81,7 @@
     assert await open_in_pieces(address, b"OPEN after x c=live-feed,d=1000\r\n", 7) == b"UP 1\r\n"
     for sock in crowd:
         sock.close()
-    proxy.leave.set()
+    proxy.stop_requested.set()
     await asyncio.wait_for(running, 5.0)
     assert proxy.phase is Phase.STOPPED
     server.close()
--- a/tests/proxy/test_opening.py
+++ b/tests/proxy/test_opening.py
@@ -71,7 +71,7 @@
             clients = [client]
             send_after_proxys_end(monkeypatch, clients, OPEN.format(900).encode() + b"\r\n")
             if cause == "drain":
-                proxy.server.leave.set()
+                proxy.server.stop_requested.set()
             if cause == "shed":
                 client.connection.opening.shed()
             await expect_end_without_reset(client)
@@ -107,7 +107,7 @@
                 await send_ping(client)
             clients.append(client)
             if cause == "drain":
-                proxy.server.leave.set()
+                proxy.server.stop_requested.set()
             backend = await proxy.accept()
             await backend.line()
             await backend.send("UP 1", b"\r\n")
--- a/tests/proxy/test_traffic_summary.py
+++ b/tests/proxy/test_traffic_summary.py
@@ -6,7 +6,7 @@
 
 from saltcourse.balancing.backend_report import BackendReport
 from saltcourse.balancing.events import AttemptStatus, BackendState
-from saltcourse.proxy.traffic_summary import TrafficSummary
+from saltcourse.proxy.traffic_summary import RequestOutcome, TrafficSummary
 
 
 def report(backend: str, state: BackendState = BackendState.READY) -> BackendReport:
@@ -19,7 +19,7 @@
     summary = TrafficSummary()
     for status in (AttemptStatus.TIMEOUT, AttemptStatus.FULL, AttemptStatus.TIMEOUT):
         summary.count_attempt("s0", status)
-    summary.count_request("rejected")
+    summary.count_request(RequestOutcome.REJECTED)
     reports = [report("s0"), report("removed", BackendState.REMOVED)]
     with capture_logs() as logs:
         summary.write(reports, {"s0": 2}, requests=3, is_failing=False)
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -2,14 +2,14 @@
 
 from __future__ import annotations
 
-from saltcourse.metrics import Metrics
+from saltcourse.metrics import Metrics, ReplyOutcome
 
 
 def test_replies_dispatches_and_gauges_are_written_one_a_line() -> None:
     metrics = Metrics(["feed"])
     metrics.gauges = lambda: {"concurrent": 14}
-    metrics.count_reply("feed", "success")
-    metrics.count_reply("not in the settings", "success")
+    metrics.count_reply("feed", ReplyOutcome.ESTABLISHED)
+    metrics.count_reply("not in the settings", ReplyOutcome.ESTABLISHED)
     metrics.count_dispatch()
     assert metrics.text().decode().splitlines() == [
         "svc.replies.feed.success:1|c",
