--- a/saltcourse/balancing/actions.py
+++ b/saltcourse/balancing/actions.py
@@ -32,14 +32,6 @@
     request: str
 
 
-@dataclass(slots=True)
-class CancelAttempt:
-    """Give up an attempt that is in flight."""
-
-    request: str
-    attempt: int
-
-
 @dataclass(slots=True)
 class MigrateConnection:
     """End an established connection in good order; its client comes back as a new request."""
@@ -80,23 +72,14 @@
     """Ask for the complete endpoint list once."""
 
 
-@dataclass(slots=True)
-class Log:
-    """Write a line to the host's log."""
-
-    text: str
-
-
 Action = (
     StartAttempt
     | RejectRequest
     | FailRequest
-    | CancelAttempt
     | MigrateConnection
     | SetTimer
     | StartHealthCheck
     | SendPeerMessage
     | WatchEndpoints
     | FetchEndpoints
-    | Log
 )
--- a/saltcourse/balancing/events.py
+++ b/saltcourse/balancing/events.py
@@ -81,13 +81,9 @@
     request: str
     request_class: str
     time_left: float
-    tenant: str = ""
     load_hint: float = 0.0
     flow: str = ""
     group: str = ""
-    is_retry: bool = False
-    mid_flow: bool = False
-    came_back: bool = False
 
 
 @dataclass(slots=True)
@@ -97,7 +93,6 @@
     request: str
     request_class: str
     backend: str
-    tenant: str = ""
     load_hint: float = 0.0
     group: str = ""
 
@@ -116,7 +111,10 @@
 
 @dataclass(slots=True)
 class LoadReport:
-    """What a backend reports of itself; None where it reports nothing. ``load`` is load over capacity."""
+    """What a backend reports of itself; None where it reports nothing.
+
+    ``load`` is load over capacity; no rule reads the other fields.
+    """
 
     inflight: float | None = None
     queue: float | None = None
@@ -169,7 +167,7 @@
 
 @dataclass(slots=True)
 class HealthCheckFinished:
-    """How a health check ended."""
+    """How a health check ended; no rule reads its ``latency``."""
 
     backend: str
     status: AttemptStatus
--- a/saltcourse/balancing/load_shedding.py
+++ b/saltcourse/balancing/load_shedding.py
@@ -69,9 +69,8 @@
     def message_timed(self, now: float, backend: Backend, latency: float) -> None:
         """React to a message that took ``latency`` seconds on a connection there."""
         slowness = latency / self._slow_message_latency
-        record = backend.ceiling_record
         is_late = slowness > SLOWNESS_OF_OBJECTIVE
-        record.late_messages = record.late_messages + 1 if is_late else 0
+        backend.late_messages = backend.late_messages + 1 if is_late else 0
         if self._uses_load_reports and is_late:
             self._late_with_reports(now, backend, latency)
         elif slowness > 1 and not self._uses_load_reports:
@@ -83,7 +82,7 @@
         # A report tells the load better than a latency does, but not that work is queued.
         self._reports.request_if_older(now, backend, BUSY_REPORT_AGE_SECONDS)
         # So long at once is a stall: work queues up slowly.
-        if latency < HUNG_AFTER_SECONDS or backend.ceiling_record.late_messages > 1:
+        if latency < HUNG_AFTER_SECONDS or backend.late_messages > 1:
             self._ceilings.cut(now, backend, blocks_overflow=True)
             self._shed(backend, SHED_SHARE_WITH_REPORTS)
 
@@ -109,8 +108,8 @@
     def load_reported(self, backend: Backend) -> None:
         """Migrate all that is over capacity after two reports above 1 in a row behind late messages."""
         load = min(backend.report.load, backend.report.previous_load)
-        if load > 1 and backend.ceiling_record.late_messages >= LATE_MESSAGES_TO_BELIEVE:
-            backend.ceiling_record.late_messages = 0
+        if load > 1 and backend.late_messages >= LATE_MESSAGES_TO_BELIEVE:
+            backend.late_messages = 0
             self._ceilings.limit_to_reported_capacity(backend, load)
             self._shed(backend, 1 - TARGET_LOAD / load)
 
--- a/saltcourse/balancing/settings.py
+++ b/saltcourse/balancing/settings.py
@@ -89,7 +89,7 @@
     name: str
     latency_objective: float
     deadline: float
-    priority_weight: float = 1.0
+    priority_weight: float = 1.0  # no rule reads it
     idempotency: Idempotency = Idempotency.IDEMPOTENT
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
     deduplication_window: float = 0.0
@@ -110,7 +110,7 @@
     """A customer with a share of the service; ``connection_quota`` is summed over all proxies."""
 
     name: str
-    share: float
+    share: float  # no rule reads it
     connection_quota: float = 0.0
 
 
--- a/saltcourse/balancing/state.py
+++ b/saltcourse/balancing/state.py
@@ -40,14 +40,13 @@
 
 @dataclass(slots=True, eq=False)
 class CeilingRecord:
-    """Written by ``slot_ceilings``; ``late_messages`` by ``load_shedding``."""
+    """Written by ``slot_ceilings``."""
 
     learned_limit: float = 0.0  # slots that it was seen to bear; 0 while nothing is learned
     no_overflow_until: float = 0.0  # until then it gets nothing: it rejected, dropped or was late
     cut_until: float = 0.0  # until then it gets overflow at most, and its limit does not recover
     cut_at: float = LONG_AGO
     consecutive_rejections: int = 0  # or drops, until it may overflow and accepts again
-    late_messages: int = 0  # messages in a row that missed their latency objective
 
 
 @dataclass(slots=True, eq=False)
@@ -79,6 +78,7 @@
         "health",
         "is_local",
         "kind",
+        "late_messages",
         "name",
         "next_attempt_at",
         "occupancy",
@@ -127,6 +127,8 @@
         self.health = HealthRecord()
         self.ceiling_record = CeilingRecord()
         self.report = LoadReportRecord()
+        # Messages in a row that missed their latency objective; ``load_shedding`` writes it.
+        self.late_messages = 0
 
 
 @dataclass(frozen=True, slots=True)
--- a/saltcourse/codec/lines.py
+++ b/saltcourse/codec/lines.py
@@ -7,7 +7,7 @@
       c=, t=, g=             request class, tenant, group
       d=                     ms until the client gives up   time_left
       h=                     expected load                  load_hint
-      r=1, again=1           a retry; came back after BUSY or MOVE
+      r=1, again=1           a retry; came back after BUSY or MOVE (passed on, not read)
       at=                    established at this backend before the proxy's start
     UP receipt             the backend takes the connection
     BUSY [ms]              rejected, with a Retry-After in ms
@@ -120,11 +120,9 @@
     key: str
     request_class: str
     time_left: float
-    tenant: str
+    tenant: str  # no rule reads it
     group: str
     load_hint: float
-    is_retry: bool
-    came_back: bool
     resume_backend: str
     before_timeout: bytes
     after_timeout: bytes
@@ -164,8 +162,6 @@
         tenant=fields.get("t", ""),
         group=fields.get("g", ""),
         load_hint=load_hint,
-        is_retry=fields.get("r") == "1",
-        came_back=fields.get("again") == "1",
         resume_backend=fields.get("at", ""),
         before_timeout=raw[:timeout_start],
         after_timeout=raw[timeout_start + len(timeout) :],
--- a/saltcourse/proxy/client_connection.py
+++ b/saltcourse/proxy/client_connection.py
@@ -9,7 +9,6 @@
 
     message               in WAITING                          in ESTABLISHED
     BeginAttempt          an attempt begins                   reported as not sent
-    AbandonAttempt        the attempt is given up             -
     AttemptEstablished    UP goes to the client               -
     AttemptEnded          reported, to be retried perhaps     the client's side ends the same way
     ClientClosed          the attempt is given up             the backend's side ends the same way
@@ -51,7 +50,6 @@
 from saltcourse.proxy.connection_context import ConnectionContext
 from saltcourse.proxy.errors import ConnectionLostError
 from saltcourse.proxy.messages import (
-    AbandonAttempt,
     AbandonReason,
     AbandonRequest,
     AttemptEnded,
@@ -245,8 +243,6 @@
         match message:
             case BeginAttempt():
                 self._begin_attempt(message)
-            case AbandonAttempt(number) if self._is_waiting:
-                self._attempts.abandon(number)
             case AttemptEstablished(attempt, line) if attempt is self._attempts.current:
                 await self._establish(line)
             case AttemptEnded(attempt, status, reset) if attempt is self._attempts.current:
--- a/saltcourse/proxy/connection_monitor.py
+++ b/saltcourse/proxy/connection_monitor.py
@@ -41,27 +41,22 @@
     request: str
     request_class: str
     backend: str
-    tenant: str = ""
     load_hint: float = 0.0
     group: str = ""
 
     @classmethod
     def of_resumed(cls, event: ConnectionResumed) -> EstablishedConnection:
         """A connection from before this program's start."""
-        return cls(
-            event.request, event.request_class, event.backend, event.tenant, event.load_hint, event.group
-        )
+        return cls(event.request, event.request_class, event.backend, event.load_hint, event.group)
 
     @classmethod
     def of_request(cls, event: RequestReceived, backend: str) -> EstablishedConnection:
         """A request that was established at ``backend``."""
-        return cls(event.request, event.request_class, backend, event.tenant, event.load_hint, event.group)
+        return cls(event.request, event.request_class, backend, event.load_hint, event.group)
 
     def as_resumed(self) -> ConnectionResumed:
         """The event by which a new balancer learns of it."""
-        return ConnectionResumed(
-            self.request, self.request_class, self.backend, self.tenant, self.load_hint, self.group
-        )
+        return ConnectionResumed(self.request, self.request_class, self.backend, self.load_hint, self.group)
 
 
 class ConnectionMonitor:
--- a/saltcourse/proxy/dispatcher.py
+++ b/saltcourse/proxy/dispatcher.py
@@ -18,10 +18,8 @@
 
 from saltcourse.balancing.actions import (
     Action,
-    CancelAttempt,
     FailRequest,
     FetchEndpoints,
-    Log,
     MigrateConnection,
     RejectRequest,
     SendPeerMessage,
@@ -58,7 +56,6 @@
 )
 from saltcourse.proxy.health_check import HealthCheck
 from saltcourse.proxy.messages import (
-    AbandonAttempt,
     BeginAttempt,
     ConnectionMessage,
     DispatcherMessage,
@@ -320,8 +317,6 @@
             case MigrateConnection(request):
                 self._summary.count_request(RequestOutcome.MIGRATED)
                 self._migrate(request)
-            case CancelAttempt(request, attempt):
-                self._send_to_owner(request, AbandonAttempt(attempt))
             case SetTimer(delay, token):
                 expired = TimerExpired(self._balancer, token)
                 asyncio.get_running_loop().call_later(delay, self.send, expired)
@@ -331,8 +326,6 @@
                 self._handlers.discovery(action)
             case SendPeerMessage():
                 self._handlers.peers(action)
-            case Log(text):
-                log.info("balancer", text=text)
 
     def _send_answer(self, action: RejectRequest | FailRequest) -> None:
         is_rejected = isinstance(action, RejectRequest)
--- a/saltcourse/proxy/messages.py
+++ b/saltcourse/proxy/messages.py
@@ -49,13 +49,6 @@
     address: Address | None
 
 
-@dataclass(slots=True)
-class AbandonAttempt:
-    """Give up the attempt of this number, if it is in flight."""
-
-    attempt: int
-
-
 class AbandonReason(Enum):
     """Why a request is failed without the balancer."""
 
@@ -97,7 +90,6 @@
 
 ConnectionMessage = (
     BeginAttempt
-    | AbandonAttempt
     | AbandonRequest
     | ClientClosed
     | AttemptEstablished
--- a/saltcourse/proxy/request_attempts.py
+++ b/saltcourse/proxy/request_attempts.py
@@ -49,11 +49,6 @@
         time_left = deadline - END_MARGIN_SECONDS - self._context.clock.now()
         return min(message.timeout, time_left) if message.timeout > 0 else time_left
 
-    def abandon(self, number: int) -> None:
-        """Give up the attempt of this number, if its outcome is not reported yet."""
-        if self.unreported is not None and self.unreported.attempt == number:
-            self.close()
-
     def close(self) -> None:
         """Give up the attempt in flight, if any."""
         if self.current is not None:
--- a/saltcourse/proxy/request_events.py
+++ b/saltcourse/proxy/request_events.py
@@ -23,12 +23,9 @@
         request=opened.request,
         request_class=opened.request_class,
         time_left=time_left,
-        tenant=opened.tenant,
         load_hint=opened.load_hint,
         flow=opened.key,
         group=opened.group,
-        is_retry=opened.is_retry,
-        came_back=opened.came_back,
     )
 
 
@@ -38,7 +35,6 @@
         request=opened.request,
         request_class=opened.request_class,
         backend=opened.resume_backend,
-        tenant=opened.tenant,
         load_hint=opened.load_hint,
         group=opened.group,
     )
--- a/saltcourse/simulator_adapter.py
+++ b/saltcourse/simulator_adapter.py
@@ -19,10 +19,8 @@
 
 from saltcourse.balancing.actions import (
     Action,
-    CancelAttempt,
     FailRequest,
     FetchEndpoints,
-    Log,
     MigrateConnection,
     RejectRequest,
     SendPeerMessage,
@@ -143,13 +141,9 @@
         request=field(message, "job", str),
         request_class=field(message, "profile", str),
         time_left=number(message, "patience_left"),
-        tenant=get("tenant") or "",
         load_hint=get("hint") or 0.0,
         flow=get("subject") or "",
         group=get("channel") or "",
-        is_retry=bool(get("repeat")),
-        mid_flow=bool(get("mid_flow")),
-        came_back=bool(get("came_back")),
     )
 
 
@@ -160,7 +154,6 @@
         request=field(message, "job", str),
         request_class=field(message, "profile", str),
         backend=field(message, "host", str),
-        tenant=get("tenant") or "",
         load_hint=get("hint") or 0.0,
         group=get("channel") or "",
     )
@@ -265,11 +258,6 @@
     return {"msg": "report_failure", "node": node, "job": action.request}
 
 
-def write_cancel_attempt(action: CancelAttempt, node: int) -> Message:
-    """``retract``: give up an attempt."""
-    return {"msg": "retract", "node": node, "job": action.request, "seq_no": action.attempt}
-
-
 def write_migrate_connection(action: MigrateConnection, node: int) -> Message:
     """``move``: end a connection in good order."""
     return {"msg": "move", "node": node, "job": action.request}
@@ -308,23 +296,16 @@
     }
 
 
-def write_log(action: Log, node: int) -> Message:
-    """``trace``: write a log line."""
-    return {"msg": "trace", "node": node, "text": action.text}
-
-
 ACTION_WRITERS: dict[type[Action], Callable[[Any, int], Message]] = {
     StartAttempt: write_start_attempt,
     RejectRequest: write_reject_request,
     FailRequest: write_fail_request,
-    CancelAttempt: write_cancel_attempt,
     MigrateConnection: write_migrate_connection,
     SetTimer: write_set_timer,
     StartHealthCheck: write_start_health_check,
     SendPeerMessage: write_send_peer_message,
     WatchEndpoints: write_watch_endpoints,
     FetchEndpoints: write_fetch_endpoints,
-    Log: write_log,
 }
 
 
