--- a/saltcourse/balancing/balancer.py
+++ b/saltcourse/balancing/balancer.py
@@ -1,14 +1,14 @@
 """The balancer: takes one event at a time, calls the rules in their order, and returns actions.
 
 It does no I/O and reads no clock: the same settings, seed and events give the same actions. Each rule is a
-module of this package, whose docstring tells it:
+module of this package, whose docstring states it:
 
 - the life of a request: ``placement``, ``selection``, ``group_affinity``, ``attempts``, ``retries``,
   ``admission``;
 - what a backend can take: ``occupancy``, ``slot_ceilings``, ``load_reports``, ``capacity_estimate``,
   ``slow_start``;
 - backends at fault or too full: ``failure_attribution``, ``outlier_ejection``, ``load_shedding``;
-- where connections stand: ``endpoint_list``, ``rebalancing``, ``migration``.
+- where connections are established: ``endpoint_list``, ``rebalancing``, ``migration``.
 
 All random draws come from one source, in the order of the calls below.
 """
@@ -289,7 +289,7 @@
             if not request.is_in_flight:
                 del self.requests[event.request]
 
-    # ---- what is told of connections and backends --------------------------------------------------
+    # ---- reports on connections and backends -------------------------------------------------------
 
     def _on_connection_load_changed(self, now: float, event: ConnectionLoadChanged) -> None:
         request = self.requests.get(event.request)
--- a/saltcourse/balancing/capacity_estimate.py
+++ b/saltcourse/balancing/capacity_estimate.py
@@ -23,7 +23,7 @@
 
 
 class CapacityEstimate:
-    """What the load reports tell of the capacity of backends."""
+    """What the load reports show of the capacity of backends."""
 
     __slots__ = ("_shared_state", "mean_reported_load", "slots_at_full_load")
 
--- a/saltcourse/balancing/endpoint_list.py
+++ b/saltcourse/balancing/endpoint_list.py
@@ -81,7 +81,7 @@
         self._set_timer(wait * (0.5 + self._random.random() / 2))
 
     def list_received(self) -> None:
-        """Take in that discovery has answered; after a fetch the list is to be watched again."""
+        """Record that discovery has answered; after a fetch the list is to be watched again."""
         self._failures = 0
         if self._is_fetching:
             self._is_fetching = False
--- a/saltcourse/balancing/load_reports.py
+++ b/saltcourse/balancing/load_reports.py
@@ -62,11 +62,11 @@
         self.request_if_older(now, backend, backend.report.refresh_at - backend.report.received_at)
 
     def check_finished(self, backend: Backend) -> None:
-        """Take in that the backend's health check has ended, however it did."""
+        """Record that the backend's health check has ended, however it did."""
         backend.report.check_in_flight = False
 
     def record(self, now: float, backend: Backend, load: float) -> None:
-        """Take in a report that has come now."""
+        """Record a report that has come now."""
         report = backend.report
         if load != report.load:
             report.previous_load, report.load = report.load, load
--- a/saltcourse/balancing/load_shedding.py
+++ b/saltcourse/balancing/load_shedding.py
@@ -79,7 +79,7 @@
             self._ceilings.end_cut(now, backend)
 
     def _late_with_reports(self, now: float, backend: Backend, latency: float) -> None:
-        # A report tells the load better than a latency does, but not that work is queued.
+        # A report shows the load better than a latency does, but not that work is queued.
         self._reports.request_if_older(now, backend, BUSY_REPORT_AGE_SECONDS)
         # So long at once is a stall: work queues up slowly.
         if latency < HUNG_AFTER_SECONDS or backend.late_messages > 1:
@@ -98,7 +98,7 @@
         """React to a connection that was established after ``latency`` seconds."""
         if latency > SLOW_SETUP_FACTOR * self._usual_setup > 0:
             self._ceilings.cut(now, backend, blocks_overflow=False)
-            # In a burst many set-ups tell of one overload: only the one that cut the ceiling sheds.
+            # In a burst many set-ups are slow by one overload: only the one that cut the ceiling sheds.
             if self._ceilings.largest_free_slots > 0 and backend.ceiling_record.cut_at == now:
                 self._shed(backend, SHED_SHARE_WITH_REPORTS if self._uses_load_reports else SHED_SHARE)
         usual = self._usual_setup or latency
--- a/saltcourse/balancing/occupancy.py
+++ b/saltcourse/balancing/occupancy.py
@@ -1,7 +1,7 @@
 """Occupancy: the load that this proxy puts on each backend, counted in slots.
 
 The rule: each attempt in flight and each connection counts with its load; a load of one slot is the mean of
-all loads that were told. Each group with at least one of them at a backend adds ``GROUP_SLOTS`` to it.
+all loads that were reported. Each group with at least one of them at a backend adds ``GROUP_SLOTS`` to it.
 
 Inputs: loads in seconds of work per second, 0 where none is known. Output: ``Backend.occupancy`` in slots.
 
@@ -27,7 +27,7 @@
     def __init__(self, ceilings: SlotCeilings, shared_state: SharedState) -> None:
         self._ceilings = ceilings
         self._shared_state = shared_state
-        self._mean_load = 0.0  # load of one slot; 0 until a load was told
+        self._mean_load = 0.0  # load of one slot; 0 until a load was reported
         self._loads_in_mean = 0
 
     def slots_of(self, load: float) -> float:
--- a/saltcourse/balancing/outlier_ejection.py
+++ b/saltcourse/balancing/outlier_ejection.py
@@ -26,7 +26,7 @@
 
 Why: attempts at a dead backend cost their clients the attempt's time-out, and a backend that fails quickly
 holds nothing, so that it would draw most new connections. Which events say that a backend is at fault is
-told in ``failure_attribution``.
+stated in ``failure_attribution``.
 """
 
 from __future__ import annotations
@@ -49,7 +49,7 @@
     """What can happen to a backend's health."""
 
     ATTEMPT_STARTED = 1
-    PROBE_INCONCLUSIVE = 2  # the probe has ended and tells nothing
+    PROBE_INCONCLUSIVE = 2  # the probe has ended and shows nothing
     SUCCESS = 3  # it accepted a connection, or was alive to reject one
     FAILURE = 4  # it is at fault
     EJECTION_EXPIRED = 5
--- a/saltcourse/balancing/settings.py
+++ b/saltcourse/balancing/settings.py
@@ -56,7 +56,7 @@
     SILENT = "silent"
 
 
-CHANGE_KNOWN_WITHIN_SECONDS = 6.0  # a change that discovery can tell counts as known after this
+CHANGE_KNOWN_WITHIN_SECONDS = 6.0  # a change that discovery can report counts as known after this
 LIST_CALL_TIMEOUT_SECONDS = 3.5  # discovery gives up a call that waited 3 s for its turn
 MAX_LIST_RETRY_DELAY_SECONDS = CHANGE_KNOWN_WITHIN_SECONDS - LIST_CALL_TIMEOUT_SECONDS - 0.5
 
@@ -140,7 +140,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a proxy is told at its start. Anything that does not apply keeps its default.
+    """What a proxy is given at its start. Anything that does not apply keeps its default.
 
     ``poll_interval``: s within which a polled endpoint list has to be fetched again.
     ``warm_up``: s in which a started backend reaches its full capacity from ``initial_capacity_share``.
--- a/saltcourse/balancing/slot_ceilings.py
+++ b/saltcourse/balancing/slot_ceilings.py
@@ -196,7 +196,7 @@
         backend.ceiling_record.learned_limit = backend.occupancy * TARGET_LOAD / load
 
     def accepted(self, now: float, backend: Backend) -> None:
-        """Take in that the backend accepted a connection: into its last free slot, this adds one."""
+        """Record that the backend accepted a connection: into its last free slot, this adds one."""
         record = backend.ceiling_record
         if may_overflow(now, backend):
             record.consecutive_rejections = 0
--- a/saltcourse/balancing/state.py
+++ b/saltcourse/balancing/state.py
@@ -121,7 +121,7 @@
 
     def reset(self, now: float) -> None:
         """Forget what was learned: the backend is a new process since ``now``."""
-        self.restarted_at = now  # what was sent before tells nothing of the new process
+        self.restarted_at = now  # what was sent before says nothing of the new process
         self.ceiling = 0.0  # slots
         self.next_attempt_at = 0.0  # slow start: no attempt is started before
         self.health = HealthRecord()
--- a/saltcourse/codec/http.py
+++ b/saltcourse/codec/http.py
@@ -35,7 +35,7 @@
         self._in_body = False
 
     def feed(self, data: memoryview | bytes) -> None:
-        """Take in received bytes; raises ``HttpResponseError``."""
+        """Parse received bytes; raises ``HttpResponseError``."""
         self._received += data
         if not self._in_body:
             self._parse_head()
--- a/saltcourse/codec/lines.py
+++ b/saltcourse/codec/lines.py
@@ -43,7 +43,7 @@
 MOVE_LINE = MOVE + LINE_END
 FAIL_LINE = ERR + LINE_END
 PONG_LINE = PONG + LINE_END
-REPORT_FIELDS = {  # the simulator's word for a field and the sockets' own, where they differ
+REPORT_FIELDS = {  # the simulator's name of a field and the sockets' own, where they differ
     "rif": "inflight",
     "inflight": "inflight",
     "q": "queue",
@@ -63,7 +63,7 @@
     def __init__(self, size: int = 2 * MAX_LINE_BYTES) -> None:
         self._bytes = bytearray(size)
         self._start = self._end = 0
-        self._searched = 0  # no line end stands before this index
+        self._searched = 0  # there is no line end before this index
 
     def free_space(self) -> memoryview:
         """Where the next bytes are to be read into; empty when the buffer is full."""
@@ -180,7 +180,7 @@
 
 
 def _timeout_digits(fields: dict[str, str]) -> str:
-    """The figure of ``d`` as it stands in the line; raises ``ProtocolError``."""
+    """The figure of ``d`` as it is in the line; raises ``ProtocolError``."""
     digits = fields.get("d", "")
     longest = MAX_RESUME_TIMEOUT_MILLISECONDS if fields.get("at") else MAX_TIMEOUT_MILLISECONDS
     is_number = digits.isascii() and digits.isdigit() and len(digits) <= MAX_TIMEOUT_DIGITS
--- a/saltcourse/proxy/companion.py
+++ b/saltcourse/proxy/companion.py
@@ -41,7 +41,7 @@
         """The calls at the admin address that it answers; None before its start."""
 
     def attach(self, program: HostProgram) -> None:
-        """Before its start: ``program`` tells its connections, and takes over a changed configuration."""
+        """Before its start: ``program`` reports its connections, and takes over a changed configuration."""
 
     def figures(self) -> dict[str, int]:
         """Its gauges, by name."""
--- a/saltcourse/proxy/request_attempts.py
+++ b/saltcourse/proxy/request_attempts.py
@@ -59,7 +59,7 @@
         return 0.0 if self.current is None else self._context.clock.now() - self.current.started
 
     def report(self, status: AttemptStatus, final: bool = True) -> None:
-        """Tell the balancer how the attempt has ended, once; ``final``: the request ends with it."""
+        """Report to the balancer how the attempt has ended, once; ``final``: the request ends with it."""
         begun, self.unreported = self.unreported, None
         if begun is not None and self.current is not None:
             self._context.send_to_dispatcher(
@@ -71,7 +71,7 @@
         self.unreported = None
 
     def report_not_sent(self, message: BeginAttempt) -> None:
-        """Tell the balancer that an attempt came too late to begin."""
+        """Report to the balancer that an attempt came too late to begin."""
         self._context.send_to_dispatcher(
             AttemptFinished(message.request, message.attempt, AttemptStatus.NOT_SENT, 0.0, True)
         )
--- a/saltcourse/proxy/server.py
+++ b/saltcourse/proxy/server.py
@@ -364,6 +364,3 @@
 ) -> None:
     """Run the program; raises ``ListenError`` when it cannot listen."""
     asyncio.run(ProxyServer(config, reread, companions, gossip).run())
-
-
-__all__ = ["ListenError", "ProxyServer", "Phase", "serve"]
