--- a/saltcourse/balancing/balancer.py
+++ b/saltcourse/balancing/balancer.py
@@ -1,14 +1,14 @@
 """The balancer: takes one event at a time, calls the rules in their order, and returns actions.
 
 It does no I/O and reads no clock: the same settings, seed and events give the same actions. Each rule is a
-module of this package, whose docstring tells it:
+module of this package, whose docstring states it:
 
 - the life of a request: ``placement``, ``selection``, ``group_affinity``, ``attempts``, ``retries``,
   ``admission``;
 - what a backend can take: ``occupancy``, ``slot_ceilings``, ``load_reports``, ``capacity_estimate``,
   ``slow_start``;
 - backends at fault or too full: ``failure_attribution``, ``outlier_ejection``, ``load_shedding``;
-- where connections stand: ``endpoint_list``, ``rebalancing``, ``migration``.
+- where connections are established: ``endpoint_list``, ``rebalancing``, ``migration``.
 
 All random draws come from one source, in the order of the calls below.
 """
@@ -24,8 +24,8 @@
 from saltcourse.balancing.backend_report import BackendReport, report_backend
 from saltcourse.balancing.capacity_estimate import CapacityEstimate
 from saltcourse.balancing.endpoint_list import DiscoveryCalls, EndpointList
+from saltcourse.balancing.errors import UnknownRequestClassError
 from saltcourse.balancing.events import (
-    NEVER_RAN,
     AttemptFinished,
     AttemptStatus,
     BackendState,
@@ -52,7 +52,7 @@
 from saltcourse.balancing.outlier_ejection import HealthEvent, OutlierEjection
 from saltcourse.balancing.placement import Placement
 from saltcourse.balancing.rebalancing import Rebalancing
-from saltcourse.balancing.retries import Retries
+from saltcourse.balancing.retries import Retries, record_attempt
 from saltcourse.balancing.selection import Selection
 from saltcourse.balancing.settings import Settings
 from saltcourse.balancing.slot_ceilings import TICK_SECONDS, SlotCeilings
@@ -61,9 +61,7 @@
 from saltcourse.balancing.timers import ENDPOINT_LIST_TOKEN, TICK_TOKEN, RequestTimers
 from saltcourse.shared_state.state import SharedState
 
-BACKENDS_PER_TICK_SECOND = (
-    150  # candidates for which a refresh a second is cheap; more are refreshed less often
-)
+CANDIDATES_REFRESHED_PER_SECOND = 150  # for which a refresh is cheap; more are refreshed less often
 
 
 class Balancer:
@@ -101,20 +99,20 @@
         settings, shared_state = self.settings, self.shared_state
         self._slow_start = SlowStart(settings, shared_state)
         self.capacity = CapacityEstimate(shared_state)
-        self.ceilings = SlotCeilings(settings, self._slow_start, self.capacity, shared_state)
-        self._occupancy = Occupancy(self.ceilings, shared_state)
+        self.slot_ceilings = SlotCeilings(settings, self._slow_start, self.capacity, shared_state)
+        self._occupancy = Occupancy(self.slot_ceilings, shared_state)
         self._reports = LoadReports(self._actions, shared_state)
 
     def _create_fault_rules(self) -> None:
         self.overload = OverloadDetector()
         self.ejection = OutlierEjection(self.settings.zone, self.pool, self.shared_state, self._random)
-        self._attribution = FailureAttribution(self.ejection, self.ceilings)
+        self._attribution = FailureAttribution(self.ejection, self.slot_ceilings)
 
     def _create_connection_rules(self) -> None:
         settings = self.settings
         self._migration = Migration(self._actions, self._random)
         self._shedding = LoadShedding(
-            settings, self.ceilings, self._reports, self._migration, self.shared_state
+            settings, self.slot_ceilings, self._reports, self._migration, self.shared_state
         )
         self._rebalancing = Rebalancing(settings, self.pool, self._migration)
         self._discovery_calls = DiscoveryCalls(settings, self._actions, self._random)
@@ -123,7 +121,7 @@
             self.pool,
             self._discovery_calls,
             self._slow_start,
-            self.ceilings,
+            self.slot_ceilings,
             self._migration,
             self._random,
         )
@@ -131,7 +129,7 @@
     def _create_request_rules(self) -> None:
         settings, actions = self.settings, self._actions
         affinity = GroupAffinity(settings, self.pool, self.capacity, self.shared_state)
-        self._selection = Selection(settings, self.pool, self.ceilings, affinity, self._random)
+        self._selection = Selection(settings, self.pool, self.slot_ceilings, affinity, self._random)
         retries = Retries(settings)
         self._placement = Placement(
             settings,
@@ -141,7 +139,9 @@
             retries,
             self.overload,
             FinalAnswers(settings, self.requests, actions, self._random),
-            AttemptStarter(actions, self._occupancy, self.ceilings, self._slow_start, self.ejection, retries),
+            AttemptStarter(
+                actions, self._occupancy, self.slot_ceilings, self._slow_start, self.ejection, retries
+            ),
         )
 
     # ---- what hosts call ---------------------------------------------------------------------------
@@ -149,7 +149,7 @@
     def handle(self, now: float, event: Event) -> list[Action]:
         """Take one event at the host's time (s); the actions are to be carried out in their order.
 
-        Raises ``KeyError`` for a request class or a timer token that is not known.
+        Raises ``UnknownRequestClassError`` or ``UnknownTimerError``, both also ``KeyError``.
         """
         self._actions.clear()
         self.handlers[type(event)](now, event)  # type: ignore[operator]
@@ -193,7 +193,7 @@
 
     def _tick(self, now: float) -> None:
         self._refresh(now)
-        tick = TICK_SECONDS * max(1.0, len(self.pool.candidates) / BACKENDS_PER_TICK_SECOND)
+        tick = TICK_SECONDS * max(1.0, len(self.pool.candidates) / CANDIDATES_REFRESHED_PER_SECOND)
         self.overload.decay(tick)
         if not self.settings.uses_load_reports:
             self._rebalancing.fail_back(now, tick)
@@ -205,7 +205,7 @@
     def _refresh(self, now: float) -> None:
         self.ejection.refresh_candidates(now)
         self._selection.candidates_changed()
-        self.ceilings.refresh(now, self.pool.candidates)
+        self.slot_ceilings.refresh(now, self.pool.candidates)
 
     # ---- the life of a request ---------------------------------------------------------------------
 
@@ -224,9 +224,13 @@
         request.backend.connections[request.id] = request
 
     def _add_request(self, event: RequestReceived | ConnectionResumed, deadline: float, flow: str) -> Request:
+        try:
+            request_class = self._classes[event.request_class]
+        except KeyError:
+            raise UnknownRequestClassError(event.request_class) from None
         request = Request(
             event.request,
-            self._classes[event.request_class],
+            request_class,
             deadline,
             self._occupancy.slots_of(event.load_hint),
             event.group if self.settings.has_groups else "",
@@ -253,7 +257,7 @@
         self.overload.established()
         self._attribution.established(now, request, backend)
         self._shedding.setup_timed(now, backend, event.latency)
-        self.ceilings.accepted(now, backend)
+        self.slot_ceilings.accepted(now, backend)
         if backend.state is BackendState.DRAINING:  # the attempt was started before this was known
             self._migration.migrate([request])
 
@@ -275,9 +279,7 @@
             request.is_answered = True
             return
         self.overload.attempt_failed(status)
-        if status not in NEVER_RAN and request.may_have_run_on is None:
-            request.may_have_run_on = backend
-            request.may_have_run_at = now - event.latency
+        record_attempt(request, backend, status, now - event.latency)
         self._placement.retry(now, request)
 
     def _on_client_disconnected(self, now: float, event: ClientDisconnected) -> None:
@@ -287,7 +289,7 @@
             if not request.is_in_flight:
                 del self.requests[event.request]
 
-    # ---- what is told of connections and backends --------------------------------------------------
+    # ---- reports on connections and backends -------------------------------------------------------
 
     def _on_connection_load_changed(self, now: float, event: ConnectionLoadChanged) -> None:
         request = self.requests.get(event.request)
@@ -315,8 +317,8 @@
         if report is not None and report.load is not None:
             self._reports.record(now, backend, report.load)
             self._shedding.load_reported(backend)
-            self.ceilings.update(now, backend)
+            self.slot_ceilings.update(now, backend)
 
     def _on_peer_message_received(self, now: float, event: PeerMessageReceived) -> None:
         for name in self.shared_state.receive(now, event.sender, event.data):
-            self.ejection.record(now, self.pool.backends[name], HealthEvent.PEER_EJECTED)
+            self.ejection.apply(now, self.pool.backends[name], HealthEvent.PEER_EJECTED)
--- a/saltcourse/balancing/load_shedding.py
+++ b/saltcourse/balancing/load_shedding.py
@@ -21,15 +21,15 @@
 
 from saltcourse.balancing.load_reports import BUSY_REPORT_AGE_SECONDS, TARGET_LOAD, LoadReports
 from saltcourse.balancing.migration import Migration
+from saltcourse.balancing.response_latency import HUNG_AFTER_SECONDS
 from saltcourse.balancing.settings import Settings
 from saltcourse.balancing.slot_ceilings import SlotCeilings
 from saltcourse.balancing.state import Backend, Request
 from saltcourse.shared_state.state import SharedState
 
-# Latencies over the one from which on a message is slow (``Settings.slow_message``).
+# Latencies over the one from which on a message is slow (``Settings.slow_message_latency``).
 SLOWNESS_TO_SHED = 1.5
 SLOWNESS_OF_OBJECTIVE = 3.0
-HUNG_LATENCY_SECONDS = 0.7  # that a message takes at a backend which does nothing any more
 SLOW_SETUP_FACTOR = 2.5  # of the usual set-up latency
 SETUP_LATENCY_GAIN = 0.05  # weight of the last set-up in the usual latency
 SHED_SHARE = 0.2  # of this proxy's connections there, once a second
@@ -45,7 +45,7 @@
         "_migration",
         "_reports",
         "_shared_state",
-        "_slow_message",
+        "_slow_message_latency",
         "_uses_load_reports",
         "_usual_setup",
     )
@@ -63,34 +63,33 @@
         self._migration = migration
         self._shared_state = shared_state
         self._uses_load_reports = settings.uses_load_reports
-        self._slow_message = settings.slow_message  # s
+        self._slow_message_latency = settings.slow_message_latency  # s
         self._usual_setup = 0.0  # s that a set-up takes, over all backends; 0 until one is timed
 
     def message_timed(self, now: float, backend: Backend, latency: float) -> None:
         """React to a message that took ``latency`` seconds on a connection there."""
-        slowness = latency / self._slow_message
-        record = backend.ceilings
+        slowness = latency / self._slow_message_latency
         is_late = slowness > SLOWNESS_OF_OBJECTIVE
-        record.late_messages = record.late_messages + 1 if is_late else 0
+        backend.late_messages = backend.late_messages + 1 if is_late else 0
         if self._uses_load_reports and is_late:
             self._late_with_reports(now, backend, latency)
         elif slowness > 1 and not self._uses_load_reports:
             self._slow_without_reports(now, backend, latency, slowness)
         elif slowness <= 1:
-            self._ceilings.end_slowness(now, backend)
+            self._ceilings.end_cut(now, backend)
 
     def _late_with_reports(self, now: float, backend: Backend, latency: float) -> None:
-        # A report tells the load better than a latency does, but not that work is queued.
+        # A report shows the load better than a latency does, but not that work is queued.
         self._reports.request_if_older(now, backend, BUSY_REPORT_AGE_SECONDS)
         # So long at once is a stall: work queues up slowly.
-        if latency < HUNG_LATENCY_SECONDS or backend.ceilings.late_messages > 1:
-            self._ceilings.cut(now, backend, rejected=True)
+        if latency < HUNG_AFTER_SECONDS or backend.late_messages > 1:
+            self._ceilings.cut(now, backend, blocks_overflow=True)
             self._shed(backend, SHED_SHARE_WITH_REPORTS)
 
     def _slow_without_reports(self, now: float, backend: Backend, latency: float, slowness: float) -> None:
         is_late = slowness > SLOWNESS_OF_OBJECTIVE
-        self._ceilings.cut(now, backend, rejected=is_late)
-        if latency >= HUNG_LATENCY_SECONDS:
+        self._ceilings.cut(now, backend, blocks_overflow=is_late)
+        if latency >= HUNG_AFTER_SECONDS:
             self._migration.migrate_all(backend)
         elif is_late or (slowness > SLOWNESS_TO_SHED and self._ceilings.largest_free_slots > 0):
             self._shed(backend, SHED_SHARE)
@@ -98,9 +97,9 @@
     def setup_timed(self, now: float, backend: Backend, latency: float) -> None:
         """React to a connection that was established after ``latency`` seconds."""
         if latency > SLOW_SETUP_FACTOR * self._usual_setup > 0:
-            self._ceilings.cut(now, backend, rejected=False)
-            # In a burst many set-ups tell of one overload: only the one that cut the ceiling sheds.
-            if self._ceilings.largest_free_slots > 0 and backend.ceilings.cut_at == now:
+            self._ceilings.cut(now, backend, blocks_overflow=False)
+            # In a burst many set-ups are slow by one overload: only the one that cut the ceiling sheds.
+            if self._ceilings.largest_free_slots > 0 and backend.ceiling_record.cut_at == now:
                 self._shed(backend, SHED_SHARE_WITH_REPORTS if self._uses_load_reports else SHED_SHARE)
         usual = self._usual_setup or latency
         longest = SLOW_SETUP_FACTOR * usual
@@ -109,8 +108,8 @@
     def load_reported(self, backend: Backend) -> None:
         """Migrate all that is over capacity after two reports above 1 in a row behind late messages."""
         load = min(backend.report.load, backend.report.previous_load)
-        if load > 1 and backend.ceilings.late_messages >= LATE_MESSAGES_TO_BELIEVE:
-            backend.ceilings.late_messages = 0
+        if load > 1 and backend.late_messages >= LATE_MESSAGES_TO_BELIEVE:
+            backend.late_messages = 0
             self._ceilings.limit_to_reported_capacity(backend, load)
             self._shed(backend, 1 - TARGET_LOAD / load)
 
--- a/saltcourse/balancing/outlier_ejection.py
+++ b/saltcourse/balancing/outlier_ejection.py
@@ -3,9 +3,10 @@
 The rules:
 
 1. A backend is healthy, ejected, eligible for a probe, or being probed. ``TRANSITIONS`` gives the state
-   after each event from each state, and ``record`` is the one place where a state changes.
+   after each event from each state, and ``apply`` is the one place where a state changes.
 2. The ejection time starts at half a second, doubles with each ejection without a success in between, and
-   is at most 8 s (times 0.75 to 1.25 at random). So every ejection ends.
+   is at most 8 s (times 0.75 to 1.25 at random). An ejection ends at the first refresh of the candidates
+   after its time, up to one tick later. So every ejection ends.
 3. The probe is a reference to the request that is in flight, not a flag: whatever ends that attempt ends
    the probe, so that no backend waits for ever for a probe that is gone.
 4. Several failures in a row in one zone, without an answer from it in between, eject a whole remote zone.
@@ -25,7 +26,7 @@
 
 Why: attempts at a dead backend cost their clients the attempt's time-out, and a backend that fails quickly
 holds nothing, so that it would draw most new connections. Which events say that a backend is at fault is
-told in ``failure_attribution``.
+stated in ``failure_attribution``.
 """
 
 from __future__ import annotations
@@ -48,7 +49,7 @@
     """What can happen to a backend's health."""
 
     ATTEMPT_STARTED = 1
-    PROBE_INCONCLUSIVE = 2  # the probe has ended and tells nothing
+    PROBE_INCONCLUSIVE = 2  # the probe has ended and shows nothing
     SUCCESS = 3  # it accepted a connection, or was alive to reject one
     FAILURE = 4  # it is at fault
     EJECTION_EXPIRED = 5
@@ -129,9 +130,7 @@
         self._random = random_source
         self._zones = ZoneEjection(local_zone, random_source)
 
-    def record(
-        self, now: float, backend: Backend, event: HealthEvent, request: Request | None = None
-    ) -> None:
+    def apply(self, now: float, backend: Backend, event: HealthEvent, request: Request | None = None) -> None:
         """Change a backend's state by an event; ``request``: the one whose attempt has been started."""
         health = backend.health
         before = health.state
@@ -170,7 +169,7 @@
         for backend in listed:
             health = backend.health
             if health.state is HealthState.EJECTED and health.ejected_until <= now:
-                self.record(now, backend, HealthEvent.EJECTION_EXPIRED)
+                self.apply(now, backend, HealthEvent.EJECTION_EXPIRED)
         zones = self._zones.ejected(now)
         self._pool.candidates = [
             backend for backend in listed if backend.health.state not in AVOIDED and backend.zone not in zones
--- a/saltcourse/balancing/settings.py
+++ b/saltcourse/balancing/settings.py
@@ -1,8 +1,8 @@
 """The settings that the decisions are made under. Times are seconds, loads seconds of work per second.
 
 ``saltcourse/config/deployment_settings.py`` reads them from the deployment's JSON and maps its field names
-to those here. A value out of range raises ``InvalidSettingError`` with the deployment's own name of the
-setting.
+to those here. A value out of range raises ``InvalidSettingError`` with a name of the setting (see
+``docs/GLOSSARY.md`` for the key in the file).
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 class InvalidSettingError(ValueError):
     """A setting has a value that it may not have.
 
-    ``setting``: its name in the deployment's settings. ``expected``: what it may be.
+    ``setting``: a name of it; ``docs/GLOSSARY.md`` has the key in the file. ``expected``: what it may be.
     """
 
     def __init__(self, setting: str, expected: str) -> None:
@@ -56,7 +56,7 @@
     SILENT = "silent"
 
 
-CHANGE_KNOWN_WITHIN_SECONDS = 6.0  # a change that discovery can tell counts as known after this
+CHANGE_KNOWN_WITHIN_SECONDS = 6.0  # a change that discovery can report counts as known after this
 LIST_CALL_TIMEOUT_SECONDS = 3.5  # discovery gives up a call that waited 3 s for its turn
 MAX_LIST_RETRY_DELAY_SECONDS = CHANGE_KNOWN_WITHIN_SECONDS - LIST_CALL_TIMEOUT_SECONDS - 0.5
 
@@ -89,7 +89,7 @@
     name: str
     latency_objective: float
     deadline: float
-    priority_weight: float = 1.0
+    priority_weight: float = 1.0  # no rule reads it
     idempotency: Idempotency = Idempotency.IDEMPOTENT
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
     deduplication_window: float = 0.0
@@ -110,7 +110,7 @@
     """A customer with a share of the service; ``connection_quota`` is summed over all proxies."""
 
     name: str
-    share: float
+    share: float  # no rule reads it
     connection_quota: float = 0.0
 
 
@@ -140,7 +140,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a proxy is told at its start. Anything that does not apply keeps its default.
+    """What a proxy is given at its start. Anything that does not apply keeps its default.
 
     ``poll_interval``: s within which a polled endpoint list has to be fetched again.
     ``warm_up``: s in which a started backend reaches its full capacity from ``initial_capacity_share``.
@@ -189,7 +189,7 @@
         )
 
     @property
-    def slow_message(self) -> float:
+    def slow_message_latency(self) -> float:
         """Seconds from which on a message counts as slow: a third of the shortest objective; inf if none."""
         objectives = [c.message_latency_objective for c in self.classes if c.message_latency_objective > 0]
         return min(objectives, default=math.inf) / 3
--- a/saltcourse/balancing/state.py
+++ b/saltcourse/balancing/state.py
@@ -40,14 +40,13 @@
 
 @dataclass(slots=True, eq=False)
 class CeilingRecord:
-    """Written by ``slot_ceilings``; ``late_messages`` by ``load_shedding``."""
+    """Written by ``slot_ceilings``."""
 
     learned_limit: float = 0.0  # slots that it was seen to bear; 0 while nothing is learned
-    rejected_until: float = 0.0  # it counts as having recently rejected or dropped until then
-    slow_until: float = 0.0
+    no_overflow_until: float = 0.0  # until then it gets nothing: it rejected, dropped or was late
+    cut_until: float = 0.0  # until then it gets overflow at most, and its limit does not recover
     cut_at: float = LONG_AGO
-    consecutive_rejections: int = 0  # for rejections and drops, at most 3
-    late_messages: int = 0  # messages in a row that missed their latency objective
+    consecutive_rejections: int = 0  # or drops, until it may overflow and accepts again
 
 
 @dataclass(slots=True, eq=False)
@@ -70,7 +69,7 @@
 
     __slots__ = (
         "ceiling",
-        "ceilings",
+        "ceiling_record",
         "cell",
         "connections",
         "count",
@@ -79,8 +78,9 @@
         "health",
         "is_local",
         "kind",
+        "late_messages",
         "name",
-        "next_start_at",
+        "next_attempt_at",
         "occupancy",
         "relative_capacity",
         "report",
@@ -121,12 +121,14 @@
 
     def reset(self, now: float) -> None:
         """Forget what was learned: the backend is a new process since ``now``."""
-        self.restarted_at = now  # what was sent before tells nothing of the new process
+        self.restarted_at = now  # what was sent before says nothing of the new process
         self.ceiling = 0.0  # slots
-        self.next_start_at = 0.0  # slow start: no attempt is started before
+        self.next_attempt_at = 0.0  # slow start: no attempt is started before
         self.health = HealthRecord()
-        self.ceilings = CeilingRecord()
+        self.ceiling_record = CeilingRecord()
         self.report = LoadReportRecord()
+        # Messages in a row that missed their latency objective; ``load_shedding`` writes it.
+        self.late_messages = 0
 
 
 @dataclass(frozen=True, slots=True)
--- a/saltcourse/codec/lines.py
+++ b/saltcourse/codec/lines.py
@@ -1,12 +1,13 @@
 """The line protocol of clients and backends: CRLF lines of at most 4 KiB, and what they mean.
 
-The protocol's words are mapped to the terms of the code here and nowhere else:
+The protocol's words are mapped to the terms of the code here and nowhere else; ``REPORT_FIELDS`` maps the
+fields of load reports, also for the simulator's wire:
 
     OPEN id key fields     a request                        OpenRequest
       c=, t=, g=             request class, tenant, group
       d=                     ms until the client gives up   time_left
       h=                     expected load                  load_hint
-      r=1, again=1           a retry; came back after BUSY or MOVE
+      r=1, again=1           a retry; came back after BUSY or MOVE (passed on, not read)
       at=                    established at this backend before the proxy's start
     UP receipt             the backend takes the connection
     BUSY [ms]              rejected, with a Retry-After in ms
@@ -29,7 +30,7 @@
 from saltcourse.balancing.events import LoadReport
 from saltcourse.codec.errors import ProtocolError
 
-MICRO = 1e-6  # LOAD is in microseconds of work per second
+MICROSECONDS = 1e-6  # s; LOAD is in microseconds of work per second
 MAX_LINE_BYTES = 4096  # CRLF included
 MAX_TIMEOUT_MILLISECONDS = 60_000  # no client waits longer for UP: a larger `d` is a mistake
 MAX_RESUME_TIMEOUT_MILLISECONDS = 86_400_000  # of a connection from before the proxy's start
@@ -42,7 +43,7 @@
 MOVE_LINE = MOVE + LINE_END
 FAIL_LINE = ERR + LINE_END
 PONG_LINE = PONG + LINE_END
-REPORT_FIELDS = {  # the simulator's word for a field and the sockets' own, where they differ
+REPORT_FIELDS = {  # the simulator's name of a field and the sockets' own, where they differ
     "rif": "inflight",
     "inflight": "inflight",
     "q": "queue",
@@ -62,7 +63,7 @@
     def __init__(self, size: int = 2 * MAX_LINE_BYTES) -> None:
         self._bytes = bytearray(size)
         self._start = self._end = 0
-        self._searched = 0  # no line end stands before this index
+        self._searched = 0  # there is no line end before this index
 
     def free_space(self) -> memoryview:
         """Where the next bytes are to be read into; empty when the buffer is full."""
@@ -119,11 +120,9 @@
     key: str
     request_class: str
     time_left: float
-    tenant: str
+    tenant: str  # no rule reads it
     group: str
     load_hint: float
-    is_retry: bool
-    came_back: bool
     resume_backend: str
     before_timeout: bytes
     after_timeout: bytes
@@ -163,8 +162,6 @@
         tenant=fields.get("t", ""),
         group=fields.get("g", ""),
         load_hint=load_hint,
-        is_retry=fields.get("r") == "1",
-        came_back=fields.get("again") == "1",
         resume_backend=fields.get("at", ""),
         before_timeout=raw[:timeout_start],
         after_timeout=raw[timeout_start + len(timeout) :],
@@ -183,7 +180,7 @@
 
 
 def _timeout_digits(fields: dict[str, str]) -> str:
-    """The figure of ``d`` as it stands in the line; raises ``ProtocolError``."""
+    """The figure of ``d`` as it is in the line; raises ``ProtocolError``."""
     digits = fields.get("d", "")
     longest = MAX_RESUME_TIMEOUT_MILLISECONDS if fields.get("at") else MAX_TIMEOUT_MILLISECONDS
     is_number = digits.isascii() and digits.isdigit() and len(digits) <= MAX_TIMEOUT_DIGITS
--- a/saltcourse/proxy/health_check.py
+++ b/saltcourse/proxy/health_check.py
@@ -19,7 +19,10 @@
 
 
 class HealthCheck(Actor[None]):
-    """Runs one health check and hands its result to ``on_finished``, exactly once."""
+    """Runs one health check and hands its result to ``on_finished``, exactly once.
+
+    Unless its task fails, which is logged as ``task failed``.
+    """
 
     def __init__(
         self,
@@ -65,7 +68,7 @@
         if line is None:
             return AttemptStatus.RESET, None
         word = word_of(line)
-        if word == NO:
+        if word == NO:  # the backend answers no health checks now, which says nothing of its health
             return AttemptStatus.NOT_SENT, None
         status = AttemptStatus.OK if word == PONG else AttemptStatus.ERROR
         return status, parse_load_report(line)
--- a/saltcourse/proxy/traffic_summary.py
+++ b/saltcourse/proxy/traffic_summary.py
@@ -8,6 +8,7 @@
 
 from collections import Counter
 from collections.abc import Iterable, Mapping
+from enum import Enum
 
 import structlog
 
@@ -17,6 +18,14 @@
 log = structlog.get_logger("saltcourse")
 
 
+class RequestOutcome(Enum):
+    """What the balancer decided on a request; the value is its key in the log."""
+
+    REJECTED = "rejected"
+    FAILED = "failed"
+    MIGRATED = "migrated"
+
+
 class TrafficSummary:
     """Counts outcomes between two summaries."""
 
@@ -28,20 +37,21 @@
         """An attempt, or its connection, ended so."""
         self._attempts.setdefault(backend, Counter())[status.value] += 1
 
-    def count_request(self, outcome: str) -> None:
+    def count_request(self, outcome: RequestOutcome) -> None:
         """A request was rejected or failed, or its connection migrated."""
-        self._requests[outcome] += 1
+        self._requests[outcome.value] += 1
 
     def write(
         self,
         reports: Iterable[BackendReport],
         established: Mapping[str, int],
         requests: int,
-        is_overloaded: bool,
+        is_failing: bool,
     ) -> None:
         """Log one line for each backend and one for all, and count from 0 again.
 
         ``established``: connections by backend; ``requests``: those that are open, established or not.
+        ``is_failing``: whether more attempts failed than succeeded of late.
         """
         for report in reports:
             self._write_backend(report, established.get(report.backend, 0))
@@ -49,7 +59,7 @@
             "traffic",
             requests=requests,
             established=sum(established.values()),
-            overloaded=is_overloaded,
+            overloaded=is_failing,
             **dict(sorted(self._requests.items())),
         )
         self._attempts.clear()
--- a/saltcourse/simulator_adapter.py
+++ b/saltcourse/simulator_adapter.py
@@ -5,7 +5,8 @@
 standard error and exit code 2. A fault inside a ``Balancer`` becomes that instance's ``internal_error``.
 
 The wire's words are mapped to the code's terms here and nowhere else: message names in ``EVENT_READERS`` and
-``ACTION_WRITERS``, values in the tables below, field names in the functions, one for each message.
+``ACTION_WRITERS``, values in the tables below, field names in the functions, one for each message. Only
+the fields of load reports are mapped in ``codec.lines`` (``REPORT_FIELDS``), which the sockets share.
 """
 
 from __future__ import annotations
@@ -18,10 +19,8 @@
 
 from saltcourse.balancing.actions import (
     Action,
-    CancelAttempt,
     FailRequest,
     FetchEndpoints,
-    Log,
     MigrateConnection,
     RejectRequest,
     SendPeerMessage,
@@ -52,7 +51,7 @@
 )
 from saltcourse.codec.errors import InvalidObjectError
 from saltcourse.codec.json_fields import field, lookup, number, texts
-from saltcourse.codec.lines import REPORT_FIELDS
+from saltcourse.codec.lines import MICROSECONDS, REPORT_FIELDS
 from saltcourse.config.deployment_settings import read_settings
 
 Message = dict[str, Any]  # one event or action as the wire has it
@@ -80,7 +79,6 @@
 }
 TOPIC_LOAD = 1  # "topic" of a change: its value is in microseconds of work per second
 TOPIC_LATENCY = 2  # its value is in milliseconds
-MICROSECONDS = 1e-6  # s
 MILLISECONDS = 1e-3  # s
 EXIT_MALFORMED = 2
 
@@ -143,13 +141,9 @@
         request=field(message, "job", str),
         request_class=field(message, "profile", str),
         time_left=number(message, "patience_left"),
-        tenant=get("tenant") or "",
         load_hint=get("hint") or 0.0,
         flow=get("subject") or "",
         group=get("channel") or "",
-        is_retry=bool(get("repeat")),
-        mid_flow=bool(get("mid_flow")),
-        came_back=bool(get("came_back")),
     )
 
 
@@ -160,7 +154,6 @@
         request=field(message, "job", str),
         request_class=field(message, "profile", str),
         backend=field(message, "host", str),
-        tenant=get("tenant") or "",
         load_hint=get("hint") or 0.0,
         group=get("channel") or "",
     )
@@ -265,11 +258,6 @@
     return {"msg": "report_failure", "node": node, "job": action.request}
 
 
-def write_cancel_attempt(action: CancelAttempt, node: int) -> Message:
-    """``retract``: give up an attempt."""
-    return {"msg": "retract", "node": node, "job": action.request, "seq_no": action.attempt}
-
-
 def write_migrate_connection(action: MigrateConnection, node: int) -> Message:
     """``move``: end a connection in good order."""
     return {"msg": "move", "node": node, "job": action.request}
@@ -308,23 +296,16 @@
     }
 
 
-def write_log(action: Log, node: int) -> Message:
-    """``trace``: write a log line."""
-    return {"msg": "trace", "node": node, "text": action.text}
-
-
 ACTION_WRITERS: dict[type[Action], Callable[[Any, int], Message]] = {
     StartAttempt: write_start_attempt,
     RejectRequest: write_reject_request,
     FailRequest: write_fail_request,
-    CancelAttempt: write_cancel_attempt,
     MigrateConnection: write_migrate_connection,
     SetTimer: write_set_timer,
     StartHealthCheck: write_start_health_check,
     SendPeerMessage: write_send_peer_message,
     WatchEndpoints: write_watch_endpoints,
     FetchEndpoints: write_fetch_endpoints,
-    Log: write_log,
 }
 
 
--- a/tests/proxy/test_dispatcher.py
+++ b/tests/proxy/test_dispatcher.py
@@ -10,7 +10,6 @@
 
 from saltcourse.balancing.actions import (
     Action,
-    CancelAttempt,
     FailRequest,
     FetchEndpoints,
     MigrateConnection,
@@ -32,9 +31,8 @@
 from saltcourse.codec.endpoint_list import read_endpoint_update
 from saltcourse.config import Config, Limits
 from saltcourse.proxy.clock import Clock
-from saltcourse.proxy.dispatcher import Dispatcher, Outlets
+from saltcourse.proxy.dispatcher import ActionHandlers, Dispatcher
 from saltcourse.proxy.messages import (
-    AbandonAttempt,
     BeginAttempt,
     NewRequest,
     RequestFinished,
@@ -91,8 +89,8 @@
         known = read_endpoint_update(ENDPOINTS)
         address = ("127.0.0.1", 0)
         config = Config("test", address, address, 7, Limits(1.0, 192, 512), known, settings(), True)
-        outlets = Outlets(self.to_discovery.append, self.to_peers.append)
-        self.dispatcher = Dispatcher(config, Clock(), outlets)
+        handlers = ActionHandlers(self.to_discovery.append, self.to_peers.append)
+        self.dispatcher = Dispatcher(config, Clock(), handlers)
         self.balancer = ScriptedBalancer()
         self.dispatcher._balancer = self.balancer  # type: ignore[assignment]
         self.owner = Owner()
@@ -139,10 +137,12 @@
     async def scenario(dispatched: Dispatched) -> None:
         reject, message, fetch = RejectRequest("r", 0.25), SendPeerMessage("x"), FetchEndpoints()
         timer = SetTimer(0.0, 42)
-        dispatched.balancer.on(RequestReceived, CancelAttempt("r", 0), reject, message, fetch, timer)
+        start = StartAttempt("r", "s0", 0.5)
+        dispatched.balancer.on(RequestReceived, start, reject, message, fetch, timer)
         dispatched.new_request()
         await dispatched.let_run()
-        assert dispatched.owner.messages == [AbandonAttempt(0), reject]
+        begin = BeginAttempt("r", "s0", 0, 0.5, ("127.0.0.1", 9))
+        assert dispatched.owner.messages == [begin, reject]
         assert dispatched.to_peers == [message] and dispatched.to_discovery == [fetch]
         await asyncio.sleep(0.01)
         assert dispatched.balancer.events[-1] == TimerFired(42)
