--- a/tests/balancing/test_balancer_model.py
+++ b/tests/balancing/test_balancer_model.py
@@ -240,6 +240,11 @@
         )
 
 
+# Hypothesis draws constants of the modules that happen to be imported, so that the examples of one seed change
+# with the tests that run beside these. The search for the rarest broken rule (LostProbe) is in vain in about a
+# sixth of all runs of 200 examples, and practically never in 2,000.
+CHECK_EXAMPLES = 200
+SEARCH_EXAMPLES = 2_000
 EFFORT: dict[str, Any] = {
     "derandomize": True,
     "database": None,
@@ -253,7 +258,7 @@
 
 
 def test_the_balancer_keeps_its_books_its_rules_and_every_backend() -> None:
-    run_state_machine_as_test(Machine, settings=effort(max_examples=60, **EFFORT))
+    run_state_machine_as_test(Machine, settings=effort(max_examples=CHECK_EXAMPLES, **EFFORT))
 
 
 class ProbeOutlivesErrors(FailureAttribution):
@@ -342,4 +347,4 @@
 def test_the_model_check_finds_a_broken_rule(broken: type[Balancer]) -> None:
     machine = type("Broken", (Machine,), {"balancer_class": broken})
     with pytest.raises((AssertionError, KeyError)):
-        run_state_machine_as_test(machine, settings=effort(max_examples=200, **EFFORT))
+        run_state_machine_as_test(machine, settings=effort(max_examples=SEARCH_EXAMPLES, **EFFORT))
--- a/tests/proxy/test_draining.py
+++ b/tests/proxy/test_draining.py
@@ -158,7 +158,7 @@
             client = await proxy.client()
             await client.send("OPEN a b c=quick,d=60", b"")
             await wait_until(lambda: client.connection.stream.buffer.has_data)
-            proxy.server.leave.set()
+            proxy.server.stop_requested.set()
             await wait_until(lambda: proxy.server.phase is Phase.MIGRATING)
             await client.send("000", b"\r\n")
             found = re.search(r"\bd=(\d+)", await (await proxy.accept()).line())
