--- a/tests/balancing/test_balancer_model.py
+++ b/tests/balancing/test_balancer_model.py
@@ -240,8 +240,8 @@
         )
 
 
-# Hypothesis draws constants of the modules that happen to be imported, so that the examples of one seed change
-# with the tests that run beside these. The search for the rarest broken rule (LostProbe) is in vain in about a
+# Hypothesis draws constants of the modules that happen to be imported: the examples of one seed change with
+# the tests that run beside these. The search for the rarest broken rule (LostProbe) is in vain in about a
 # sixth of all runs of 200 examples, and practically never in 2,000.
 CHECK_EXAMPLES = 200
 SEARCH_EXAMPLES = 2_000
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -51,7 +51,7 @@
     "saltcourse.gossip.messages": WORDS,
     "saltcourse.gossip.settings": WORDS,
     "saltcourse.address_failover.actions": WORDS,
-    "saltcourse.address_failover.authentication": WORDS,  # the codec of sealed messages and keys
+    "saltcourse.address_failover.authentication": WORDS,  # the codec of signed messages and keys
     "saltcourse.address_failover.errors": WORDS,
     "saltcourse.address_failover.events": WORDS,
     "saltcourse.address_failover.message_codec": WORDS,
