--- a/saltcourse/balancing/admission.py
+++ b/saltcourse/balancing/admission.py
@@ -3,8 +3,10 @@
 The rules:
 
 - The proxy counts its attempts that failed (also connections dropped within seconds) and that succeeded,
-  and forgets both within 5 s. More than four failures above the successes, wherever they went, are an
-  overload: new requests are rejected without an attempt, and nothing is retried.
+  and forgets a fifth of both each second. More than four failures above the successes, wherever they went,
+  are an overload: new requests are rejected without an attempt, and nothing is retried. As nothing new is
+  tried, the overload ends by that forgetting and by attempts still in flight. Errors, cancelled attempts
+  and attempts that were not sent do not count.
 - A request that cannot be placed is rejected, with a Retry-After of a half to all of the longest one at
   random, where a repeat does no harm and no attempt is in flight; else it fails, which promises nothing.
 
@@ -24,7 +26,7 @@
 from saltcourse.balancing.settings import Settings
 from saltcourse.balancing.state import Request
 
-OUTCOME_MEMORY_SECONDS = 5.0  # in which outcomes are forgotten
+OUTCOME_MEMORY_SECONDS = 5.0  # each tick forgets tick / this of both counts
 YOUNG_CONNECTION_SECONDS = 3.0  # a connection dropped within this counts as an attempt that failed
 OVERLOAD_MARGIN = 4.0  # failures above the successes that are bad luck and no overload
 NO_SIGN_OF_OVERLOAD = (AttemptStatus.CANCELLED, AttemptStatus.NOT_SENT, AttemptStatus.ERROR)
--- a/saltcourse/balancing/failure_attribution.py
+++ b/saltcourse/balancing/failure_attribution.py
@@ -7,9 +7,12 @@
 3. Nobody is blamed on one witness: an error, or a reset before the connection is established, makes the
    backend a suspect only. If the request is then established at another backend, the first one was at
    fault; if it is broken off there too, the request itself is at fault and the suspect is cleared. A
-   backend that breaks off a single client flow and serves all others is not at fault either.
-4. A reset of an established connection counts when a second one follows within a second: networks and
-   clients break a connection now and then, a backend that drops breaks several.
+   backend that breaks off a single client flow and serves all others is not at fault either. For an error
+   the backend's error rate rises, and above ``MAX_ERROR_RATE`` it is ejected; a reset counts as in rule 4.
+   One that was eligible for a probe is ejected by either.
+4. A reset of an established connection cuts the backend's ceiling, and ejects nobody, when a second one
+   follows within a second: networks and clients break a connection now and then, a backend that drops breaks
+   several.
 5. An attempt that was started before the backend's process started says nothing of the new process.
 
 Inputs: how attempts ended, and the time in seconds. Output: health events and ceiling cuts.
@@ -26,7 +29,7 @@
 from saltcourse.balancing.state import Backend, FailureSuspect, HealthState, Request
 
 ERROR_RATE_GAIN = 0.2  # weight of the last attempt in a backend's error rate
-MAX_ERROR_RATE = 0.3  # above it a backend is used by one connection at a time
+MAX_ERROR_RATE = 0.3  # above it a blamed backend is ejected, and used by one connection at a time
 RESET_PAIR_SECONDS = 1.0  # in which a second reset shows that a backend drops connections
 
 
--- a/saltcourse/balancing/outlier_ejection.py
+++ b/saltcourse/balancing/outlier_ejection.py
@@ -9,7 +9,8 @@
    after its time, up to one tick later. So every ejection ends.
 3. The probe is a reference to the request that is in flight, not a flag: whatever ends that attempt ends
    the probe, so that no backend waits for ever for a probe that is gone.
-4. Several failures in a row in one zone, without an answer from it in between, eject a whole remote zone.
+4. Four ejections in one zone, without an answer from the zone in between, eject that zone as a whole, if it
+   is not the proxy's own.
 5. If that leaves no candidate, every listed backend is one: rejecting everything would be worse.
 
 =============  ===============  ==================  =======  =======  ================  ============
@@ -41,7 +42,7 @@
 
 EJECTION_BACKOFF_INITIAL_SECONDS = 0.5
 EJECTION_BACKOFF_MAX_SECONDS = 8.0  # about what the endpoint list needs to notice a dead backend
-ZONE_FAILURES_TO_EJECT = 4  # in a row in one zone, without a success in between
+ZONE_FAILURES_TO_EJECT = 4  # ejections in one zone without an answer from it in between
 ZONE_EJECTION_SECONDS = 2.0  # times 0.5 to 1.5 at random
 
 
@@ -96,7 +97,7 @@
     def __init__(self, local_zone: str, random_source: random.Random) -> None:
         self._local_zone = local_zone
         self._random = random_source
-        self._failures: dict[str, int] = {}  # consecutive failures of each zone
+        self._failures: dict[str, int] = {}  # ejections of each zone since its last answer
         self._ejected_until: dict[str, float] = {}  # s
 
     def record_failure(self, now: float, zone: str) -> bool:
--- a/saltcourse/balancing/placement.py
+++ b/saltcourse/balancing/placement.py
@@ -52,7 +52,7 @@
         if self.overload.is_overloaded:
             self.answers.answer(request)
         else:
-            self._place_after_load_check(now, request)
+            self._check_load_or_place(now, request)
 
     def retry(self, now: float, request: Request) -> None:
         """Start another attempt after one has failed, or give the final answer."""
@@ -68,7 +68,7 @@
         for request in waiting:
             if request.awaited is backend and not request.is_answered:
                 request.awaited = None
-                self._place_after_load_check(now, request)
+                self._check_load_or_place(now, request)
 
     def timer_fired(self, now: float, request: Request) -> None:
         """Go on as a timer fires: the load check took too long, or the deadline has come."""
@@ -77,11 +77,12 @@
         if request.awaited is not None:
             request.awaited = None
             request.load_checks = MAX_LOAD_CHECKS
-            self._place_after_load_check(now, request)
+            self._check_load_or_place(now, request)
         elif now >= request.deadline - self.settings.time_step / 2:
             self.answers.answer(request)
 
-    def _place_after_load_check(self, now: float, request: Request) -> None:
+    def _check_load_or_place(self, now: float, request: Request) -> None:
+        """Health-check a drawn backend first where its report is too old, else place the request."""
         backend = None
         if self.settings.uses_load_reports and request.load_checks < MAX_LOAD_CHECKS:
             backend = self.selection.choose(now, request)
--- a/saltcourse/balancing/retries.py
+++ b/saltcourse/balancing/retries.py
@@ -3,7 +3,8 @@
 The rules:
 
 - A request gets at most ``max_attempts`` attempts, and none when less than 0.1 s of its time is left.
-- Retry budget: each request earns 0.3 retries, each retry spends one, and at most 10 are saved.
+- Retry budget: each request earns 0.3 retries, at most 10 are saved, and each retry that is allowed
+  spends one, also where no backend is found for it.
 - A request that may have run is retried only where that does no harm: anywhere if it is idempotent; with an
   idempotency key, on backends within the scope that drops duplicates, and within its window; else nowhere.
 - An attempt's time-out is the class's latency objective or the connect time-out, whichever is longer, if
--- a/saltcourse/balancing/selection.py
+++ b/saltcourse/balancing/selection.py
@@ -3,8 +3,9 @@
 The rule, from "Insensitive Load Balancing" (Bonald, Jonckheere, Proutière 2004): with the ceiling and the
 occupancy of each candidate, one is drawn in proportion to its free slots (ceiling minus occupancy; in other
 zones they count as a twentieth). When no candidate has a free slot, one that has not recently rejected may
-overflow by one slot; when none may, the request is not placed. Groups are placed by ``group_affinity``
-first.
+overflow by one slot; when none may, the request is not placed. A backend that the request has tried, that
+may not repeat it, or that warms up and is not due yet is never drawn. Groups are placed by
+``group_affinity`` first.
 
 Inputs: ceilings and occupancies in slots, the request. Output: one backend or None.
 
--- a/saltcourse/balancing/slot_ceilings.py
+++ b/saltcourse/balancing/slot_ceilings.py
@@ -29,6 +29,7 @@
 
 TICK_SECONDS = 1.0  # between refreshes of small fleets; short against a connection's life
 HEADROOM_SLOTS = 2.0  # of the common ceiling above the mean occupancy, for a backend of mean capacity
+USUAL_HEADROOM_SLOTS = 0.5  # above the mean occupancy, that slow start counts on
 # In which the common ceiling is forgotten, at one refresh a second: slower with more than 150 candidates,
 # which are refreshed less often, and faster while the list changes. Clients return within a connection's
 # life.
@@ -87,7 +88,7 @@
 
     def usual_slots(self, backend: Backend) -> float:
         """Slots that this proxy usually fills on such a backend once it is warm."""
-        mean_slots = self.common_ceiling(backend) - HEADROOM_SLOTS + 0.5
+        mean_slots = self.common_ceiling(backend) - HEADROOM_SLOTS + USUAL_HEADROOM_SLOTS
         return max(MIN_USUAL_SLOTS, backend.relative_capacity * mean_slots)
 
     def refresh(self, now: float, candidates: list[Backend]) -> None:
--- a/saltcourse/proxy/draining.py
+++ b/saltcourse/proxy/draining.py
@@ -10,6 +10,9 @@
     end - 0.25 s requests without an answer are failed
     end          longest deadline (at most 3 s) + 0.45 s
 
+Where the listening socket is shared with the process that replaces this one (``EDGE_LISTEN_FD``), and after
+lameduck, there is no wait of 0.5 s: the listener closes and migration begins at 0 s.
+
 Lameduck: PING is answered no more; 0.5 s later migration begins, all are migrated within 3 s. The process
 stays, and its listener stays open, for the front may still send a few clients: they are served and migrated.
 """
--- a/saltcourse/proxy/traffic_summary.py
+++ b/saltcourse/proxy/traffic_summary.py
@@ -59,6 +59,7 @@
             "traffic",
             requests=requests,
             established=sum(established.values()),
+            # The key is older than the term: requests are rejected only under ``is_overloaded``.
             overloaded=is_failing,
             **dict(sorted(self._requests.items())),
         )
