--- a/saltcourse/address_failover/bgp_announcer.py
+++ b/saltcourse/address_failover/bgp_announcer.py
@@ -52,17 +52,17 @@
 
     def start(self) -> None:
         """Begin to connect."""
-        self.carry_out(self.session.start(self._loop.time()))
+        self.execute(self.session.start(self._loop.time()))
 
     def set_route(self, route: Route | None) -> None:
         """Announce this route in place of any before; None withdraws."""
-        self.carry_out(self.session.set_route(self._loop.time(), route))
+        self.execute(self.session.set_route(self._loop.time(), route))
 
     def stop(self, reason: str) -> None:
         """Close the session for good."""
-        self.carry_out(self.session.stop(self._loop.time(), reason))
+        self.execute(self.session.stop(self._loop.time(), reason))
 
-    def carry_out(self, actions: Sequence[Action]) -> None:
+    def execute(self, actions: Sequence[Action]) -> None:
         """Carry out a session's actions; the timer before them is cancelled."""
         if self._timer is not None:
             self._timer.cancel()
@@ -91,7 +91,7 @@
             task.cancel()
 
     def _on_timer(self) -> None:
-        self.carry_out(self.session.timer_expired(self._loop.time()))
+        self.execute(self.session.timer_expired(self._loop.time()))
 
     def _on_established(self, established: bool, reason: str) -> None:
         self.established = established
@@ -106,14 +106,14 @@
         try:
             reader = await self._connect(this_task)
             while reader is not None and (data := await reader.read(READ_SIZE)):
-                self.carry_out(self.session.received(self._loop.time(), data))
+                self.execute(self.session.received(self._loop.time(), data))
                 if self._task is not this_task:
                     return
         except OSError as error:
             reason = error.strerror or str(error)
         if self._task is this_task:
             self.close()
-            self.carry_out(self.session.closed(self._loop.time(), reason))
+            self.execute(self.session.closed(self._loop.time(), reason))
 
     async def _connect(self, this_task: asyncio.Task[None] | None) -> asyncio.StreamReader | None:
         """Open the connection; None where the session gave it up meanwhile. Raises OSError."""
@@ -123,7 +123,7 @@
             writer.close()
             return None
         self._writer = writer
-        self.carry_out(self.session.connected(self._loop.time()))
+        self.execute(self.session.connected(self._loop.time()))
         return reader
 
 
--- a/saltcourse/address_failover/host.py
+++ b/saltcourse/address_failover/host.py
@@ -38,7 +38,7 @@
 from saltcourse.address_failover.vote import RecoveredState, Vote
 from saltcourse.address_failover.vote_store import VoteStore
 from saltcourse.address_failover.voters import ElectionConfig
-from saltcourse.boot_clock import boot_clock
+from saltcourse.boottime import boottime_seconds
 
 # Between two Hellos to one member, however many of its datagrams do not know this process.
 HELLO_INTERVAL_SECONDS = 0.05
@@ -68,7 +68,7 @@
         seed: int,
         announcer: AddressAnnouncer | None,
         vote_store: VoteStore | None = None,
-        clock: Callable[[], float] = boot_clock,
+        clock: Callable[[], float] = boottime_seconds,
     ) -> None:
         self.authenticator = authenticator
         self.announcer = announcer
--- a/saltcourse/admin/commands.py
+++ b/saltcourse/admin/commands.py
@@ -35,7 +35,7 @@
         """Whether it can serve now."""
 
     def metrics_text(self) -> bytes:
-        """Return the figures, one a line."""
+        """Return the metrics, one a line."""
 
     def lameduck(self, on: bool) -> bool:
         """Drain the program, or take it back into service; False once it is leaving for good."""
--- a/saltcourse/app/address_failover.py
+++ b/saltcourse/app/address_failover.py
@@ -59,7 +59,7 @@
     return None
 
 
-class AddressFailoverCompanion:
+class AddressFailoverService:
     """The member beside a proxy: starts when the proxy serves, hands the address over before it drains.
 
     ``reread`` reads the section again when the program reloads.
--- a/saltcourse/app/control_member.py
+++ b/saltcourse/app/control_member.py
@@ -40,8 +40,8 @@
         self._reread = reread
         self._stop = asyncio.Event()
         self._failure: StoreError | None = None
-        self._figures = Metrics(())
-        self._figures.gauges = self._gauges
+        self._metrics = Metrics(())
+        self._metrics.gauges = self._gauges
         self._host = self._create_host()
         self._gossip_handler = GossipAdminHandler(self._host)
 
@@ -127,15 +127,15 @@
         return self._host.is_open and len(alive) >= needed
 
     def metrics_text(self) -> bytes:
-        """Return the figures, one a line."""
-        return self._figures.text()
+        """Return the metrics, one a line."""
+        return self._metrics.text()
 
     def lameduck(self, on: bool) -> bool:
         """Never drained, see ``supports``."""
         return False
 
     def _gauges(self) -> dict[str, int]:
-        return prefix_metric_names(self._host.figures())
+        return prefix_metric_names(self._host.metrics())
 
 
 def _is_alive(member: Member | None) -> bool:
--- a/saltcourse/app/gossip.py
+++ b/saltcourse/app/gossip.py
@@ -19,7 +19,7 @@
 from saltcourse.gossip.messages import Applied, MemberRecord, ReplicaState
 from saltcourse.gossip.node import Node
 from saltcourse.gossip.settings import NodeSettings
-from saltcourse.proxy.companion import HostProgram
+from saltcourse.proxy.background_service import HostProgram
 from saltcourse.proxy.errors import ListenError
 
 REPORT_INTERVAL_SECONDS = 1.0  # between a proxy's reports of its connection count
@@ -79,12 +79,12 @@
         warn_of_changes(SECTION, old, new, file_keys=FILE_KEYS)
 
 
-def prefix_metric_names(figures: dict[str, int]) -> dict[str, int]:
-    """Return the member's figures under the names that they have among those of the program."""
-    return {f"{SECTION}.{NOT_IN_A_NAME.sub('_', name)}": value for name, value in figures.items()}
+def prefix_metric_names(metrics: dict[str, int]) -> dict[str, int]:
+    """Return the member's metrics under the names that they have among those of the program."""
+    return {f"{SECTION}.{NOT_IN_A_NAME.sub('_', name)}": value for name, value in metrics.items()}
 
 
-class GossipCompanion:
+class GossipService:
     """The member beside a proxy: reports its connections, and applies the fleet's configuration to it.
 
     ``source`` is the proxy's configuration, ``reread`` reads the section again when the program reloads.
@@ -124,20 +124,20 @@
         reload_section(self._settings, self._reread)
 
     def gauges(self) -> dict[str, int]:
-        """Return the member's figures and those of the configuration; none before the start."""
+        """Return the member's metrics and those of the configuration; none before the start."""
         if self.host is None:
             return {}
-        figures = self.host.figures()
-        figures["rejected_version"] = self._source.overlay.rejected_version
-        figures["rejections"] = self._source.overlay.rejections
-        return prefix_metric_names(figures)
+        metrics = self.host.metrics()
+        metrics["rejected_version"] = self._source.overlay.rejected_version
+        metrics["rejections"] = self._source.overlay.rejections
+        return prefix_metric_names(metrics)
 
     def _on_applied(self, applied: Applied) -> None:
         assert self.host is not None
         configuration = self.host.node.dissemination.configuration
         changed = self._source.overlay.update(configuration, applied.position.version)
         if changed and self._program is not None:
-            self._program.take_over(self._source.current())
+            self._program.apply_config(self._source.current())
 
     def _report_connections(self) -> None:
         if self.host is None or not self.host.is_open or self._program is None:
--- a/saltcourse/app/proxy.py
+++ b/saltcourse/app/proxy.py
@@ -13,11 +13,11 @@
 
 if TYPE_CHECKING:  # nothing of it is imported without an operator's file
     from saltcourse.config.operator import OperatorSettings
-    from saltcourse.proxy.companion import Companion, FleetMember
+    from saltcourse.proxy.background_service import BackgroundService, MembershipService
 
 
 class ProxyProgram:
-    """The proxy and its companions, composed from the configuration as it is at the start.
+    """The proxy and its background services, composed from the configuration as it is at the start.
 
     ``config_path`` and ``operator_path`` are None where the environment names the files; there may be no
     operator's file. Raises ``ConfigError``, and ``MissingExtraError`` when protobuf is not installed.
@@ -38,12 +38,12 @@
     def run(self) -> None:
         """Serve until SIGTERM; SIGHUP has the configuration read again.
 
-        Raises ``ConfigError`` and ``ListenError``, and ``AddressFailoverStartError`` for that companion.
+        Raises ``ConfigError`` and ``ListenError``, and ``AddressFailoverStartError`` for that service.
         """
         source = ConfigurationSource(self.config, self._reread)
-        companions = self._create_companions()
-        gossip = self._create_gossip_companion(source)
-        serve(self.config, source.reread, companions, gossip)
+        background_services = self._create_background_services()
+        gossip = self._create_gossip_service(source)
+        serve(self.config, source.reread, background_services, gossip)
 
     def _reread(self) -> Config:
         return self._with_shared_state(load_config(self._config_path, self._environment, reloading=True))
@@ -59,26 +59,26 @@
         settings = replace(config.settings, shared_state=self.operator.shared_state)
         return replace(config, settings=settings)
 
-    def _create_companions(self) -> Sequence[Companion]:
+    def _create_background_services(self) -> Sequence[BackgroundService]:
         settings = self.operator.address_failover if self.operator is not None else None
         if settings is None:
             return ()
-        from saltcourse.app.address_failover import AddressFailoverCompanion
+        from saltcourse.app.address_failover import AddressFailoverService
 
-        return (AddressFailoverCompanion(settings, self._operator_source.read_address_failover),)
+        return (AddressFailoverService(settings, self._operator_source.read_address_failover),)
 
-    def _create_gossip_companion(self, source: ConfigurationSource) -> FleetMember | None:
+    def _create_gossip_service(self, source: ConfigurationSource) -> MembershipService | None:
         settings = self.operator.gossip if self.operator is not None else None
         if settings is None:
             return None
-        from saltcourse.app.gossip import GossipCompanion
+        from saltcourse.app.gossip import GossipService
         from saltcourse.gossip.messages import Role
 
         if settings.role is not Role.PROXY:
             raise ConfigError(
                 "gossip.role: must be PROXY for a proxy; a control member runs alone, by saltcourse control"
             )
-        return GossipCompanion(settings, source, self._operator_source.read_gossip)
+        return GossipService(settings, source, self._operator_source.read_gossip)
 
 
 def _check_peers_allowed(config: Config, operator: OperatorSettings) -> None:
--- a/saltcourse/app/witness.py
+++ b/saltcourse/app/witness.py
@@ -7,7 +7,7 @@
 
 import structlog
 
-from saltcourse.app.address_failover import AddressFailoverCompanion
+from saltcourse.app.address_failover import AddressFailoverService
 from saltcourse.app.reloading import Reread
 from saltcourse.config.operator_address_failover import AddressFailoverSettings
 
@@ -27,7 +27,7 @@
     stop = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
-    member = AddressFailoverCompanion(settings, reread)
+    member = AddressFailoverService(settings, reread)
     loop.add_signal_handler(signal.SIGHUP, member.reload)
     await member.start()
     log.info("witness started", member=settings.own_name, members=len(settings.voters))
--- a/saltcourse/config/proxy_config.py
+++ b/saltcourse/config/proxy_config.py
@@ -8,8 +8,8 @@
 from saltcourse.codec.endpoint_list import Address, EndpointUpdate
 
 # Fields of Config that a reload leaves as they are, and whose changes it logs: sockets, names and decisions
-# are built on them. Changes to ``known``, ``tells_delay``, ``limits.cores`` and ``limits.memory_mb`` are
-# neither applied nor logged.
+# are built on them. Changes to ``known``, ``measures_message_latency``, ``limits.cores`` and
+# ``limits.memory_mb`` are neither applied nor logged.
 RESTART_REQUIRED_KEYS = ("name", "listen", "admin", "seed", "settings", "peers")
 
 
@@ -41,7 +41,8 @@
     """The configuration of one proxy.
 
     ``known``: the endpoint list to start with, until discovery sends its own.
-    ``tells_delay``: whether the latency of messages on open connections is measured for the decisions.
+    ``measures_message_latency``: whether the latency of messages on open connections is measured for the
+    decisions.
     ``admin``: the operators' address; None, and there is none.
     ``peers``: None where this proxy shares no state with others.
     ``listen_fd``: a listening socket inherited from the platform, used instead of binding ``listen``.
@@ -54,7 +55,7 @@
     limits: Limits
     known: EndpointUpdate
     settings: Settings
-    tells_delay: bool
+    measures_message_latency: bool
     admin: Address | None = None
     peers: PeerAddresses | None = None
     listen_fd: int | None = None
--- a/saltcourse/emulator/gossip/checker.py
+++ b/saltcourse/emulator/gossip/checker.py
@@ -199,7 +199,7 @@
         membership = process.node.membership
         if len(membership.members) > MAX_MEMBERS:
             self.fail(f"{process.host} keeps {len(membership.members)} members")
-        waiting = membership.figures()["broadcasts_waiting"]
+        waiting = membership.metrics()["broadcasts_waiting"]
         if waiting > MAX_QUEUED:
             self.fail(f"{process.host} has {waiting} updates to pass on")
 
--- a/saltcourse/emulator/scale/fault_injection.py
+++ b/saltcourse/emulator/scale/fault_injection.py
@@ -67,7 +67,7 @@
         self._recorder = recorder
         self._on_killed = on_killed
 
-    def carry_out(self, command: Command) -> None:
+    def execute(self, command: Command) -> None:
         """Applies the command to those of its members that this worker hosts."""
         if command.act in (Act.PARTITION, Act.HEAL):
             self._host.set_partition(command.act is Act.PARTITION)
@@ -100,7 +100,7 @@
         hosted.not_alive = {}
         core = self._factory.create(hosted)
         hosted.core = core
-        self._host.carry_out(hosted, core.start(time.monotonic()))
+        self._host.execute(hosted, core.start(time.monotonic()))
 
     def _kill(self, hosted: HostedMember, core: HollowMember) -> None:
         self._recorder.lifecycle(Act.KILL, hosted.place.index)
--- a/saltcourse/emulator/scale/member_host.py
+++ b/saltcourse/emulator/scale/member_host.py
@@ -40,7 +40,7 @@
         if delay is not None:
             self._timers.call_at(time.monotonic() + delay, lambda: self._deliver(hosted, source, datagram))
 
-    def carry_out(self, hosted: HostedMember, output: Output) -> None:
+    def execute(self, hosted: HostedMember, output: Output) -> None:
         """Sends the datagrams of a member's step, passes its observations on and sets its timer."""
         for transmit in output.datagrams:
             hosted.sent += len(transmit.datagram) + PACKET_OVERHEAD_BYTES
@@ -80,7 +80,7 @@
             hosted.waiting.append((source, datagram))
             return
         hosted.received += len(datagram) + PACKET_OVERHEAD_BYTES
-        self.carry_out(hosted, hosted.core.receive(time.monotonic(), source, datagram))
+        self.execute(hosted, hosted.core.receive(time.monotonic(), source, datagram))
 
     def _send_to_real(self, hosted: HostedMember, transmit: Transmit) -> None:
         """Applies the link before the datagram is sent: no worker reads a real process's socket."""
@@ -111,6 +111,6 @@
             return
         now = time.monotonic()
         if hosted.core.next_deadline <= now:
-            self.carry_out(hosted, hosted.core.tick(now))
+            self.execute(hosted, hosted.core.tick(now))
         else:
             self._set_timer(hosted)
--- a/saltcourse/emulator/scale/publications.py
+++ b/saltcourse/emulator/scale/publications.py
@@ -74,7 +74,7 @@
 
     def _publish_at(self, hosted: HostedMember, core: HollowMember, order: Publish) -> None:
         hosted.publishing.add(order.change)
-        self._host.carry_out(hosted, core.publish(time.monotonic(), order.change, order.padding))
+        self._host.execute(hosted, core.publish(time.monotonic(), order.change, order.padding))
 
     def _schedule_loss(self, hosted: HostedMember, kill_after: float, restart_after: float) -> None:
         killed_at = time.monotonic() + kill_after
--- a/saltcourse/emulator/scale/worker.py
+++ b/saltcourse/emulator/scale/worker.py
@@ -106,7 +106,7 @@
     def _schedule_all(self, begin: float) -> None:
         members = self._hosted.values()
         for command in self._task.timeline.commands:
-            self._timers.call_at(begin + command.at, partial(self._faults.carry_out, command))
+            self._timers.call_at(begin + command.at, partial(self._faults.execute, command))
         self._timers.call_every(begin, LOAD_INTERVAL, lambda: self._recorder.loads(members))
         self._timers.call_every(begin, VIEW_INTERVAL, lambda: self._recorder.views(members))
         self._timers.call_every(begin, COLLECT_INTERVAL, lambda: gc.collect(1))
--- a/saltcourse/gossip/configuration.py
+++ b/saltcourse/gossip/configuration.py
@@ -151,8 +151,8 @@
         self._changed_keys.clear()
         return keys
 
-    def figures(self) -> dict[str, int]:
-        """Figures of ``/_vars``, by name."""
+    def metrics(self) -> dict[str, int]:
+        """Metrics of ``/_vars``, by name."""
         return {
             "epoch": self.position.epoch,
             "version": self.position.version,
--- a/saltcourse/gossip/dissemination.py
+++ b/saltcourse/gossip/dissemination.py
@@ -148,12 +148,12 @@
         actions, self._actions = self._actions, []
         return actions
 
-    def figures(self) -> dict[str, int]:
-        """Figures of ``/_vars``, by name."""
-        figures = self.configuration.figures()
-        figures["freshness"] = int(self.freshness)
-        figures["sources"] = self._fetcher.source_count
-        return figures | dict(self._counters)
+    def metrics(self) -> dict[str, int]:
+        """Metrics of ``/_vars``, by name."""
+        metrics = self.configuration.metrics()
+        metrics["freshness"] = int(self.freshness)
+        metrics["sources"] = self._fetcher.source_count
+        return metrics | dict(self._counters)
 
     # ---- around each call ---------------------------------------------------------------------------
 
--- a/saltcourse/gossip/host.py
+++ b/saltcourse/gossip/host.py
@@ -14,7 +14,7 @@
 
 import structlog
 
-from saltcourse.boot_clock import boot_clock
+from saltcourse.boottime import boottime_seconds
 from saltcourse.gossip.errors import StoreError
 from saltcourse.gossip.event_log import EventLog
 from saltcourse.gossip.messages import (
@@ -73,7 +73,7 @@
         store: StateStore | None = None,
         on_applied: Callable[[Applied], None] | None = None,
         on_failure: Callable[[StoreError], None] | None = None,
-        clock: Callable[[], float] = boot_clock,
+        clock: Callable[[], float] = boottime_seconds,
     ) -> None:
         self.node = node
         self.datagrams: Counter[str] = Counter()
@@ -145,11 +145,11 @@
         finally:
             self._publishing.pop(token, None)
 
-    def figures(self) -> dict[str, int]:
-        """Figures of ``/_vars``, by name."""
-        figures = self.node.figures(self._clock())
-        figures |= {f"datagrams.{name}": count for name, count in sorted(self.datagrams.items())}
-        return figures
+    def metrics(self) -> dict[str, int]:
+        """Metrics of ``/_vars``, by name."""
+        metrics = self.node.metrics(self._clock())
+        metrics |= {f"datagrams.{name}": count for name, count in sorted(self.datagrams.items())}
+        return metrics
 
     def now(self) -> float:
         """Seconds on the node's clock."""
--- a/saltcourse/gossip/membership.py
+++ b/saltcourse/gossip/membership.py
@@ -129,8 +129,8 @@
         changes, self._updater.changes = self._updater.changes, []
         return changes
 
-    def figures(self) -> dict[str, int]:
-        """Figures of ``/_vars``, by name."""
+    def metrics(self) -> dict[str, int]:
+        """Metrics of ``/_vars``, by name."""
         statuses = self._table.status_counts
         return {
             "alive": statuses[Status.ALIVE],
--- a/saltcourse/gossip/node.py
+++ b/saltcourse/gossip/node.py
@@ -249,15 +249,15 @@
     def _budget_deadline(self) -> float:
         return self._budget.available_at() if self._waiting else NEVER
 
-    # ---- figures ----------------------------------------------------------------------------------
+    # ---- metrics ----------------------------------------------------------------------------------
 
-    def figures(self, now: float) -> dict[str, int]:
+    def metrics(self, now: float) -> dict[str, int]:
         """Whole numbers for the operators, by name."""
         by_status = Counter(member.status for member in self.membership.members.values())
-        figures = {f"members.{status.name.lower()}": by_status[status] for status in Status}
+        metrics = {f"members.{status.name.lower()}": by_status[status] for status in Status}
         sums = self.aggregation.sums(now)
-        figures |= {f"zone.{zone}.connections": update.connections for zone, update in sums.items()}
-        figures |= {
+        metrics |= {f"zone.{zone}.connections": update.connections for zone, update in sums.items()}
+        metrics |= {
             "position.epoch": self.dissemination.position.epoch,
             "position.version": self.dissemination.position.version,
             "freshness": int(self.dissemination.freshness),
@@ -265,10 +265,10 @@
             "bytes.received": self.received_bytes,
             "sends.dropped": self._waiting.dropped,
         }
-        figures |= {f"dropped.{reason}": count for reason, count in sorted(self.dropped.items())}
+        metrics |= {f"dropped.{reason}": count for reason, count in sorted(self.dropped.items())}
         # Short names, some of which repeat values from above under another name: operators know both.
-        figures |= self.membership.figures()
-        figures |= self.dissemination.figures()
+        metrics |= self.membership.metrics()
+        metrics |= self.dissemination.metrics()
         if self.quorum is not None:
-            figures |= self.quorum.figures()
-        return figures
+            metrics |= self.quorum.metrics()
+        return metrics
--- a/saltcourse/gossip/quorum.py
+++ b/saltcourse/gossip/quorum.py
@@ -115,7 +115,7 @@
         self._prepare_retry = RetryTimer()
         self._catch_up_deadline = 0.0
         self._publication: Publication | None = None  # in PUBLISHING alone
-        # Figures.
+        # Metrics.
         self._takeovers = 0
         self._retransmissions = 0
         self._batch = ActionBatch()  # of the call under way
@@ -217,8 +217,8 @@
         """When ``tick`` is to be called, in seconds on the clock of ``now``."""
         return min(self._queue.next_deadline(), self._phase_deadline())
 
-    def figures(self) -> dict[str, int]:
-        """Figures of ``/_vars``, by name."""
+    def metrics(self) -> dict[str, int]:
+        """Metrics of ``/_vars``, by name."""
         return {
             "quorum.phase": int(self.phase),
             "quorum.promised": self.acceptor.promised,
--- a/saltcourse/proxy/companion.py
+++ b/saltcourse/proxy/background_service.py
@@ -10,7 +10,7 @@
     from saltcourse.admin.commands import GossipHandler
 
 
-class Companion(Protocol):
+class BackgroundService(Protocol):
     """A part of the process that starts when the proxy serves."""
 
     async def start(self) -> None:
@@ -29,19 +29,19 @@
     def connections(self) -> int:
         """Connections that clients asked for and that have not ended."""
 
-    def take_over(self, new: Config) -> None:
+    def apply_config(self, new: Config) -> None:
         """Put a changed configuration in force."""
 
 
-class FleetMember(Companion, Protocol):
-    """The companion that makes the proxy a member of a fleet with gossip."""
+class MembershipService(BackgroundService, Protocol):
+    """The service that makes the proxy a member of a fleet with gossip."""
 
     @property
     def gossip_handler(self) -> GossipHandler | None:
         """The calls at the admin address that it answers; None before its start."""
 
     def attach(self, program: HostProgram) -> None:
-        """Before its start: ``program`` reports its connections, and takes over a changed configuration."""
+        """Before its start: ``program`` reports its connections, and applies a changed configuration."""
 
     def gauges(self) -> dict[str, int]:
         """Its gauges, by name."""
--- a/saltcourse/proxy/dispatcher.py
+++ b/saltcourse/proxy/dispatcher.py
@@ -365,4 +365,6 @@
 
 def _latency_meter(config: Config) -> ResponseLatencyMeter:
     """Where the backends send no latency in LOAD lines, none is reported but that of hung ones."""
-    return ResponseLatencyMeter(config.settings.slow_message_latency if config.tells_delay else float("inf"))
+    return ResponseLatencyMeter(
+        config.settings.slow_message_latency if config.measures_message_latency else float("inf")
+    )
--- a/saltcourse/proxy/draining.py
+++ b/saltcourse/proxy/draining.py
@@ -1,8 +1,8 @@
 """When a program that drains does what: on SIGTERM for good, in lameduck until it is taken back.
 
 SIGTERM; the class with the longest deadline gives the length, for SIGKILL comes 0.7 s after that deadline.
-The times count from the moment at which all companions have left. That is right after SIGTERM, but up to
-1.2 s later where a program announces the service address (``CommandAnnouncer``):
+The times count from the moment at which all background services have left. That is right after SIGTERM, but
+up to 1.2 s later where a program announces the service address (``CommandAnnouncer``):
 
     0 s          PING is answered no more; the front may go on sending clients
     0.5 s        the listener closes; established connections are migrated from here on, spread
--- a/saltcourse/proxy/server.py
+++ b/saltcourse/proxy/server.py
@@ -34,9 +34,9 @@
 from saltcourse.config import RESTART_REQUIRED_KEYS, Config, ConfigError
 from saltcourse.metrics import Metrics
 from saltcourse.proxy import draining
+from saltcourse.proxy.background_service import BackgroundService, MembershipService
 from saltcourse.proxy.client_connection import ClientConnection, ConnectionState
 from saltcourse.proxy.clock import Clock
-from saltcourse.proxy.companion import Companion, FleetMember
 from saltcourse.proxy.connection_context import ConnectionContext, ProtocolErrorLog
 from saltcourse.proxy.descriptors import DescriptorLimit
 from saltcourse.proxy.discovery_client import ChangeAddress, DiscoveryClient
@@ -72,15 +72,15 @@
     """The proxy and all that runs in its process.
 
     ``reread`` reads the configuration anew when SIGHUP asks for it; without it SIGHUP changes nothing.
-    ``companions`` and ``gossip`` start when it serves, and leave before it drains, ``gossip`` first.
+    ``background_services`` and ``gossip`` start when it serves, and leave before it drains, ``gossip`` first.
     """
 
     def __init__(
         self,
         config: Config,
         reread: Callable[[], Config] | None = None,
-        companions: Sequence[Companion] = (),
-        gossip: FleetMember | None = None,
+        background_services: Sequence[BackgroundService] = (),
+        gossip: MembershipService | None = None,
     ) -> None:
         self.config = config
         self.phase = Phase.STARTING
@@ -90,9 +90,9 @@
         self.admin: AdminServer | None = None
         self._reread = reread
         self._gossip = gossip
-        self._companions = list(companions)
+        self._background_services = list(background_services)
         if gossip is not None:
-            self._companions.insert(0, gossip)
+            self._background_services.insert(0, gossip)
             gossip.attach(self)
         self.peers = self._make_peer_link()
         self.discovery = DiscoveryClient(config.discovery, config.known.version, self._send_to_dispatcher)
@@ -142,15 +142,15 @@
     async def run(self) -> None:
         """Serve until SIGTERM; returns when every connection has ended or time is up.
 
-        The drain, and all its times, begin when the last companion has left: with a command announcer that
-        is up to 1.2 s after SIGTERM.
+        The drain, and all its times, begin when the last background service has left: with a command
+        announcer that is up to 1.2 s after SIGTERM.
 
         Raises ``ListenError``.
         """
         await self.startup()
         await self.stop_requested.wait()
-        for companion in self._companions:
-            await companion.leave()
+        for service in self._background_services:
+            await service.leave()
         await self.drain()
         self.shutdown()
 
@@ -163,8 +163,8 @@
         self.listener.open(self.config.listen, self.config.listen_fd)
         self._start_admin()
         self._enter(Phase.SERVING)
-        for companion in self._companions:
-            await companion.start()
+        for service in self._background_services:
+            await service.start()
 
     def _handle_signals(self) -> None:
         """Not by the loop's own handlers, which go with the loop.
@@ -279,8 +279,8 @@
 
         The same in every phase: a program that drains has to learn of its backends as well.
         """
-        for companion in self._companions:
-            companion.reload()
+        for service in self._background_services:
+            service.reload()
         if self._reread is None:
             return
         try:
@@ -288,9 +288,9 @@
         except ConfigError as error:
             log.error("configuration rejected", reason=str(error))
             return
-        self.take_over(new)
+        self.apply_config(new)
 
-    def take_over(self, new: Config) -> None:
+    def apply_config(self, new: Config) -> None:
         """Put in force what of ``new`` can change in a running program; the rest is logged."""
         old = self.config
         self.config = replace(old, discovery=new.discovery, limits=new.limits)
@@ -359,8 +359,8 @@
 def serve(
     config: Config,
     reread: Callable[[], Config] | None = None,
-    companions: Sequence[Companion] = (),
-    gossip: FleetMember | None = None,
+    background_services: Sequence[BackgroundService] = (),
+    gossip: MembershipService | None = None,
 ) -> None:
     """Run the program; raises ``ListenError`` when it cannot listen."""
-    asyncio.run(ProxyServer(config, reread, companions, gossip).run())
+    asyncio.run(ProxyServer(config, reread, background_services, gossip).run())
--- a/tests/address_failover/test_election_model.py
+++ b/tests/address_failover/test_election_model.py
@@ -57,7 +57,7 @@
         self.received_from: dict[str, frozenset[str]] = {}  # members that sent something since the start
         for name, member in self.members.items():
             member.random = FixedDraws()  # type: ignore[assignment]
-            self.carry_out(name, member.start(0.0))
+            self.execute(name, member.start(0.0))
 
     def copy(self) -> Model:
         new = copy.copy(self)
@@ -104,21 +104,19 @@
     def take(self, kind: str, what: Any) -> None:
         if kind == "expire":
             self.now = max(self.now, self.timers.pop(what))
-            self.carry_out(what, self.members[what].handle(self.now, TimerExpired()))
+            self.execute(what, self.members[what].handle(self.now, TimerExpired()))
         elif kind == "deliver":
             self.in_flight -= {what}
             sender, receiver, message = what
             self.received_from[receiver] = self.received_from.get(receiver, frozenset()) | {sender}
-            self.carry_out(
-                receiver, self.members[receiver].handle(self.now, MessageReceived(sender, message))
-            )
+            self.execute(receiver, self.members[receiver].handle(self.now, MessageReceived(sender, message)))
         else:
             self.restarts -= 1
             member = self.members[what] = self.core(_config(what), 0, self.now, RecoveredState())
             member.random = FixedDraws()  # type: ignore[assignment]
-            self.carry_out(what, member.start(self.now))
+            self.execute(what, member.start(self.now))
 
-    def carry_out(self, name: str, actions: list[Any]) -> None:
+    def execute(self, name: str, actions: list[Any]) -> None:
         for action in actions:
             match action:
                 case SendMessage(member, message):
--- a/tests/address_failover/test_host.py
+++ b/tests/address_failover/test_host.py
@@ -88,7 +88,7 @@
             if connection._writer is not None:
                 connection._writer.transport.abort()
             connection.close()
-            connection.carry_out([])
+            connection.execute([])
 
     async def end(self) -> None:
         for member in self.members.values():
--- a/tests/app/test_address_failover.py
+++ b/tests/app/test_address_failover.py
@@ -11,7 +11,7 @@
 from structlog.testing import CapturingLogger
 
 from saltcourse.app import address_failover, reloading
-from saltcourse.app.address_failover import AddressFailoverCompanion
+from saltcourse.app.address_failover import AddressFailoverService
 from saltcourse.app.errors import AddressFailoverStartError
 from saltcourse.config import ConfigError
 from saltcourse.config.operator import read_operator
@@ -39,20 +39,20 @@
         return port
 
 
-async def start_and_leave(companion: AddressFailoverCompanion) -> None:
-    await companion.start()
-    await companion.leave()
+async def start_and_leave(service: AddressFailoverService) -> None:
+    await service.start()
+    await service.leave()
 
 
 def test_an_address_that_is_taken_is_a_typed_error(tmp_path: Path) -> None:
     """Another process has the member's port: the program has to end with a line that says so."""
     with free_udp_socket() as taken:
         port = taken.getsockname()[1]
-        companion = AddressFailoverCompanion(settings(tmp_path, port), lambda: None)
+        service = AddressFailoverService(settings(tmp_path, port), lambda: None)
         with pytest.raises(
             AddressFailoverStartError, match=rf"^membership\.member: cannot listen on .*:{port}: "
         ):
-            asyncio.run(start_and_leave(companion))
+            asyncio.run(start_and_leave(service))
 
 
 def test_a_stored_vote_that_is_damaged_is_a_typed_error(tmp_path: Path) -> None:
@@ -60,7 +60,7 @@
     (tmp_path / "vote.db").write_bytes(b"damaged" * 100)
     damaged = settings(tmp_path, free_udp_port(), 'store_file: "vote.db"')
     with pytest.raises(AddressFailoverStartError, match=r"^membership\.store_file: .*vote\.db"):
-        asyncio.run(start_and_leave(AddressFailoverCompanion(damaged, lambda: None)))
+        asyncio.run(start_and_leave(AddressFailoverService(damaged, lambda: None)))
 
 
 @pytest.fixture
@@ -81,11 +81,11 @@
         return reread
 
     async def run() -> None:
-        companion = AddressFailoverCompanion(running, read)
-        companion.reload()  # before the start there is nothing to change
-        await companion.start()
-        companion.reload()
-        await companion.leave()
+        service = AddressFailoverService(running, read)
+        service.reload()  # before the start there is nothing to change
+        await service.start()
+        service.reload()
+        await service.leave()
 
     asyncio.run(run())
 
--- a/tests/config/test_proxy_config.py
+++ b/tests/config/test_proxy_config.py
@@ -21,7 +21,7 @@
 def test_the_example_is_sound_and_the_environment_overrides_it() -> None:
     config = read_config(example(), {"EDGE_LISTEN": "127.0.0.2:99", "EDGE_NAME": "n3"})
     assert (config.name, config.listen, config.discovery) == ("n3", ("127.0.0.2", 99), ("127.0.0.1", 8500))
-    assert config.settings.classes[0].message_latency_objective == 0.05 and config.tells_delay
+    assert config.settings.classes[0].message_latency_objective == 0.05 and config.measures_message_latency
 
 
 @pytest.mark.parametrize(
--- a/tests/emulator/scale/test_fault_injection.py
+++ b/tests/emulator/scale/test_fault_injection.py
@@ -88,9 +88,9 @@
         ("127.0.0.1", 1_000 + place.index) for place in topology.places if place.region == "east"
     )
     arrive(parts, b"lost")
-    parts.faults.carry_out(Command(0.0, Act.PARTITION))
+    parts.faults.execute(Command(0.0, Act.PARTITION))
     parts.timers.run_expired()
-    parts.faults.carry_out(Command(0.0, Act.HEAL))
+    parts.faults.execute(Command(0.0, Act.HEAL))
     arrive(parts, b"delivered")
     parts.timers.run_expired()
     assert parts.core.received == [b"delivered"]
@@ -98,7 +98,7 @@
 
 
 def test_a_command_for_members_of_other_workers_does_nothing_here(parts: WorkerParts) -> None:
-    parts.faults.carry_out(Command(0.0, Act.START, (MEMBER + 1,)))
+    parts.faults.execute(Command(0.0, Act.START, (MEMBER + 1,)))
     assert parts.hosted.core is None and acts(parts) == []
 
 
--- a/tests/gossip/golden.py
+++ b/tests/gossip/golden.py
@@ -187,8 +187,8 @@
     history.add(fleet.log)
     history.add([(at, host.address, change) for at, host, change in fleet.changes])
     for host in fleet.running():
-        figures = host.membership.figures()
-        history.add(host.address, [figures[name] for name in sorted(figures)])
+        metrics = host.membership.metrics()
+        history.add(host.address, [metrics[name] for name in sorted(metrics)])
     return history.digest()
 
 
--- a/tests/gossip/membership_fleet.py
+++ b/tests/gossip/membership_fleet.py
@@ -95,7 +95,7 @@
         return None if entry is None else entry.status
 
     def figure(self, name: str) -> int:
-        return self.membership.figures()[name]
+        return self.membership.metrics()[name]
 
 
 def pings(sends: list[Send]) -> list[Send]:
@@ -235,7 +235,7 @@
         return found
 
     def figure(self, name: str) -> int:
-        return sum(host.membership.figures()[name] for host in self.running())
+        return sum(host.membership.metrics()[name] for host in self.running())
 
     def is_whole(self) -> bool:
         """Everyone holds everyone that runs for alive, with the record that it has now."""
--- a/tests/gossip/test_configuration.py
+++ b/tests/gossip/test_configuration.py
@@ -42,7 +42,7 @@
 
 
 def state_of(configuration: FleetConfiguration) -> tuple[Position, dict[str, bytes], dict[str, int]]:
-    return configuration.position, dict(configuration), configuration.figures()
+    return configuration.position, dict(configuration), configuration.metrics()
 
 
 # ---- changes -----------------------------------------------------------------------------------------
@@ -130,8 +130,8 @@
     configuration = FleetConfiguration()
     for version in range(1, 3 * MAX_LOG_CHANGES + 7):
         configuration.apply(change(1, version))
-        figures = configuration.figures()
-        assert figures["log_changes"] == min(version, MAX_LOG_CHANGES)
+        metrics = configuration.metrics()
+        assert metrics["log_changes"] == min(version, MAX_LOG_CHANGES)
         older = max((version // CHECKPOINT_INTERVAL - 1) * CHECKPOINT_INTERVAL, 0)
         changes = configuration.changes_after(older)
         assert changes is not None
--- a/tests/gossip/test_dissemination.py
+++ b/tests/gossip/test_dissemination.py
@@ -88,7 +88,7 @@
     sent = run(member, 0.0, 60.0)
     assert len(sent) <= TIMING.stale_after / TIMING.fetch_timeout
     assert max(at for at, _ in sent) < TIMING.stale_after
-    assert member.figures()["sources"] == 0
+    assert member.metrics()["sources"] == 0
     assert fetches(member.observe(60.0, B, header(6)))  # and it still learns
 
 
@@ -130,8 +130,8 @@
     sent += [send for _, send in run(member, 0.05, 1.0)]
     assert len(announcements(sent)) <= 2 * TIMING.announce_fanout
     assert {send.priority for send in announcements(sent)} == {Priority.CONFIGURATION}
-    last = member.figures()["announcement_rounds"]
-    assert run(member, 1.0, 5.0) == [] and member.figures()["announcement_rounds"] == last
+    last = member.metrics()["announcement_rounds"]
+    assert run(member, 1.0, 5.0) == [] and member.metrics()["announcement_rounds"] == last
     assert ANNOUNCE_INTERVAL_SECONDS == 0.05
 
 
@@ -174,10 +174,10 @@
     assert member.handle(0.0, A, header(5), answer) == []
     member.observe(0.0, A, header(7, epoch=0))
     member.observe(0.0, A, header(4, epoch=2))
-    figures = member.figures()
-    assert figures["change_duplicate"] == figures["change_gap"] == 1
-    assert figures["change_stale_epoch"] == figures["change_conflict"] == 1
-    assert figures["position_stale_epoch"] == figures["position_conflict"] == 1
+    metrics = member.metrics()
+    assert metrics["change_duplicate"] == metrics["change_gap"] == 1
+    assert metrics["change_stale_epoch"] == metrics["change_conflict"] == 1
+    assert metrics["position_stale_epoch"] == metrics["position_conflict"] == 1
     assert member.position == Position(1, 5) and member.take_actions() == []
 
 
@@ -234,13 +234,13 @@
         handled += 1
         if now >= member.next_deadline():
             sent += len(member.tick(now))
-        figures = member.figures()
-        assert figures["sources"] <= MAX_SOURCES
-        assert figures["log_changes"] <= MAX_LOG_CHANGES
-        assert figures["checkpoint_bytes"] <= 2 * MAX_CONFIGURATION_BYTES
-        assert len(figures) < 50
+        metrics = member.metrics()
+        assert metrics["sources"] <= MAX_SOURCES
+        assert metrics["log_changes"] <= MAX_LOG_CHANGES
+        assert metrics["checkpoint_bytes"] <= 2 * MAX_CONFIGURATION_BYTES
+        assert len(metrics) < 50
         assert len(member.take_actions()) < 20
     # At most one answer for each message, one fetch each timeout, and what the pace of a snapshot allows.
     pace = TIMING.snapshot_bytes_per_s / SNAPSHOT_PART_BYTES + 1 / TIMING.fetch_timeout
-    rounds = figures.get("announcement_rounds", 0) * TIMING.announce_fanout
+    rounds = metrics.get("announcement_rounds", 0) * TIMING.announce_fanout
     assert sent <= handled + now * pace + rounds
--- a/tests/gossip/test_dissemination_faults.py
+++ b/tests/gossip/test_dissemination_faults.py
@@ -45,7 +45,7 @@
     for seed in range(SCHEDULES):
         fleet = Schedule(seed, FleetConfiguration).play()
         versions += fleet.position.version
-        snapshots += sum(member.dissemination.figures().get("snapshot_applied", 0) for member in fleet.live())
+        snapshots += sum(member.dissemination.metrics().get("snapshot_applied", 0) for member in fleet.live())
     assert versions > SCHEDULES * 50 and snapshots > SCHEDULES  # they did something
 
 
--- a/tests/gossip/test_dissemination_fleet.py
+++ b/tests/gossip/test_dissemination_fleet.py
@@ -130,7 +130,7 @@
     fleet.net.run(fleet.net.now + 5.0)
     assert fleet.agreed() and fleet.position.version == 140
     joiner = fleet.start(11).dissemination
-    while joiner.figures().get("snapshot_transfers", 0) == 0:
+    while joiner.metrics().get("snapshot_transfers", 0) == 0:
         fleet.net.run(fleet.net.now + 0.01)
     began = fleet.net.now
     size = len(encode_configuration(fleet.history[Position(1, 128)].items()))
--- a/tests/gossip/test_faults.py
+++ b/tests/gossip/test_faults.py
@@ -27,7 +27,7 @@
 
 
 def figure(site: Site, name: str, key: str) -> int:
-    return site.hosts[name].figures()[key]
+    return site.hosts[name].metrics()[key]
 
 
 def freshness(site: Site, name: str) -> m.Freshness:
@@ -124,7 +124,7 @@
             lambda: figure(site, "p5", "name_conflicts") > 0 and figure(site, "twin", "name_conflicts") > 0,
             "both know",
         )
-        assert prefix_metric_names(twin.figures())["gossip.name_conflicts"] > 0
+        assert prefix_metric_names(twin.metrics())["gossip.name_conflicts"] > 0
 
     at_a_site(run)
 
--- a/tests/gossip/test_host_datagrams.py
+++ b/tests/gossip/test_host_datagrams.py
@@ -19,7 +19,7 @@
         try:
             await site.start()
             await site.all_know(5)
-            before = site.hosts["p0"].node.figures(0.0)
+            before = site.hosts["p0"].node.metrics(0.0)
             record = m.MemberRecord("evil", ("127.0.0.1", 9), "r", "z", m.Role.PROXY, 9, 9)
             header = m.Header(record.id, 9, 9, m.Position(2**32 - 1, 2**32 - 1))
             forged = Codec(b"another key" * 3).encode(header, m.Gossip((record,)))
@@ -40,7 +40,7 @@
             }
             assert record.id not in host.node.membership.members
             assert host.node.dissemination.position == m.Position()
-            after = prefix_metric_names(host.figures())
+            after = prefix_metric_names(host.metrics())
             assert after["gossip.dropped.authentication"] == 2
             assert after["gossip.datagrams.received"] >= 8
             assert after["gossip.bytes.received"] > before["bytes.received"]
--- a/tests/gossip/test_host_fleet.py
+++ b/tests/gossip/test_host_fleet.py
@@ -56,7 +56,7 @@
 
             wanted = {"z0": 11, "z1": 11, "z2": 11}
             await until(lambda: all(sums(name) == wanted for name in site.hosts), "the sums")
-            assert prefix_metric_names(site.hosts["c0"].figures())["gossip.zone.z1.connections"] == 11
+            assert prefix_metric_names(site.hosts["c0"].metrics())["gossip.zone.z1.connections"] == 11
             site.hosts["p5"].leave()
             left = site.hosts.pop("p5")
             await until(lambda: not left.is_open, "closed")
--- a/tests/gossip/test_membership.py
+++ b/tests/gossip/test_membership.py
@@ -137,8 +137,8 @@
     fleet.go_on(sleeper)
     fleet.run_until_whole(20.0)
     fleet.run(fleet.now + 20.0)
-    assert sleeper.membership.figures()["deaths"] == 0
-    assert sleeper.membership.figures()["stalls"] == 1
+    assert sleeper.membership.metrics()["deaths"] == 0
+    assert sleeper.membership.metrics()["stalls"] == 1
     assert sum(host.membership.own_record.incarnation for host in fleet.hosts if host is not sleeper) == 0
 
 
@@ -152,7 +152,7 @@
     host = fleet.add(new, (record_of(0).address, record_of(1).address))
     fleet.run_until_whole(20.0)
     assert host.membership.own_record.incarnation == 1
-    assert host.membership.figures()["name_conflicts"] == 0
+    assert host.membership.metrics()["name_conflicts"] == 0
 
 
 def test_an_address_used_again_by_another_name() -> None:
@@ -165,7 +165,7 @@
     fleet.run(fleet.now + 20.0)
     assert set(fleet.statuses(old.membership.own_record)) == {DEAD}
     assert set(fleet.statuses(new)) == {ALIVE}
-    assert host.membership.figures()["misaddressed_pings"] > 0
+    assert host.membership.metrics()["misaddressed_pings"] > 0
 
 
 def test_two_live_processes_of_one_name_in_a_fleet_do_not_shake_it() -> None:
@@ -176,7 +176,7 @@
     second = fleet.add(twin, (record_of(0).address, record_of(1).address))
     fleet.run(fleet.now + 30.0)
     assert max(first.membership.own_record.incarnation, second.membership.own_record.incarnation) <= 62
-    assert first.membership.figures()["name_conflicts"] + second.membership.figures()["name_conflicts"] > 0
+    assert first.membership.metrics()["name_conflicts"] + second.membership.metrics()["name_conflicts"] > 0
     assert sum(h.membership.own_record.incarnation for h in fleet.hosts if h not in (first, second)) == 0
 
 
--- a/tests/gossip/test_quorum.py
+++ b/tests/gossip/test_quorum.py
@@ -149,7 +149,7 @@
     core = quorum()
     for version in range(1, MAX_ACCEPTED + 5):
         hand(core, 1, Propose(4, change(4, version)))
-    assert core.figures()["quorum.accepted"] == MAX_ACCEPTED
+    assert core.metrics()["quorum.accepted"] == MAX_ACCEPTED
 
 
 def test_no_more_than_the_window_is_under_way_and_commits_leave_in_order() -> None:
@@ -209,7 +209,7 @@
         assert core.phase is Phase.PUBLISHING
         seen(core)
         assert core.phase is Phase.FOLLOWING
-        assert core.figures()["quorum.pending"] == 1
+        assert core.metrics()["quorum.pending"] == 1
 
 
 def test_a_change_whose_version_went_to_another_is_proposed_anew() -> None:
@@ -237,7 +237,7 @@
     results = [action for action in actions if isinstance(action, Published | PublishFailed)]
     assert results == [PublishFailed(1, PublishError.NO_MAJORITY)]
     assert not any(isinstance(action, Send) and isinstance(action.message, Propose) for action in actions)
-    assert core.figures()["quorum.pending"] == 0
+    assert core.metrics()["quorum.pending"] == 0
 
 
 def test_an_earlier_publishers_late_commit_counts_for_the_change_proposed_again() -> None:
--- a/tests/gossip/test_quorum_fleet.py
+++ b/tests/gossip/test_quorum_fleet.py
@@ -59,7 +59,7 @@
     assert first.count > 0
     w.net.run(15.0)
     assert all(replica.heartbeat > first for replica in w.replicas.values())
-    assert sum(replica.quorum.figures()["quorum.takeovers"] for replica in w.replicas.values()) == 1
+    assert sum(replica.quorum.metrics()["quorum.takeovers"] for replica in w.replicas.values()) == 1
 
 
 def test_a_voter_takes_over_from_a_dead_publisher_without_being_asked() -> None:
--- a/tests/gossip/test_serving.py
+++ b/tests/gossip/test_serving.py
@@ -45,10 +45,10 @@
     server = member_at(5)
     for after in (Position(1, 5), Position(1, 6), Position(0, 9), Position(HIGHEST, HIGHEST)):
         assert server.handle(0.0, A, header(), Fetch(after)) == []
-    assert "fetch_conflict" not in server.figures()
+    assert "fetch_conflict" not in server.metrics()
     assert server.handle(0.0, A, header(), Fetch(Position(0, 4))) == []
     assert server.handle(0.0, A, header(), Fetch(Position(2, 3))) == []
-    assert server.figures()["fetch_conflict"] == 2
+    assert server.metrics()["fetch_conflict"] == 2
 
 
 def test_a_fetch_from_before_the_log_is_answered_with_the_newest_checkpoint() -> None:
--- a/tests/gossip/test_snapshots.py
+++ b/tests/gossip/test_snapshots.py
@@ -116,7 +116,7 @@
     assert len({send.destination for _, send in sent if isinstance(send.message, SnapshotFetch)}) >= 3
     assert any(isinstance(send.message, Fetch) for _, send in sent)
     assert len(sent) < 9.0 * 8  # no more than the pace
-    assert [send for _, send in run(member, 9.0, 100.0)] != sent and member.figures()["sources"] == 0
+    assert [send for _, send in run(member, 9.0, 100.0)] != sent and member.metrics()["sources"] == 0
     assert run(member, 100.0, 200.0) == []
     assert fetches(member.observe(200.0, B, header(64)))
     member.handle(200.1, B, header(64), first_part(checkpoint))
@@ -138,7 +138,7 @@
     sent = [send for _, send in run(member, now, 0.3) if isinstance(send.message, SnapshotFetch)]
     assert sent and all(one.destination != A and one.message.position == old.position for one in sent)
     assert sent[0].message == send.message  # the same part
-    assert member.figures()["snapshot_moved_on"] == 1
+    assert member.metrics()["snapshot_moved_on"] == 1
 
 
 def test_a_snapshot_that_nobody_has_any_more_is_dropped_for_the_newer() -> None:
@@ -158,7 +158,7 @@
                 if isinstance(more.message, Fetch):
                     member.handle(now, more.destination, header(128), first_part(new))
     assert member.position == new.position
-    assert member.figures()["snapshot_moved_on"] == MAX_FAILED_SERVERS
+    assert member.metrics()["snapshot_moved_on"] == MAX_FAILED_SERVERS
 
 
 def test_a_wrong_digest_drops_the_snapshot_and_another_member_is_asked_after_a_pause() -> None:
@@ -169,7 +169,7 @@
     spoiled = SnapshotPart(good.position, good.size, good.digest, 1_000, b"z" + good.data[1:])
     assert member.handle(now, A, header(64), spoiled) == []
     assert member.position == Position() and member.take_actions() == []
-    assert member.figures()["snapshot_invalid"] == 1
+    assert member.metrics()["snapshot_invalid"] == 1
     [(at, send)] = run(member, now, now + 0.6)
     assert isinstance(send.message, Fetch) and send.destination != A
     assert at == pytest.approx(now + TIMING.fetch_timeout)
@@ -184,7 +184,7 @@
     member.observe(0.0, A, header(64))
     bogus = Checkpoint.of(Position(1, 64), b"\xff" * 100)
     assert member.handle(0.0, A, header(64), first_part(bogus)) == []
-    assert member.figures()["snapshot_invalid"] == 1 and member.position == Position()
+    assert member.metrics()["snapshot_invalid"] == 1 and member.position == Position()
 
 
 def test_parts_of_other_bytes_for_the_same_position_are_counted_and_rejected() -> None:
@@ -192,7 +192,7 @@
     member = begin_transfer(checkpoint)
     run(member, 0.0, 0.13)
     member.handle(0.13, A, header(64), answer(other, SnapshotFetch(other.position, 1_000)))
-    assert member.figures()["snapshot_conflict"] == 1
+    assert member.metrics()["snapshot_conflict"] == 1
     sent = [send for _, send in run(member, 0.13, 0.3)]
     assert sent and all(send.destination != A for send in sent)
 
@@ -217,9 +217,9 @@
     member = new_member()
     member.observe(0.0, A, header(64))
     assert member.handle(0.0, A, header(64), part) == []
-    figures = member.figures()
-    assert figures.get("snapshot_malformed", 0) + figures.get("snapshot_too_large", 0) == 1
-    assert "snapshot_transfers" not in figures
+    metrics = member.metrics()
+    assert metrics.get("snapshot_malformed", 0) + metrics.get("snapshot_too_large", 0) == 1
+    assert "snapshot_transfers" not in metrics
     checkpoint = checkpoint_of(5_000)
     busy = begin_transfer(checkpoint)
     busy.handle(0.0, A, header(64), part)
@@ -230,7 +230,7 @@
     member = new_member()
     member.observe(0.0, A, header(64))
     member.handle(0.0, A, header(64), SnapshotPart(Position(1, 64), 0, 1, 0, b""))
-    assert member.position == Position() and member.figures()["snapshot_invalid"] == 1
+    assert member.position == Position() and member.metrics()["snapshot_invalid"] == 1
     [(at, send)] = run(member, 0.0, 0.6)
     member.handle(at, send.destination, header(64), first_part(Checkpoint.of(Position(1, 64), b"")))
     assert member.position == Position(1, 64) and len(member.configuration) == 0
@@ -239,18 +239,18 @@
 def test_a_part_that_nobody_asked_for_or_of_a_known_position_begins_no_transfer() -> None:
     member = new_member()
     assert member.handle(0.0, A, header(64), first_part(checkpoint_of(5_000))) == []
-    assert member.figures()["snapshot_unsolicited"] == 1
+    assert member.metrics()["snapshot_unsolicited"] == 1
     later = member_at(70)
     later.observe(0.0, A, header(90))
     assert later.handle(0.0, A, header(90), first_part(checkpoint_of(5_000))) == []
-    assert later.figures()["snapshot_known"] == 1
+    assert later.metrics()["snapshot_known"] == 1
 
 
 def test_a_part_request_outside_the_snapshot_is_counted_and_not_answered() -> None:
     server = member_at(70)
     for offset in (1, 999, 1_000_000, HIGHEST, -1_000):
         assert server.handle(0.0, A, header(), SnapshotFetch(Position(1, 64), offset)) == []
-    assert server.figures()["snapshot_bad_offset"] == 5
+    assert server.metrics()["snapshot_bad_offset"] == 5
     # Of a position that it has not come to, or has no checkpoint of.
     assert server.handle(0.0, A, header(), SnapshotFetch(Position(1, 128), 0)) == []
     assert new_member().handle(0.0, A, header(), SnapshotFetch(Position(), 0)) == []
--- a/tests/gossip/test_zone_silence.py
+++ b/tests/gossip/test_zone_silence.py
@@ -83,7 +83,7 @@
         mine = [c for h, c in zones if h is host]
         assert {c.zone for c in mine if not c.reachable} == far
         assert {c.zone for c in mine if c.reachable} == far
-        assert host.membership.figures()["zones_unreachable"] == 0
+        assert host.membership.metrics()["zones_unreachable"] == 0
     times = [when for when, _, c in fleet.changes if isinstance(c, ZoneReachability) and not c.reachable]
     assert max(times) - start < 25.0  # one that no suspicion reached finds out in its own round of probes
 
@@ -110,7 +110,7 @@
     fleet.add(record_of(999, "z0", "r0"), (record_of(0).address,))
     fleet.run(fleet.now + 40.0)
     for host in fleet.hosts[:30]:
-        assert host.membership.figures()["dead"] == 0
+        assert host.membership.metrics()["dead"] == 0
     fleet.is_cut = lambda sender, receiver: False
     fleet.run_until_whole(60.0)
 
@@ -141,16 +141,16 @@
     fleet.is_cut = lambda sender, receiver: alone.membership.own_record.id in (sender.id, receiver.id)
     fleet.changes.clear()
     fleet.run(fleet.now + 60.0)
-    assert alone.membership.figures()["deaths"] == 0
-    assert alone.membership.figures()["zones_unreachable"] == len({record.zone for record in others})
-    before = alone.membership.figures()["broadcasts_queued"]
+    assert alone.membership.metrics()["deaths"] == 0
+    assert alone.membership.metrics()["zones_unreachable"] == len({record.zone for record in others})
+    before = alone.membership.metrics()["broadcasts_queued"]
     assert set(fleet.statuses(alone.membership.own_record)) == {DEAD}
     fleet.is_cut = lambda sender, receiver: False
     fleet.run_until_whole(60.0)
     fleet.run(fleet.now + 10)
     assert fleet.figure("dead") == 0
     assert alone.membership.own_record.incarnation == 1
-    assert alone.membership.figures()["broadcasts_queued"] - before <= 10
+    assert alone.membership.metrics()["broadcasts_queued"] - before <= 10
 
 
 def test_both_parts_of_a_cut_find_their_dead_again() -> None:
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -11,7 +11,7 @@
 import pytest
 
 PACKAGE = Path(__file__).parent.parent / "saltcourse"
-ENTRY, WIRING, HOSTS, CHOICES, WORDS = 4, 3, 2, 1, 0  # floors, the lowest is 0
+ENTRY, WIRING, HOSTS, CHOICES, TYPES = 4, 3, 2, 1, 0  # floors, the lowest is 0
 BESIDE = 5  # may import everything; nothing on the floors imports it
 FLOORS = {  # of a module, or of all of a package; the longest name that fits counts
     "saltcourse": ENTRY,  # the package's own file: the version, and the module when it is asked for
@@ -33,35 +33,35 @@
     "saltcourse.address_failover.election": CHOICES,
     "saltcourse.address_failover.grants": CHOICES,
     "saltcourse.address_failover.promises": CHOICES,
-    "saltcourse.balancing.actions": WORDS,
-    "saltcourse.balancing.events": WORDS,
-    "saltcourse.balancing.settings": WORDS,
-    "saltcourse.config": WORDS,
-    "saltcourse.codec": WORDS,
-    "saltcourse.schema": WORDS,
-    "saltcourse.boot_clock": WORDS,
-    "saltcourse.signals": WORDS,
-    "saltcourse.metrics": WORDS,
-    "saltcourse.shared_state.codec": WORDS,
-    "saltcourse.shared_state.errors": WORDS,
-    "saltcourse.shared_state.messages": WORDS,
-    "saltcourse.shared_state.short_names": WORDS,
-    "saltcourse.gossip.errors": WORDS,
-    "saltcourse.gossip.fields": WORDS,  # the codec of records
-    "saltcourse.gossip.messages": WORDS,
-    "saltcourse.gossip.settings": WORDS,
-    "saltcourse.address_failover.actions": WORDS,
-    "saltcourse.address_failover.authentication": WORDS,  # the codec of signed messages and keys
-    "saltcourse.address_failover.errors": WORDS,
-    "saltcourse.address_failover.events": WORDS,
-    "saltcourse.address_failover.message_codec": WORDS,
-    "saltcourse.address_failover.messages": WORDS,
-    "saltcourse.address_failover.replay_window": WORDS,
-    "saltcourse.address_failover.roles": WORDS,
-    "saltcourse.address_failover.terms": WORDS,
-    "saltcourse.address_failover.timing": WORDS,
-    "saltcourse.address_failover.vote": WORDS,
-    "saltcourse.address_failover.voters": WORDS,
+    "saltcourse.balancing.actions": TYPES,
+    "saltcourse.balancing.events": TYPES,
+    "saltcourse.balancing.settings": TYPES,
+    "saltcourse.config": TYPES,
+    "saltcourse.codec": TYPES,
+    "saltcourse.schema": TYPES,
+    "saltcourse.boottime": TYPES,
+    "saltcourse.signals": TYPES,
+    "saltcourse.metrics": TYPES,
+    "saltcourse.shared_state.codec": TYPES,
+    "saltcourse.shared_state.errors": TYPES,
+    "saltcourse.shared_state.messages": TYPES,
+    "saltcourse.shared_state.short_names": TYPES,
+    "saltcourse.gossip.errors": TYPES,
+    "saltcourse.gossip.fields": TYPES,  # the codec of records
+    "saltcourse.gossip.messages": TYPES,
+    "saltcourse.gossip.settings": TYPES,
+    "saltcourse.address_failover.actions": TYPES,
+    "saltcourse.address_failover.authentication": TYPES,  # the codec of signed messages and keys
+    "saltcourse.address_failover.errors": TYPES,
+    "saltcourse.address_failover.events": TYPES,
+    "saltcourse.address_failover.message_codec": TYPES,
+    "saltcourse.address_failover.messages": TYPES,
+    "saltcourse.address_failover.replay_window": TYPES,
+    "saltcourse.address_failover.roles": TYPES,
+    "saltcourse.address_failover.terms": TYPES,
+    "saltcourse.address_failover.timing": TYPES,
+    "saltcourse.address_failover.vote": TYPES,
+    "saltcourse.address_failover.voters": TYPES,
     "saltcourse.emulator": BESIDE,
 }
 ROOT = "saltcourse"  # its floor is its own file's alone: a new module or package below it names its own
