--- a/saltcourse/gossip/quorum.py
+++ b/saltcourse/gossip/quorum.py
@@ -223,7 +223,7 @@
         return min(self._queue.next_deadline(), self._phase_deadline())
 
     def metrics(self) -> dict[str, int]:
-        """Metrics of ``/_vars``, by name."""
+        """Return the metrics for ``/_vars`` by name."""
         return {
             "quorum.phase": int(self.phase),
             "quorum.promised": self.acceptor.promised,
--- a/saltcourse/gossip/rounds.py
+++ b/saltcourse/gossip/rounds.py
@@ -22,7 +22,7 @@
 
 
 class ProbeRound:
-    """Chooses one member to probe in each ``probe_interval``."""
+    """Chooses one member to probe every ``probe_interval``."""
 
     def __init__(self, timing: Timing, own: OwnRecord, order: ProbeOrder) -> None:
         self.deadline = math.inf
@@ -43,7 +43,7 @@
 
 
 class ReconnectRound:
-    """Chooses one lost member to ping in each ``reconnect_interval``.
+    """Chooses one lost member to ping every ``reconnect_interval``.
 
     It is at random either a dead member or a member in an unreachable zone. In this way, the two sides of a
     network partition find each other after it has healed.
@@ -80,7 +80,7 @@
 
 
 class GossipRound:
-    """Sends waiting updates to a few random members in each ``gossip_interval``, while there are any."""
+    """Sends waiting updates to a few random members every ``gossip_interval``, while any updates wait."""
 
     def __init__(
         self, timing: Timing, queue: BroadcastQueue, table: MemberTable, sampler: MemberSampler
--- a/tests/gossip/dissemination_fleet.py
+++ b/tests/gossip/dissemination_fleet.py
@@ -217,9 +217,9 @@
 
     def isolate(self, group: set[int]) -> None:
         """Cut the members of ``group`` off from all others, in both directions."""
-        for one in group:
-            for other in set(range(len(self.hosts))) - group:
-                self.net.cut(self.hosts[one].name, self.hosts[other].name)
+        for inside in group:
+            for outside in set(range(len(self.hosts))) - group:
+                self.net.cut(self.hosts[inside].name, self.hosts[outside].name)
 
     def live(self) -> list[Member]:
         return [self.members[host.name] for host in self.hosts if host.alive]
--- a/tests/gossip/test_configuration.py
+++ b/tests/gossip/test_configuration.py
@@ -137,7 +137,7 @@
         older = max((version // CHECKPOINT_INTERVAL - 1) * CHECKPOINT_INTERVAL, 0)
         changes = configuration.changes_after(older)
         assert changes is not None
-        assert [one.position.version for one in changes] == list(range(older + 1, version + 1))
+        assert [change.position.version for change in changes] == list(range(older + 1, version + 1))
         if version < CHECKPOINT_INTERVAL:
             assert configuration.newest_checkpoint is None
     first_kept = configuration.position.version - MAX_LOG_CHANGES
@@ -157,19 +157,19 @@
 
 
 def test_checkpoints_are_equal_whether_reached_by_changes_snapshot_or_restore() -> None:
-    by_changes = configuration_at(2 * CHECKPOINT_INTERVAL)
-    first = by_changes.checkpoint_at(Position(1, CHECKPOINT_INTERVAL))
+    built_by_changes = configuration_at(2 * CHECKPOINT_INTERVAL)
+    first = built_by_changes.checkpoint_at(Position(1, CHECKPOINT_INTERVAL))
     assert first is not None
-    by_snapshot = FleetConfiguration()
-    assert by_snapshot.load_checkpoint(first) is ApplyOutcome.APPLIED
-    assert by_snapshot.newest_checkpoint == first  # the member can serve it
+    built_by_snapshot = FleetConfiguration()
+    assert built_by_snapshot.load_checkpoint(first) is ApplyOutcome.APPLIED
+    assert built_by_snapshot.newest_checkpoint == first  # the member can serve it
     for version in range(CHECKPOINT_INTERVAL + 1, 2 * CHECKPOINT_INTERVAL + 1):
-        by_snapshot.apply(change(1, version))
-    assert by_snapshot.newest_checkpoint == by_changes.newest_checkpoint
-    items = tuple(reversed(list(by_changes.items())))
-    by_restore = FleetConfiguration()
-    by_restore.restore(ReplicaState(committed=by_changes.position, configuration=items))
-    assert by_restore.newest_checkpoint == by_changes.newest_checkpoint
+        built_by_snapshot.apply(change(1, version))
+    assert built_by_snapshot.newest_checkpoint == built_by_changes.newest_checkpoint
+    items = tuple(reversed(list(built_by_changes.items())))
+    built_by_restore = FleetConfiguration()
+    built_by_restore.restore(ReplicaState(committed=built_by_changes.position, configuration=items))
+    assert built_by_restore.newest_checkpoint == built_by_changes.newest_checkpoint
 
 
 def test_a_checkpoint_replaces_the_configuration_and_restarts_the_log() -> None:
@@ -293,4 +293,4 @@
         assert dict(configuration) == states[configuration.position]
     log = configuration.changes_after(0)
     assert log == changes[: configuration.position.version]
-    assert all(change_size(one) <= MAX_CHANGE_BYTES for one in log)
+    assert all(change_size(change) <= MAX_CHANGE_BYTES for change in log)
--- a/tests/gossip/test_dissemination.py
+++ b/tests/gossip/test_dissemination.py
@@ -57,7 +57,9 @@
     assert member.observe(0.0, A, header(5)) == member.observe(0.0, A, header(3)) == []
     sends = member.observe(0.0, A, header(6))
     assert sends == [Send(A, Fetch(Position(1, 5)), Priority.CONFIGURATION)]
-    assert member.observe(0.1, B, header(6)) == member.observe(0.1, B, header(7)) == []  # one at a time
+    assert (
+        member.observe(0.1, B, header(6)) == member.observe(0.1, B, header(7)) == []
+    )  # one request at a time
     sends = member.handle(0.2, A, header(6), changes(6, 6))
     assert member.position == Position(1, 6)
     assert fetches(sends) == [Send(B, Fetch(Position(1, 6)), Priority.CONFIGURATION)]  # B has announced 7
@@ -67,13 +69,13 @@
     member = member_at(5)
     member.observe(0.0, A, header(6))
     member.observe(0.0, B, header(6))
-    asked = [send.destination for _, send in run(member, 0.0, 0.6)]
-    assert asked == [B]
+    requested = [send.destination for _, send in run(member, 0.0, 0.6)]
+    assert requested == [B]
     member_with_one_source = member_at(5)
     member_with_one_source.observe(0.0, A, header(6))
-    asked = [send.destination for _, send in run(member_with_one_source, 0.0, 0.6)]
-    assert len(asked) == 1 and asked[0] != A
-    assert asked[0] in {record.address for record in NEIGHBOURS}
+    requested = [send.destination for _, send in run(member_with_one_source, 0.0, 0.6)]
+    assert len(requested) == 1 and requested[0] != A
+    assert requested[0] in {record.address for record in NEIGHBOURS}
 
 
 def test_the_only_known_member_is_asked_again_after_a_timeout() -> None:
@@ -150,13 +152,13 @@
     member.observe(0.0, A, header(50))
     member.observe(0.0, B, header(50))
     server = A
-    asked = set()
+    requested = set()
     for number in range(1, 30):
         [fetch] = fetches(member.handle(0.01 * number, server, header(50), changes(number, number)))
         assert fetch.message == Fetch(Position(1, number))
         server = fetch.destination
-        asked.add(server)
-    assert asked == {A, B}
+        requested.add(server)
+    assert requested == {A, B}
 
 
 def test_a_control_member_that_missed_a_commit_fetches_the_missing_changes() -> None:
--- a/tests/gossip/test_freshness.py
+++ b/tests/gossip/test_freshness.py
@@ -30,7 +30,7 @@
 
 
 def states(member: Dissemination) -> list[Freshness]:
-    return [one.freshness for one in member.take_actions() if isinstance(one, FreshnessChanged)]
+    return [action.freshness for action in member.take_actions() if isinstance(action, FreshnessChanged)]
 
 
 def test_a_member_is_stale_before_the_first_heartbeat_and_when_no_higher_one_follows() -> None:
--- a/tests/gossip/test_quorum_fleet.py
+++ b/tests/gossip/test_quorum_fleet.py
@@ -145,10 +145,10 @@
 ZONES = {"v0": "a1", "v1": "a2", "v2": "a2", "v3": "b1", "v4": "b2"}
 
 
-def link_by_region(one: str, other: str) -> Link:
-    if ZONES[one] == ZONES[other]:
+def link_by_region(sender: str, receiver: str) -> Link:
+    if ZONES[sender] == ZONES[receiver]:
         return Link(delay=(0.0005, 0.0005))
-    if REGIONS[one] == REGIONS[other]:
+    if REGIONS[sender] == REGIONS[receiver]:
         return Link(delay=(0.002, 0.002))
     return Link(delay=(0.04, 0.04))
 
--- a/tests/gossip/test_serving.py
+++ b/tests/gossip/test_serving.py
@@ -33,7 +33,7 @@
         [send] = server.handle(0.0, A, header(3), Fetch(Position(1, 3)))
         assert send.destination == A and send.priority is Priority.CONFIGURATION
         assert isinstance(send.message, Changes)
-        versions = [one.position.version for one in send.message.changes]
+        versions = [change.position.version for change in send.message.changes]
         assert versions == list(range(4, 4 + len(versions)))
         assert len(codec.encode(header(59), send.message)) <= MAX_DATAGRAM_BYTES
         room = MAX_DATAGRAM_BYTES - HEADER_BYTES
--- a/tests/gossip/test_snapshots.py
+++ b/tests/gossip/test_snapshots.py
@@ -46,7 +46,7 @@
 )
 
 
-def checkpoint_of(size: int, version: int = CHECKPOINT_INTERVAL, fill: bytes = b"x") -> Checkpoint:
+def make_checkpoint(size: int, version: int = CHECKPOINT_INTERVAL, fill: bytes = b"x") -> Checkpoint:
     items: list[tuple[str, bytes]] = []
     for number in range(size // 500):
         items.append((f"k{number:04}", fill * (500 - 3 - 5)))
@@ -74,43 +74,43 @@
 
 
 def test_parts_are_requested_in_order_at_the_stated_rate_and_applied_when_complete() -> None:
-    checkpoint = checkpoint_of(20_000)
+    checkpoint = make_checkpoint(20_000)
     member = start_transfer(checkpoint)
-    asked: list[tuple[float, int]] = []
+    requested: list[tuple[float, int]] = []
     now = 0.0
     while member.position == Position():
         now = member.next_deadline()
         for send in member.tick(now):
             assert isinstance(send.message, SnapshotFetch) and send.priority is Priority.BULK
             assert send.destination == A
-            asked.append((now, send.message.offset))
+            requested.append((now, send.message.offset))
             member.handle(now, A, header(64), answer(checkpoint, send.message))
     interval = SNAPSHOT_PART_BYTES / TIMING.snapshot_bytes_per_s
-    assert [offset for _, offset in asked] == list(range(1_000, 20_000, 1_000))
-    assert [at for at, _ in asked] == pytest.approx([interval * number for number in range(1, 20)])
+    assert [offset for _, offset in requested] == list(range(1_000, 20_000, 1_000))
+    assert [at for at, _ in requested] == pytest.approx([interval * number for number in range(1, 20)])
     assert dict(member.configuration) == dict(
         zip((f"k{n:04}" for n in range(40)), [b"x" * 492] * 40, strict=True)
     )
-    assert [type(one) for one in member.take_actions()] == [Applied]
+    assert [type(action) for action in member.take_actions()] == [Applied]
     [send] = member.handle(now, B, header(), SnapshotFetch(Position(), 0))  # the member can serve it now
     assert send.message == first_part(checkpoint)
 
 
 def test_outstanding_parts_are_limited_and_lost_ones_are_requested_from_others() -> None:
     timing = Timing(snapshot_bytes_per_s=100_000.0)
-    checkpoint = checkpoint_of(20_000)
+    checkpoint = make_checkpoint(20_000)
     member = start_transfer(checkpoint, timing)
     sent = run(member, 0.0, timing.fetch_timeout - 0.01)
     assert [send.message for _, send in sent] == [
         SnapshotFetch(checkpoint.position, 1_000 * number) for number in range(1, 1 + MAX_OUTSTANDING_PARTS)
     ]
-    again = [send for _, send in run(member, 0.49, 0.6)]
-    assert {send.destination for send in again}.isdisjoint({A})
-    assert {send.message for send in again} == {send.message for _, send in sent}
+    repeated_requests = [send for _, send in run(member, 0.49, 0.6)]
+    assert {send.destination for send in repeated_requests}.isdisjoint({A})
+    assert {send.message for send in repeated_requests} == {send.message for _, send in sent}
 
 
 def test_a_transfer_without_answers_is_suspended_and_keeps_its_parts() -> None:
-    checkpoint = checkpoint_of(10_000)
+    checkpoint = make_checkpoint(10_000)
     member = start_transfer(checkpoint)
     member.handle(0.1, A, header(64), answer(checkpoint, SnapshotFetch(checkpoint.position, 5_000)))
     sent = run(member, 0.1, 9.0)
@@ -121,29 +121,31 @@
     assert run(member, 100.0, 200.0) == []
     assert fetches(member.observe(200.0, B, header(64)))
     member.handle(200.1, B, header(64), first_part(checkpoint))
-    asked = set()
+    requested = set()
     while member.position == Position():
         now = member.next_deadline()
         for send in member.tick(now):
             assert isinstance(send.message, SnapshotFetch)
-            asked.add(send.message.offset)
+            requested.add(send.message.offset)
             member.handle(now, B, header(64), answer(checkpoint, send.message))
-    assert asked == set(range(1_000, 10_000, 1_000)) - {5_000}
+    assert requested == set(range(1_000, 10_000, 1_000)) - {5_000}
 
 
 def test_a_server_that_moved_on_to_a_newer_checkpoint_is_replaced_by_another() -> None:
-    old, new = checkpoint_of(5_000), checkpoint_of(5_000, version=128, fill=b"y")
+    old, new = make_checkpoint(5_000), make_checkpoint(5_000, version=128, fill=b"y")
     member = start_transfer(old)
     [(now, send)] = run(member, 0.0, 0.13)
     member.handle(now, A, header(200), first_part(new))
     sent = [send for _, send in run(member, now, 0.3) if isinstance(send.message, SnapshotFetch)]
-    assert sent and all(one.destination != A and one.message.position == old.position for one in sent)
+    assert sent and all(
+        request.destination != A and request.message.position == old.position for request in sent
+    )
     assert sent[0].message == send.message  # the same part is requested again
     assert member.metrics()["snapshot_moved_on"] == 1
 
 
-def test_a_snapshot_that_nobody_has_any_more_is_dropped_for_the_newer() -> None:
-    old, new = checkpoint_of(5_000), checkpoint_of(5_000, version=128, fill=b"y")
+def test_a_snapshot_that_no_server_has_any_more_is_replaced_by_a_newer_one() -> None:
+    old, new = make_checkpoint(5_000), make_checkpoint(5_000, version=128, fill=b"y")
     member = start_transfer(old)
     now = 0.0
     while member.position == Position():
@@ -163,7 +165,7 @@
 
 
 def test_a_wrong_digest_drops_the_snapshot_and_another_member_is_asked_later() -> None:
-    checkpoint = checkpoint_of(2_000)
+    checkpoint = make_checkpoint(2_000)
     member = start_transfer(checkpoint)
     [(now, send)] = run(member, 0.0, 0.13)
     good = answer(checkpoint, SnapshotFetch(checkpoint.position, 1_000))
@@ -175,8 +177,8 @@
     assert isinstance(send.message, Fetch) and send.destination != A
     assert at == pytest.approx(now + TIMING.fetch_timeout)
     member.handle(at, send.destination, header(64), first_part(checkpoint))
-    [(at, again)] = run(member, at, at + 0.13)
-    member.handle(at, again.destination, header(64), good)
+    [(at, repeated_request)] = run(member, at, at + 0.13)
+    member.handle(at, repeated_request.destination, header(64), good)
     assert member.position == checkpoint.position
 
 
@@ -189,7 +191,7 @@
 
 
 def test_parts_of_a_different_snapshot_at_the_same_position_are_rejected() -> None:
-    checkpoint, other = checkpoint_of(5_000), checkpoint_of(5_000, fill=b"y")
+    checkpoint, other = make_checkpoint(5_000), make_checkpoint(5_000, fill=b"y")
     member = start_transfer(checkpoint)
     run(member, 0.0, 0.13)
     member.handle(0.13, A, header(64), answer(other, SnapshotFetch(other.position, 1_000)))
@@ -221,7 +223,7 @@
     metrics = member.metrics()
     assert metrics.get("snapshot_malformed", 0) + metrics.get("snapshot_too_large", 0) == 1
     assert "snapshot_transfers" not in metrics
-    checkpoint = checkpoint_of(5_000)
+    checkpoint = make_checkpoint(5_000)
     receiving = start_transfer(checkpoint)
     receiving.handle(0.0, A, header(64), part)
     assert receiving.position == Position()
@@ -239,11 +241,11 @@
 
 def test_an_unsolicited_part_or_a_known_position_starts_no_transfer() -> None:
     member = new_member()
-    assert member.handle(0.0, A, header(64), first_part(checkpoint_of(5_000))) == []
+    assert member.handle(0.0, A, header(64), first_part(make_checkpoint(5_000))) == []
     assert member.metrics()["snapshot_unsolicited"] == 1
     later = member_at(70)
     later.observe(0.0, A, header(90))
-    assert later.handle(0.0, A, header(90), first_part(checkpoint_of(5_000))) == []
+    assert later.handle(0.0, A, header(90), first_part(make_checkpoint(5_000))) == []
     assert later.metrics()["snapshot_known"] == 1
 
 
@@ -258,7 +260,7 @@
 
 
 def test_a_transfer_ends_when_changes_pass_its_position() -> None:
-    member = start_transfer(checkpoint_of(5_000))
+    member = start_transfer(make_checkpoint(5_000))
     assert member.observe(0.04, B, header(70)) == []  # no fetch during the transfer
     for first in range(1, 64, 9):
         member.handle(0.05, B, header(70), changes(first, first + 8))
