--- a/saltcourse/metrics.py
+++ b/saltcourse/metrics.py
@@ -1,7 +1,7 @@
-"""The metrics that operators read at the admin address, counted where each event happens.
+"""The metrics that operators read at the admin address.
 
-Every process counts from 0. Counters only ever grow; gauges are read when the metrics are asked for, so that
-they cannot drift from what the program holds. The text is statsd's line format, one metric a line:
+Counters start at 0 in every process and only increase. Gauges are computed when the metrics are read, so that
+they always match the state of the process. The output is statsd's line format, one metric per line:
 ``svc.replies.C.success:812|c`` and ``svc.concurrent:14|g``.
 """
 
@@ -12,7 +12,7 @@
 
 
 class ReplyOutcome(Enum):
-    """The final answer to a client; the value is the figure's name."""
+    """The final answer to a client; the value is the last part of the metric's name."""
 
     ESTABLISHED = "success"  # UP
     REJECTED = "overload"  # BUSY
@@ -20,7 +20,7 @@
 
 
 class Metrics:
-    """Counters of one process; ``gauges`` gives the values that are read off the program's state."""
+    """The counters of one process; ``gauges`` returns the current gauge values by name."""
 
     def __init__(self, request_classes: Iterable[str]) -> None:
         self.replies: dict[str, dict[str, int]] = {
@@ -30,17 +30,17 @@
         self.gauges: Callable[[], dict[str, int]] = dict
 
     def count_reply(self, request_class: str, outcome: ReplyOutcome) -> None:
-        """One final answer to a client; classes that the settings lack are not kept."""
+        """Count one final answer to a client; request classes that are not in the settings are ignored."""
         counts = self.replies.get(request_class)
         if counts is not None:
             counts[outcome.value] += 1
 
     def count_dispatch(self) -> None:
-        """An attempt's OPEN line was written whole to a backend."""
+        """Count one OPEN line that was written completely to a backend."""
         self.dispatches += 1
 
     def text(self) -> bytes:
-        """All metrics in statsd's line format."""
+        """Return all metrics in statsd's line format."""
         lines = [
             f"svc.replies.{request_class}.{outcome}:{count}|c"
             for request_class, counts in self.replies.items()
--- a/saltcourse/proxy/__init__.py
+++ b/saltcourse/proxy/__init__.py
@@ -1,13 +1,23 @@
-"""The proxy's host: sockets, timers and the phases of the daemon. No decision on requests is made here.
+"""The proxy daemon: sockets, timers and process lifecycle. All decisions on requests are the balancer's.
 
-server                phases: startup, serve, drain, shutdown; reload, and what operators ask
-listener, draining    accepting clients; the times of a drain, and lameduck
-client_connection     one client from its request to its end, with opening (up to the request),
-                      request_attempts (one at a time) and request_events (what the balancer learns)
-attempt               one attempt at one backend; health_check: one health check
-dispatcher            the owner of the balancer, with connection_monitor and traffic_summary
-discovery_client      the endpoint list; peer_link: messages of other proxies
-pending_connections   clients without a request; descriptors: who may have how many
-messages, actor       what actors send each other, and what an actor is
-stream, sockets       TCP connections, and the sockets beneath
+server                lifecycle (startup, serve, drain, shutdown), reload, and the admin interface's queries
+listener              accepts client connections
+draining              the timeline of a drain, and lameduck
+client_connection     one client connection, from its request to its end
+opening               the phase of a client connection before its request
+request_attempts      the attempts of one request, one at a time
+request_events        converts an OPEN line into events for the balancer
+attempt               one attempt at one backend
+health_check          one health check of a backend
+dispatcher            owns the balancer and executes its actions
+connection_monitor    periodic checks of the established connections
+traffic_summary       periodic log lines about traffic
+discovery_client      fetches and watches the endpoint list
+peer_link             exchanges messages with the other proxies
+pending_connections   client connections that have not sent a request yet
+connection_context    state that all client connections share
+descriptors           the limit on file descriptors
+messages, actor       the messages between actors, and the base class of actors
+stream, sockets       TCP connections, and the creation of sockets
+clock, errors         the proxy's clock and exceptions
 """
--- a/saltcourse/proxy/actor.py
+++ b/saltcourse/proxy/actor.py
@@ -1,6 +1,6 @@
-"""An actor: one coroutine that alone owns its state and takes messages from its mailbox.
+"""The base class of actors: a coroutine that exclusively owns its state and reads messages from a mailbox.
 
-An exception ends that actor and nothing else: it is logged, and ``cleanup`` releases what it held.
+An exception ends only the actor in which it is raised: it is logged, and ``cleanup`` releases the resources.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 log = structlog.get_logger("saltcourse")
 Message = TypeVar("Message")
-_tasks: set[asyncio.Task[Any]] = set()  # the loop itself holds tasks weakly
+_tasks: set[asyncio.Task[Any]] = set()  # strong references, because the event loop keeps only weak ones
 
 
 async def _log_failure(work: Coroutine[Any, Any, Any], name: str) -> None:
@@ -25,7 +25,7 @@
 
 
 def spawn(work: Coroutine[Any, Any, Any], name: str) -> asyncio.Task[None]:
-    """Run ``work`` beside the caller; a failure is logged under ``name``."""
+    """Run ``work`` in a new task; an exception is logged with ``name`` as the task."""
     task = asyncio.get_running_loop().create_task(_log_failure(work, name), name=name)
     _tasks.add(task)
     task.add_done_callback(_tasks.discard)
@@ -33,7 +33,7 @@
 
 
 class Actor(Generic[Message]):
-    """Subclasses write ``run`` and, where they hold something, ``cleanup``."""
+    """Base class of actors; subclasses implement ``run`` and, if they own resources, ``cleanup``."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -41,11 +41,11 @@
         self.task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begin ``run`` in a task of its own."""
+        """Start ``run`` in its own task."""
         self.task = spawn(self._run_to_cleanup(), self.name)
 
     def send(self, message: Message) -> None:
-        """Put a message into the mailbox; it never blocks."""
+        """Put a message into the mailbox; never blocks."""
         self.mailbox.put_nowait(message)
 
     async def _run_to_cleanup(self) -> None:
@@ -55,8 +55,8 @@
             self.cleanup()
 
     async def run(self) -> None:
-        """The actor's life."""
+        """Run the actor until its work is done."""
         raise NotImplementedError
 
     def cleanup(self) -> None:
-        """Called once, however ``run`` ended."""
+        """Release resources; called exactly once, after ``run`` has returned, raised or been cancelled."""
--- a/saltcourse/proxy/attempt.py
+++ b/saltcourse/proxy/attempt.py
@@ -1,18 +1,19 @@
-"""One attempt of a request at one backend, from the connect to the end of the connection.
+"""The actor that makes one attempt of a request at one backend, from connect to close.
 
     connecting ──► OPEN written ──► answered UP ──► relaying ──► ended
         │              │                │
-        └──────────────┴── time up, reset, BUSY, ERR, given up ──► ended
+        └──────────────┴── timeout, reset, BUSY, ERR, cancelled ──► ended
 
 Rules:
 
-1. The owner learns of UP at most once and of the end exactly once, also after ``close``, unless its task
-   fails, which is logged as ``task failed``: the balancer needs one outcome for each attempt that it has
-   started.
-2. The OPEN line is written only while the owner still wants an answer, which is checked before the connect
-   and again before the write.
-3. The outcome says whether the request may have run: it may have when the kernel took the line's last byte.
-4. Only whole lines go to the client, so that MOVE can be put between any two of them.
+1. The owner is notified of UP at most once, and of the end exactly once, also after ``close``: the balancer
+   needs one outcome for each attempt that it has started. The one exception is an attempt whose task raises,
+   which is logged as ``task failed``.
+2. The OPEN line is written only while the owner still wants an answer. This is checked before the connect and
+   again before the write.
+3. The outcome tells whether the request may have run: it may have if the kernel accepted the last byte of the
+   OPEN line.
+4. Only complete lines are relayed to the client, so that MOVE can be written between any two of them.
 """
 
 from __future__ import annotations
@@ -32,39 +33,41 @@
 from saltcourse.proxy.sockets import open_socket
 from saltcourse.proxy.stream import SocketStream
 
-STATUS_OF_ANSWER = {
+STATUS_BY_ANSWER = {
     BUSY: AttemptStatus.FULL,
     ERR: AttemptStatus.ERROR,
     MOVE: AttemptStatus.CANCELLED,
     BYE: AttemptStatus.OK,
 }
-STATUS_OF_LAST_LINE = {BYE: AttemptStatus.OK, MOVE: AttemptStatus.CANCELLED}  # of an established connection
+# How an established connection ended, by the first word of the backend's last line.
+STATUS_BY_LAST_LINE = {BYE: AttemptStatus.OK, MOVE: AttemptStatus.CANCELLED}
 
 
 class AttemptOwner(Protocol):
-    """The client connection, as its attempt sees it."""
+    """The interface of the client connection that its attempt uses."""
 
     def send(self, message: ConnectionMessage) -> None:
-        """Put a message into its mailbox."""
+        """Put a message into the owner's mailbox."""
 
     async def deliver(self, line: memoryview) -> None:
-        """Write a backend's line to the client; awaited, so that a slow client slows its backend."""
+        """Write a backend's line to the client; awaiting the write applies backpressure to the backend."""
 
     def wants_answer(self) -> bool:
-        """Whether the client still waits for an answer: an attempt may begin."""
+        """Return whether the client is still waiting for an answer, so that an attempt may begin."""
 
     def open_line_sent(self) -> None:
-        """The attempt's OPEN line has been written whole."""
+        """Handle that the attempt's OPEN line was written completely."""
 
     def backend_line_received(self, line: memoryview) -> None:
-        """The backend has sent a line that is no answer; it is not delivered by this."""
+        """Handle a line from the backend that is not an answer; this does not write it to the client."""
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptSpec:
-    """What an attempt is to do: send ``open_line`` to the backend and wait for its answer.
+    """The parameters of an attempt, which sends ``open_line`` to the backend and waits for its answer.
 
-    ``timeout`` is for the whole attempt up to the answer, ``connect_timeout`` for its connect alone (s).
+    ``timeout`` (s) limits the time from the start to the answer, ``connect_timeout`` (s) the connect alone.
+    ``address`` is None if the endpoint list has no address for the backend.
     """
 
     number: int
@@ -77,31 +80,31 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptOutcome:
-    """How an attempt ended, and whether the backend reset the connection."""
+    """The status with which an attempt ended, and whether the backend reset the connection."""
 
     status: AttemptStatus
     reset: bool = False
 
 
 class BackendAttempt(Actor[None]):
-    """Runs one attempt for its owner."""
+    """Makes one attempt for its owner."""
 
     def __init__(self, owner: AttemptOwner, clock: Clock, spec: AttemptSpec) -> None:
         super().__init__(f"attempt at {spec.backend}")
         self.number, self.backend = spec.number, spec.backend
         self.started = clock.now()
         self.stream: SocketStream | None = None
-        self.may_relay = asyncio.Event()  # the owner has passed UP on, and lines may follow
-        self.is_muted = False  # the client was sent MOVE: nothing may follow that
+        self.may_relay = asyncio.Event()  # set once the owner has relayed UP, so that lines may follow
+        self.is_muted = False  # the client was sent MOVE, after which nothing may be written to it
         self._owner = owner
         self._spec = spec
-        self._given_up = False
+        self._is_cancelled = False
 
     async def run(self) -> None:
-        """Make the attempt, relay its connection, and notify the owner how it ended."""
+        """Make the attempt, relay its connection, and notify the owner of the outcome."""
         outcome = await self._attempt()
         status = outcome.status
-        if self._given_up:
+        if self._is_cancelled:
             status = AttemptStatus.CANCELLED if self._may_have_run() else AttemptStatus.NOT_SENT
         self._owner.send(AttemptEnded(self, status, outcome.reset))
 
@@ -111,21 +114,21 @@
             self.stream.close()
 
     def close(self) -> None:
-        """Give the attempt up, at once: the next one must not overlap with it."""
-        self._given_up = True
+        """Cancel the attempt and close its connection at once: the next attempt must not overlap with it."""
+        self._is_cancelled = True
         if self.stream is not None:
             self.stream.close()
 
     def _may_have_run(self) -> bool:
-        """Whether the kernel has taken the OPEN line's last byte.
+        """Return whether the kernel has accepted the last byte of the OPEN line.
 
-        Which coroutine learned of that first says nothing: a time-out or a reset may cross the end of a write
-        that went in parts.
+        The order in which coroutines resume cannot tell: a timeout or a reset may arrive while the last part
+        of a partial write completes.
         """
         return self.stream is not None and self.stream.bytes_sent >= len(self._spec.open_line)
 
     async def _attempt(self) -> AttemptOutcome:
-        if self._given_up or not self._owner.wants_answer():  # before this coroutine had its first turn
+        if self._is_cancelled or not self._owner.wants_answer():  # cancelled before this task first ran
             return AttemptOutcome(AttemptStatus.NOT_SENT)
         address = self._spec.address
         if address is None:
@@ -144,17 +147,21 @@
         return await self._outcome_of_answer(stream, answer)
 
     async def _request_answer(self, stream: SocketStream, address: Address) -> memoryview | None:
-        """Connect, send the OPEN line and wait for the answer; None where the backend ends without one."""
+        """Connect, send the OPEN line and return the answer, or None if the backend ends without one.
+
+        Raises ``TimeoutError``, ``ConnectionLostError``, ``ProtocolError``, and ``AttemptAbandonedError`` if
+        the client stopped waiting during the connect.
+        """
         async with asyncio.timeout(self._spec.timeout):
             async with asyncio.timeout(self._spec.connect_timeout):
                 await stream.connect(address)
-            if not self._owner.wants_answer():  # a connection may come up long after it was asked for
+            if not self._owner.wants_answer():  # the client may have left during a slow connect
                 raise AttemptAbandonedError
             await stream.write(self._spec.open_line)
             while (line := await stream.next_line()) is not None:
                 if parse_load(line) is None:
                     break
-                self._owner.backend_line_received(line)  # LOAD may come before the answer
+                self._owner.backend_line_received(line)  # LOAD lines may precede the answer
             return line
 
     def _outcome_of_failure(self, error: Exception) -> AttemptOutcome:
@@ -167,7 +174,7 @@
                 return AttemptOutcome(status, reset=True)
             case AttemptAbandonedError():
                 return AttemptOutcome(AttemptStatus.NOT_SENT)
-            case _:  # a line that the protocol does not allow
+            case _:  # ProtocolError: the backend sent an invalid line
                 return AttemptOutcome(AttemptStatus.ERROR)
 
     async def _outcome_of_answer(self, stream: SocketStream, answer: memoryview | None) -> AttemptOutcome:
@@ -175,13 +182,13 @@
             return AttemptOutcome(AttemptStatus.RESET)
         word = word_of(answer)
         if word != UP:
-            return AttemptOutcome(STATUS_OF_ANSWER.get(word, AttemptStatus.ERROR))
+            return AttemptOutcome(STATUS_BY_ANSWER.get(word, AttemptStatus.ERROR))
         self._owner.send(AttemptEstablished(self, bytes(answer)))
         await self.may_relay.wait()
         return await self._relay(stream)
 
     async def _relay(self, stream: SocketStream) -> AttemptOutcome:
-        """Pass the backend's lines on until it ends; a line that the end cuts short follows as it is."""
+        """Relay the backend's lines until it ends; an incomplete last line is relayed unchanged."""
         last_word = b""
         try:
             while (line := await stream.next_line()) is not None:
@@ -195,4 +202,4 @@
                 await self._owner.deliver(remaining)
         except (ConnectionLostError, ProtocolError):
             return AttemptOutcome(AttemptStatus.RESET, reset=True)
-        return AttemptOutcome(STATUS_OF_LAST_LINE.get(last_word, AttemptStatus.RESET))
+        return AttemptOutcome(STATUS_BY_LAST_LINE.get(last_word, AttemptStatus.RESET))
--- a/saltcourse/proxy/client_connection.py
+++ b/saltcourse/proxy/client_connection.py
@@ -1,29 +1,30 @@
-"""One client connection, from its acceptance to its end: one actor for each.
+"""The actor that serves one client connection, from accept to close.
 
-It reads the request, hands it to the dispatcher, makes the attempts that it is given, and sees to it that
-exactly one final answer goes out in time. Once UP is passed on, lines go both ways until one side ends.
+It reads the request, sends it to the dispatcher, makes the attempts that the dispatcher orders, and ensures
+that exactly one final answer is written before the deadline. After UP it relays lines in both directions
+until either side ends the connection.
 
     OPENING ──OPEN──► WAITING ──UP──► ESTABLISHED ──► ENDED
        │                 │
-       └── see opening   └── BUSY, ERR, the client's end ──► ENDED
+       └── see opening   └── BUSY, ERR, client disconnects ──► ENDED
 
     message               in WAITING                          in ESTABLISHED
-    BeginAttempt          an attempt begins                   reported as not sent
-    AttemptEstablished    UP goes to the client               -
-    AttemptEnded          reported, to be retried perhaps     the client's side ends the same way
-    ClientClosed          the attempt is given up             the backend's side ends the same way
-    RejectRequest         BUSY, end                           -
-    FailRequest           ERR, end                            -
-    AbandonRequest        ERR, end; the balancer is notified  -
-    MigrateConnection     -                                   MOVE, end
+    BeginAttempt          start the attempt                   report NOT_SENT
+    AttemptEstablished    write UP to the client              -
+    AttemptEnded          report; the balancer may retry      end the client's side the same way
+    ClientClosed          cancel the attempt                  end the backend's side the same way
+    RejectRequest         write BUSY, close                   -
+    FailRequest           write ERR, close                    -
+    AbandonRequest        write ERR, close, notify balancer   -
+    MigrateConnection     -                                   write MOVE, close
 
 Rules:
 
-1. One final answer, one attempt at a time; an attempt is closed before the answer goes out.
-2. Each ``BeginAttempt`` is answered by exactly one ``AttemptFinished``, even after the actor's end.
-3. After an await the state is asked again: the client may have gone, or the time be up.
-4. MOVE goes between two whole lines, for only whole lines are passed on.
-5. An end is passed on as what it was: FIN as FIN, a reset as a reset.
+1. There is one final answer and one attempt at a time. An attempt is closed before the answer is written.
+2. Each ``BeginAttempt`` is answered by exactly one ``AttemptFinished``, even after the actor has ended.
+3. The state is checked again after every await: the client may have disconnected, or the deadline passed.
+4. MOVE is written between two complete lines, because only complete lines are relayed.
+5. The way in which one side ends is passed on to the other: a FIN as a FIN, a reset as a reset.
 """
 
 from __future__ import annotations
@@ -68,27 +69,27 @@
 from saltcourse.proxy.request_events import connection_resumed, request_received, time_left_for_answer
 from saltcourse.proxy.stream import SocketStream, close_gracefully, reject_and_close, write_within
 
-REJECT_TIMEOUT_SECONDS = 0.3  # for a client that is rejected before its request was taken
-REJECT_MAX_BYTES = 64 * 1024  # that are read of such a client
-CLOSE_TIMEOUT_SECONDS = 0.5  # that a side may take to end after the other; a second is allowed
-LAST_LINE_TIMEOUT_SECONDS = 0.5  # for MOVE or the final answer to be taken by the client's socket
-OVERDUE_SECONDS = 0.015  # after its deadline at which a request without an answer is failed here
-RESUME_RETRY_SECONDS = 0.25  # between attempts to resume a connection
+REJECT_TIMEOUT_SECONDS = 0.3  # time limit for rejecting a client whose request was not accepted
+REJECT_MAX_BYTES = 64 * 1024  # bytes that are read from such a client and discarded
+CLOSE_TIMEOUT_SECONDS = 0.5  # time for one side to close after the other; the protocol allows 1 s
+LAST_LINE_TIMEOUT_SECONDS = 0.5  # time limit for writing MOVE or the final answer to the client
+DEADLINE_GRACE_SECONDS = 0.015  # delay after the deadline before an unanswered request is failed here
+RESUME_RETRY_SECONDS = 0.25  # delay between attempts to resume a connection
 
 log = structlog.get_logger("saltcourse")
 
 
 class ConnectionState(Enum):
-    """How far a client connection has come."""
+    """The state of a client connection."""
 
-    OPENING = "opening"  # its OPEN line is awaited
-    WAITING = "waiting"  # the final answer is awaited
-    ESTABLISHED = "established"  # UP was passed on
-    ENDED = "ended"  # answered, migrated or gone
+    OPENING = "opening"  # waiting for the OPEN line
+    WAITING = "waiting"  # the request is waiting for its final answer
+    ESTABLISHED = "established"  # UP was relayed to the client
+    ENDED = "ended"  # answered, migrated or disconnected
 
 
 class ClientConnection(Actor[ConnectionMessage]):
-    """Serves one client; the owner of its request and of the attempts for it."""
+    """Serves one client; owns its request and the attempts for it."""
 
     def __init__(self, stream: SocketStream, context: ConnectionContext) -> None:
         super().__init__("client connection")
@@ -97,12 +98,12 @@
         self.state = ConnectionState.OPENING
         self.opening = Opening(stream, context)
         self.opened: OpenRequest | None = None
-        self.request = ""  # the request's id, once it is read
-        self._deadline = 0.0  # of the answer, on the clock (s)
+        self.request = ""  # the request id; empty until the OPEN line is read
+        self._deadline = 0.0  # clock time (s) by which the final answer has to be written
         self._attempts = RequestAttempts(context)
-        self._may_read_on = asyncio.Event()  # the client's further lines may be read
+        self._may_read_lines = asyncio.Event()  # set once the lines after OPEN may be read
         self._reader: asyncio.Task[None] | None = None
-        self._is_over = False
+        self._is_finished = False
 
     @property
     def _is_waiting(self) -> bool:
@@ -111,15 +112,15 @@
     # ---- mailbox --------------------------------------------------------------------------------
 
     def send(self, message: ConnectionMessage) -> None:
-        """A ``BeginAttempt`` can cross the actor's end; it gets an outcome too."""
-        if not self._is_over:
+        """Put a message into the mailbox; once the actor has ended, report a ``BeginAttempt`` as not sent."""
+        if not self._is_finished:
             super().send(message)
         elif isinstance(message, BeginAttempt):
             self._attempts.report_not_sent(message)
 
     def cleanup(self) -> None:
-        """Release all that is held, and report what has not been reported."""
-        self._is_over = True
+        """Release all resources, and report every attempt that has no outcome yet."""
+        self._is_finished = True
         self.stream.close()
         self.opening.finish()
         self._attempts.close()
@@ -132,10 +133,10 @@
             self.context.request_ids.release(self.request)
             self.context.send_to_dispatcher(RequestFinished(self, self.request))
 
-    # ---- life -----------------------------------------------------------------------------------
+    # ---- main sequence --------------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Read the request, get it answered, and relay lines to the end."""
+        """Read the request, have it answered, and relay lines until the connection ends."""
         opened = await self._open()
         if opened is None:
             return
@@ -146,7 +147,7 @@
         await self._serve(opened)
 
     async def _open(self) -> OpenRequest | None:
-        """The request; None when the client has left without one, or broke the protocol."""
+        """Read the request; return None if the client disconnected without one or violated the protocol."""
         try:
             self.opened = await self.opening.read_request()
         except ProtocolError as error:
@@ -162,7 +163,7 @@
         return self.opened
 
     async def _reject(self, line: bytes) -> None:
-        """Answer a client whose request is not taken."""
+        """Write the final answer to a client whose request is not accepted, and close."""
         self.state = ConnectionState.ENDED
         await reject_and_close(self.stream, line, REJECT_TIMEOUT_SECONDS, REJECT_MAX_BYTES)
 
@@ -173,7 +174,7 @@
         self.state = ConnectionState.WAITING
         self._reader = spawn(self._read_client(), "client connection reader")
         timer = asyncio.get_running_loop().call_later(
-            time_left + OVERDUE_SECONDS, self.send, AbandonRequest(AbandonReason.OVERDUE)
+            time_left + DEADLINE_GRACE_SECONDS, self.send, AbandonRequest(AbandonReason.DEADLINE_EXCEEDED)
         )
         try:
             if opened.resume_backend:
@@ -184,23 +185,23 @@
                 await self._receive(await self.mailbox.get())
         finally:
             timer.cancel()
-            self._may_read_on.set()
+            self._may_read_lines.set()
 
     # ---- lines ----------------------------------------------------------------------------------
 
     async def _read_client(self) -> None:
-        """Read the client for as long as it is there; its lines go on once the connection is established."""
+        """Read from the client until it ends; relay its lines once the connection is established."""
         reset = False
         try:
             while True:
                 if self.stream.buffer.has_data:
-                    self._check_client_waits()
-                    await self._may_read_on.wait()
+                    self._abandon_if_unanswered()
+                    await self._may_read_lines.wait()
                 while (line := self.stream.buffer.next_line()) is not None:
                     await self._send_to_backend(line)
                 if not await self.stream.receive():
                     break
-            if self._may_read_on.is_set():  # a line that the client's end cuts short follows as it is
+            if self._may_read_lines.is_set():  # an incomplete last line is relayed unchanged
                 await self._send_to_backend(self.stream.buffer.take_remaining())
         except ConnectionLostError:
             reset = True
@@ -209,10 +210,10 @@
             reset = True
         self.send(ClientClosed(reset))
 
-    def _check_client_waits(self) -> None:
-        """A client that sends more before its answer is failed; one that is resumed may do so."""
+    def _abandon_if_unanswered(self) -> None:
+        """Fail the request of a client that sends data before the answer; a resumed client may do so."""
         if self._is_waiting and self.opened and not self.opened.resume_backend:
-            self.send(AbandonRequest(AbandonReason.CLIENT_DID_NOT_WAIT))
+            self.send(AbandonRequest(AbandonReason.DATA_BEFORE_ANSWER))
 
     async def _send_to_backend(self, line: memoryview) -> None:
         attempt = self._attempts.current
@@ -220,16 +221,16 @@
         if not is_established or attempt is None or attempt.stream is None or not len(line):
             return
         self.context.send_to_dispatcher(LineSent(self.request, self.context.clock.now()))
-        with contextlib.suppress(ConnectionLostError):  # the attempt's own reader sees that end
+        with contextlib.suppress(ConnectionLostError):  # the attempt's reader reports the lost connection
             await attempt.stream.write(line)
 
     async def deliver(self, line: memoryview) -> None:
-        """Write a backend's line to the client; awaited, so that a slow client slows its backend."""
-        with contextlib.suppress(ConnectionLostError):  # our reader sees it
+        """Write a backend's line to the client; awaiting the write applies backpressure to the backend."""
+        with contextlib.suppress(ConnectionLostError):  # the client reader reports the lost connection
             await self.stream.write(line)
 
     def backend_line_received(self, line: memoryview) -> None:
-        """Notify the dispatcher of a backend's line, or of the load in it."""
+        """Notify the dispatcher that a backend sent a line, or of the load that a LOAD line carries."""
         load = parse_load(line)
         if load is None:
             self.context.send_to_dispatcher(LineReceived(self.request, self.context.clock.now()))
@@ -239,7 +240,7 @@
     # ---- messages -------------------------------------------------------------------------------
 
     async def _receive(self, message: ConnectionMessage) -> None:
-        """What comes in a state where it has no meaning any more is dropped."""
+        """Process one message; messages that do not apply to the current state are dropped."""
         match message:
             case BeginAttempt():
                 self._begin_attempt(message)
@@ -261,35 +262,38 @@
                 await self._answer(FAIL_LINE, ReplyOutcome.FAILED)
 
     async def _answer(self, line: bytes, outcome: ReplyOutcome) -> None:
-        """The final answer. The attempt in flight, if any, is given up first."""
+        """Write the final answer and close; the attempt in flight, if any, is cancelled first."""
         self.state = ConnectionState.ENDED
         if self.opened is not None:
             self.context.metrics.count_reply(self.opened.request_class, outcome)
         self._attempts.close()
         self._attempts.report(AttemptStatus.CANCELLED)
-        self._may_read_on.set()
+        self._may_read_lines.set()
         if await write_within(self.stream, line, LAST_LINE_TIMEOUT_SECONDS):
             await close_gracefully(self.stream, self._reader, CLOSE_TIMEOUT_SECONDS)
 
     # ---- attempts -------------------------------------------------------------------------------
 
     def _begin_attempt(self, message: BeginAttempt) -> None:
-        is_free = self._is_waiting and self._attempts.unreported is None
-        if not is_free or self.opened is None:
+        may_begin = self._is_waiting and self._attempts.unreported is None
+        if not may_begin or self.opened is None:
             self._attempts.report_not_sent(message)
             return
-        if self.stream.has_ended():  # this message came before the reader's message of the client's end
+        if self.stream.has_ended():  # the reader's ClientClosed is not in the mailbox yet
             self._attempts.report_not_sent(message)
             self.send(ClientClosed(reset=False))
             return
         self._attempts.begin(self, message, self.opened, self._deadline)
 
     def wants_answer(self) -> bool:
-        """Whether an attempt may still begin; asked of the kernel, for the reader's message may be late."""
+        """Return whether the request still needs an attempt.
+
+        The kernel is asked whether the client has disconnected, because the reader may report it late.
+        """
         return self._is_waiting and not self.stream.has_ended()
 
     def open_line_sent(self) -> None:
-        """Count an attempt whose OPEN line was written whole."""
+        """Count an attempt whose OPEN line was written completely."""
         self.context.metrics.count_dispatch()
 
     async def _establish(self, line: bytes) -> None:
@@ -301,7 +305,7 @@
             return
         self.state = ConnectionState.ESTABLISHED
         self.context.metrics.count_reply(self.opened.request_class, ReplyOutcome.ESTABLISHED)
-        with contextlib.suppress(ConnectionLostError):  # the reader reports it
+        with contextlib.suppress(ConnectionLostError):  # the client reader reports the lost connection
             await self.stream.write(line)
         if self.opened.resume_backend:
             self.context.send_to_dispatcher(ResumedConnection(self, connection_resumed(self.opened)))
@@ -309,7 +313,7 @@
             established = ConnectionEstablished(self.request, begun.attempt, self._attempts.elapsed())
             self.context.send_to_dispatcher(established)
         attempt.may_relay.set()
-        self._may_read_on.set()
+        self._may_read_lines.set()
 
     async def _end_attempt(self, status: AttemptStatus, reset: bool) -> None:
         if self.state is ConnectionState.ESTABLISHED:
@@ -321,14 +325,14 @@
                 await close_gracefully(self.stream, self._reader, CLOSE_TIMEOUT_SECONDS)
         elif self._is_waiting:
             if self.opened is not None and self.opened.resume_backend:
-                await self._resume_again(self.opened, status)
-            elif self.stream.has_ended():  # no retry is even asked for
+                await self._retry_resume(self.opened, status)
+            elif self.stream.has_ended():  # a final outcome, so that the balancer does not retry
                 self.state = ConnectionState.ENDED
                 self._attempts.report(status)
             else:
                 self._attempts.report(status, final=False)
 
-    # ---- the client's end, and MOVE ---------------------------------------------------------------
+    # ---- client disconnect and migration ----------------------------------------------------------
 
     async def _end_client(self, reset: bool) -> None:
         was_established = self.state is ConnectionState.ESTABLISHED
@@ -342,7 +346,7 @@
         self._attempts.report(AttemptStatus.CANCELLED)
 
     async def _end_backend(self, reset: bool) -> None:
-        """End the backend's side as the client has ended its own."""
+        """End the backend's side in the same way as the client ended its own."""
         attempt = self._attempts.current
         if attempt is None or attempt.stream is None:
             return
@@ -350,19 +354,19 @@
             attempt.stream.abort()
             self._attempts.report(AttemptStatus.CANCELLED)
             return
-        # The client has perhaps ended its sending only: what the backend still sends goes to it.
+        # The client may have closed only its sending direction: what the backend still sends is relayed.
         attempt.stream.send_eof()
         status = await self._wait_for_backend(attempt)
         self._attempts.report(AttemptStatus.OK if status is AttemptStatus.OK else AttemptStatus.CANCELLED)
         self.stream.send_eof()
 
     async def _wait_for_backend(self, attempt: BackendAttempt) -> AttemptStatus:
-        """How the backend ended its side within the time that it has."""
+        """Wait up to ``CLOSE_TIMEOUT_SECONDS`` for the backend to end; return how it ended."""
         if attempt.task is not None:
             await asyncio.wait([attempt.task], timeout=CLOSE_TIMEOUT_SECONDS)
         status = AttemptStatus.CANCELLED
-        # The actor takes no message while it waits here, so the attempt's end is still in the mailbox. The
-        # others have no meaning after the client's end.
+        # No message is processed during the wait, so the attempt's ``AttemptEnded`` is still in the mailbox.
+        # The other messages do not matter after the client has disconnected.
         while not self.mailbox.empty():
             message = self.mailbox.get_nowait()
             if isinstance(message, AttemptEnded):
@@ -370,7 +374,7 @@
         return status
 
     async def _migrate(self) -> None:
-        """Send MOVE after the last whole line, then end both sides."""
+        """Write MOVE after the last complete line, then end both sides."""
         self.state = ConnectionState.ENDED
         attempt = self._attempts.current
         if attempt is None or attempt.stream is None:
@@ -384,15 +388,15 @@
         else:
             self.stream.abort()
 
-    # ---- connections from before this program's start ---------------------------------------------
+    # ---- connections resumed after a restart of the proxy -----------------------------------------
 
     def _resume(self, opened: OpenRequest) -> None:
         address = self.context.address_of(opened.resume_backend)
         self._begin_attempt(BeginAttempt(self.request, opened.resume_backend, 0, 0.0, address))
 
-    async def _resume_again(self, opened: OpenRequest, status: AttemptStatus) -> None:
-        """There is one backend to go to, and it may only just be starting as well."""
-        self._attempts.drop_outcome()
+    async def _retry_resume(self, opened: OpenRequest, status: AttemptStatus) -> None:
+        """Retry at the same backend, the only one possible: it may be restarting as well."""
+        self._attempts.discard_outcome()
         retry_by = self._deadline - 2 * RESUME_RETRY_SECONDS
         if status not in NEVER_RAN or self.context.clock.now() > retry_by:
             await self._answer(FAIL_LINE, ReplyOutcome.FAILED)
--- a/saltcourse/proxy/clock.py
+++ b/saltcourse/proxy/clock.py
@@ -1,7 +1,7 @@
-"""The one clock of the program: Unix time at its start, advanced by the monotonic clock.
+"""The clock of the proxy: Unix time at process start, advanced by the monotonic clock.
 
-The endpoint list gives starts in Unix time and the balancer takes only differences, so its clock reads as
-Unix time; yet it must never jump, and the system's wall clock may.
+The endpoint list gives the start times of backends in Unix time, so the balancer's clock has to match Unix
+time. It must never jump, as the system's wall clock may; the balancer uses only differences of times.
 """
 
 from __future__ import annotations
@@ -10,11 +10,11 @@
 
 
 class Clock:
-    """Times in seconds that never go back."""
+    """A clock that never goes backwards."""
 
     def __init__(self) -> None:
         self._offset = time.time() - time.monotonic()
 
     def now(self) -> float:
-        """Unix time (s), as far as the wall clock was right at the program's start."""
+        """Return the Unix time (s), as accurate as the wall clock was at process start."""
         return self._offset + time.monotonic()
--- a/saltcourse/proxy/connection_context.py
+++ b/saltcourse/proxy/connection_context.py
@@ -1,4 +1,4 @@
-"""What all client connections of the program share."""
+"""State and callbacks that all client connections share."""
 
 from __future__ import annotations
 
@@ -15,30 +15,30 @@
 from saltcourse.proxy.messages import DispatcherMessage
 from saltcourse.proxy.pending_connections import PendingConnections
 
-PROTOCOL_ERROR_LOG_INTERVAL_SECONDS = 5.0  # they come in floods
+PROTOCOL_ERROR_LOG_INTERVAL_SECONDS = 5.0  # a hostile client can cause thousands of errors per second
 
 log = structlog.get_logger("saltcourse")
 
 
 class RequestIds:
-    """The ids of the requests that are open, each with one owner."""
+    """The ids of all open requests; each id has exactly one owner."""
 
     def __init__(self) -> None:
         self._open: set[str] = set()
 
     def claim(self, request: str) -> None:
-        """Raises ``ProtocolError`` for an id that is open: its owner must not be touched."""
+        """Register an id; raises ``ProtocolError`` if it is in use, whose owner must not be affected."""
         if request in self._open:
-            raise ProtocolError("OPEN: an id that is open")
+            raise ProtocolError("OPEN: request id is already in use")
         self._open.add(request)
 
     def release(self, request: str) -> None:
-        """The id's owner is done."""
+        """Make the id available again when its request has ended."""
         self._open.discard(request)
 
 
 class ProtocolErrorLog:
-    """Counts each protocol error of a client's first line, and logs them now and then."""
+    """Counts protocol errors in the first lines of clients, with rate-limited logging."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -46,7 +46,7 @@
         self._last_logged = -PROTOCOL_ERROR_LOG_INTERVAL_SECONDS
 
     def record(self, reason: str) -> None:
-        """Count one, and log what has gathered if the last log line is long enough ago."""
+        """Count an error; log the count since the last log line if the interval has passed."""
         self._count += 1
         now = self._clock.now()
         if now - self._last_logged >= PROTOCOL_ERROR_LOG_INTERVAL_SECONDS:
@@ -57,17 +57,17 @@
 
 @dataclass(slots=True)
 class ConnectionContext:
-    """The callbacks reach the rest of the program; ``answer_deadline`` is on the clock (s)."""
+    """Settings, shared objects and callbacks into the rest of the proxy."""
 
     settings: Settings
-    request_classes: frozenset[str]  # their names in the settings
+    request_classes: frozenset[str]  # the names of the request classes in the settings
     clock: Clock
     metrics: Metrics
     pending: PendingConnections
     protocol_errors: ProtocolErrorLog
     send_to_dispatcher: Callable[[DispatcherMessage], None]
-    address_of: Callable[[str], Address | None]  # of a backend
+    address_of: Callable[[str], Address | None]  # returns the address of a backend
     may_answer_ping: Callable[[], bool]
     is_short_of_descriptors: Callable[[], bool]
     request_ids: RequestIds = field(default_factory=RequestIds)
-    answer_deadline: float = float("inf")  # for all answers, when the program ends soon after
+    answer_deadline: float = float("inf")  # clock time (s) by which a shutdown needs all answers written
--- a/saltcourse/proxy/connection_monitor.py
+++ b/saltcourse/proxy/connection_monitor.py
@@ -1,11 +1,11 @@
-"""The established connections, and what is checked on them four times a second.
+"""Monitors the established connections with a check four times a second.
 
-At each check, in this order:
+Each check does the following, in this order:
 
-1. connections that bring nothing back are migrated;
-2. backends that have stopped answering are reported to the balancer;
-3. once a second, response latencies are reported to the balancer;
-4. while the program drains, the connections that are due are migrated.
+1. migrate connections whose lines get no answer;
+2. report backends that have stopped answering to the balancer;
+3. once a second, report response latencies to the balancer;
+4. while the proxy drains, migrate the connections that its schedule calls for.
 
 A connection is monitored from its establishment until it ends or is migrated.
 """
@@ -29,14 +29,14 @@
 from saltcourse.proxy.clock import Clock
 
 CHECK_INTERVAL_SECONDS = 0.25
-MAX_CHECK_DELAY_SECONDS = 0.1  # by which a check may be late before it calls no backend hung
+MAX_CHECK_DELAY_SECONDS = 0.1  # a check that is later than this does not report hung backends
 
 log = structlog.get_logger("saltcourse")
 
 
 @dataclass(frozen=True, slots=True)
 class EstablishedConnection:
-    """What a new balancer has to be given of an established connection."""
+    """An established connection, with the properties that a replacement balancer needs."""
 
     request: str
     request_class: str
@@ -45,24 +45,25 @@
     group: str = ""
 
     @classmethod
-    def of_resumed(cls, event: ConnectionResumed) -> EstablishedConnection:
-        """A connection from before this program's start."""
+    def from_resumed(cls, event: ConnectionResumed) -> EstablishedConnection:
+        """Return the connection of a resume event: one that was established before this process started."""
         return cls(event.request, event.request_class, event.backend, event.load_hint, event.group)
 
     @classmethod
-    def of_request(cls, event: RequestReceived, backend: str) -> EstablishedConnection:
-        """A request that was established at ``backend``."""
+    def from_request(cls, event: RequestReceived, backend: str) -> EstablishedConnection:
+        """Return the connection of a request that was established at ``backend``."""
         return cls(event.request, event.request_class, backend, event.load_hint, event.group)
 
     def as_resumed(self) -> ConnectionResumed:
-        """The event by which a new balancer learns of it."""
+        """Return the event that registers this connection with a replacement balancer."""
         return ConnectionResumed(self.request, self.request_class, self.backend, self.load_hint, self.group)
 
 
 class ConnectionMonitor:
-    """Owns the established connections; migrates and reports by its callbacks.
+    """Keeps the established connections and checks them.
 
-    ``migrate`` is given a request, ``report`` a latency for the balancer.
+    ``migrate`` is called with the id of each request to migrate, ``report`` with each latency for the
+    balancer.
     """
 
     def __init__(
@@ -72,70 +73,70 @@
         migrate: Callable[[str], None],
         report: Callable[[ResponseLatencyMeasured], None],
     ) -> None:
-        self.established: dict[str, EstablishedConnection] = {}  # by request
+        self.established: dict[str, EstablishedConnection] = {}  # by request id
         self._meter = meter
         self._clock = clock
         self._migrate = migrate
         self._report = report
-        self._drain_schedule: DrainSchedule | None = None  # None: connections stay where they are
+        self._drain_schedule: DrainSchedule | None = None  # None while the proxy is not draining
         self._last_check = clock.now()
         self._last_reports = 0.0
 
     @property
     def is_draining(self) -> bool:
-        """Whether every connection is migrated as soon as it is established."""
+        """Whether the proxy is draining, so that newly established connections are migrated as well."""
         return self._drain_schedule is not None
 
     def add(self, connection: EstablishedConnection) -> None:
-        """Monitor a connection from now on."""
+        """Start monitoring a connection."""
         self.established[connection.request] = connection
         self._meter.connection_established(connection.request, connection.backend)
 
     def remove(self, request: str) -> None:
-        """Monitor it no longer: it has ended, or is being migrated."""
+        """Stop monitoring a connection that has ended or is being migrated."""
         self.established.pop(request, None)
         self._meter.connection_ended(request)
 
     def backend_counts(self) -> Counter[str]:
-        """Connections by backend."""
+        """Return the number of established connections by backend."""
         return Counter(connection.backend for connection in self.established.values())
 
     def line_sent(self, request: str, time: float) -> None:
-        """A client's line went to its backend at ``time`` (s)."""
+        """Record that a client's line was sent to its backend at ``time`` (s)."""
         self._meter.line_sent(request, time)
 
     def line_received(self, request: str, time: float) -> None:
-        """A backend's line came back at ``time`` (s)."""
+        """Record that a line was received from the backend at ``time`` (s)."""
         self._meter.line_received(request, time)
 
-    def latency_of_load_line(self, request: str, figure: float) -> float | None:
-        """The latency (s) in a LOAD line, by its figure; None when the figure is a load."""
-        return self._meter.latency_of_load_line(request, figure, self._clock.now())
+    def latency_of_load_line(self, request: str, value: float) -> float | None:
+        """Return the latency (s) that a LOAD line carries, or None if its value is a load."""
+        return self._meter.latency_of_load_line(request, value, self._clock.now())
 
     def start_draining(self, begin: float, end: float) -> None:
-        """Migrate all connections, spread between ``begin`` and ``end`` (s, the loop's time)."""
+        """Migrate all connections, spread evenly between ``begin`` and ``end`` (s, event loop time)."""
         self._drain_schedule = DrainSchedule(begin, end)
-        self._migrate_due()
+        self._migrate_scheduled()
 
     def stop_draining(self) -> None:
-        """Leave the connections where they are."""
+        """Stop migrating connections."""
         self._drain_schedule = None
 
     def check(self) -> None:
-        """Make the checks; to be called every ``CHECK_INTERVAL_SECONDS``."""
+        """Run all checks; must be called every ``CHECK_INTERVAL_SECONDS``."""
         now = self._clock.now()
         is_late = now - self._last_check > CHECK_INTERVAL_SECONDS + MAX_CHECK_DELAY_SECONDS
         self._last_check = now
         self._migrate_silent(now)
-        if not is_late:  # else lines that came meanwhile may not have been read yet
+        if not is_late:  # after a stall of the loop, lines that have arrived may not have been read yet
             self._report_hung(now)
         if now - self._last_reports >= REPORT_INTERVAL_SECONDS:
             self._last_reports = now
             self._report_all(self._meter.latency_reports(now))
-        self._migrate_due()
+        self._migrate_scheduled()
 
     def _migrate_silent(self, now: float) -> None:
-        """Such a connection must not wait for a decision: its client hears nothing."""
+        """Migrate silent connections without asking the balancer, because their clients get no answers."""
         for request in self._meter.silent_connections(now):
             log.info("connection silent", request=request, backend=self.established[request].backend)
             self._migrate(request)
@@ -151,11 +152,11 @@
         for report in reports:
             self._report(ResponseLatencyMeasured(report.request, report.latency))
 
-    def _migrate_due(self) -> None:
-        """Migrate what is due by the drain schedule; its times are the loop's, as the checks are."""
+    def _migrate_scheduled(self) -> None:
+        """Migrate as many connections as the drain schedule calls for; its times are event loop times."""
         if self._drain_schedule is None:
             return
         now = asyncio.get_running_loop().time()
-        due = self._drain_schedule.due(now, len(self.established), CHECK_INTERVAL_SECONDS)
-        for request in list(self.established)[:due]:
+        count = self._drain_schedule.due(now, len(self.established), CHECK_INTERVAL_SECONDS)
+        for request in list(self.established)[:count]:
             self._migrate(request)
--- a/saltcourse/proxy/descriptors.py
+++ b/saltcourse/proxy/descriptors.py
@@ -1,27 +1,27 @@
-"""The descriptors that this process may open, and who may have them."""
+"""The limit on file descriptors, and how it is divided between connections and the process itself."""
 
 from __future__ import annotations
 
 from saltcourse.proxy.stream import SocketStream
 
-OWN_DESCRIPTORS = 24  # for the endpoint list, the loop, health checks and what the interpreter holds
+OWN_DESCRIPTORS = 24  # for discovery calls, the event loop, health checks and the interpreter
 
 
 class DescriptorLimit:
-    """The platform's limit (``limits.sockets`` of the configuration), less what the program itself needs."""
+    """The configured limit (``limits.sockets``), minus the descriptors that the process itself needs."""
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
 
     @property
     def for_connections(self) -> int:
-        """Descriptors that clients and their backends may have together."""
+        """The descriptors that client and backend connections may use in total."""
         return self.limit - OWN_DESCRIPTORS
 
     def can_accept(self) -> bool:
-        """Whether another client connection may be accepted."""
+        """Return whether another client connection may be accepted."""
         return SocketStream.open_count < self.for_connections
 
     def can_serve(self, descriptors: int) -> bool:
-        """Whether one more is left beside these ``descriptors``, for the backend of a client."""
+        """Return whether one more descriptor than ``descriptors`` fits, for a backend connection."""
         return descriptors + 1 <= self.for_connections
--- a/saltcourse/proxy/discovery_client.py
+++ b/saltcourse/proxy/discovery_client.py
@@ -1,18 +1,20 @@
-"""The client of discovery: calls for the endpoint list when the balancer asks, and watches it in between.
+"""The client of the discovery service: fetches and watches the endpoint list on the balancer's orders.
 
-Two kinds of calls are made, beside each other where both are wanted:
+There are two kinds of calls, which may run concurrently:
 
-    fetch   GET /catalog/members                          the whole list, at once
-    watch   GET /catalog/members?after=V&wait_ms=W        changes after version V, within W ms
+    fetch   GET /catalog/members                          the complete list, answered immediately
+    watch   GET /catalog/members?after=V&wait_ms=W        changes after version V, a long poll of up to W ms
 
 Rules:
 
-1. A watch goes on by itself while it is answered. Its first failure ends it; the balancer asks for
-   another.
-2. A watch that falls silent is no failure: the whole list is fetched in its place at once.
-3. Versions only go forward. An answer older than what is known when it comes is late and dropped; one older
-   than what was known when it was asked for is of a discovery that began anew, and counts.
-4. At a new address nothing is known of its versions, so the whole list comes first.
+1. A watch repeats its call for as long as it is answered. The first failure ends the watch, and the balancer
+   orders another one.
+2. A watch call that times out is not a failure: the complete list is fetched in its place immediately.
+3. The known version only increases. An answer with a version lower than the one known when it arrives is late
+   and is dropped. If its version is also lower than the one known when its call was made, discovery has
+   restarted, and the answer is used.
+4. After a change of address the versions of the new service are unknown, so the complete list is fetched
+   first.
 """
 
 from __future__ import annotations
@@ -43,16 +45,15 @@
 
 LIST_PATH = "/catalog/members"
 HTTP_OK = 200
-# A watch can fall silent with a change held back, as soon as it is begun. What it misses counts as known
-# CHANGE_KNOWN_WITHIN_SECONDS later: until then it has to be given up, and the call in its place has to have
-# had its turn.
-WATCH_SLACK_SECONDS = 0.6  # after its wait at which a watch without an answer counts as silent
-WATCH_WAIT_SECONDS = (  # for which a watch may wait for a change
-    CHANGE_KNOWN_WITHIN_SECONDS - WATCH_SLACK_SECONDS - LIST_CALL_TIMEOUT_SECONDS / 2
-)
-MIN_WATCH_INTERVAL_SECONDS = 0.1  # within the 0.2 s in which discovery takes the next call as the same watch
-FIRST_CALL_TIMEOUT_SECONDS = 1.2  # at a new address, doubling: the list is due within 4 s
-NEW_ADDRESS_RETRY_SECONDS = 0.2  # between calls at a new address while none has been answered
+WATCH_SLACK_SECONDS = 0.6  # time after the requested wait until an unanswered watch call times out
+# How long a watch call may wait for a change. A watch can hang as soon as it has begun while a change is
+# pending. The proxy is expected to know a change within CHANGE_KNOWN_WITHIN_SECONDS, so by then the watch
+# must have timed out, and discovery must have processed the fetch that replaces it.
+WATCH_WAIT_SECONDS = CHANGE_KNOWN_WITHIN_SECONDS - WATCH_SLACK_SECONDS - LIST_CALL_TIMEOUT_SECONDS / 2
+# Delay before the next watch call. Discovery treats a call within 0.2 s as a continuation of the same watch.
+MIN_WATCH_INTERVAL_SECONDS = 0.1
+FIRST_CALL_TIMEOUT_SECONDS = 1.2  # at a new address; doubled per retry, as the list is needed within 4 s
+NEW_ADDRESS_RETRY_SECONDS = 0.2  # delay between calls at a new address until one is answered
 READ_CHUNK_BYTES = 16 * 1024
 
 log = structlog.get_logger("saltcourse")
@@ -60,26 +61,30 @@
 
 @dataclass(slots=True)
 class ChangeAddress:
-    """Discovery is at another address from now on."""
+    """Orders the client to use discovery at another address."""
 
     address: Address
 
 
 class DiscoveryClient(Actor[WatchEndpoints | FetchEndpoints | ChangeAddress]):
-    """Makes its calls in tasks of their own, so that the whole list can be fetched during a watch."""
+    """Makes each call in its own task, so that the complete list can be fetched during a watch.
+
+    ``version`` is the version of the endpoint list that is known at the start. ``on_endpoints`` is called
+    with each update, and with each failure that the balancer has to know.
+    """
 
     def __init__(
         self, address: Address, version: int, on_endpoints: Callable[[EndpointsReceived], None]
     ) -> None:
         super().__init__("discovery client")
         self._address = address
-        self._version = version  # of the list that is known
+        self._version = version  # the known version of the endpoint list
         self._on_endpoints = on_endpoints
         self._is_watching = False
-        self._calls: set[asyncio.Task[None]] = set()  # at the present address
+        self._calls: set[asyncio.Task[None]] = set()  # the calls in progress at the current address
 
     async def run(self) -> None:
-        """Take the balancer's calls, and changes of the address."""
+        """Process the balancer's orders and address changes until cancelled."""
         while True:
             message = await self.mailbox.get()
             match message:
@@ -88,10 +93,10 @@
                 case FetchEndpoints():
                     self._begin(self._fetch(), "endpoint list fetch")
                 case WatchEndpoints() if self._is_watching:
-                    # A call is out already and will bring changes. The balancer is answered all the same:
-                    # an answer resets its count of failed calls.
-                    nothing_new = EndpointUpdate(self._version, False, (), {})
-                    self._on_endpoints(EndpointsReceived(EndpointUpdateKind.DELTA, nothing_new))
+                    # The watch in progress will report changes. The balancer still gets an empty update,
+                    # because an answer resets its count of failed calls.
+                    no_changes = EndpointUpdate(self._version, False, (), {})
+                    self._on_endpoints(EndpointsReceived(EndpointUpdateKind.DELTA, no_changes))
                 case WatchEndpoints():
                     self._is_watching = True
                     self._begin(self._watch(), "endpoint list watch")
@@ -102,7 +107,7 @@
         task.add_done_callback(self._calls.discard)
 
     def _change_address(self, address: Address) -> None:
-        """Calls at the old address are cancelled: a late answer would undo what the new one has sent."""
+        """Switch to a new address; cancel the old calls, whose late answers would undo newer updates."""
         for task in self._calls:
             task.cancel()
         self._address = address
@@ -123,44 +128,45 @@
         await self._watch()
 
     async def _fetch(self) -> None:
-        version_asked = self._version
+        version_at_call = self._version
         try:
-            self._publish(await self._call(LIST_PATH), version_asked)
+            self._publish(await self._call(LIST_PATH), version_at_call)
         except DiscoveryError:
             self._on_endpoints(EndpointsReceived(EndpointUpdateKind.UNAVAILABLE))
 
     async def _watch(self) -> None:
         loop = asyncio.get_running_loop()
-        was_silent = False
+        timed_out = False  # whether the previous call timed out
         while True:
-            started, version_asked = loop.time(), self._version
+            started, version_at_call = loop.time(), self._version
             try:
-                update = await (self._call(LIST_PATH) if was_silent else self._call_watch(version_asked))
+                update = await (self._call(LIST_PATH) if timed_out else self._call_watch(version_at_call))
             except DiscoveryTimeoutError:
-                was_silent = True
+                timed_out = True
                 continue
             except DiscoveryCallError:
                 break
-            self._publish(update, version_asked)
-            came_at_once = loop.time() - started < MIN_WATCH_INTERVAL_SECONDS
-            if not was_silent and not update.endpoints and came_at_once:
-                # A service that does not wait must not be called in a spin.
+            self._publish(update, version_at_call)
+            was_immediate = loop.time() - started < MIN_WATCH_INTERVAL_SECONDS
+            if not timed_out and not update.endpoints and was_immediate:
+                # Avoid a busy loop against a service that does not wait for changes.
                 await asyncio.sleep(MIN_WATCH_INTERVAL_SECONDS)
-            was_silent = False
+            timed_out = False
         self._is_watching = False
         self._on_endpoints(EndpointsReceived(EndpointUpdateKind.UNAVAILABLE))
 
-    def _publish(self, update: EndpointUpdate, version_asked: int) -> None:
-        """Hand on an update; ``version_asked`` is the version that was known when its call was made.
+    def _publish(self, update: EndpointUpdate, version_at_call: int) -> None:
+        """Report an update; ``version_at_call`` is the version that was known when its call was made.
 
-        An answer under the version known now, but not under that one, is late: another call's answer crossed
-        it and must not be undone. One under both is of a discovery that began anew, and counts; if it has
-        changes only, there is a whole list behind it that has to be fetched.
+        An answer below the version known now, but not below ``version_at_call``, is late: another call has
+        delivered a newer version in the meantime, so this one is dropped. An answer below both comes from a
+        discovery that has restarted and is used. If it contains only changes, the complete list is missing:
+        the known version is reset to 0, so that the next watch call asks for everything.
         """
-        if version_asked <= update.version < self._version:
+        if version_at_call <= update.version < self._version:
             return
-        began_anew = update.version < version_asked
-        if began_anew and not update.is_snapshot:
+        has_restarted = update.version < version_at_call
+        if has_restarted and not update.is_snapshot:
             self._version = 0
             return
         self._version = update.version
@@ -172,12 +178,16 @@
         return await self._call(target, WATCH_WAIT_SECONDS + WATCH_SLACK_SECONDS)
 
     async def _call(self, target: str, timeout: float = LIST_CALL_TIMEOUT_SECONDS) -> EndpointUpdate:
-        """One call; raises ``DiscoveryTimeoutError`` after ``timeout`` s, or ``DiscoveryCallError``."""
+        """Make one call and return its update.
+
+        Raises ``DiscoveryTimeoutError`` after ``timeout`` s, and ``DiscoveryCallError`` for any other
+        failure.
+        """
         try:
             async with asyncio.timeout(timeout):
                 response = await self._get(target)
             if response.status != HTTP_OK:
-                raise EndpointListError(f"status {response.status}")
+                raise EndpointListError(f"HTTP status {response.status}, expected {HTTP_OK}")
             return decode_endpoint_update(response.body)
         except TimeoutError:
             log.info("endpoint list call timed out", elapsed_s=timeout)
@@ -187,7 +197,10 @@
             raise DiscoveryCallError from None
 
     async def _get(self, target: str) -> http.ResponseParser:
-        """One GET; raises ``OSError``, ``OutOfSocketsError`` or ``HttpResponseError``."""
+        """Send a GET request and return the parsed response.
+
+        Raises ``OSError``, ``OutOfSocketsError`` or ``HttpResponseError``.
+        """
         host, port = self._address
         stream = IOStream(open_socket(self._address), read_chunk_size=READ_CHUNK_BYTES)
         response = http.ResponseParser()
--- a/saltcourse/proxy/dispatcher.py
+++ b/saltcourse/proxy/dispatcher.py
@@ -188,7 +188,7 @@
     def _resume_connection(self, message: ResumedConnection) -> None:
         request = message.event.request
         self._requests.setdefault(request, RequestRecord(message.owner))
-        self._monitor.add(EstablishedConnection.of_resumed(message.event))
+        self._monitor.add(EstablishedConnection.from_resumed(message.event))
         self._handle(message.event)
         if self._monitor.is_draining:
             self._migrate(request)
@@ -203,7 +203,7 @@
         record = self._requests.get(event.request)
         if record is not None and record.received and record.last_attempt:
             backend = record.last_attempt.backend
-            self._monitor.add(EstablishedConnection.of_request(record.received, backend))
+            self._monitor.add(EstablishedConnection.from_request(record.received, backend))
         self._handle(event)
         if self._monitor.is_draining:
             self._migrate(event.request)
--- a/saltcourse/proxy/errors.py
+++ b/saltcourse/proxy/errors.py
@@ -1,38 +1,38 @@
-"""Errors of the proxy's sockets and calls."""
+"""Exceptions of the proxy's sockets and calls."""
 
 from __future__ import annotations
 
 
 class ProxyError(Exception):
-    """The base of them all."""
+    """Base class of the proxy's exceptions."""
 
 
 class ListenError(ProxyError):
-    """An address or descriptor to listen on cannot be had; ``key`` is the configuration's name for it."""
+    """Listening on an address or descriptor failed; ``key`` is its configuration key or variable."""
 
     def __init__(self, key: str, where: str, error: OSError) -> None:
         super().__init__(f"'{key}': cannot listen on {where}: {error.strerror or error}")
 
 
 class ConnectionLostError(ProxyError):
-    """The connection broke, or was closed on our side."""
+    """The connection failed, or was closed on our side."""
 
 
 class OutOfSocketsError(ProxyError):
-    """This process has no descriptor, or no memory, left for another socket."""
+    """No socket could be created, for lack of file descriptors or memory."""
 
 
 class AttemptAbandonedError(ProxyError):
-    """Nobody waits for the attempt's answer any more: its OPEN line must not be written."""
+    """The client stopped waiting for an answer, so the attempt's OPEN line must not be written."""
 
 
 class DiscoveryError(ProxyError):
-    """A call at discovery brought no endpoint list."""
+    """A call to discovery returned no endpoint list."""
 
 
 class DiscoveryCallError(DiscoveryError):
-    """Discovery could not be reached, rejected the call, or answered with what is no endpoint list."""
+    """Discovery could not be reached, returned an HTTP error, or sent an invalid endpoint list."""
 
 
 class DiscoveryTimeoutError(DiscoveryError):
-    """Discovery took the call and has not answered in time."""
+    """Discovery did not answer within the timeout."""
--- a/saltcourse/proxy/health_check.py
+++ b/saltcourse/proxy/health_check.py
@@ -1,4 +1,4 @@
-"""One health check of a backend: PING or STATS on a connection of its own."""
+"""A health check of a backend: PING or STATS on a separate connection."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 from saltcourse.proxy.sockets import open_socket
 from saltcourse.proxy.stream import SocketStream
 
-HEALTH_CHECK_TIMEOUT_SECONDS = 0.3  # for the connect, the line and its answer
+HEALTH_CHECK_TIMEOUT_SECONDS = 0.3  # for the connect, the write and the answer together
 
 
 class HealthCheck(Actor[None]):
-    """Runs one health check and hands its result to ``on_finished``, exactly once.
+    """Runs one health check and calls ``on_finished`` exactly once with the result.
 
-    Unless its task fails, which is logged as ``task failed``.
+    The one exception is a health check whose task raises, which is logged as ``task failed``.
     """
 
     def __init__(
@@ -41,7 +41,7 @@
         self._stream: SocketStream | None = None
 
     async def run(self) -> None:
-        """Check once; a backend without an address cannot be reached."""
+        """Run the check and report its result; a backend without an address counts as unreachable."""
         started = self._clock.now()
         status = AttemptStatus.CONNECT_FAILED
         report = None
@@ -68,7 +68,7 @@
         if line is None:
             return AttemptStatus.RESET, None
         word = word_of(line)
-        if word == NO:  # the backend answers no health checks now, which says nothing of its health
+        if word == NO:  # the backend currently answers no health checks, which does not mean it is unhealthy
             return AttemptStatus.NOT_SENT, None
         status = AttemptStatus.OK if word == PONG else AttemptStatus.ERROR
         return status, parse_load_report(line)
--- a/saltcourse/proxy/listener.py
+++ b/saltcourse/proxy/listener.py
@@ -1,4 +1,4 @@
-"""The listener for clients: accepts connections as far as there are descriptors for them."""
+"""The listener for clients, which accepts connections while file descriptors are available."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 from saltcourse.proxy.sockets import SHORTAGE_ERRNOS, inherit_listener, start_listening
 from saltcourse.proxy.stream import SocketStream
 
-BACKLOG = 1024  # connections that wait to be accepted: most clients may come back in the same second
-MAX_ACCEPTS = 32  # before other work has its turn
-WARNING_INTERVAL_SECONDS = 5.0  # between warnings of the same shortage
-PAUSE_SECONDS = 0.05  # without accepting when there is no descriptor for another
+BACKLOG = 1024  # connections; most clients may reconnect within the same second
+MAX_ACCEPTS = 32  # connections accepted in one event loop callback, so that other work is not delayed
+WARNING_INTERVAL_SECONDS = 5.0  # minimum time between two warnings about the shortage
+PAUSE_SECONDS = 0.05  # time without accepting when descriptors are exhausted
 
 log = structlog.get_logger("saltcourse")
 
 
 class ClientListener:
-    """Hands each accepted socket to ``on_accept``."""
+    """Accepts client connections and calls ``on_accept`` with each socket."""
 
     def __init__(
         self,
@@ -41,7 +41,7 @@
         self._last_warning = -WARNING_INTERVAL_SECONDS
 
     def open(self, address: Address, descriptor: int | None) -> None:
-        """Listen on ``address``, or on the platform's listening socket of that ``descriptor``.
+        """Listen on ``address``, or on the inherited listening socket ``descriptor`` if it is not None.
 
         Raises ``ListenError``.
         """
@@ -57,7 +57,7 @@
             raise ListenError("listen", "{}:{}".format(*address), error) from None
 
     def address(self) -> Address:
-        """Where clients reach this program; the port may have been left to the system."""
+        """Return the listening address; the port is the actual one if the configured port is 0."""
         assert self._socket is not None
         host, port = self._socket.getsockname()[:2]
         return host, port
@@ -65,8 +65,9 @@
     def close(self, accept_waiting: bool) -> None:
         """Stop listening.
 
-        Connections that wait are accepted first where ``accept_waiting``: the close would reset them. On a
-        listening socket that another process shares it resets none: what waits is left to that one.
+        ``accept_waiting`` accepts the connections in the backlog first, because closing the socket would
+        reset them. It must be False for a listening socket that another process shares: closing that resets
+        nothing, and the other process accepts the backlog.
         """
         if self._socket is not None:
             if accept_waiting:
@@ -81,10 +82,10 @@
                 return
 
     def _accept_one(self, listener: socket.socket) -> bool:
-        """Whether there may be more to accept now."""
+        """Accept one connection; return whether another one may be waiting."""
         self._pending.make_room(SocketStream.open_count)
         if not self._limit.can_accept():
-            self._pause("too many connections")
+            self._pause("descriptor limit reached")
             return False
         try:
             accepted, _ = listener.accept()
@@ -99,13 +100,13 @@
         return True
 
     def _pause(self, reason: str) -> None:
-        """Leave new connections in the backlog for a moment rather than spin on them."""
+        """Leave new connections in the backlog for ``PAUSE_SECONDS`` instead of polling in a busy loop."""
         if self._socket is None:
             return
         loop, listener = asyncio.get_running_loop(), self._socket
         if loop.time() >= self._last_warning + WARNING_INTERVAL_SECONDS:
             self._last_warning = loop.time()
-            log.warning("accepting paused", reason=reason)
+            log.warning("client accept paused", reason=reason)
         loop.remove_reader(listener)
         loop.call_later(PAUSE_SECONDS, self._resume, listener)
 
--- a/saltcourse/proxy/messages.py
+++ b/saltcourse/proxy/messages.py
@@ -1,4 +1,4 @@
-"""Messages between the actors, beside the balancer's own events and actions.
+"""The messages that the proxy's actors send each other, in addition to the balancer's events and actions.
 
 ClientConnection ── DispatcherMessage ──► Dispatcher
 ClientConnection ◄─ ConnectionMessage ─── Dispatcher, BackendAttempt, its own reader and timers
@@ -24,10 +24,9 @@
 
 
 class Attempt(Protocol):
-    """One attempt of a request at a backend, as its messages name it.
+    """One attempt of a request at a backend, as referenced by the attempt's messages.
 
-    Attempts are told apart by identity: all attempts to resume a connection from before this program's start
-    have the same number.
+    Attempts are compared by identity, because all attempts to resume a connection have the same number.
     """
 
     number: int  # within the request, from 0
@@ -36,10 +35,10 @@
 
 @dataclass(slots=True)
 class BeginAttempt:
-    """Begin an attempt.
+    """Orders a client connection to begin an attempt.
 
-    ``timeout``: s, 0 for all the time that the request has. ``address``: that of the backend in the endpoint
-    list, None where it has none.
+    ``timeout`` is in seconds; 0 means all the time that the request has left. ``address`` is the backend's
+    address in the endpoint list, None if the list has none.
     """
 
     request: str
@@ -50,30 +49,30 @@
 
 
 class AbandonReason(Enum):
-    """Why a request is failed without the balancer."""
+    """The reason for failing a request without a decision of the balancer; the value is logged."""
 
-    OVERDUE = "no answer in time"
-    CLIENT_DID_NOT_WAIT = "the client did not wait for its answer"
-    PROGRAM_ENDS = "the program ends"
+    DEADLINE_EXCEEDED = "deadline exceeded"
+    DATA_BEFORE_ANSWER = "client sent data before its answer"
+    SHUTDOWN = "proxy is shutting down"
 
 
 @dataclass(slots=True)
 class AbandonRequest:
-    """Fail the request without the balancer."""
+    """Orders a client connection to fail its request without a decision of the balancer."""
 
     reason: AbandonReason
 
 
 @dataclass(slots=True)
 class ClientClosed:
-    """The client has ended its side, or reset the connection."""
+    """The client closed its side (``reset`` False) or reset the connection (True)."""
 
     reset: bool
 
 
 @dataclass(slots=True)
 class AttemptEstablished:
-    """The backend took the connection; ``line`` is its UP line, for the client."""
+    """The backend accepted the connection; ``line`` is its UP line, to be relayed to the client."""
 
     attempt: Attempt
     line: bytes
@@ -81,7 +80,7 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """The attempt is over: before UP with any status, after it with how the connection ended."""
+    """An attempt ended; after UP, ``status`` tells how the established connection ended."""
 
     attempt: Attempt
     status: AttemptStatus
@@ -101,10 +100,10 @@
 
 
 class RequestOwner(Protocol):
-    """What the dispatcher needs of whoever brings a request, whatever protocol that has."""
+    """The interface of a request's owner that the dispatcher uses, independent of the client protocol."""
 
     def send(self, message: ConnectionMessage) -> None:
-        """Put a message into its mailbox."""
+        """Put a message into the owner's mailbox."""
 
 
 # ---- to the dispatcher ------------------------------------------------------------------------------
@@ -112,7 +111,7 @@
 
 @dataclass(slots=True)
 class NewRequest:
-    """A client has sent a request; ``owner`` takes its answers."""
+    """A client has sent a request; ``owner`` receives the messages about it."""
 
     owner: RequestOwner
     event: RequestReceived
@@ -120,7 +119,7 @@
 
 @dataclass(slots=True)
 class ResumedConnection:
-    """A connection from before this program's start is established again."""
+    """A connection that was established before this process started has been re-established."""
 
     owner: RequestOwner
     event: ConnectionResumed
@@ -128,7 +127,7 @@
 
 @dataclass(slots=True)
 class RequestFinished:
-    """The owner of a request is done; nothing is to be sent to it any more."""
+    """A request has ended; the dispatcher must not send its owner further messages."""
 
     owner: RequestOwner
     request: str
@@ -136,7 +135,7 @@
 
 @dataclass(slots=True)
 class EndpointsReceived:
-    """Discovery answered (``update``), or a call failed (None)."""
+    """Discovery sent an endpoint list update, or a call to it failed (``update`` is None)."""
 
     kind: EndpointUpdateKind
     update: EndpointUpdate | None = None
@@ -144,7 +143,10 @@
 
 @dataclass(slots=True)
 class LineSent:
-    """A client's line went to its backend, which is expected to answer at once."""
+    """A client's line was sent to its backend, which is expected to answer immediately.
+
+    ``time`` is on the clock (s).
+    """
 
     request: str
     time: float
@@ -152,7 +154,7 @@
 
 @dataclass(slots=True)
 class LineReceived:
-    """A line, other than LOAD, came from the backend."""
+    """A line other than LOAD was received from the backend; ``time`` is on the clock (s)."""
 
     request: str
     time: float
@@ -160,10 +162,10 @@
 
 @dataclass(slots=True)
 class StartDraining:
-    """Migrate all connections that are established, or will be, until ``StopDraining``.
+    """Orders the migration of all established connections, and of those established before ``StopDraining``.
 
-    They are spread between ``begin_loop_time`` and ``end_loop_time`` (s, the loop's time); 0 and 0 is at
-    once.
+    The migrations are spread evenly between ``begin_loop_time`` and ``end_loop_time`` (s, event loop time);
+    0 and 0 migrate all connections immediately.
     """
 
     begin_loop_time: float = 0.0
@@ -172,7 +174,7 @@
 
 @dataclass(slots=True)
 class StopDraining:
-    """The operators take the program back into service."""
+    """Ends a drain: the proxy returns to service, and established connections stay."""
 
 
 DispatcherMessage = (
--- a/saltcourse/proxy/opening.py
+++ b/saltcourse/proxy/opening.py
@@ -1,19 +1,22 @@
-"""The opening of a client connection: from its acceptance to its OPEN line, or to its end without one.
+"""The opening phase of a client connection: from accept to the OPEN line, or to a close without one.
 
-    new ──PING──► idle ──► ... ──OPEN──► finished (the client connection goes on)
+    new ──PING──► idle ──► ... ──OPEN──► finished (``ClientConnection`` serves the request)
      │              │
-     └──────────────┴── time up, shed, shutdown, PING while not serving ──► closing ──► closed
+     └──────────────┴── timeout, shed, shutdown, PING while not serving ──► closing ──► closed
 
-Time for the first line:   2 s for a whole line, however it trickles in
-Time between two PINGs:    30 s
+Timeouts:
+
+    first line           2 s for the complete line, even if it arrives in pieces
+    idle between PINGs   30 s
 
 Rules:
 
-1. Our side ends first by half (FIN); then what the client still sends is read and thrown away for a while,
-   so that a request which crosses our end is met by an end and not by a reset. It is not served: its answer
-   could not be sent any more.
-2. Bytes that came before our end are read first: they may be the rest of a request.
-3. The coroutine that reads is never cancelled: that could take read bytes with it. It sees the end itself.
+1. The proxy half-closes first (FIN), then reads and discards what the client sends for a limited time. A
+   request that is in flight at that moment gets a FIN instead of a reset. It is not served, because its
+   answer could no longer be written.
+2. Bytes that arrived before the half-close are read first: they may complete a request.
+3. The reading coroutine is never cancelled, because that could lose bytes that it has read. It ends when it
+   sees the end of the stream.
 """
 
 from __future__ import annotations
@@ -25,15 +28,15 @@
 from saltcourse.proxy.connection_context import ConnectionContext
 from saltcourse.proxy.stream import SocketStream
 
-FIRST_LINE_TIMEOUT_SECONDS = 2.0  # for a whole first line; clients send it at once
-PING_TIMEOUT_SECONDS = 30.0  # that a connection which only sent PINGs may stay idle between two of them
-HALF_CLOSE_SECONDS = 0.25  # for a client that sent no request to end its side after ours
-SHED_HALF_CLOSE_SECONDS = 0.1  # in a crowd its descriptor is wanted sooner
-UNREAD_GRACE_SECONDS = 0.05  # for a line whose bytes have come in the very moment in which its time is up
+FIRST_LINE_TIMEOUT_SECONDS = 2.0  # for the complete first line; clients send it as soon as they connect
+PING_TIMEOUT_SECONDS = 30.0  # idle time after a PING on a connection without a request
+HALF_CLOSE_SECONDS = 0.25  # time for a client without a request to close its side after ours
+SHED_HALF_CLOSE_SECONDS = 0.1  # the same for a connection that is shed: its descriptor is needed sooner
+UNREAD_GRACE_SECONDS = 0.05  # extra time for a line whose bytes arrive just as its timeout expires
 
 
 class Opening:
-    """Reads a client's first lines under time limits; a ``PendingConnection``."""
+    """Reads a client's first lines, with timeouts; implements ``PendingConnection``."""
 
     __slots__ = (
         "_context",
@@ -49,15 +52,15 @@
         self._stream = stream
         self._context = context
         self._is_finished = False
-        self._is_idle_after_ping = False  # it was answered a PING and has sent nothing since
-        self._is_closing = False  # our side is ended
+        self._is_idle_after_ping = False  # the client has sent nothing since its last PING was answered
+        self._is_closing = False  # our side is half-closed
         self._timer: asyncio.TimerHandle | None = None
-        self._partial_line_deadline = 0.0  # loop time until which a program that ends waits for half a line
+        self._partial_line_deadline = 0.0  # loop time until which a shutdown waits for an incomplete line
 
     async def read_request(self) -> OpenRequest | None:
-        """The OPEN line; the front's PINGs before it are answered. None when the client has left.
+        """Return the OPEN line, or None if the client ended without one; answer the PINGs that precede it.
 
-        Raises ``ProtocolError`` and ``ConnectionLostError``.
+        Raises ``ProtocolError`` for an invalid line, and ``ConnectionLostError``.
         """
         self._context.pending.touch(self)
         self._set_timeout(FIRST_LINE_TIMEOUT_SECONDS)
@@ -73,7 +76,7 @@
         return None if line is None else self._parse(line)
 
     async def _wait_after_ping(self) -> bool:
-        """Wait for something after a PING; False when the client has ended."""
+        """Wait until the client sends something after a PING; return False if it ended instead."""
         self._is_idle_after_ping = True
         self._set_timeout(PING_TIMEOUT_SECONDS)
         if not await self._stream.receive():
@@ -84,16 +87,16 @@
     def _parse(self, line: memoryview) -> OpenRequest:
         opened = parse_open(line)
         if opened.request_class not in self._context.request_classes:
-            raise ProtocolError("OPEN: a class that is not in the settings")
+            raise ProtocolError("OPEN: request class is not in the settings")
         if self._stream.buffer.has_data:
-            # The client has to wait for its answer. Of many commands at once no backend may see the others,
-            # and to serve the first alone would look to the client as if one of those had run.
-            raise ProtocolError("OPEN: more than one line at once")
+            # A client has to wait for its answer before it sends more. No backend may see further commands
+            # sent with the first, and serving only the first would look as if one of the others had run.
+            raise ProtocolError("OPEN: data follows the line before its answer")
         self._context.request_ids.claim(opened.request)
         return opened
 
     async def _next_line(self) -> memoryview | None:
-        """None when the client has ended; once our side is ended, what it sends is thrown away."""
+        """Return the next line, or None once the client has ended; discard its data while closing."""
         while (line := None if self._is_closing else self._stream.buffer.next_line()) is None:
             if self._is_closing:
                 self._stream.buffer.take_remaining()
@@ -102,15 +105,15 @@
         return line
 
     def finish(self) -> None:
-        """No time limit of the opening holds any more: the request is read, or the connection ends."""
+        """Stop all opening timeouts: the request has been read, or the connection is ending."""
         self._is_finished = True
         self._cancel_timer()
         self._context.pending.remove(self)
 
-    # ---- its end without a request ----------------------------------------------------------------
+    # ---- closing without a request ----------------------------------------------------------------
 
     def half_close(self, timeout: float = HALF_CLOSE_SECONDS) -> None:
-        """End our side, and read on to the client's end for at most ``timeout`` s."""
+        """Close our sending direction, and close fully when the client ends or after ``timeout`` s."""
         if self._is_finished or self._is_closing:
             return
         self._is_closing = True
@@ -119,25 +122,25 @@
         self._timer = asyncio.get_running_loop().call_later(timeout, self._stream.close)
 
     def shed(self) -> None:
-        """Others need its place and it has sent no request."""
+        """Half-close, with the shorter timeout, to free the descriptor for other clients."""
         self.half_close(SHED_HALF_CLOSE_SECONDS)
 
     def drop(self) -> None:
-        """Close it now."""
+        """Close the connection immediately."""
         self._stream.close()
 
     def limit_for_shutdown(self, silent_timeout: float, partial_line_timeout: float) -> None:
-        """The program ends and takes no new clients.
+        """Shorten the timeouts because the proxy is shutting down and accepts no more clients.
 
-        A connection that is idle after a PING is closed at once, a silent one after ``silent_timeout`` s, one
-        with half a line after ``partial_line_timeout`` s.
+        A connection that is idle after a PING is closed immediately, one that has sent nothing after
+        ``silent_timeout`` s, and one with an incomplete line after ``partial_line_timeout`` s.
         """
         if not self._is_finished:
             self._partial_line_deadline = asyncio.get_running_loop().time() + partial_line_timeout
             self._set_timeout(0.0 if self._is_idle_after_ping else silent_timeout)
 
     def _set_timeout(self, seconds: float) -> None:
-        """The time counts for a whole line: one that trickles in holds its place no longer than silence."""
+        """Restart the timer, which covers a complete line, so that a slow sender gains no time."""
         if not self._is_closing:
             self._cancel_timer()
             self._timer = asyncio.get_running_loop().call_later(seconds, self._on_timeout)
--- a/saltcourse/proxy/peer_link.py
+++ b/saltcourse/proxy/peer_link.py
@@ -1,8 +1,7 @@
 """The UDP socket over which the proxies of a tier exchange shared state.
 
-It makes no decision and does not promise delivery. Only datagrams from a peer's own address are taken, and
-only as many bytes as a message may have: whatever else comes to the port is counted and dropped before
-anything parses it.
+Delivery is not guaranteed. Only datagrams that come from a peer's configured address, are ASCII and do not
+exceed the maximum message size are accepted; all others are counted and dropped before they are parsed.
 """
 
 from __future__ import annotations
@@ -19,27 +18,27 @@
 
 
 class PeerLink(asyncio.DatagramProtocol):
-    """Turns datagrams into ``PeerMessageReceived`` and ``SendPeerMessage`` into datagrams."""
+    """Converts datagrams to ``PeerMessageReceived`` events and ``SendPeerMessage`` actions to datagrams."""
 
     def __init__(self, addresses: PeerAddresses, on_message: Callable[[PeerMessageReceived], None]) -> None:
         self._addresses = addresses
         self._on_message = on_message
         self._peer_index = {address: index for index, address in enumerate(addresses.proxies)}
         self._transport: asyncio.DatagramTransport | None = None
-        self.dropped_datagrams = 0  # from elsewhere, too long, or not ASCII
+        self.dropped_datagrams = 0  # datagrams from an unknown sender, too long, or not ASCII
 
     async def open(self) -> None:
-        """Raises ``OSError`` when the address cannot be had."""
+        """Open the socket; raises ``OSError`` if its address cannot be bound."""
         await asyncio.get_running_loop().create_datagram_endpoint(
             lambda: self, local_addr=self._addresses.listen
         )
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The socket is open."""
+        """Store the transport of the opened socket."""
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
-        """Pass on a peer's message; drop anything else."""
+        """Report a peer's message; drop any other datagram."""
         sender = self._peer_index.get(addr[:2])
         if sender is None or len(data) > MAX_BYTES or not data.isascii():
             self.dropped_datagrams += 1
@@ -47,10 +46,10 @@
         self._on_message(PeerMessageReceived(sender, data.decode("ascii")))
 
     def error_received(self, exc: Exception) -> None:
-        """A peer's machine refused a datagram: that peer is down, which its silence shows as well."""
+        """Ignore an error such as a refused datagram: a peer that is down is detected by its silence."""
 
     def send_message(self, action: SendPeerMessage) -> None:
-        """Send to one peer or to all; nothing is sent before ``open`` or over the size of a message."""
+        """Send a message to one peer or to all; drop it if the socket is not open or the message too long."""
         data = action.data.encode()
         if self._transport is None or len(data) > MAX_BYTES:
             return
@@ -66,7 +65,7 @@
         return tuple(address for index, address in enumerate(each) if index != self._addresses.own_index)
 
     def close(self) -> None:
-        """Close the socket; messages after it are not sent."""
+        """Close the socket; later messages are dropped."""
         if self._transport is not None:
             self._transport.close()
             self._transport = None
--- a/saltcourse/proxy/pending_connections.py
+++ b/saltcourse/proxy/pending_connections.py
@@ -1,60 +1,63 @@
-"""Client connections that have not sent a request yet: bounded, so that silent ones cannot shut others out.
+"""Client connections that have not sent a request yet, limited so that idle clients cannot block others.
 
-A connection is pending from its acceptance to its OPEN line, and closing while it waits for the client's end.
-When descriptors are short, the pending one that has been quiet longest is shed. A usual client sends its
-request as soon as it is connected, so whoever is shed for later ones has nothing to send; one that has is
-back in a moment.
+A connection is pending from accept to its OPEN line, and closing from our half-close to the client's close.
+When descriptors run short, the pending connection with the oldest activity is shed. A normal client sends its
+request as soon as it has connected, so a connection that is shed in favour of later ones most likely has
+nothing to send; a client that does have a request reconnects.
 """
 
 from __future__ import annotations
 
 from typing import Protocol
 
-MAX_PENDING_SHARE = 0.25  # of the descriptors
-RESERVED_DESCRIPTORS = 8  # left for those who have sent a request: an answer, an attempt, a health check
-MAX_CLOSING = 4  # of those shed that may wait for their client's end; the descriptors are wanted
-MIN_PENDING = 4  # even when descriptors are short, so that a client always gets to send something
+MAX_PENDING_SHARE = 0.25  # fraction of the descriptors that pending connections may use
+RESERVED_DESCRIPTORS = 8  # descriptors kept free for answers, attempts and health checks
+MAX_CLOSING = 4  # shed connections that may wait for their client's close, as their descriptors are needed
+MIN_PENDING = 4  # allowed even when descriptors run short, so that new clients can always send a request
 
 
 class PendingConnection(Protocol):
-    """What is done to a pending connection when descriptors are short."""
+    """The interface of a pending connection that is used when descriptors run short."""
 
     def shed(self) -> None:
-        """Half-close it; its descriptor may come back a moment later."""
+        """Half-close the connection; its descriptor is freed shortly afterwards."""
 
     def drop(self) -> None:
-        """Close it now."""
+        """Close the connection immediately."""
 
 
 class PendingConnections:
-    """The pending connections in the order of their last activity, the one quiet longest first."""
+    """The pending connections in the order of their last activity, oldest first.
+
+    ``max_descriptors`` is the number of descriptors that client and backend connections may use in total.
+    """
 
     def __init__(self, max_descriptors: int) -> None:
         self.max_descriptors = max_descriptors
         self._pending: dict[PendingConnection, None] = {}
-        self._closing: dict[PendingConnection, None] = {}  # their descriptors come back in a moment
+        self._closing: dict[PendingConnection, None] = {}  # half-closed; their descriptors are freed shortly
 
     def __len__(self) -> int:
-        """Pending connections; not those that are closing."""
+        """Return the number of pending connections, without those that are closing."""
         return len(self._pending)
 
     def touch(self, connection: PendingConnection) -> None:
-        """It has just connected, or sent something that is no request (PING)."""
+        """Record activity: the connection was accepted, or its client sent a PING."""
         self._pending.pop(connection, None)
         self._pending[connection] = None
 
     def mark_closing(self, connection: PendingConnection) -> None:
-        """Our side of it is ended; the client's end is waited for."""
+        """Record that our side is half-closed, and that the connection waits for the client's close."""
         self._pending.pop(connection, None)
         self._closing[connection] = None
 
     def remove(self, connection: PendingConnection) -> None:
-        """It has sent its request, or is closed."""
+        """Remove a connection that has sent its request or is closed."""
         self._pending.pop(connection, None)
         self._closing.pop(connection, None)
 
     def make_room(self, open_descriptors: int) -> None:
-        """Shed the oldest until one more connection fits beside the ``open_descriptors``."""
+        """Shed the oldest connections until one more can be accepted; ``open_descriptors`` are in use now."""
         others = open_descriptors - len(self) - len(self._closing)
         available = self.max_descriptors - RESERVED_DESCRIPTORS - others
         limit = max(MIN_PENDING, min(int(MAX_PENDING_SHARE * self.max_descriptors), available))
--- a/saltcourse/proxy/request_attempts.py
+++ b/saltcourse/proxy/request_attempts.py
@@ -1,7 +1,9 @@
-"""The attempts of one request: one at a time, and exactly one outcome reported to the balancer for each.
+"""The attempts of one request.
 
-BeginAttempt ──► begin ──► report (AttemptFinished)
-     └── too late ──► report_not_sent (AttemptFinished, NOT_SENT)
+There is one attempt at a time, and exactly one outcome is reported to the balancer for each:
+
+    BeginAttempt ──► begin ──► report (AttemptFinished)
+         └── too late ──► report_not_sent (AttemptFinished, NOT_SENT)
 """
 
 from __future__ import annotations
@@ -12,21 +14,21 @@
 from saltcourse.proxy.connection_context import ConnectionContext
 from saltcourse.proxy.messages import BeginAttempt
 
-END_MARGIN_SECONDS = 0.005  # before the deadline at which an attempt that still waits is given up
+END_MARGIN_SECONDS = 0.005  # time before the deadline at which an unanswered attempt is cancelled
 
 
 class RequestAttempts:
-    """Starts, abandons and reports the attempts of one request."""
+    """Starts, cancels and reports the attempts of one request."""
 
     __slots__ = ("_context", "current", "unreported")
 
     def __init__(self, context: ConnectionContext) -> None:
         self.current: BackendAttempt | None = None
-        self.unreported: BeginAttempt | None = None  # whose outcome the balancer does not know yet
+        self.unreported: BeginAttempt | None = None  # the order whose outcome has not been reported yet
         self._context = context
 
     def begin(self, owner: AttemptOwner, message: BeginAttempt, opened: OpenRequest, deadline: float) -> None:
-        """Start an attempt for ``owner``; the answer is due at ``deadline`` (s, on the clock)."""
+        """Start an attempt for ``owner``; ``deadline`` is the request's, on the clock (s)."""
         timeout = self._timeout(message, deadline)
         self.unreported = message
         spec = AttemptSpec(
@@ -41,37 +43,37 @@
         self.current.start()
 
     def _timeout(self, message: BeginAttempt, deadline: float) -> float:
-        """Seconds for the attempt, which ends before the balancer's own timer for the deadline.
+        """Return the timeout (s) of the attempt, which expires before the balancer's timer for the deadline.
 
-        The balancer must know that no attempt is in flight to be able to reject the request, which tells the
-        client that it may come again.
+        The balancer can reject a request, which tells the client that it may retry, only if it knows that no
+        attempt is in flight.
         """
         time_left = deadline - END_MARGIN_SECONDS - self._context.clock.now()
         return min(message.timeout, time_left) if message.timeout > 0 else time_left
 
     def close(self) -> None:
-        """Give up the attempt in flight, if any."""
+        """Cancel the attempt in flight, if any."""
         if self.current is not None:
             self.current.close()
 
     def elapsed(self) -> float:
-        """Seconds since the start of the current attempt."""
+        """Return the time (s) since the start of the current attempt, or 0 without one."""
         return 0.0 if self.current is None else self._context.clock.now() - self.current.started
 
     def report(self, status: AttemptStatus, final: bool = True) -> None:
-        """Report to the balancer how the attempt has ended, once; ``final``: the request ends with it."""
+        """Report the attempt's outcome to the balancer, once; ``final`` forbids a retry of the request."""
         begun, self.unreported = self.unreported, None
         if begun is not None and self.current is not None:
             self._context.send_to_dispatcher(
                 AttemptFinished(begun.request, begun.attempt, status, self.elapsed(), final)
             )
 
-    def drop_outcome(self) -> None:
-        """Report nothing: the balancer does not know of an attempt to resume a connection."""
+    def discard_outcome(self) -> None:
+        """Discard the outcome of an attempt to resume a connection, which the balancer does not know of."""
         self.unreported = None
 
     def report_not_sent(self, message: BeginAttempt) -> None:
-        """Report to the balancer that an attempt came too late to begin."""
+        """Report to the balancer that an attempt was ordered too late and has not begun."""
         self._context.send_to_dispatcher(
             AttemptFinished(message.request, message.attempt, AttemptStatus.NOT_SENT, 0.0, True)
         )
--- a/saltcourse/proxy/request_events.py
+++ b/saltcourse/proxy/request_events.py
@@ -1,4 +1,4 @@
-"""What the balancer learns of a request, made from its OPEN line."""
+"""Creates the balancer's events for a request from its OPEN line."""
 
 from __future__ import annotations
 
@@ -6,11 +6,15 @@
 from saltcourse.codec.lines import OpenRequest
 
 MIN_TIME_LEFT_SECONDS = 0.001
-RESUME_TIMEOUT_SECONDS = 40.0  # for a connection to be resumed; its `d` is over an hour
+RESUME_TIMEOUT_SECONDS = 40.0  # replaces the `d` of an OPEN that resumes a connection, which is over an hour
 
 
 def time_left_for_answer(opened: OpenRequest, program_time_left: float) -> float:
-    """Seconds until the final answer is due: as long as the client waits, or as the program still runs."""
+    """Return the time (s) until the final answer has to be written.
+
+    It is limited by the client's timeout and by ``program_time_left`` (s), the time until a shutdown needs
+    all answers written.
+    """
     time_left = opened.time_left
     if opened.resume_backend:
         time_left = min(time_left, RESUME_TIMEOUT_SECONDS)
@@ -18,7 +22,7 @@
 
 
 def request_received(opened: OpenRequest, time_left: float) -> RequestReceived:
-    """A new request that has to be answered within ``time_left`` s."""
+    """Return the event for a new request that has to be answered within ``time_left`` s."""
     return RequestReceived(
         request=opened.request,
         request_class=opened.request_class,
@@ -30,7 +34,7 @@
 
 
 def connection_resumed(opened: OpenRequest) -> ConnectionResumed:
-    """A connection from before the proxy's start, established again at the backend that it names."""
+    """Return the event for a connection that was re-established at the backend named in its OPEN line."""
     return ConnectionResumed(
         request=opened.request,
         request_class=opened.request_class,
--- a/saltcourse/proxy/server.py
+++ b/saltcourse/proxy/server.py
@@ -201,8 +201,8 @@
         loop = asyncio.get_running_loop()
         timeline = DrainTimeline.for_classes(self.config.settings.classes)
         begin = loop.time()
-        self.context.answer_deadline = self.clock.now() + timeline.answers_due
-        loop.call_at(begin + timeline.answers_due, self._abandon_requests)
+        self.context.answer_deadline = self.clock.now() + timeline.answer_deadline
+        loop.call_at(begin + timeline.answer_deadline, self._abandon_requests)
         self._lameduck.cancel()
         is_shared = self.config.listen_fd is not None
         was_lameduck = self.phase is Phase.LAMEDUCK
@@ -214,9 +214,9 @@
         self._enter(Phase.MIGRATING)
         self.listener.close(accept_waiting=not is_shared)
         # Spread, for whoever takes the migrated clients over sets them up anew.
-        self.dispatcher.send(StartDraining(loop.time(), begin + timeline.migrations_due))
+        self.dispatcher.send(StartDraining(loop.time(), begin + timeline.migration_deadline))
         for client in self.clients:
-            answer_time_left = begin + timeline.answers_due - loop.time()
+            answer_time_left = begin + timeline.answer_deadline - loop.time()
             client.opening.limit_for_shutdown(draining.SILENT_TIMEOUT_SECONDS, answer_time_left)
         await self._wait_for_clients(begin + timeline.duration)
 
@@ -229,7 +229,7 @@
     def _abandon_requests(self) -> None:
         """No answer may be due when the program ends; requests that came late were given less time."""
         for client in self.clients:
-            client.send(AbandonRequest(AbandonReason.PROGRAM_ENDS))
+            client.send(AbandonRequest(AbandonReason.SHUTDOWN))
 
     def shutdown(self) -> None:
         """Ignore further signals and close what is left."""
--- a/saltcourse/proxy/sockets.py
+++ b/saltcourse/proxy/sockets.py
@@ -1,4 +1,4 @@
-"""Sockets as the proxy makes them: listeners, and sockets for calls to backends and discovery."""
+"""Creates the proxy's sockets: listeners, and client sockets for backends and discovery."""
 
 from __future__ import annotations
 
@@ -10,11 +10,14 @@
 from saltcourse.codec.endpoint_list import Address
 from saltcourse.proxy.errors import OutOfSocketsError
 
-SHORTAGE_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+SHORTAGE_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)  # out of descriptors or memory
 
 
 def open_socket(address: Address) -> socket.socket:
-    """An unconnected TCP socket of the address's family; raises ``OutOfSocketsError`` or ``OSError``."""
+    """Return an unconnected TCP socket of the address's family.
+
+    Raises ``OutOfSocketsError`` for lack of descriptors or memory, and ``OSError`` for any other failure.
+    """
     try:
         return socket.socket(_family(address[0]), socket.SOCK_STREAM)
     except OSError as error:
@@ -24,10 +27,9 @@
 
 
 def start_listening(address: Address, backlog: int, on_ready: Callable[[], None]) -> socket.socket:
-    """A listener on ``address`` that calls ``on_ready`` whenever a connection waits.
+    """Return a socket that listens on ``address``; ``on_ready`` is called when a connection is waiting.
 
-    Raises ``OSError`` when the address cannot be had; the socket is closed then, so that a failed start holds
-    no descriptor.
+    Raises ``OSError`` if the address cannot be bound; the socket is closed then, so that no descriptor leaks.
     """
     listener = socket.socket(_family(address[0]), socket.SOCK_STREAM)
     try:
@@ -43,15 +45,16 @@
 
 
 def inherit_listener(descriptor: int, on_ready: Callable[[], None]) -> socket.socket:
-    """The platform's listening socket, which this process shares with the one that it replaces, or its heir.
+    """Return the listening socket behind an inherited descriptor; ``on_ready`` is called as above.
 
-    Raises ``OSError`` when the descriptor is no listening TCP socket.
+    The platform passes the same socket to the process that this one replaces, and to the one that will
+    replace it. Raises ``OSError`` if the descriptor is not a listening TCP socket.
     """
     listener = socket.socket(fileno=descriptor)
     is_listening = listener.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
     if listener.type != socket.SOCK_STREAM or not is_listening:
         listener.detach()
-        raise OSError(errno.ENOTSOCK, "no listening TCP socket")
+        raise OSError(errno.ENOTSOCK, "not a listening TCP socket")
     listener.setblocking(False)
     asyncio.get_running_loop().add_reader(listener, on_ready)
     return listener
--- a/saltcourse/proxy/stream.py
+++ b/saltcourse/proxy/stream.py
@@ -1,17 +1,17 @@
-"""A TCP connection to a client or backend, with the three ways of ending told apart.
+"""A TCP connection to a client or backend that distinguishes the three ways in which it can end.
 
-An end is a FIN (the other direction may go on), a reset, or a close on our side. IOStream closes the whole
-socket on the remote's FIN, so that the other direction would be cut. Here the socket is kept then, and what
-still has to be written goes through a fresh IOStream on it.
+A connection ends by the remote's FIN (our side may still write), by a reset, or by a close on our side.
+Tornado's IOStream closes the whole socket on the remote's FIN, which would cut our side off as well. This
+module keeps the socket open in that case and writes the remaining data through a new IOStream on it.
 
 Rules that hold for every connection:
 
-1. "May the request have run?" is answered by the bytes that the kernel took (``bytes_sent``), not by which
-   coroutine resumed first.
-2. "Is the client there?" is asked of the kernel (``has_ended``), for the coroutine that reads may learn of an
-   end late.
-3. An end goes in order: half-close, read to the remote's end for a bounded time, close. A close over unread
-   bytes is a reset and may overtake the last line written.
+1. Whether a request may have run is decided by the bytes that the kernel has accepted (``bytes_sent``), not
+   by which coroutine resumes first.
+2. Whether the remote has ended is asked of the kernel (``has_ended``), because the reading coroutine may
+   learn of it late.
+3. A connection is closed in three steps: half-close, read until the remote ends, for a limited time, then
+   close. Closing a socket with unread bytes sends a reset, which may overtake the last line written.
 """
 
 from __future__ import annotations
@@ -29,13 +29,13 @@
 from saltcourse.codec.lines import MAX_LINE_BYTES, LineBuffer
 from saltcourse.proxy.errors import ConnectionLostError
 
-MAX_WRITE_BUFFER_BYTES = 64 * 1024  # writers await each write, so little gathers
-LINGER_ZERO = struct.pack("ii", 1, 0)  # SO_LINGER: the close is a reset
+MAX_WRITE_BUFFER_BYTES = 64 * 1024  # each write is awaited, so that little data accumulates
+LINGER_ZERO = struct.pack("ii", 1, 0)  # SO_LINGER value with which a close sends a reset
 END_EVENTS = getattr(select, "POLLRDHUP", 0x2000) | select.POLLHUP | select.POLLERR
 
 
 class _HalfCloseIOStream(IOStream):
-    """Keeps its socket at the remote's FIN, and counts the bytes that the kernel has taken."""
+    """Keeps its socket open on the remote's FIN, and counts the bytes that the kernel has accepted."""
 
     remote_ended = False
     bytes_sent = 0
@@ -61,17 +61,17 @@
 
 
 class SocketStream:
-    """A socket and the buffer that it is read into. One coroutine reads; any may write."""
+    """A connected socket with its read buffer. Only one coroutine may read; any coroutine may write."""
 
-    open_count = 0  # sockets that all streams of this process hold now
+    open_count = 0  # sockets that are currently open in all streams of this process
 
     def __init__(self, sock: socket.socket) -> None:
         sock.setblocking(False)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # lines are small and wanted at once
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # lines are short and latency matters
         self.buffer = LineBuffer()
         self._closed = False
-        self._bytes_sent_before = 0  # by the IOStreams before the present one
-        self._pending_read: asyncio.Future[int] | None = None  # the read that ``receive`` waits for
+        self._bytes_sent_before = 0  # bytes sent by the IOStreams that preceded the current one
+        self._pending_read: asyncio.Future[int] | None = None  # the read that ``receive`` is waiting for
         self._stream = self._wrap(sock)
         SocketStream.open_count += 1
 
@@ -86,26 +86,25 @@
 
     @property
     def closed(self) -> bool:
-        """Whether our side has closed it."""
+        """Whether our side has closed the connection."""
         return self._closed
 
     @property
     def bytes_sent(self) -> int:
-        """Bytes that the kernel has taken; whoever waits in ``write`` may resume later, or never."""
+        """The bytes that the kernel has accepted, even if a waiting ``write`` has not resumed yet."""
         return self._bytes_sent_before + self._stream.bytes_sent
 
     def has_ended(self) -> bool:
-        """The remote has ended its side or reset the connection, even if that waits unread behind bytes.
+        """Return whether the remote has ended its side or reset the connection, even behind unread bytes.
 
-        Asked of the kernel: the coroutine that reads may only learn of it after much else that this program
-        has to do.
+        The kernel is asked, because the reading coroutine may be scheduled much later on a busy loop.
         """
         return self._closed or self._stream.remote_ended or bool(self._poll(END_EVENTS) & END_EVENTS)
 
     def has_unread(self) -> bool:
-        """Bytes, or an end, have come that the coroutine that reads has not seen yet.
+        """Return whether bytes, or an end, have arrived that the reading coroutine has not processed yet.
 
-        They wait with the kernel, or the read is done and its coroutine has not had its turn.
+        They are in the kernel's buffer, or the read is done and its coroutine has not resumed yet.
         """
         if self._closed:
             return False
@@ -123,14 +122,14 @@
         return found[0][1] if found else 0
 
     async def connect(self, address: Address) -> None:
-        """Raises ``ConnectionLostError`` when the connection cannot be made."""
+        """Connect to ``address``; raises ``ConnectionLostError`` if that fails."""
         try:
             await self._stream.connect(address)
-        except OSError as error:  # StreamClosedError is one
+        except OSError as error:  # includes StreamClosedError
             raise ConnectionLostError(str(error)) from None
 
     async def receive(self) -> bool:
-        """Read what is there into the buffer; False once the remote has ended its side.
+        """Read available bytes into the buffer; return False once the remote has ended its side.
 
         Raises ``ConnectionLostError``.
         """
@@ -148,7 +147,7 @@
         return True
 
     async def next_line(self) -> memoryview | None:
-        """The next whole line; None once the remote has ended its side.
+        """Return the next complete line, or None once the remote has ended its side.
 
         Raises ``ConnectionLostError``, and ``ProtocolError`` for a line that is too long.
         """
@@ -158,12 +157,12 @@
         return line
 
     async def write(self, data: memoryview | bytes) -> None:
-        """Return once the kernel has taken all; until then a slice's buffer must stay as it is.
+        """Write ``data`` and return once the kernel has accepted all of it.
 
-        Raises ``ConnectionLostError``.
+        The buffer behind a ``memoryview`` must not change until then. Raises ``ConnectionLostError``.
         """
         if self._closed:
-            raise ConnectionLostError("closed on this side")
+            raise ConnectionLostError("connection is closed on our side")
         stream = self._writable_stream()
         begin = stream.bytes_queued
         stream.bytes_queued += len(data)
@@ -172,7 +171,7 @@
         except OSError as error:
             if not stream.remote_ended or self._closed:
                 raise ConnectionLostError(str(error)) from None
-            # The remote ended its side meanwhile, which took the IOStream but not the socket.
+            # The remote ended its side during the write: the IOStream is closed, but the socket is open.
             unsent = memoryview(data)[max(0, stream.bytes_sent - begin) :]
             if len(unsent):
                 await self.write(unsent)
@@ -188,14 +187,14 @@
         return self._stream.kept_socket or self._stream.socket
 
     def send_eof(self) -> None:
-        """End our side with a FIN; the remote's may go on. All writes must have been awaited."""
+        """Send a FIN; the remote may still send. All writes must have been awaited before."""
         sock = self._socket()
         if sock is not None and not self._closed:
             with contextlib.suppress(OSError):
                 sock.shutdown(socket.SHUT_WR)
 
     def abort(self) -> None:
-        """End with a reset."""
+        """Close the connection with a reset."""
         sock = self._socket()
         if sock is not None and not self._closed:
             with contextlib.suppress(OSError):
@@ -203,7 +202,7 @@
         self.close()
 
     def close(self) -> None:
-        """Give the descriptor back."""
+        """Close the socket; a second call has no effect."""
         SocketStream.open_count -= not self._closed
         self._closed = True
         stream = self._stream
@@ -214,10 +213,10 @@
 
 
 async def close_gracefully(stream: SocketStream, reader: asyncio.Task[None] | None, seconds: float) -> None:
-    """End our side, let the remote end its own within ``seconds``, then close.
+    """Half-close, wait up to ``seconds`` for the remote to end its side, then close.
 
-    Closing at once would answer what the remote still sends with a reset, and that could overtake the last
-    line written to it. ``reader`` is the task that reads this stream, discarding by now.
+    An immediate close would answer what the remote still sends with a reset, which could overtake the last
+    line written. ``reader`` is the task that reads this stream and now discards what it reads.
     """
     stream.send_eof()
     if reader is not None and not reader.done():
@@ -226,10 +225,11 @@
 
 
 async def reject_and_close(stream: SocketStream, line: bytes, seconds: float, max_bytes: int) -> None:
-    """Write a last line to a client that is not served, and close soon, whatever it goes on sending.
+    """Write a last line to a client that is not served, and close within ``seconds``.
 
-    At most ``max_bytes`` of that are discarded first. Of a flood the rest is left unread until ``seconds``
-    have passed: a close over it is a reset, which must not come before the client could read the line.
+    Up to ``max_bytes`` that the client sends are read and discarded. After more than that, the rest stays
+    unread until ``seconds`` have passed: closing with unread bytes sends a reset, which must not arrive
+    before the client could read the line.
     """
     with contextlib.suppress(ConnectionLostError, TimeoutError):
         async with asyncio.timeout(seconds):
@@ -244,7 +244,7 @@
 
 
 async def write_within(stream: SocketStream, data: bytes, seconds: float) -> bool:
-    """Write a last line to a remote that may not read; False if it could not be written in time."""
+    """Write a last line to a remote that may not be reading; return whether it was written in time."""
     try:
         async with asyncio.timeout(seconds):
             await stream.write(data)
--- a/saltcourse/proxy/traffic_summary.py
+++ b/saltcourse/proxy/traffic_summary.py
@@ -1,7 +1,7 @@
-"""Log lines that sum up, every few seconds, where connections went and what the balancer believes.
+"""Periodic log lines that summarise traffic, to explain later why connections went to which backend.
 
-They answer, for whoever asks later why connections went where they went: the connections at each backend, the
-balancer's occupancy over its ceiling, why nothing new goes there, and how attempts and requests ended.
+They show for each backend its connections, the balancer's occupancy and slot ceiling, and the reasons that
+limit new connections there, and how attempts and requests ended.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class RequestOutcome(Enum):
-    """What the balancer decided on a request; the value is its key in the log."""
+    """A decision of the balancer that ends a request; the value is its key in the log."""
 
     REJECTED = "rejected"
     FAILED = "failed"
@@ -27,18 +27,18 @@
 
 
 class TrafficSummary:
-    """Counts outcomes between two summaries."""
+    """Counts outcomes and logs them as a summary."""
 
     def __init__(self) -> None:
-        self._attempts: dict[str, Counter[str]] = {}  # by backend: how attempts ended
-        self._requests: Counter[str] = Counter()
+        self._attempts: dict[str, Counter[str]] = {}  # backend -> attempt status -> count
+        self._requests: Counter[str] = Counter()  # by request outcome
 
     def count_attempt(self, backend: str, status: AttemptStatus) -> None:
-        """An attempt, or its connection, ended so."""
+        """Count an attempt, or its established connection, that ended with ``status``."""
         self._attempts.setdefault(backend, Counter())[status.value] += 1
 
     def count_request(self, outcome: RequestOutcome) -> None:
-        """A request was rejected or failed, or its connection migrated."""
+        """Count a request that was rejected or failed, or whose connection was migrated."""
         self._requests[outcome.value] += 1
 
     def write(
@@ -48,10 +48,11 @@
         requests: int,
         is_failing: bool,
     ) -> None:
-        """Log one line for each backend and one for all, and count from 0 again.
+        """Log one line per backend and one for the total, then reset the counts.
 
-        ``established``: connections by backend; ``requests``: those that are open, established or not.
-        ``is_failing``: whether more attempts failed than succeeded of late.
+        ``established`` has the established connections by backend; ``requests`` is the number of open
+        requests, established or not; ``is_failing`` tells whether more attempts failed than succeeded
+        recently.
         """
         for report in reports:
             self._write_backend(report, established.get(report.backend, 0))
@@ -59,7 +60,8 @@
             "traffic",
             requests=requests,
             established=sum(established.values()),
-            # The key is older than the term: requests are rejected only under ``is_overloaded``.
+            # A historical key for ``is_failing``. It differs from the balancer's ``is_overloaded``, which is
+            # the condition for rejecting requests.
             overloaded=is_failing,
             **dict(sorted(self._requests.items())),
         )
--- a/saltcourse/signals.py
+++ b/saltcourse/signals.py
@@ -1,11 +1,11 @@
-r"""Signals that arrive before the program can act on them are held until it can.
+r"""Holds signals that arrive during startup until the process can handle them.
 
-The failure that this guards against: imports and the configuration take a while on a small part of a core,
-and whoever runs the program may tell it to stop or to reload as soon as its process is there. Python's
-defaults would end it then, by SIGHUP or with a traceback, and a supervisor sees a program that crashed at its
-start. So ``hold`` is called before anything else, and this module imports the standard library only.
+Imports and reading the configuration take a while on a small fraction of a core, and a supervisor may send
+SIGTERM or SIGHUP as soon as the process exists. With Python's defaults it would then be killed or exit with a
+traceback, which looks like a crash at startup. Therefore ``hold`` is called before anything else, and this
+module imports only the standard library.
 
-A process goes through these states::
+The signal handlers of a process go through these states::
 
     default --hold--> held --handle, for each signal--> handled --ignore--> ignored
                         \--release (all but serve and control)--> default
@@ -21,15 +21,15 @@
 
 
 def hold() -> None:
-    """Remember the signals that arrive from now on, and do nothing else about them."""
+    """Record the signals that arrive, without acting on them."""
     for number in HELD_SIGNALS:
         signal.signal(number, lambda received, _: _pending.add(received))
 
 
 def handle(number: int, act: Callable[[], object]) -> None:
-    """Call ``act`` for each signal ``number`` from now on, and at once if one is held.
+    """Call ``act`` for each signal ``number``, and immediately if one is held.
 
-    ``act`` has to be safe to call between any two instructions.
+    ``act`` runs in a signal handler, so it must be safe to call between any two bytecode instructions.
     """
     signal.signal(number, lambda *_: act())
     if number in _pending:
@@ -38,7 +38,7 @@
 
 
 def release() -> None:
-    """Restore Python's defaults, and raise again what is held: for the commands that do not hold signals."""
+    """Restore Python's default handlers and raise the held signals again, for commands that hold none."""
     for number in HELD_SIGNALS:
         signal.signal(number, signal.default_int_handler if number == signal.SIGINT else signal.SIG_DFL)
     while _pending:
@@ -46,6 +46,6 @@
 
 
 def ignore() -> None:
-    """Ignore the signals: the program ends by itself in a moment, and one more must not look like a crash."""
+    """Ignore signals while the process exits, because a late signal would make the exit look like a crash."""
     for number in HELD_SIGNALS:
         signal.signal(number, signal.SIG_IGN)
--- a/tests/proxy/test_draining.py
+++ b/tests/proxy/test_draining.py
@@ -44,8 +44,8 @@
         classes = [RequestClass(f"c{i}", 0.1, deadline) for i, deadline in enumerate(deadlines)]
         timeline = DrainTimeline.for_classes(classes)
         assert timeline.duration == longest + KILL_MARGIN_SECONDS
-        assert timeline.answers_due == timeline.duration - ANSWER_MARGIN_SECONDS
-        assert timeline.migrations_due == timeline.duration - MIGRATION_MARGIN_SECONDS
+        assert timeline.answer_deadline == timeline.duration - ANSWER_MARGIN_SECONDS
+        assert timeline.migration_deadline == timeline.duration - MIGRATION_MARGIN_SECONDS
 
 
 @pytest.mark.parametrize("state", ["new", "resting", "half", "half and its rest", "waiting", "established"])
@@ -151,7 +151,7 @@
     the balancer could neither retry nor reject it. The backend has to be given less than the drain's time.
     """
     request_class = replace(SHORT, idempotency=Idempotency.NOT_IDEMPOTENT)  # one attempt has all the time
-    answers_due = DrainTimeline.for_classes([request_class]).answers_due
+    answer_deadline = DrainTimeline.for_classes([request_class]).answer_deadline
 
     async def play() -> None:
         async with RunningProxy(request_class=request_class) as proxy:
@@ -163,7 +163,7 @@
             await client.send("000", b"\r\n")
             found = re.search(r"\bd=(\d+)", await (await proxy.accept()).line())
             assert found is not None
-            assert 0 < int(found.group(1)) <= 1000 * answers_due
+            assert 0 < int(found.group(1)) <= 1000 * answer_deadline
             assert await client.line() in ("BUSY", "ERR")
 
     asyncio.run(play())
--- a/tests/proxy/test_listener.py
+++ b/tests/proxy/test_listener.py
@@ -36,7 +36,7 @@
         with capture_logs() as logs:
             await asyncio.sleep(0.2)  # several pauses
             assert not accepted
-            assert [entry["event"] for entry in logs] == ["accepting paused"]
+            assert [entry["event"] for entry in logs] == ["client accept paused"]
             limit.limit += 10
             await wait_until(lambda: len(accepted) == 3)
         listener.close(accept_waiting=False)
