--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""What every test leaves as it found it."""
+"""Fixtures for all tests."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 @pytest.fixture(autouse=True)
-def signals_as_before() -> Iterator[None]:
-    """The program takes its signals for good: it is a process's last work, and here it is not."""
-    before = {number: signal.getsignal(number) for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)}
+def restore_signal_handlers() -> Iterator[None]:
+    """Restore the signal handlers after each test, because the proxy never removes those that it installs."""
+    original = {number: signal.getsignal(number) for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)}
     yield
-    for number, handler in before.items():
+    for number, handler in original.items():
         signal.signal(number, handler)
--- a/tests/free_ports.py
+++ b/tests/free_ports.py
@@ -1,4 +1,4 @@
-"""Addresses of loopback that nobody holds, for tests that must know them before anything listens there."""
+"""Free loopback addresses, for tests that must know an address before anything listens on it."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 def free_addresses(count: int) -> tuple[tuple[str, int], ...]:
-    """UDP addresses that nobody holds; all are held at once while they are sought, so that they differ."""
-    held = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(count)]
-    for sock in held:
+    """Return distinct free UDP addresses; all sockets are bound at the same time, so that they differ."""
+    sockets = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(count)]
+    for sock in sockets:
         sock.bind(("127.0.0.1", 0))
-    found = tuple(sock.getsockname() for sock in held)
-    for sock in held:
+    addresses = tuple(sock.getsockname() for sock in sockets)
+    for sock in sockets:
         sock.close()
-    return found
+    return addresses
--- a/tests/proxy/exchange_player.py
+++ b/tests/proxy/exchange_player.py
@@ -1,17 +1,19 @@
-r"""Plays recorded exchanges of bytes against the proxy, on ephemeral ports, and compares.
+r"""Plays scripted exchanges of bytes against a proxy on ephemeral ports, and checks what the remotes receive.
 
-A section of a file in ``exchanges/`` begins with ``== title`` and perhaps ``| option=value ...``.
-Each line after it is one step of a remote: c1, c2 ... are clients, p1, p2 ... connections that the
-backends s0, s1 ... accepted, d1, d2 ... calls at discovery.
+A section of a file in ``exchanges/`` begins with ``== title``, optionally followed by
+``| option=value ...``. Each further line is one step of a remote: c1, c2 ... are clients, p1, p2 ... are
+connections that the backends s0, s1 ... accepted, d1, d2 ... are calls to discovery.
 
-    c1 > text      sends a line; c1 >> text sends just that. \r, \xe9 and the like as in Python
-    c1 < text      the next line is this, but for the figure of d where the text has d=*, or of BUSY *
-    d1 answers {}  sends that body with an HTTP head; p1 floods: sends 5,000 bytes without a line end
-    p1 takes       the next connection has come (p1 takes s0: and at that backend)
-    c1 ends, resets, closes, sees end, sees reset
-    proxy ...      something done to the proxy, see ``ExchangePlayer.act_on_proxy``
+    c1 > text      send a line; c1 >> text sends no line end. \r, \xe9 and the like are escapes as in Python
+    c1 < text      expect this line; d=* and BUSY * in the text match any number
+    d1 answers {}  send this body in an HTTP response
+    p1 floods      send 5,000 bytes without a line end
+    p1 takes       accept the next connection (p1 takes s0: at that backend)
+    c1 ends        half-close; c1 resets, c1 closes: close with a reset, close
+    c1 sees end    read to the end and expect a FIN; c1 sees reset: expect a reset
+    proxy ...      an action on the proxy, see ``ExchangePlayer.act_on_proxy``
 
-Steps are taken in turn and each waits for what it expects, so no result depends on how fast that is.
+The steps run in sequence and each waits for what it expects, so that results do not depend on timing.
 
 Options: ``backends``, ``unreachable`` (backends where nothing listens), ``sockets`` (descriptor limit),
 ``polled`` (discovery is watched), the time limits of ``test_exchanges``, and any setting by its name.
@@ -37,12 +39,12 @@
 from saltcourse.proxy.server import Phase, ProxyServer
 from tests.balancing.balancer_host import QUICK, settings
 
-STEP_TIMEOUT_SECONDS = 10.0  # far more than any takes
+STEP_TIMEOUT_SECONDS = 10.0  # far more than any step takes
 EXCHANGES = Path(__file__).parent / "exchanges"
 
 
 def sections() -> dict[str, tuple[dict[str, str], list[str]]]:
-    """Options and steps by title."""
+    """Return the options and steps of each section, by title."""
     found: dict[str, tuple[dict[str, str], list[str]]] = {}
     steps: list[str] = []
     for path in sorted(EXCHANGES.glob("*.txt")):
@@ -50,7 +52,7 @@
             if line.startswith("== "):
                 title, _, options = line[3:].partition(" | ")
                 steps = []
-                assert title not in found, f"{title} is there twice"
+                assert title not in found, f"{path.name}: duplicate section title {title!r}"
                 found[title] = dict(option.split("=") for option in options.split()), steps
             elif line.strip() and not line.startswith("#"):
                 steps.append(line)
@@ -64,7 +66,7 @@
 
 
 class RemoteConnection:
-    """One end of a connection, as a client, a backend or discovery holds it."""
+    """The remote end of a connection with the proxy: a client's, a backend's or discovery's."""
 
     def __init__(self, sock: socket.socket) -> None:
         sock.setblocking(False)
@@ -77,7 +79,7 @@
 
     async def line(self) -> str:
         while b"\r\n" not in self.received:
-            assert await self.receive(), f"ended after {self.received!r}"
+            assert await self.receive(), f"connection ended after {self.received!r}, expected a line"
         line, _, self.received = self.received.partition(b"\r\n")
         return line.decode()
 
@@ -86,14 +88,14 @@
         await asyncio.get_running_loop().sock_sendall(self.sock, data)
 
     async def sees(self, expected: str) -> None:
-        """Read to the end, which is to be an "end" (FIN) or a "reset"."""
+        """Read to the end of the connection, and check that it is ``expected``: "end" (FIN) or "reset"."""
         try:
             while await self.receive():
                 pass
         except ConnectionResetError:
-            assert expected == "reset", "a reset, not an end"
+            assert expected == "reset", "got a reset, expected a FIN"
         else:
-            assert expected == "end", "an end, not a reset"
+            assert expected == "end", "got a FIN, expected a reset"
 
     def reset(self) -> None:
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -101,7 +103,7 @@
 
 
 class FaultyBalancer:
-    """In the place of the proxy's balancer: raises at its next event."""
+    """Replaces the proxy's balancer and raises an exception on every event."""
 
     def handle(self, now: float, event: Event) -> list[Any]:
         raise RuntimeError("a fault in the balancer")
@@ -168,7 +170,7 @@
                     async with asyncio.timeout(STEP_TIMEOUT_SECONDS):
                         await self.step(step, running)
                 except TimeoutError:
-                    raise AssertionError(f"nothing received: {step}") from None
+                    raise AssertionError(f"{step}: timed out after {STEP_TIMEOUT_SECONDS} s") from None
                 except AssertionError as error:
                     raise AssertionError(f"{step}: {error}") from None
         finally:
@@ -207,7 +209,7 @@
             await remote.send("x" * 5000, b"")
         elif act == "sees":
             await remote.sees(rest)
-            assert not remote.received or name[0] == "d", f"unexpected before its end: {remote.received!r}"
+            assert not remote.received or name[0] == "d", f"unexpected data: {remote.received!r}"
         elif act == "ends":
             remote.sock.shutdown(socket.SHUT_WR)
         elif act == "resets":
@@ -218,7 +220,7 @@
             raise ValueError(step)
 
     async def accept(self, name: str, backend: str) -> RemoteConnection:
-        """The next connection at discovery, at this backend, or at any where it is empty."""
+        """Accept the next connection at discovery, at ``backend``, or at any backend if it is empty."""
         loop = asyncio.get_running_loop()
         if name[0] == "d":
             listeners = [self.discovery]
@@ -232,11 +234,11 @@
         return RemoteConnection(done.pop().result()[0])
 
     async def act_on_proxy(self, act: str, running: asyncio.Task[None]) -> None:
-        """Do something to the proxy.
+        """Perform an action on the proxy.
 
-        migrates: all that are established, as the balancer's MigrateConnection does. faults: the balancer
-        raises at its next event. leaves: SIGTERM. has exited: by itself. reloads: SIGHUP, with discovery
-        at another address; breaks: SIGHUP, but the file is broken.
+        migrates: migrate all established connections. faults: the balancer raises an exception on its next
+        event. leaves: request the shutdown, as SIGTERM does. has exited: wait for its exit. reloads: SIGHUP
+        after discovery has moved to another address. breaks: SIGHUP with an invalid configuration file.
         """
         dispatcher = self.server.dispatcher
         if act == "migrates":
--- a/tests/proxy/manual_clock.py
+++ b/tests/proxy/manual_clock.py
@@ -1,4 +1,4 @@
-"""A clock that a test sets."""
+"""A clock that is set by the test."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class ManualClock(Clock):
-    """Stands still at ``time`` (s)."""
+    """Returns ``time`` (s), which changes only when a test assigns it."""
 
     def __init__(self, time: float = 100.0) -> None:
         super().__init__()
--- a/tests/proxy/running_proxy.py
+++ b/tests/proxy/running_proxy.py
@@ -1,7 +1,7 @@
-"""The whole proxy but its command line, in this process, between backends and clients played by hand.
+"""Runs a complete proxy, without its command line, in the test process; the test plays clients and backends.
 
-What a test holds back it lets go by a gate, so that two events meet and nothing is slept for.
-When the proxy has ended, descriptors and tasks are counted: none may be left.
+Tests control the order of two events with an ``asyncio.Event`` as a gate instead of sleeping. After the proxy
+has exited, open descriptors and tasks are counted to detect leaks.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 from tests.balancing.balancer_host import QUICK, settings
 from tests.proxy.exchange_player import RemoteConnection, listen
 
-TURNS = 60  # of the loop: more than any chain of messages takes that waits for nothing outside
+TURNS = 60  # event loop iterations; more than any chain of messages needs without I/O
 OPEN = "OPEN a b c=quick,d={}"
 SHORT = RequestClass("quick", latency_objective=0.1, deadline=0.3, message_latency_objective=0.06)
 
@@ -38,7 +38,7 @@
 
 
 async def wait_until(condition: Callable[[], Any], seconds: float = 10.0) -> None:
-    """Far more time than it takes: a test that runs into it has failed."""
+    """Wait until ``condition`` holds; the timeout is far longer than any wait and fails the test."""
     async with asyncio.timeout(seconds):
         while not condition():
             await asyncio.sleep(0.002)
@@ -53,7 +53,7 @@
 
 
 def has_left(connection: ClientConnection) -> bool:
-    """The kernel knows of the client's end; asked here without the proxy's own help."""
+    """Return whether the kernel has seen the client's end; asks without the proxy's own methods."""
     sock = connection.stream._socket()
     poll = select.poll()
     poll.register(sock, select.POLLRDHUP)  # type: ignore[arg-type]
@@ -61,7 +61,7 @@
 
 
 class RemoteClient(RemoteConnection):
-    """A client's end of a connection, and the proxy's ``connection`` at the other."""
+    """The client's end of a connection; ``connection`` is the proxy's end."""
 
     def __init__(self, sock: socket.socket, connection: ClientConnection) -> None:
         super().__init__(sock)
@@ -128,7 +128,7 @@
         await self.running
         discovery = self.server.discovery
         for task in {self.server.dispatcher.task, discovery.task, *discovery._calls}:
-            if task is not None:  # they run for as long as the program does
+            if task is not None:  # these tasks run until the process exits
                 task.cancel()
         for listener in (self.discovery, *self.backends):
             listener.close()
@@ -141,7 +141,7 @@
             assert len(os.listdir("/proc/self/fd")) <= self.open_files, "a descriptor has leaked"
 
     async def client(self, text: str = "") -> RemoteClient:
-        """A new client, which sends ``text`` as its first line."""
+        """Connect a new client, which sends ``text`` as its first line if it is not empty."""
         known = set(self.server.clients)
         sock = socket.create_connection(self.server.address())
         await wait_until(lambda: self.server.clients - known)
@@ -152,14 +152,14 @@
         return client
 
     async def accept(self, backend: int = 0) -> RemoteConnection:
-        """The next connection at this backend."""
+        """Accept the next connection at the backend with this number."""
         async with asyncio.timeout(10.0):
             sock, _ = await asyncio.get_running_loop().sock_accept(self.backends[backend])
         self.remotes.append(RemoteConnection(sock))
         return self.remotes[-1]
 
     async def accept_any(self) -> tuple[int, RemoteConnection]:
-        """The number of the backend that got the next connection, and the connection."""
+        """Accept the next connection at any backend; return the backend's number and the connection."""
         found: list[tuple[int, socket.socket]] = []
 
         def accepted() -> bool:
@@ -178,7 +178,7 @@
 
 
 def record_then(messages: list[Any], send: Callable[[Any], None]) -> Callable[[Any], None]:
-    """Keeps each message in ``messages`` before it is sent on."""
+    """Return a function that appends each message to ``messages`` and then sends it."""
 
     def record_and_send(message: Any) -> None:
         messages.append(message)
@@ -188,17 +188,17 @@
 
 
 def record_dispatcher_messages(proxy: RunningProxy) -> list[Any]:
-    """What client connections send to the dispatcher from now on; it gets them all the same."""
+    """Record the messages that client connections send to the dispatcher, which still receives them."""
     messages: list[Any] = []
     proxy.server.context.send_to_dispatcher = record_then(messages, proxy.server.dispatcher.send)
     return messages
 
 
 def write_open_line_in_parts(monkeypatch: pytest.MonkeyPatch, seconds: float) -> None:
-    """The first OPEN line goes in two parts.
+    """Make the first OPEN line be written in two parts.
 
-    Between them the loop stands still for so long that the attempt's time is up in the very turn in which the
-    kernel takes the rest.
+    The event loop is blocked for ``seconds`` between them, so that the attempt times out in the same loop
+    iteration in which the kernel accepts the second part.
     """
     write, calls = _HalfCloseIOStream.write_to_fd, []
 
@@ -215,13 +215,13 @@
 
 
 async def expect_end_without_reset(client: RemoteClient) -> None:
-    """The client ends its side when it has seen the proxy's; a reset would come after that."""
+    """Expect a FIN, close the client's side, and check that neither data nor a reset follows."""
     await client.sees("end")
     client.sock.shutdown(socket.SHUT_WR)
     await wait_until(lambda: client.connection.stream.closed)
     await run_loop_turns()
-    assert client.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0, "a reset followed the end"
-    assert not client.received, f"something else than the end: {client.received!r}"
+    assert client.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0, "a reset followed the FIN"
+    assert not client.received, f"unexpected data before the FIN: {client.received!r}"
 
 
 async def send_ping(client: RemoteConnection) -> None:
--- a/tests/proxy/test_attempt.py
+++ b/tests/proxy/test_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at one backend: may the request have run, and is the line written at all?"""
+"""A single attempt: whether the OPEN line is written, and whether the request may have run."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class RecordingOwner:
-    """In the place of a client connection: keeps what it is sent."""
+    """Replaces a client connection and records the messages that it is sent."""
 
     def __init__(self) -> None:
         self.messages: list[Any] = []
@@ -26,7 +26,7 @@
         self.messages.append(message)
 
     async def deliver(self, line: memoryview) -> None:
-        raise AssertionError("no line was to follow")
+        raise AssertionError("unexpected line to the client")
 
     def wants_answer(self) -> bool:
         return True
@@ -35,7 +35,7 @@
         self.open_lines_sent += 1
 
     def backend_line_received(self, line: memoryview) -> None:
-        raise AssertionError("no line was to come")
+        raise AssertionError("unexpected line from the backend")
 
 
 def attempt_at(listener: socket.socket, owner: RecordingOwner, seconds: float) -> BackendAttempt:
@@ -44,11 +44,11 @@
     return BackendAttempt(owner, Clock(), spec)
 
 
-def test_an_attempt_given_up_before_its_first_turn_neither_connects_nor_writes() -> None:
-    """An attempt was started and given up in the same turn of the loop.
+def test_an_attempt_cancelled_before_its_task_runs_neither_connects_nor_writes() -> None:
+    """Guards against an attempt that connects and sends its request although it was cancelled.
 
-    Its coroutine began after that, connected and sent the request, for which nobody waited any more.
-    Giving up has to be a state that the attempt checks itself, not only a close of what it holds.
+    An attempt can be started and cancelled in the same loop iteration, before its coroutine first runs.
+    Closing its resources has no effect then, so the coroutine has to check a cancelled state.
     """
 
     async def play() -> None:
@@ -66,11 +66,14 @@
     asyncio.run(play())
 
 
-def test_a_timeout_as_the_last_byte_is_taken_counts_as_may_have_run(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The OPEN line went in two parts, and the time-out came as the kernel took the rest.
+def test_a_timeout_during_the_last_part_of_the_write_counts_as_may_have_run(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Guards against a request that must not run twice being sent again.
 
-    The attempt reported that it had not been sent, and a request that may not run twice was sent again. The
-    bytes that the kernel took decide, not which coroutine resumes first.
+    The OPEN line was written in two parts, and the timeout expired while the kernel accepted the second one.
+    The attempt was reported as not sent. The bytes that the kernel accepted must decide, not which coroutine
+    resumes first.
     """
 
     async def play() -> None:
--- a/tests/proxy/test_client_connection.py
+++ b/tests/proxy/test_client_connection.py
@@ -1,6 +1,7 @@
-"""A client connection between its OPEN line and its answer: clients that leave, and retries that do harm.
+"""A client connection between its OPEN line and its answer: clients that leave, and unsafe retries.
 
-One event is held back until the other is in place; docs/design/race-conditions.md has the table of them.
+Each test delays one event until another has happened; docs/design/race-conditions.md has a table of the
+races.
 """
 
 from __future__ import annotations
@@ -33,7 +34,7 @@
 
 
 def hold_reader(monkeypatch: pytest.MonkeyPatch) -> asyncio.Event:
-    """What a client does after its first line is seen by nobody until the gate opens."""
+    """Delay the client reader until the returned gate is set, so that it sees nothing after the OPEN line."""
     gate, read = asyncio.Event(), ClientConnection._read_client
 
     async def held(self: ClientConnection) -> None:
@@ -56,17 +57,18 @@
         (Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL, 60.0, False),
     ],
 )
-def test_a_request_that_may_have_run_is_retried_only_where_that_is_harmless(
+def test_a_request_that_may_have_run_is_retried_only_if_that_is_safe(
     monkeypatch: pytest.MonkeyPatch,
     idempotency: Idempotency,
     scope: DeduplicationScope,
     window: float,
     is_retried: bool,
 ) -> None:
-    """An attempt timed out as the kernel took the last byte of its OPEN line.
+    """Guards against a request that runs twice.
 
-    The request was retried as if it had not been sent, and ran twice. It may be retried only where the class
-    allows it: idempotent, or with an idempotency key in whose scope and window the retry falls.
+    An attempt timed out while the kernel accepted the last byte of its OPEN line, and the request was retried
+    as if it had not been sent. A retry is allowed only if the request class is idempotent, or has an
+    idempotency key and the retry falls within its deduplication scope and window.
     """
     request_class = replace(
         QUICK,
@@ -76,7 +78,7 @@
         latency_objective=0.2,
         deadline=0.6,
     )
-    # The attempt of a request that may not run twice has all the time that there is.
+    # The single attempt of a request that must not run twice gets all of the request's time.
     seconds = 0.65 if idempotency is Idempotency.NOT_IDEMPOTENT else 0.25
 
     async def play() -> None:
@@ -95,14 +97,14 @@
     asyncio.run(play())
 
 
-@pytest.mark.parametrize("before_its_end", [b"", b"more than one line"])
-def test_the_request_of_a_client_that_left_during_its_decision_is_not_forwarded(
-    monkeypatch: pytest.MonkeyPatch, before_its_end: bytes
+@pytest.mark.parametrize("sent_before_leaving", [b"", b"more than one line"])
+def test_a_request_is_not_forwarded_if_its_client_left_during_the_decision(
+    monkeypatch: pytest.MonkeyPatch, sent_before_leaving: bytes
 ) -> None:
-    """A client left while the balancer decided on its request.
+    """Guards against a backend running a request whose client has left.
 
-    The attempt began before the reader had seen the client's end, and a backend ran a request for nobody. The
-    kernel knows of the end, also where it waits unread behind bytes.
+    The client left while the balancer decided, and the attempt began before the reader had seen the client's
+    end. The kernel knows of the end, even if it follows unread bytes.
     """
 
     async def play() -> None:
@@ -112,8 +114,8 @@
             proxy.server.context.send_to_dispatcher = held.append
             client = await proxy.client(OPEN.format(900))
             await wait_until(lambda: any(isinstance(message, NewRequest) for message in held))
-            if before_its_end:
-                client.sock.send(before_its_end)
+            if sent_before_leaving:
+                client.sock.send(sent_before_leaving)
             client.sock.close()
             await wait_until(lambda: has_left(client.connection))
             proxy.server.context.send_to_dispatcher = send
@@ -126,11 +128,8 @@
     asyncio.run(play())
 
 
-def test_an_attempt_queued_before_the_clients_end_does_not_begin() -> None:
-    """The order to begin an attempt and the client's end were in the mailbox together.
-
-    The first was carried out without a pause, though the client had gone by then.
-    """
+def test_an_attempt_queued_before_the_client_disconnect_does_not_begin() -> None:
+    """Guards against an attempt that begins while ``ClientClosed`` is already queued behind its order."""
 
     async def play() -> None:
         async with RunningProxy() as proxy:
@@ -138,7 +137,7 @@
             client = await proxy.client(OPEN.format(900))
             await wait_until(lambda: client.connection.state is ConnectionState.WAITING)
             connection = client.connection
-            # Both are in the mailbox before the connection has its turn; the first is taken without a pause.
+            # Both messages are in the mailbox before the connection runs, and it does not wait between them.
             connection.send(BeginAttempt("a", "s0", 0, 0.9, proxy.backends[0].getsockname()))
             connection.send(ClientClosed(reset=False))
             await run_loop_turns()
@@ -148,13 +147,14 @@
     asyncio.run(play())
 
 
-def test_the_balancer_learns_at_once_that_the_client_left_before_its_attempt(
+def test_the_balancer_is_notified_immediately_if_the_client_left_before_its_attempt(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """An attempt was to begin for a client that had left, and the reader had not seen the end yet.
+    """Guards against a balancer that is not notified of a client's disconnect.
 
-    The attempt gave itself up, but the balancer was never notified that the client had disconnected. Both are
-    reported by the connection as it is asked to begin: the attempt was not sent, and nobody waits any more.
+    The client had left before its attempt was to begin, and the reader had not seen the end yet. The attempt
+    was not sent, but ``ClientDisconnected`` was missing. The connection has to report both as soon as it gets
+    the order to begin.
     """
 
     async def play() -> None:
@@ -181,10 +181,7 @@
 def test_the_open_line_is_not_written_when_the_client_left_during_the_connect(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A connect took long, and the client left meanwhile.
-
-    The OPEN line was written all the same as soon as the connection was up.
-    """
+    """Guards against an OPEN line that is written after a slow connect although the client has left."""
 
     async def play() -> None:
         gate = hold_reader(monkeypatch)
@@ -209,9 +206,10 @@
 
 
 def test_no_retry_for_a_client_that_left_during_its_first_attempt(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A client left during its first attempt, which then failed.
+    """Guards against a retry for a client that has left.
 
-    The request was retried at another backend before the reader had seen the client's end.
+    The client left during its first attempt, which then failed. The request was retried at another backend
+    before the reader had seen the client's end.
     """
 
     async def play() -> None:
@@ -231,13 +229,14 @@
     asyncio.run(play())
 
 
-def test_no_retry_is_asked_for_when_the_client_left_during_its_first_attempt(
+def test_the_outcome_of_a_failed_attempt_is_final_if_the_client_has_left(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A client left during its first attempt, which then failed, before the reader had seen the client's end.
+    """Guards against retry budget that is spent for a client that has left.
 
-    The balancer was asked for a retry, which it drew a backend and spent retry budget for. The attempt's
-    outcome has to be final, and no second attempt is ordered.
+    The client left during its first attempt, which failed before the reader had seen the client's end. The
+    balancer chose a backend for a retry and spent retry budget. The attempt's outcome has to be final, so
+    that no second attempt is ordered.
     """
 
     async def play() -> None:
@@ -262,11 +261,12 @@
     asyncio.run(play())
 
 
-def test_a_burst_of_clients_that_leave_forwards_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Sixty clients left at once while their requests were decided.
+def test_no_request_is_forwarded_for_a_burst_of_clients_that_leave(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against forwarding the requests of many clients that leave at the same time.
 
-    Some had sent a flood behind their line. The reader had not seen their ends yet, so their requests went to
-    backends. None may be forwarded, and nothing may be left behind in the proxy.
+    Sixty clients leave while their requests are decided, a third of them after sending a flood behind their
+    OPEN line, and the readers have not seen their ends yet. No request may be forwarded, and the proxy must
+    not leak descriptors or tasks.
     """
 
     async def play() -> None:
@@ -293,8 +293,8 @@
     asyncio.run(play())
 
 
-def test_a_second_open_while_the_first_waits_fails_it_and_is_not_forwarded() -> None:
-    """A client that does not wait for its answer breaks the protocol: its request fails, its attempt ends."""
+def test_a_second_open_before_the_answer_fails_the_request_and_is_not_forwarded() -> None:
+    """A client that does not wait for its answer violates the protocol: its request is failed."""
 
     async def play() -> None:
         async with RunningProxy(2) as proxy:
--- a/tests/proxy/test_connection_context.py
+++ b/tests/proxy/test_connection_context.py
@@ -1,4 +1,4 @@
-"""What client connections share: the ids of open requests, and the log of protocol errors."""
+"""The shared state of client connections: the ids of open requests and the log of protocol errors."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from tests.proxy.manual_clock import ManualClock
 
 
-def test_an_id_has_one_owner_until_it_is_released() -> None:
+def test_a_request_id_cannot_be_claimed_twice_until_it_is_released() -> None:
     ids = RequestIds()
     ids.claim("a")
     with pytest.raises(ProtocolError):
--- a/tests/proxy/test_connection_end.py
+++ b/tests/proxy/test_connection_end.py
@@ -1,6 +1,7 @@
-"""The end of an established connection: what either side still sends after the proxy has ended the other.
+"""The end of an established connection: data that one side still sends after the proxy has ended the other.
 
-One event is held back until the other is in place; docs/design/race-conditions.md has the table of them.
+Each test delays one event until another has happened; docs/design/race-conditions.md has a table of the
+races.
 """
 
 from __future__ import annotations
@@ -29,7 +30,7 @@
 
 
 async def establish(proxy: RunningProxy) -> tuple[RemoteClient, RemoteConnection]:
-    """Both ends of a connection on which UP was passed on."""
+    """Establish a connection; return the client's and the backend's end."""
     client = await proxy.client(OPEN.format(5000))
     backend = await proxy.accept()
     await backend.line()
@@ -39,7 +40,7 @@
 
 
 def hold_end_after_move(monkeypatch: pytest.MonkeyPatch) -> asyncio.Event:
-    """MOVE is written, and neither side is ended before the gate opens."""
+    """Delay the proxy between writing MOVE and closing either side until the returned gate is set."""
     gate = asyncio.Event()
 
     async def write_then_wait(stream: SocketStream, data: bytes, seconds: float) -> bool:
@@ -55,10 +56,11 @@
 def test_a_clients_line_after_the_proxys_half_close_is_dropped(
     monkeypatch: pytest.MonkeyPatch, cause: str
 ) -> None:
-    """A client sent a line while it had not read the end of its connection yet.
+    """Guards against relaying a client's line to a backend whose side has ended.
 
-    The line was counted as sent to the backend, whose side had ended. After MOVE it was written to a socket
-    that the proxy had shut for writing, and that failure closed the backend's connection by a reset.
+    A client sent a line before it had read the end of its connection. The line was counted as sent to the
+    backend. After MOVE it was also written to a socket that the proxy had shut down for writing, and that
+    error closed the backend's connection with a reset.
     """
     monkeypatch.setattr(client_connection, "CLOSE_TIMEOUT_SECONDS", 10.0)
 
@@ -89,10 +91,10 @@
     asyncio.run(play())
 
 
-def test_a_clients_line_while_move_is_written_is_not_passed_on(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A client sent a line while MOVE was on its way to it.
+def test_a_clients_line_while_move_is_written_is_not_relayed(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against relaying a line that the client sent while MOVE was in flight.
 
-    The backend got the line though the connection was over, and its answer could reach nobody.
+    The backend received the line although the connection had ended and its answer could not be delivered.
     """
 
     async def play() -> None:
@@ -111,12 +113,12 @@
     asyncio.run(play())
 
 
-@pytest.mark.parametrize("late", [b"late\r\n", b"half a line, then the end"])
-def test_nothing_follows_move(monkeypatch: pytest.MonkeyPatch, late: bytes) -> None:
-    """A backend's line came between MOVE and the end of the connection.
+@pytest.mark.parametrize("late", [b"late\r\n", b"incomplete line, then FIN"])
+def test_no_data_is_written_after_move(monkeypatch: pytest.MonkeyPatch, late: bytes) -> None:
+    """Guards against data after MOVE, which has to be the last line of a connection.
 
-    It was passed on behind MOVE, as was the rest of a line that the backend's end had cut short. MOVE is the
-    last line of a connection; what the backend sends later is read and dropped.
+    A backend's line arrived between MOVE and the close and was relayed, as was an incomplete last line. What
+    the backend sends after MOVE has to be read and dropped.
     """
 
     async def play() -> None:
--- a/tests/proxy/test_connection_monitor.py
+++ b/tests/proxy/test_connection_monitor.py
@@ -1,4 +1,4 @@
-"""The regular checks on established connections, in their order and with a late check."""
+"""The periodic checks of established connections, including a check that runs late."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from tests.proxy.manual_clock import ManualClock
 
 
-class Monitored:
-    """A monitor on a manual clock, and what it has done."""
+class MonitorHarness:
+    """A connection monitor on a manual clock, which records migrations and reports."""
 
     def __init__(self, connections: dict[str, str]) -> None:
         self.clock = ManualClock()
@@ -36,39 +36,39 @@
 
 
 def test_a_silent_connection_is_migrated_once() -> None:
-    monitored = Monitored({"a": "s0", "b": "s0"})
-    monitored.monitor.line_sent("a", monitored.clock.now())
-    monitored.check_after(SILENT_AFTER_SECONDS)
-    monitored.check_after(CHECK_INTERVAL_SECONDS)
-    assert monitored.migrated == ["a"]
-    assert monitored.monitor.backend_counts() == {"s0": 1}
+    harness = MonitorHarness({"a": "s0", "b": "s0"})
+    harness.monitor.line_sent("a", harness.clock.now())
+    harness.check_after(SILENT_AFTER_SECONDS)
+    harness.check_after(CHECK_INTERVAL_SECONDS)
+    assert harness.migrated == ["a"]
+    assert harness.monitor.backend_counts() == {"s0": 1}
 
 
-def test_a_late_check_calls_no_backend_hung() -> None:
-    """The loop stood still, and lines that had come meanwhile were not read yet when the check began."""
-    monitored = Monitored({"a": "hung", "b": "hung", "c": "healthy"})
-    start = monitored.clock.now()
+def test_a_late_check_does_not_report_backends_as_hung() -> None:
+    """After the event loop was blocked, the check may run before the lines that have arrived are read."""
+    harness = MonitorHarness({"a": "hung", "b": "hung", "c": "healthy"})
+    start = harness.clock.now()
     for request in "abc":
-        monitored.monitor.line_sent(request, start)
-    monitored.monitor.line_received("c", start + 0.9)
-    monitored.check_after(1.0)
-    regular = [(report.request, round(report.latency, 2)) for report in monitored.reports]
-    assert regular == [("b", 1.0), ("c", 0.9)]  # one report a second for each slow backend
-    monitored.check_after(CHECK_INTERVAL_SECONDS)
-    assert [report.request for report in monitored.reports[2:]] == ["a"]  # hung: its oldest line
+        harness.monitor.line_sent(request, start)
+    harness.monitor.line_received("c", start + 0.9)
+    harness.check_after(1.0)
+    regular = [(report.request, round(report.latency, 2)) for report in harness.reports]
+    assert regular == [("b", 1.0), ("c", 0.9)]  # one report per second for each slow backend
+    harness.check_after(CHECK_INTERVAL_SECONDS)
+    assert [report.request for report in harness.reports[2:]] == ["a"]  # the hung backend's oldest line
 
 
-def test_a_drain_migrates_what_is_due_and_can_be_stopped() -> None:
+def test_a_drain_migrates_on_schedule_and_can_be_stopped() -> None:
     async def play() -> None:
-        monitored = Monitored({f"r{i}": "s0" for i in range(10)})
+        harness = MonitorHarness({f"r{i}": "s0" for i in range(10)})
         now = asyncio.get_running_loop().time()
-        monitored.monitor.start_draining(now, now + 5 * CHECK_INTERVAL_SECONDS)
-        due = len(monitored.migrated)
-        assert 0 < due < 10 and monitored.monitor.is_draining
-        monitored.monitor.stop_draining()
-        monitored.check_after(CHECK_INTERVAL_SECONDS)
-        assert len(monitored.migrated) == due and not monitored.monitor.is_draining
-        monitored.monitor.start_draining(0.0, 0.0)
-        assert len(monitored.migrated) == 10
+        harness.monitor.start_draining(now, now + 5 * CHECK_INTERVAL_SECONDS)
+        count = len(harness.migrated)
+        assert 0 < count < 10 and harness.monitor.is_draining
+        harness.monitor.stop_draining()
+        harness.check_after(CHECK_INTERVAL_SECONDS)
+        assert len(harness.migrated) == count and not harness.monitor.is_draining
+        harness.monitor.start_draining(0.0, 0.0)
+        assert len(harness.migrated) == 10
 
     asyncio.run(play())
--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -1,4 +1,4 @@
-"""The discovery client against a discovery played by hand: late, silent, broken and restarted."""
+"""The discovery client against a fake discovery service that is late, silent, faulty or restarted."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 from tests.proxy.exchange_player import RemoteConnection, listen
 from tests.proxy.running_proxy import run_loop_turns, wait_until
 
-CHANGE_KNOWN_WITHIN = 6.0  # s after which a change of the list counts as known
-CALL_TURN = 3.0  # s that a call waits for its turn at discovery at the longest
+CHANGE_KNOWN_WITHIN = 6.0  # seconds after which the proxy is expected to know a change of the list
+CALL_TURN = 3.0  # seconds that a call may be queued at discovery at most
 
 
-class Catalog:
-    """Discovery played by hand, before a discovery client and nothing else of the proxy."""
+class FakeDiscovery:
+    """A discovery service controlled by the test, with a discovery client and no other part of the proxy."""
 
     def __init__(self, version: int) -> None:
         self.listener = listen()
@@ -61,88 +61,90 @@
 
 
 def test_a_late_snapshot_does_not_undo_a_newer_watch_event() -> None:
-    """A fetch of the whole list was answered late, after a watch had delivered a newer version.
+    """Guards against an older list that replaces a newer one.
 
-    The older list took the newer one's place, in which a backend had begun to drain.
+    A fetch of the complete list was answered after a watch had delivered a newer version, in which a backend
+    had begun to drain.
     """
 
     async def play() -> None:
-        catalog = Catalog(5)
-        catalog.client.send(FetchEndpoints())
-        fetch, _ = await catalog.call()
-        catalog.client.send(WatchEndpoints())
-        watch, target = await catalog.call()
+        discovery = FakeDiscovery(5)
+        discovery.client.send(FetchEndpoints())
+        fetch, _ = await discovery.call()
+        discovery.client.send(WatchEndpoints())
+        watch, target = await discovery.call()
         assert "after=5&" in target
-        await catalog.answer(watch, 7, False, "DRAINING")
-        _, target = await catalog.call()
-        await catalog.answer(fetch, 6, True, "SERVING")
-        await wait_until(lambda: len(catalog.client._calls) == 1)  # the fetch is over
-        assert "after=7&" in target and catalog.versions() == [7]
-        await catalog.end()
+        await discovery.answer(watch, 7, False, "DRAINING")
+        _, target = await discovery.call()
+        await discovery.answer(fetch, 6, True, "SERVING")
+        await wait_until(lambda: len(discovery.client._calls) == 1)  # the fetch is over
+        assert "after=7&" in target and discovery.versions() == [7]
+        await discovery.end()
 
     asyncio.run(play())
 
 
-def test_a_restarted_discovery_counts_though_its_versions_are_lower() -> None:
-    """Discovery began anew and counted its versions from the start.
+def test_updates_from_a_restarted_discovery_are_used_despite_lower_versions() -> None:
+    """Guards against dropping the answers of a restarted discovery, whose versions start again from 0.
 
-    Its answers looked late and were dropped for as long as its versions were lower than the old ones.
+    The answers looked late and were dropped until their versions exceeded the old ones.
     """
 
     async def play() -> None:
-        catalog = Catalog(41)
-        catalog.client.send(WatchEndpoints())
-        call, _ = await catalog.call()
-        await catalog.answer(call, 3, False, "DRAINING")  # changes to a list that nobody here has
-        call, target = await catalog.call()
+        discovery = FakeDiscovery(41)
+        discovery.client.send(WatchEndpoints())
+        call, _ = await discovery.call()
+        await discovery.answer(call, 3, False, "DRAINING")  # changes to a list that the client does not have
+        call, target = await discovery.call()
         assert "after=0&" in target
-        await catalog.answer(call, 3, True, "SERVING")
-        call, target = await catalog.call()
-        assert "after=3&" in target and catalog.versions() == [3]
-        await catalog.end()
+        await discovery.answer(call, 3, True, "SERVING")
+        call, target = await discovery.call()
+        assert "after=3&" in target and discovery.versions() == [3]
+        await discovery.end()
 
     asyncio.run(play())
 
 
-def test_a_silent_watch_is_replaced_without_the_balancer(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A watch got no answer, and a change was held back in it.
+def test_a_watch_that_times_out_is_replaced_without_the_balancer(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against a late endpoint list after a watch that gets no answer while a change is pending.
 
-    The proxy took that for a failure, and the balancer's backoff delayed the next call. A silence is no
-    failure: the whole list is fetched at once, and the balancer has no part in it.
+    The timeout was treated as a failure, and the balancer's backoff delayed the next call. Instead the
+    complete list has to be fetched immediately, without involving the balancer.
     """
     monkeypatch.setattr(discovery_client, "WATCH_WAIT_SECONDS", 0.05)
     monkeypatch.setattr(discovery_client, "WATCH_SLACK_SECONDS", 0.05)
 
     async def play() -> None:
-        catalog = Catalog(5)
-        catalog.client.send(WatchEndpoints())
-        _, target = await catalog.call()
+        discovery = FakeDiscovery(5)
+        discovery.client.send(WatchEndpoints())
+        _, target = await discovery.call()
         assert "after=5&" in target
-        call, target = await catalog.call()
-        assert target == discovery_client.LIST_PATH and not catalog.received
-        await catalog.answer(call, 9, True, "DRAINING")
-        _, target = await catalog.call()
-        assert "after=9&" in target and catalog.versions() == [9]
-        await catalog.end()
+        call, target = await discovery.call()
+        assert target == discovery_client.LIST_PATH and not discovery.received
+        await discovery.answer(call, 9, True, "DRAINING")
+        _, target = await discovery.call()
+        assert "after=9&" in target and discovery.versions() == [9]
+        await discovery.end()
 
     asyncio.run(play())
 
 
-def test_a_silent_watch_and_the_call_in_its_place_end_before_a_change_counts_as_known() -> None:
-    """From a call that is silent from its first moment to the turn of the next one at discovery."""
-    silence = discovery_client.WATCH_WAIT_SECONDS + discovery_client.WATCH_SLACK_SECONDS
-    assert silence + CALL_TURN / 2 <= CHANGE_KNOWN_WITHIN
-    assert discovery_client.WATCH_WAIT_SECONDS >= 2.0  # and discovery is not called in a hurry
+def test_a_watch_timeout_and_the_fetch_that_replaces_it_fit_into_the_time_to_know_a_change() -> None:
+    """The time counts from the start of an unanswered watch until discovery processes the next call."""
+    watch_timeout = discovery_client.WATCH_WAIT_SECONDS + discovery_client.WATCH_SLACK_SECONDS
+    assert watch_timeout + CALL_TURN / 2 <= CHANGE_KNOWN_WITHIN
+    assert discovery_client.WATCH_WAIT_SECONDS >= 2.0  # discovery must not be called too often
 
 
 @pytest.mark.parametrize("seed", range(20))
 @pytest.mark.parametrize("fails_after", [0.0, 3.0])
-def test_after_any_number_of_failures_the_list_is_fetched_before_a_change_counts_as_known(
+def test_after_any_number_of_failures_the_list_is_fetched_within_the_time_to_know_a_change(
     seed: int, fails_after: float
 ) -> None:
-    """Discovery failed several times and was there again right after a call had failed.
+    """Discovery fails several times and is available again immediately after a failed call.
 
-    The backoff and the next call's turn together must not take longer than a change may stay unknown.
+    The backoff and the queueing of the next call together must not exceed the time within which a change has
+    to be known.
     """
     node = BalancerHost(seed, discovery_mode=DiscoveryMode.POLLED, poll_interval=10.0)
     node.update_endpoints(members(2), EndpointUpdateKind.CACHED)
@@ -157,7 +159,7 @@
             node.run(0.01)
             assert node.now - failed < CHANGE_KNOWN_WITHIN
         assert node.now - failed + CALL_TURN <= CHANGE_KNOWN_WITHIN
-        if fails_after:  # it has waited for its turn already
+        if fails_after:  # the failed call has already been queued
             assert node.now - failed <= 0.5
 
 
@@ -173,36 +175,36 @@
         b"x" * 40_000,
     ],
 )
-def test_broken_answers_are_failures_and_leave_nothing_behind(answer: bytes) -> None:
-    """Cut, empty, foreign and endless answers: each ends the call as failed, and no descriptor stays open."""
+def test_invalid_responses_are_failures_and_leak_no_descriptor(answer: bytes) -> None:
+    """Truncated, empty, non-HTTP, erroneous and oversized responses all count as a failed call."""
 
     async def play() -> None:
         files = len(os.listdir("/proc/self/fd"))
-        catalog = Catalog(5)
-        catalog.client.send(WatchEndpoints())
-        call, _ = await catalog.call()
+        discovery = FakeDiscovery(5)
+        discovery.client.send(WatchEndpoints())
+        call, _ = await discovery.call()
         with suppress(ConnectionError):
             call.sock.send(answer)
             call.sock.shutdown(socket.SHUT_WR)
-        await wait_until(lambda: catalog.received)
-        assert catalog.received == [EndpointsReceived(EndpointUpdateKind.UNAVAILABLE)]
-        await catalog.end()
+        await wait_until(lambda: discovery.received)
+        assert discovery.received == [EndpointsReceived(EndpointUpdateKind.UNAVAILABLE)]
+        await discovery.end()
         assert len(os.listdir("/proc/self/fd")) <= files
 
     asyncio.run(play())
 
 
-def test_an_answer_in_pieces_with_white_space_and_bytes_behind_it_is_read() -> None:
+def test_a_response_in_pieces_with_white_space_and_trailing_bytes_is_read() -> None:
     async def play() -> None:
-        catalog = Catalog(5)
-        catalog.client.send(WatchEndpoints())
-        call, _ = await catalog.call()
+        discovery = FakeDiscovery(5)
+        discovery.client.send(WatchEndpoints())
+        call, _ = await discovery.call()
         body = '{\n  "version": 6,\n  "full": true,\n  "servers": [ ]\n}\n'
         for byte in f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n{body}trailing".encode():
-            with suppress(ConnectionError):  # the trailing bytes may find it closed
+            with suppress(ConnectionError):  # the connection may be closed before the trailing bytes
                 call.sock.send(bytes([byte]))
             await run_loop_turns(3)
-        await wait_until(lambda: catalog.versions() == [6])
-        await catalog.end()
+        await wait_until(lambda: discovery.versions() == [6])
+        await discovery.end()
 
     asyncio.run(play())
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,11 +1,11 @@
-"""Counters and gauges in statsd's line format."""
+"""The metrics text in statsd's line format."""
 
 from __future__ import annotations
 
 from saltcourse.metrics import Metrics, ReplyOutcome
 
 
-def test_replies_dispatches_and_gauges_are_written_one_a_line() -> None:
+def test_replies_dispatches_and_gauges_are_written_one_per_line() -> None:
     metrics = Metrics(["feed"])
     metrics.gauges = lambda: {"concurrent": 14}
     metrics.count_reply("feed", ReplyOutcome.ESTABLISHED)
