--- a/saltcourse/proxy/background_service.py
+++ b/saltcourse/proxy/background_service.py
@@ -1,4 +1,4 @@
-"""What runs beside the proxy in its process where the operator switched it on, as the server sees it."""
+"""Interfaces of the optional services that run in the proxy's process when the operator enables them."""
 
 from __future__ import annotations
 
@@ -6,31 +6,31 @@
 
 from saltcourse.config import Config
 
-if TYPE_CHECKING:  # nothing of it is imported without an admin address
+if TYPE_CHECKING:  # the admin package is not imported at run time unless an admin address is configured
     from saltcourse.admin.commands import GossipHandler
 
 
 class BackgroundService(Protocol):
-    """A part of the process that starts when the proxy serves."""
+    """A service that starts when the proxy is serving and stops before it drains."""
 
     async def start(self) -> None:
-        """Begin; the proxy is serving."""
+        """Start the service; called once the proxy is serving."""
 
     async def leave(self) -> None:
-        """Before draining: clients are then already sent elsewhere."""
+        """Stop the service; called before the drain, so that clients are routed elsewhere when it begins."""
 
     def reload(self) -> None:
-        """SIGHUP: read the configuration anew."""
+        """Read the service's configuration again; called on SIGHUP."""
 
 
 class HostProgram(Protocol):
-    """What a fleet member needs of the proxy that it runs in."""
+    """The interface of the proxy that its membership service uses."""
 
     def connections(self) -> int:
-        """Connections that clients asked for and that have not ended."""
+        """Return the number of client connections that are waiting for an answer or established."""
 
     def apply_config(self, new: Config) -> None:
-        """Put a changed configuration in force."""
+        """Apply a changed configuration."""
 
 
 class MembershipService(BackgroundService, Protocol):
@@ -38,10 +38,10 @@
 
     @property
     def gossip_handler(self) -> GossipHandler | None:
-        """The calls at the admin address that it answers; None before its start."""
+        """The handler of the gossip commands at the admin address; None before the service has started."""
 
     def attach(self, program: HostProgram) -> None:
-        """Before its start: ``program`` reports its connections, and applies a changed configuration."""
+        """Set the proxy that the service runs in; called before ``start``."""
 
     def gauges(self) -> dict[str, int]:
-        """Its gauges, by name."""
+        """Return the service's gauges, by name."""
--- a/saltcourse/proxy/dispatcher.py
+++ b/saltcourse/proxy/dispatcher.py
@@ -1,11 +1,12 @@
-"""The actor that alone owns the balancer: it hands events in, carries out actions and sets timers.
+"""The actor that owns the balancer: it passes events to it, executes its actions and sets its timers.
 
-It knows no protocol. Whoever brings a request is a ``RequestOwner``, which takes messages in its mailbox:
+It is independent of the client protocol. The owner of a request is a ``RequestOwner``, which receives
+messages:
 
     message ──► event ──► Balancer.handle ──► actions ──► owners, health checks, discovery, peers, timers
 
-A request is open from ``NewRequest`` (or ``ResumedConnection``) to ``RequestFinished``. A fault in the
-balancer costs the requests that wait for an answer, and no established connection: see ``_replace_balancer``.
+A request is open from ``NewRequest`` (or ``ResumedConnection``) to ``RequestFinished``. An exception in the
+balancer fails the requests that wait for an answer, but no established connection: see ``_replace_balancer``.
 """
 
 from __future__ import annotations
@@ -78,7 +79,7 @@
 
 @dataclass(slots=True)
 class TimerExpired:
-    """A timer of one balancer: one that has been replaced since has no use for it."""
+    """A timer of a balancer has expired; it is ignored if that balancer has been replaced."""
 
     balancer: Balancer
     token: int
@@ -94,7 +95,7 @@
 
 @dataclass(slots=True)
 class RequestRecord:
-    """A request that its owner has not finished; ``received`` is None for a resumed connection."""
+    """An open request; ``received`` is None for a resumed connection."""
 
     owner: RequestOwner
     received: RequestReceived | None = None
@@ -103,23 +104,23 @@
 
 @dataclass(frozen=True, slots=True)
 class ActionHandlers:
-    """What carries out the actions that are for no request."""
+    """The functions that execute the actions that do not belong to a request."""
 
     discovery: Callable[[WatchEndpoints | FetchEndpoints], None]
     peers: Callable[[SendPeerMessage], None]
 
 
 class Dispatcher(Actor[DispatcherMessage | TimerExpired]):
-    """Serves the requests of all client connections with one balancer."""
+    """Dispatches the requests of all client connections, with one balancer."""
 
     def __init__(self, config: Config, clock: Clock, handlers: ActionHandlers) -> None:
         super().__init__("dispatcher")
         self._settings = config.settings
         self._clock = clock
         self.endpoints: dict[str, Endpoint] = {}  # by backend
-        self._addresses: dict[str, Address] = {}  # by backend; also of those that have left the list
-        self._requests: dict[str, RequestRecord] = {}  # by id, until their owners finish
-        self._known_endpoints = config.known  # from before the start
+        self._addresses: dict[str, Address] = {}  # by backend, including those removed from the list
+        self._requests: dict[str, RequestRecord] = {}  # the open requests, by id
+        self._known_endpoints = config.known  # the endpoint list in the configuration
         self._handlers = handlers
         self._seed = config.seed
         self._monitor = ConnectionMonitor(_latency_meter(config), clock, self._migrate, self._handle)
@@ -128,7 +129,7 @@
         self._balancer = Balancer(config.settings, config.seed)
 
     async def run(self) -> None:
-        """Start from the known endpoint list, then take messages for as long as the program runs."""
+        """Start with the known endpoint list, then process messages until cancelled."""
         self._receive(EndpointsReceived(EndpointUpdateKind.CACHED, self._known_endpoints))
         self._check()
         while True:
@@ -159,7 +160,7 @@
                 self._receive_event(message)
 
     def _receive_event(self, event: Event) -> None:
-        """Events of the balancer's own; what else depends on them is done first."""
+        """Pass an event to the balancer, after updating the dispatcher's own state."""
         match event:
             case ConnectionEstablished():
                 self._establish_connection(event)
@@ -179,7 +180,7 @@
 
     def _open_request(self, message: NewRequest) -> None:
         request = message.event.request
-        if request in self._requests:  # ids are new with every connection
+        if request in self._requests:  # a duplicate: each connection has to use a new id
             message.owner.send(FailRequest(request))
             return
         self._requests[request] = RequestRecord(message.owner, message.event)
@@ -226,14 +227,14 @@
         self.endpoints.update((endpoint.backend, endpoint) for endpoint in update.endpoints)
         self._handle(EndpointsUpdated(kind, update.endpoints))
 
-    # ---- what is asked of it ----------------------------------------------------------------------
+    # ---- queries ----------------------------------------------------------------------------------
 
     def address_of(self, backend: str) -> Address | None:
-        """The address that the endpoint list gives this proxy for a backend."""
+        """Return the backend's address in the endpoint list, or None if it was never listed."""
         return self._addresses.get(backend)
 
     def backend_gauges(self) -> dict[str, int]:
-        """Backends in the list, and those of them that the balancer avoids now (draining or ejected)."""
+        """Return the numbers of listed backends, and of those that are avoided now (draining or ejected)."""
         listed = [e.backend for e in self.endpoints.values() if e.state is not BackendState.REMOVED]
         reports = self._balancer.backend_reports(self._clock.now())
         avoided = {report.backend for report in reports if report.is_avoided}
@@ -243,7 +244,7 @@
         }
 
     def shared_state_gauges(self) -> dict[str, int]:
-        """What this proxy knows of the other proxies of its tier."""
+        """Return the gauges about the state shared with the other proxies of the tier."""
         now, shared_state = self._clock.now(), self._balancer.shared_state
         backends = self._balancer.backend_names()
         connections = sum(shared_state.fleet_connections(now, backend) for backend in backends)
@@ -255,7 +256,7 @@
             "fleet.unreadable": shared_state.undecodable_messages,
         }
 
-    # ---- regular checks ---------------------------------------------------------------------------
+    # ---- periodic checks --------------------------------------------------------------------------
 
     def _check(self) -> None:
         self._monitor.check()
@@ -277,7 +278,7 @@
 
     def _handle(self, event: Event) -> None:
         for action in self._decide(event):
-            self._carry_out(action)
+            self._execute(action)
 
     def _decide(self, event: Event) -> list[Action]:
         try:
@@ -287,10 +288,10 @@
             return self._replace_balancer()
 
     def _replace_balancer(self) -> list[Action]:
-        """Begin anew after a fault, for nothing that the balancer held can be trusted.
+        """Replace the balancer after an exception, because its state may be inconsistent.
 
-        Requests that wait are failed. A new balancer is given the endpoint list and all established
-        connections, as if the program had just started.
+        Waiting requests are failed. The new balancer gets the endpoint list and all established connections,
+        as after a restart of the process. Returns its actions.
         """
         for request, record in self._requests.items():
             if request not in self._monitor.established:
@@ -304,11 +305,11 @@
             for connection in self._monitor.established.values():
                 actions += self._balancer.handle(now, connection.as_resumed())
         except Exception:
-            log.exception("new balancer failed")
+            log.exception("replacement balancer failed")
             return []
         return actions
 
-    def _carry_out(self, action: Action) -> None:
+    def _execute(self, action: Action) -> None:
         match action:
             case StartAttempt():
                 self._start_attempt(action)
@@ -338,17 +339,17 @@
             record.owner.send(message)
 
     def _migrate(self, request: str) -> None:
-        """It is monitored no longer from here on, so that it is migrated once."""
+        """Order the migration of a connection, and stop monitoring it so that this happens only once."""
         self._monitor.remove(request)
         self._send_to_owner(request, MigrateConnection(request))
 
     def _start_attempt(self, action: StartAttempt) -> None:
         request, backend = action.request, action.backend
         record = self._requests.get(request)
-        if record is None:  # its client left a moment ago
+        if record is None:  # the client has left in the meantime
             self._summary.count_attempt(backend, AttemptStatus.NOT_SENT)
-            # It is the request's first attempt: an owner reports its last attempt as final before it
-            # finishes the request, and the balancer starts none after that.
+            # This is the request's first attempt, so its number is 0: after later ones, the owner reports its
+            # last attempt as final before it finishes the request, and the balancer starts no other.
             self.send(AttemptFinished(request, 0, AttemptStatus.NOT_SENT, 0.0, True))
             return
         last = record.last_attempt
@@ -364,7 +365,7 @@
 
 
 def _latency_meter(config: Config) -> ResponseLatencyMeter:
-    """Where the backends send no latency in LOAD lines, none is reported but that of hung ones."""
+    """Return the latency meter; it reports only hung backends unless LOAD lines carry latencies."""
     return ResponseLatencyMeter(
         config.settings.slow_message_latency if config.measures_message_latency else float("inf")
     )
--- a/saltcourse/proxy/draining.py
+++ b/saltcourse/proxy/draining.py
@@ -1,7 +1,7 @@
 """The timelines of the two kinds of drain: on SIGTERM, which ends the process, and in lameduck.
 
 SIGTERM: the request class with the longest deadline determines the duration, because SIGKILL follows 0.7 s
-after that deadline. The times are relative to the moment at which all background services have stopped. That
+after that deadline. The times are relative to the moment at which the last background service has left. That
 is immediately after SIGTERM, or up to 1.2 s later if the process announces the service address
 (``CommandAnnouncer``):
 
--- a/saltcourse/proxy/server.py
+++ b/saltcourse/proxy/server.py
@@ -1,6 +1,4 @@
-"""The proxy from start to exit.
-
-startup ──► serve ──► drain ──► shutdown
+"""The proxy server and its lifecycle: startup ──► serve ──► drain ──► shutdown.
 
 STARTING ──► SERVING ──SIGTERM──► DRAINING ──► MIGRATING ──► STOPPED
               │    ▲                 ▲
@@ -8,11 +6,11 @@
               ▼    │                 │
              LAMEDUCK ────SIGTERM────┘
 
-phase       PING      new clients        established connections
-SERVING     PONG      accepted           stay
-LAMEDUCK    no        accepted           migrated, spread (see draining)
-DRAINING    no        accepted           stay
-MIGRATING   no        no more accepted   migrated, spread; requests that wait get their answers
+phase       PING         new clients    established connections
+SERVING     PONG         accepted       stay
+LAMEDUCK    no answer    accepted       migrated, spread over time (see draining)
+DRAINING    no answer    accepted       stay
+MIGRATING   no answer    not accepted   migrated, spread over time; waiting requests are still answered
 """
 
 from __future__ import annotations
@@ -48,7 +46,7 @@
 from saltcourse.proxy.pending_connections import PendingConnections
 from saltcourse.proxy.stream import SocketStream
 
-if TYPE_CHECKING:  # nothing of it is imported without an admin address
+if TYPE_CHECKING:  # imported at run time only if configured
     from saltcourse.admin.commands import GossipHandler
     from saltcourse.admin.requests import Command
     from saltcourse.admin.server import AdminServer
@@ -58,7 +56,7 @@
 
 
 class Phase(Enum):
-    """Where the program is between its start and its exit; the table is at the head of this file."""
+    """The lifecycle phases of the process, described in the module docstring."""
 
     STARTING = "starting"
     SERVING = "serving"
@@ -69,10 +67,11 @@
 
 
 class ProxyServer:
-    """The proxy and all that runs in its process.
+    """The proxy with all other parts of its process.
 
-    ``reread`` reads the configuration anew when SIGHUP asks for it; without it SIGHUP changes nothing.
-    ``background_services`` and ``gossip`` start when it serves, and leave before it drains, ``gossip`` first.
+    ``reread`` reads the configuration again on SIGHUP; without it, SIGHUP does not change the configuration.
+    ``gossip`` and ``background_services`` start when the proxy serves and leave before it drains, in that
+    order.
     """
 
     def __init__(
@@ -84,7 +83,7 @@
     ) -> None:
         self.config = config
         self.phase = Phase.STARTING
-        self.stop_requested = asyncio.Event()  # set by SIGTERM: the program is to drain and exit
+        self.stop_requested = asyncio.Event()  # set by SIGTERM or SIGINT: drain, then exit
         self.clients: set[ClientConnection] = set()
         self.clock = Clock()
         self.admin: AdminServer | None = None
@@ -108,7 +107,7 @@
     def _make_peer_link(self) -> PeerLink | None:
         if self.config.peers is None:
             return None
-        from saltcourse.proxy.peer_link import PeerLink  # not imported where proxies share nothing
+        from saltcourse.proxy.peer_link import PeerLink  # imported only if proxies share state
 
         return PeerLink(self.config.peers, self._send_to_dispatcher)
 
@@ -140,10 +139,10 @@
     # ---- phases -----------------------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Serve until SIGTERM; returns when every connection has ended or time is up.
+        """Serve until SIGTERM, drain, and return when all connections have ended or the drain time is over.
 
-        The drain, and all its times, begin when the last background service has left: with a command
-        announcer that is up to 1.2 s after SIGTERM.
+        The drain, and its timeline, begins when the last background service has left, which is up to 1.2 s
+        after SIGTERM with a command announcer.
 
         Raises ``ListenError``.
         """
@@ -155,7 +154,7 @@
         self.shutdown()
 
     async def startup(self) -> None:
-        """Open all sockets and start what runs beside the proxy; raises ``ListenError``."""
+        """Open all sockets and start the actors and background services; raises ``ListenError``."""
         self._handle_signals()
         await self._open_peer_link()
         self.dispatcher.start()
@@ -167,10 +166,10 @@
             await service.start()
 
     def _handle_signals(self) -> None:
-        """Not by the loop's own handlers, which go with the loop.
+        """Install the signal handlers, which also receive the signals that were held during startup.
 
-        A signal in the program's last moments would then end it as one that was never handled. What came
-        before this moment has been held.
+        The event loop's own handlers are not used: they are removed with the loop, so that a signal late in
+        the shutdown would have its default action and kill the process.
         """
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
@@ -188,7 +187,7 @@
     def _start_admin(self) -> None:
         if self.config.admin is None:
             return
-        from saltcourse.admin.server import AdminServer  # not imported where nobody calls
+        from saltcourse.admin.server import AdminServer  # imported only with an admin address
 
         self.admin = AdminServer(self.config.admin, self)
         try:
@@ -197,7 +196,7 @@
             raise ListenError("admin", "{}:{}".format(*self.config.admin), error) from None
 
     async def drain(self) -> None:
-        """Answer every request and migrate every connection, within the time before SIGKILL."""
+        """Answer all requests and migrate all connections before SIGKILL."""
         loop = asyncio.get_running_loop()
         timeline = DrainTimeline.for_classes(self.config.settings.classes)
         begin = loop.time()
@@ -208,12 +207,12 @@
         was_lameduck = self.phase is Phase.LAMEDUCK
         self._enter(Phase.DRAINING)
         if not is_shared and not was_lameduck:
-            # The front sends clients for a moment more. Where the listening socket is shared with the
-            # process that replaces this one, the other accepts them: none is accepted here from now on.
+            # The front load balancer still sends clients for a moment. On a shared listening socket, the
+            # process that replaces this one accepts them, so this one stops accepting immediately.
             await asyncio.sleep(draining.FRONT_NOTICE_SECONDS)
         self._enter(Phase.MIGRATING)
         self.listener.close(accept_waiting=not is_shared)
-        # Spread, for whoever takes the migrated clients over sets them up anew.
+        # The migrations are spread over time, because the other proxies set up each connection again.
         self.dispatcher.send(StartDraining(loop.time(), begin + timeline.migration_deadline))
         for client in self.clients:
             answer_time_left = begin + timeline.answer_deadline - loop.time()
@@ -227,12 +226,15 @@
             await asyncio.wait(tasks, timeout=max(0.0, end - loop.time()))
 
     def _abandon_requests(self) -> None:
-        """No answer may be due when the program ends; requests that came late were given less time."""
+        """Fail all unanswered requests, so that every client gets an answer before the process exits.
+
+        Requests that arrive during the drain have a deadline that is shortened to this moment.
+        """
         for client in self.clients:
             client.send(AbandonRequest(AbandonReason.SHUTDOWN))
 
     def shutdown(self) -> None:
-        """Ignore further signals and close what is left."""
+        """Ignore further signals and close the remaining sockets."""
         signals.ignore()
         self._enter(Phase.STOPPED)
         if self.admin is not None:
@@ -242,12 +244,12 @@
 
     def _enter(self, phase: Phase) -> None:
         self.phase = phase
-        log.info("phase", phase=phase.value, clients=len(self.clients))
+        log.info("phase changed", phase=phase.value, clients=len(self.clients))
 
     # ---- clients ----------------------------------------------------------------------------------
 
     def address(self) -> Address:
-        """Where clients reach this program; the port may have been left to the system."""
+        """Return the address that clients connect to; the port is the actual one if configured as 0."""
         return self.listener.address()
 
     def _serve_client(self, accepted: socket.socket) -> None:
@@ -264,20 +266,20 @@
         return self.phase is Phase.SERVING
 
     def _is_short_of_descriptors(self) -> bool:
-        """Whether a client that has sent a request is to be answered with BUSY.
+        """Return whether a new request has to be answered with BUSY for lack of descriptors.
 
-        Counts two descriptors for each client whose OPEN line was read, also while it is being rejected, and
-        one for any other.
+        Two descriptors are counted for each client whose OPEN line was read, even while it is being rejected,
+        and one for each other client.
         """
-        held = sum(2 if client.request else 1 for client in self.clients)
-        return not self._descriptors.can_serve(held)
+        needed = sum(2 if client.request else 1 for client in self.clients)
+        return not self._descriptors.can_serve(needed)
 
-    # ---- the configuration ------------------------------------------------------------------------
+    # ---- configuration ----------------------------------------------------------------------------
 
     def reload(self) -> None:
-        """Put a changed configuration file in force; established connections are left as they are.
+        """Read the configuration file again and apply it; established connections are not affected.
 
-        The same in every phase: a program that drains has to learn of its backends as well.
+        This works in every phase, because a draining proxy also needs changes of the discovery address.
         """
         for service in self._background_services:
             service.reload()
@@ -291,12 +293,12 @@
         self.apply_config(new)
 
     def apply_config(self, new: Config) -> None:
-        """Put in force what of ``new`` can change in a running program; the rest is logged."""
+        """Apply the settings of ``new`` that can change at run time; log the keys that need a restart."""
         old = self.config
         self.config = replace(old, discovery=new.discovery, limits=new.limits)
         need_restart = [key for key in RESTART_REQUIRED_KEYS if getattr(new, key) != getattr(old, key)]
         if need_restart:
-            log.warning("changed keys that a restart will read", keys=",".join(need_restart))
+            log.warning("configuration changes require a restart", keys=",".join(need_restart))
         self._descriptors.limit = new.limits.sockets
         self.pending.max_descriptors = self._descriptors.for_connections
         log.info(
@@ -307,14 +309,14 @@
         if new.discovery != old.discovery:
             self.discovery.send(ChangeAddress(new.discovery))
 
-    # ---- what operators ask at the admin address --------------------------------------------------
+    # ---- admin interface --------------------------------------------------------------------------
 
     def ready(self) -> bool:
-        """Whether it can serve: it listens, neither drains nor is in lameduck, and knows backends."""
+        """Return whether the proxy can serve: it is in the phase SERVING and knows backends."""
         return self.phase is Phase.SERVING and bool(self.dispatcher.endpoints)
 
     def lameduck(self, on: bool) -> bool:
-        """Empty the program, or take it back into service; False once it is leaving for good."""
+        """Enter lameduck, or return to service; return False if the process is starting or shutting down."""
         if self.stop_requested.is_set() or self.phase in (Phase.STARTING, Phase.STOPPED):
             return False
         if on and self.phase is Phase.SERVING:
@@ -326,7 +328,7 @@
         return True
 
     def metrics_text(self) -> bytes:
-        """The metrics in statsd's line format."""
+        """Return the metrics in statsd's line format."""
         return self.metrics.text()
 
     def _gauges(self) -> dict[str, int]:
@@ -340,18 +342,18 @@
         }
 
     def connections(self) -> int:
-        """Connections that clients asked for and that have not ended; not those that only sit or PING."""
+        """Return the number of connections with a request, without idle clients and those that only PING."""
         counted = (ConnectionState.WAITING, ConnectionState.ESTABLISHED)
         return sum(1 for client in self.clients if client.state in counted)
 
     @property
     def gossip_handler(self) -> GossipHandler | None:
-        """What answers the gossip commands, where there is such a member."""
+        """The handler of the gossip commands; None without a membership service or before its start."""
         return self._gossip.gossip_handler if self._gossip is not None else None
 
     def supports(self, command: Command) -> bool:
-        """Whether the program has what the command is for."""
-        from saltcourse.admin.requests import GOSSIP_COMMANDS  # not imported where nobody calls
+        """Return whether the command is available with the services of this process."""
+        from saltcourse.admin.requests import GOSSIP_COMMANDS  # imported only when a command arrives
 
         return command not in GOSSIP_COMMANDS or self.gossip_handler is not None
 
@@ -362,5 +364,5 @@
     background_services: Sequence[BackgroundService] = (),
     gossip: MembershipService | None = None,
 ) -> None:
-    """Run the program; raises ``ListenError`` when it cannot listen."""
+    """Run the proxy until SIGTERM and drain it; raises ``ListenError`` if it cannot listen."""
     asyncio.run(ProxyServer(config, reread, background_services, gossip).run())
