--- a/tests/proxy/test_dispatcher.py
+++ b/tests/proxy/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""The dispatcher around a scripted balancer: which events go in, and what becomes of its actions."""
+"""The dispatcher with a scripted balancer: the events that it passes on and the actions that it executes."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 
 class ScriptedBalancer:
-    """Gives the scripted actions for an event of a type, once each."""
+    """Returns scripted lists of actions for each type of event, each list once."""
 
     is_failing = False
 
@@ -70,8 +70,8 @@
         return []
 
 
-class Owner:
-    """A request's owner that keeps its messages."""
+class RecordingOwner:
+    """A request owner that records its messages."""
 
     def __init__(self) -> None:
         self.messages: list[Any] = []
@@ -80,7 +80,7 @@
         self.messages.append(message)
 
 
-class Dispatched:
+class DispatcherHarness:
     """A dispatcher with a scripted balancer."""
 
     def __init__(self) -> None:
@@ -93,9 +93,9 @@
         self.dispatcher = Dispatcher(config, Clock(), handlers)
         self.balancer = ScriptedBalancer()
         self.dispatcher._balancer = self.balancer  # type: ignore[assignment]
-        self.owner = Owner()
+        self.owner = RecordingOwner()
 
-    def new_request(self, request: str = "r", owner: Owner | None = None) -> None:
+    def new_request(self, request: str = "r", owner: RecordingOwner | None = None) -> None:
         received = RequestReceived(request, "quick", 1.0)
         self.dispatcher.send(NewRequest(owner or self.owner, received))
 
@@ -104,28 +104,28 @@
             await asyncio.sleep(0)
 
 
-def play(scenario: Callable[[Dispatched], Any]) -> None:
+def play(scenario: Callable[[DispatcherHarness], Any]) -> None:
     async def run() -> None:
-        dispatched = Dispatched()
-        dispatched.dispatcher.start()
+        harness = DispatcherHarness()
+        harness.dispatcher.start()
         try:
-            await scenario(dispatched)
+            await scenario(harness)
         finally:
-            assert dispatched.dispatcher.task is not None
-            dispatched.dispatcher.task.cancel()
+            assert harness.dispatcher.task is not None
+            harness.dispatcher.task.cancel()
 
     asyncio.run(run())
 
 
-def test_the_known_endpoints_come_first_and_attempts_are_numbered() -> None:
-    async def scenario(dispatched: Dispatched) -> None:
-        dispatched.balancer.on(RequestReceived, StartAttempt("r", "s0", 0.5))
-        dispatched.balancer.on(AttemptFinished, StartAttempt("r", "unlisted", 0.4))
-        dispatched.new_request()
-        dispatched.dispatcher.send(AttemptFinished("r", 0, AttemptStatus.FULL))
-        await dispatched.let_run()
-        assert isinstance(dispatched.balancer.events[0], EndpointsUpdated)
-        assert dispatched.owner.messages == [
+def test_the_balancer_gets_the_known_endpoints_first_and_attempts_are_numbered() -> None:
+    async def scenario(harness: DispatcherHarness) -> None:
+        harness.balancer.on(RequestReceived, StartAttempt("r", "s0", 0.5))
+        harness.balancer.on(AttemptFinished, StartAttempt("r", "unlisted", 0.4))
+        harness.new_request()
+        harness.dispatcher.send(AttemptFinished("r", 0, AttemptStatus.FULL))
+        await harness.let_run()
+        assert isinstance(harness.balancer.events[0], EndpointsUpdated)
+        assert harness.owner.messages == [
             BeginAttempt("r", "s0", 0, 0.5, ("127.0.0.1", 9)),
             BeginAttempt("r", "unlisted", 1, 0.4, None),
         ]
@@ -133,92 +133,92 @@
     play(scenario)
 
 
-def test_each_action_goes_where_it_belongs() -> None:
-    async def scenario(dispatched: Dispatched) -> None:
+def test_each_action_is_sent_to_its_handler() -> None:
+    async def scenario(harness: DispatcherHarness) -> None:
         reject, message, fetch = RejectRequest("r", 0.25), SendPeerMessage("x"), FetchEndpoints()
         timer = SetTimer(0.0, 42)
         start = StartAttempt("r", "s0", 0.5)
-        dispatched.balancer.on(RequestReceived, start, reject, message, fetch, timer)
-        dispatched.new_request()
-        await dispatched.let_run()
+        harness.balancer.on(RequestReceived, start, reject, message, fetch, timer)
+        harness.new_request()
+        await harness.let_run()
         begin = BeginAttempt("r", "s0", 0, 0.5, ("127.0.0.1", 9))
-        assert dispatched.owner.messages == [begin, reject]
-        assert dispatched.to_peers == [message] and dispatched.to_discovery == [fetch]
+        assert harness.owner.messages == [begin, reject]
+        assert harness.to_peers == [message] and harness.to_discovery == [fetch]
         await asyncio.sleep(0.01)
-        assert dispatched.balancer.events[-1] == TimerFired(42)
+        assert harness.balancer.events[-1] == TimerFired(42)
 
     play(scenario)
 
 
-def test_a_second_owner_with_an_open_id_is_failed_and_the_first_keeps_its_request() -> None:
-    async def scenario(dispatched: Dispatched) -> None:
-        second = Owner()
-        dispatched.new_request()
-        dispatched.new_request(owner=second)
-        dispatched.dispatcher.send(RequestFinished(second, "r"))
-        dispatched.balancer.on(AttemptFinished, FailRequest("r"))
-        dispatched.dispatcher.send(AttemptFinished("r", 0, AttemptStatus.ERROR))
-        await dispatched.let_run()
+def test_a_request_with_a_duplicate_id_is_failed_and_the_first_one_is_kept() -> None:
+    async def scenario(harness: DispatcherHarness) -> None:
+        second = RecordingOwner()
+        harness.new_request()
+        harness.new_request(owner=second)
+        harness.dispatcher.send(RequestFinished(second, "r"))
+        harness.balancer.on(AttemptFinished, FailRequest("r"))
+        harness.dispatcher.send(AttemptFinished("r", 0, AttemptStatus.ERROR))
+        await harness.let_run()
         assert second.messages == [FailRequest("r")]
-        assert dispatched.owner.messages == [FailRequest("r")]
+        assert harness.owner.messages == [FailRequest("r")]
 
     play(scenario)
 
 
-def test_an_attempt_for_a_request_whose_owner_is_done_is_reported_as_not_sent() -> None:
-    async def scenario(dispatched: Dispatched) -> None:
-        dispatched.new_request()
-        dispatched.dispatcher.send(RequestFinished(dispatched.owner, "r"))
-        dispatched.balancer.on(TimerFired, StartAttempt("r", "s0", 0.5))
-        dispatched.dispatcher.send(TimerFired(1))
-        await dispatched.let_run()
-        assert dispatched.owner.messages == []
+def test_an_attempt_for_a_finished_request_is_reported_as_not_sent() -> None:
+    async def scenario(harness: DispatcherHarness) -> None:
+        harness.new_request()
+        harness.dispatcher.send(RequestFinished(harness.owner, "r"))
+        harness.balancer.on(TimerFired, StartAttempt("r", "s0", 0.5))
+        harness.dispatcher.send(TimerFired(1))
+        await harness.let_run()
+        assert harness.owner.messages == []
         not_sent = AttemptFinished("r", 0, AttemptStatus.NOT_SENT, 0.0, True)
-        assert dispatched.balancer.events[-1] == not_sent
+        assert harness.balancer.events[-1] == not_sent
 
     play(scenario)
 
 
 def test_a_drain_migrates_established_connections_and_later_ones_until_it_is_stopped() -> None:
-    async def scenario(dispatched: Dispatched) -> None:
+    async def scenario(harness: DispatcherHarness) -> None:
         for request in ("a", "b", "c"):
-            dispatched.balancer.on(RequestReceived, StartAttempt(request, "s0", 0.5))
-            dispatched.new_request(request)
-        dispatched.dispatcher.send(ConnectionEstablished("a", 0, 0.01))
-        dispatched.dispatcher.send(StartDraining())
-        dispatched.dispatcher.send(ConnectionEstablished("b", 0, 0.01))
-        dispatched.dispatcher.send(StopDraining())
-        dispatched.dispatcher.send(ConnectionEstablished("c", 0, 0.01))
-        await dispatched.let_run()
-        migrated = [m for m in dispatched.owner.messages if isinstance(m, MigrateConnection)]
+            harness.balancer.on(RequestReceived, StartAttempt(request, "s0", 0.5))
+            harness.new_request(request)
+        harness.dispatcher.send(ConnectionEstablished("a", 0, 0.01))
+        harness.dispatcher.send(StartDraining())
+        harness.dispatcher.send(ConnectionEstablished("b", 0, 0.01))
+        harness.dispatcher.send(StopDraining())
+        harness.dispatcher.send(ConnectionEstablished("c", 0, 0.01))
+        await harness.let_run()
+        migrated = [m for m in harness.owner.messages if isinstance(m, MigrateConnection)]
         assert migrated == [MigrateConnection("a"), MigrateConnection("b")]
 
     play(scenario)
 
 
-def test_a_fault_in_the_balancer_costs_waiting_requests_and_no_established_connection() -> None:
-    """The balancer raised an exception while one request waited and one connection was established.
+def test_a_balancer_exception_fails_waiting_requests_and_keeps_established_connections() -> None:
+    """The balancer raises an exception while one request is waiting and one connection is established.
 
-    Nothing that it held can be trusted then. The request that waits is failed at once, and a new balancer is
-    given the endpoint list and the established connection.
+    Its state may be inconsistent then. The waiting request has to be failed immediately, and a new balancer
+    has to get the endpoint list and the established connection.
     """
 
-    async def scenario(dispatched: Dispatched) -> None:
+    async def scenario(harness: DispatcherHarness) -> None:
         for request in ("established", "waiting"):
-            dispatched.balancer.on(RequestReceived, StartAttempt(request, "s0", 0.5))
-            dispatched.new_request(request)
-        dispatched.dispatcher.send(ConnectionEstablished("established", 0, 0.01))
-        await dispatched.let_run()
-        dispatched.owner.messages.clear()
-        dispatched.balancer.handle = None  # type: ignore[assignment, method-assign]
+            harness.balancer.on(RequestReceived, StartAttempt(request, "s0", 0.5))
+            harness.new_request(request)
+        harness.dispatcher.send(ConnectionEstablished("established", 0, 0.01))
+        await harness.let_run()
+        harness.owner.messages.clear()
+        harness.balancer.handle = None  # type: ignore[assignment, method-assign]
         with capture_logs() as logs:
-            dispatched.dispatcher.send(TimerFired(1))
-            await dispatched.let_run()
+            harness.dispatcher.send(TimerFired(1))
+            await harness.let_run()
         assert [entry["event"] for entry in logs] == ["balancer failed"]
-        assert dispatched.owner.messages == [FailRequest("waiting")]
-        new_balancer = dispatched.dispatcher._balancer
-        assert new_balancer is not dispatched.balancer
-        reports = new_balancer.backend_reports(dispatched.dispatcher._clock.now())
+        assert harness.owner.messages == [FailRequest("waiting")]
+        new_balancer = harness.dispatcher._balancer
+        assert new_balancer is not harness.balancer
+        reports = new_balancer.backend_reports(harness.dispatcher._clock.now())
         assert [report.backend for report in reports] == ["s0"]
         assert [report.occupancy > 0 for report in reports] == [True]
 
@@ -226,13 +226,13 @@
 
 
 def test_a_resumed_connection_reaches_the_balancer_and_can_be_migrated() -> None:
-    async def scenario(dispatched: Dispatched) -> None:
+    async def scenario(harness: DispatcherHarness) -> None:
         resumed = ConnectionResumed("r", "quick", "s0")
-        dispatched.dispatcher.send(ResumedConnection(dispatched.owner, resumed))
-        dispatched.balancer.on(TimerFired, MigrateConnection("r"))
-        dispatched.dispatcher.send(TimerFired(1))
-        await dispatched.let_run()
-        assert resumed in dispatched.balancer.events
-        assert dispatched.owner.messages == [MigrateConnection("r")]
+        harness.dispatcher.send(ResumedConnection(harness.owner, resumed))
+        harness.balancer.on(TimerFired, MigrateConnection("r"))
+        harness.dispatcher.send(TimerFired(1))
+        await harness.let_run()
+        assert resumed in harness.balancer.events
+        assert harness.owner.messages == [MigrateConnection("r")]
 
     play(scenario)
--- a/tests/proxy/test_draining.py
+++ b/tests/proxy/test_draining.py
@@ -1,4 +1,4 @@
-"""The proxy's end: every state of a connection is ended as it should be, and signals come at any moment."""
+"""Draining and shutdown of the proxy: connections in every state, and signals at any moment."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 pytestmark = pytest.mark.usefixtures("no_front_notice")
 
 
-def test_the_timeline_follows_the_longest_deadline_up_to_what_the_platform_waits_for() -> None:
+def test_the_timeline_follows_the_longest_deadline_up_to_the_limit_of_the_platform() -> None:
     for deadlines, longest in (((0.3, 1.2), 1.2), ((9.0,), MAX_DEADLINE_SECONDS), ((), MAX_DEADLINE_SECONDS)):
         classes = [RequestClass(f"c{i}", 0.1, deadline) for i, deadline in enumerate(deadlines)]
         timeline = DrainTimeline.for_classes(classes)
@@ -48,14 +48,16 @@
         assert timeline.migration_deadline == timeline.duration - MIGRATION_MARGIN_SECONDS
 
 
-@pytest.mark.parametrize("state", ["new", "resting", "half", "half and its rest", "waiting", "established"])
-def test_every_state_of_a_connection_ends_as_it_should_when_the_proxy_drains(
+@pytest.mark.parametrize(
+    "state", ["new", "idle after PING", "incomplete line", "completed line", "waiting", "established"]
+)
+def test_a_drain_ends_connections_in_every_state_without_a_reset(
     monkeypatch: pytest.MonkeyPatch, state: str
 ) -> None:
-    """The proxy was asked to leave while connections were in every state.
+    """Guards against connections that end only with the process, by a reset.
 
-    Some ended only with the process, and with a reset. Each has to be ended while the proxy migrates, by the
-    line that its state calls for and an end.
+    While the proxy is in the phase MIGRATING, each connection has to get the last line for its state, if any,
+    and then a FIN.
     """
     ended: list[Phase] = []
     send_eof = SocketStream.send_eof
@@ -70,9 +72,9 @@
                 send_eof(self)
 
             monkeypatch.setattr(SocketStream, "send_eof", record_phase)
-            if state == "resting":
+            if state == "idle after PING":
                 await send_ping(client)
-            if state.startswith("half"):
+            if state in ("incomplete line", "completed line"):
                 await client.send("OPEN a b c=qu", b"")
                 await wait_until(lambda: client.connection.stream.buffer.has_data)
             if state in ("waiting", "established"):
@@ -84,27 +86,28 @@
                 assert await client.line() == "UP 1"
             proxy.server.stop_requested.set()
             await wait_until(lambda: proxy.server.phase is Phase.MIGRATING)
-            if state == "half and its rest":
+            if state == "completed line":
                 await client.send("ick,d=900", b"\r\n")
                 backend = await proxy.accept()
                 await backend.line()
                 await backend.send("UP 2", b"\r\n")
                 assert await client.line() == "UP 2"
-            if state in ("half and its rest", "established"):
+            if state in ("completed line", "established"):
                 assert await client.line() == "MOVE"
             if state == "waiting":
                 assert await client.line() in ("BUSY", "ERR")
             await expect_end_without_reset(client)
-            assert ended == [Phase.MIGRATING]  # not by the end of the process
+            assert ended == [Phase.MIGRATING]  # not by the exit of the process
 
     asyncio.run(play())
 
 
-def test_half_a_line_is_waited_for_longer_than_silence(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The proxy drained while a client's OPEN line was half here.
+def test_a_drain_waits_longer_for_an_incomplete_line_than_for_a_silent_client(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """A drain closes silent clients early, but waits for a client that has begun to send its request.
 
-    A silent client is closed early in a drain. One that has begun its request is waited for to the last
-    moment at which an answer can still be sent.
+    It waits until the last moment at which an answer can still be sent.
     """
     monkeypatch.setattr(draining, "SILENT_TIMEOUT_SECONDS", 0.0)
 
@@ -124,9 +127,9 @@
 
 
 def test_a_late_request_with_a_long_deadline_is_answered_before_the_proxy_exits() -> None:
-    """The rest of a request came while the proxy was leaving, with a deadline after its end.
+    """Guards against a client that gets no answer because its deadline is after the exit of the proxy.
 
-    The client was cut off without an answer. Late requests get the time that is left.
+    Its request is completed during the drain, so it gets only the remaining drain time.
     """
 
     async def play() -> None:
@@ -144,13 +147,13 @@
     asyncio.run(play())
 
 
-def test_the_attempt_of_a_late_request_gets_only_the_time_that_the_proxy_still_runs() -> None:
-    """The rest of a request came while the proxy was leaving, with a deadline after its end.
+def test_the_attempt_of_a_late_request_is_limited_to_the_remaining_drain_time() -> None:
+    """Guards against an attempt that lasts beyond the exit of the proxy.
 
-    The request was to be answered only after the proxy's end, so its attempt had all of the client's time and
-    the balancer could neither retry nor reject it. The backend has to be given less than the drain's time.
+    A request is completed during the drain, with a deadline after its end. If its attempt got the client's
+    whole time, the balancer could neither retry nor reject it. The backend must get less time than the drain.
     """
-    request_class = replace(SHORT, idempotency=Idempotency.NOT_IDEMPOTENT)  # one attempt has all the time
+    request_class = replace(SHORT, idempotency=Idempotency.NOT_IDEMPOTENT)  # one attempt gets the whole time
     answer_deadline = DrainTimeline.for_classes([request_class]).answer_deadline
 
     async def play() -> None:
@@ -169,8 +172,8 @@
     asyncio.run(play())
 
 
-def start_held_up(tmp_path: Path) -> tuple[subprocess.Popen[bytes], Path]:
-    """A process that waits at the opening of its configuration: a pipe that nobody has written to."""
+def start_blocked_on_config(tmp_path: Path) -> tuple[subprocess.Popen[bytes], Path]:
+    """Start a process that blocks on its configuration file, which is a pipe without a writer."""
     pipe = tmp_path / "config.json"
     os.mkfifo(pipe)
     process = subprocess.Popen(
@@ -180,13 +183,13 @@
     )
     status, mask = Path(f"/proc/{process.pid}/status"), 1 << (signal.SIGHUP - 1)
 
-    def caught() -> bool:
+    def catches_sighup() -> bool:
         row = next(line for line in status.read_text().splitlines() if line.startswith("SigCgt"))
         return bool(int(row.split()[1], 16) & mask)
 
     end = time.monotonic() + 20.0
-    while not caught():
-        assert time.monotonic() < end, "SIGHUP is never caught"
+    while not catches_sighup():
+        assert time.monotonic() < end, "the process has not installed a handler for SIGHUP within 20 s"
         time.sleep(0.005)
     return process, pipe
 
@@ -195,21 +198,21 @@
     "sent",
     [(signal.SIGTERM,), (signal.SIGHUP, signal.SIGTERM), (signal.SIGTERM, signal.SIGTERM, signal.SIGHUP)],
 )
-def test_signals_during_the_start_are_held(tmp_path: Path, sent: tuple[int, ...]) -> None:
-    """SIGTERM or SIGHUP came while the program was still importing or reading its configuration.
+def test_signals_during_startup_are_held(tmp_path: Path, sent: tuple[int, ...]) -> None:
+    """Guards against SIGTERM or SIGHUP killing a process that is importing or reading its configuration.
 
-    Without handlers either of them ended it. They are held from the first moment on and acted upon later.
+    The signals have to be held from the first moment and handled after startup.
     """
-    process, pipe = start_held_up(tmp_path)
+    process, pipe = start_blocked_on_config(tmp_path)
     for number in sent:
         process.send_signal(number)
     config = values()
     config["listen"] = f"127.0.0.1:{free_port()}"
     config.pop("admin", None)
-    whole = tmp_path / "whole"
-    whole.write_text(json.dumps(config))
-    with pipe.open("w") as writer:  # the program has it open; at SIGHUP it reads the file in its place
-        whole.replace(pipe)
+    regular_file = tmp_path / "regular_file"
+    regular_file.write_text(json.dumps(config))
+    with pipe.open("w") as writer:  # the process has the pipe open; on SIGHUP it reads the regular file
+        regular_file.replace(pipe)
         writer.write(json.dumps(config))
     _, errors = process.communicate(timeout=20.0)
     assert process.returncode == 0, errors.decode()
@@ -217,8 +220,8 @@
 
 
 @pytest.mark.parametrize("phase", [Phase.SERVING, Phase.MIGRATING])
-def test_signals_in_any_phase_neither_end_nor_break_the_proxy(phase: Phase) -> None:
-    """SIGHUP and SIGTERM come again while the proxy serves, migrates, and has stopped."""
+def test_repeated_signals_in_any_phase_do_not_break_the_proxy(phase: Phase) -> None:
+    """SIGHUP and SIGTERM arrive repeatedly while the proxy serves, migrates and has stopped."""
 
     async def play() -> None:
         async with RunningProxy(request_class=SHORT) as proxy:
@@ -231,7 +234,7 @@
                 os.kill(os.getpid(), number)
             assert await client.line() in ("BUSY", "ERR")
             await proxy.running
-            for number in (signal.SIGHUP, signal.SIGTERM):  # in its last moments
+            for number in (signal.SIGHUP, signal.SIGTERM):  # after it has stopped
                 os.kill(os.getpid(), number)
 
     asyncio.run(play())
--- a/tests/proxy/test_exchanges.py
+++ b/tests/proxy/test_exchanges.py
@@ -1,4 +1,4 @@
-"""Every recorded exchange, played against the whole proxy but its command line."""
+"""Plays every scripted exchange against a complete proxy without its command line."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from tests.proxy.exchange_player import ExchangePlayer, sections
 
 SECTIONS = sections()
-TIME_LIMITS = {  # options of a section that shorten a time limit of the proxy (s)
+TIME_LIMITS = {  # section options (s) that replace a time limit of the proxy
     "silent_after": (response_latency, "SILENT_AFTER_SECONDS"),
     "first_line_timeout": (opening, "FIRST_LINE_TIMEOUT_SECONDS"),
     "watch_wait": (discovery_client, "WATCH_WAIT_SECONDS"),
--- a/tests/proxy/test_health_check.py
+++ b/tests/proxy/test_health_check.py
@@ -1,4 +1,4 @@
-"""A health check on a real socket."""
+"""A health check over a real socket."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from saltcourse.proxy.health_check import HealthCheck
 
 
-def test_a_health_check_brings_back_the_load_report_of_its_answer() -> None:
-    """Every load report was dropped on sockets: 3.6 health checks a request were paid for in vain."""
+def test_a_health_check_returns_the_load_report_of_its_answer() -> None:
+    """Guards against dropping all load reports on real sockets: 3.6 health checks per request were wasted."""
 
     async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         assert await reader.readline() == b"STATS\r\n"
--- a/tests/proxy/test_hostile_clients.py
+++ b/tests/proxy/test_hostile_clients.py
@@ -1,7 +1,8 @@
-"""Hostile clients of a running proxy on loopback.
+"""Hostile clients against a running proxy on loopback.
 
-Lines cut at any byte, silent clients by the hundred with few descriptors, half-written lines, and clients
-that reset. Each ends as the protocol says, in bounded time, and the descriptors suffice.
+The clients send lines in pieces split at any byte, stay silent by the hundred while descriptors are few, send
+incomplete lines, or reset. Each must be handled as the protocol requires, in bounded time, and within the
+descriptor limit.
 """
 
 from __future__ import annotations
@@ -18,11 +19,11 @@
 from tests.admin.test_server import values
 from tests.proxy.test_process_replacement import push_server
 
-SOCKETS = 96  # a small platform's descriptors, and the crowd several times as many
-CROWD = 400
+SOCKETS = 96  # the descriptor limit of a small platform
+IDLE_CLIENTS = 400  # several times the descriptor limit
 
 
-async def proxy_beside(server: socket.socket) -> tuple[ProxyServer, asyncio.Task[None]]:
+async def start_proxy(server: socket.socket) -> tuple[ProxyServer, asyncio.Task[None]]:
     config: dict[str, Any] = values(
         known={
             "version": 1,
@@ -50,36 +51,36 @@
         writer.close()
 
 
-async def meet_hostile_clients() -> None:
+async def run_hostile_clients() -> None:
     server, _ = push_server()
-    proxy, running = await proxy_beside(server)
+    proxy, running = await start_proxy(server)
     address = proxy.address()
     line = b"OPEN r%d x c=live-feed,d=1000\r\n"
-    # Cut at every byte: each is a whole line once its last byte is there, and served.
+    # A line split at any byte is served once it is complete.
     for cut in range(1, len(line % 0)):
         assert await open_in_pieces(address, line % cut, cut) == b"UP 1\r\n"
-    # Half a line, then silence: the proxy ends it by itself, within the time for a first line.
+    # A client that stops in the middle of a line is disconnected when the first-line timeout expires.
     reader, writer = await asyncio.open_connection(*address)
     writer.write(b"OPEN half")
     began = asyncio.get_running_loop().time()
     assert await asyncio.wait_for(reader.read(), FIRST_LINE_TIMEOUT_SECONDS + 2.0) in (b"", b"ERR\r\n")
     assert asyncio.get_running_loop().time() - began < FIRST_LINE_TIMEOUT_SECONDS + 1.0
     writer.close()
-    # A crowd that says nothing or half a line, many times what the proxy may hold.
-    crowd = [socket.create_connection(address) for _ in range(CROWD)]
-    for sock in crowd[::2]:
-        with contextlib.suppress(OSError):  # shed already: that is what the crowd may get
+    # Many times more clients than the descriptor limit allows send nothing or an incomplete line.
+    idle_clients = [socket.create_connection(address) for _ in range(IDLE_CLIENTS)]
+    for sock in idle_clients[::2]:
+        with contextlib.suppress(OSError):  # the proxy may have shed this client already
             sock.send(b"OPEN cro")
     await asyncio.sleep(0.3)
-    assert SocketStream.open_count <= SOCKETS  # what the proxy holds stays within its descriptors
-    # Beside the crowd, a client that speaks is served; one that resets costs nothing.
+    assert SocketStream.open_count <= SOCKETS  # the proxy stays within its descriptor limit
+    # In the meantime a client with a request is served, also after others have reset their connections.
     assert await open_in_pieces(address, b"OPEN late x c=live-feed,d=1000\r\n", 5) == b"UP 1\r\n"
-    for number in range(20):  # gone, with a reset, before any answer
+    for number in range(20):  # clients that reset before any answer
         _, leaver = await asyncio.open_connection(*address)
         leaver.write(b"OPEN w%d x c=live-feed,d=1000\r\n" % number)
         leaver.transport.abort()
     assert await open_in_pieces(address, b"OPEN after x c=live-feed,d=1000\r\n", 7) == b"UP 1\r\n"
-    for sock in crowd:
+    for sock in idle_clients:
         sock.close()
     proxy.stop_requested.set()
     await asyncio.wait_for(running, 5.0)
@@ -87,5 +88,5 @@
     server.close()
 
 
-def test_hostile_clients_are_ended_as_the_protocol_says_within_bounds() -> None:
-    asyncio.run(meet_hostile_clients())
+def test_hostile_clients_are_handled_within_the_time_and_descriptor_limits() -> None:
+    asyncio.run(run_hostile_clients())
--- a/tests/proxy/test_listener.py
+++ b/tests/proxy/test_listener.py
@@ -1,4 +1,4 @@
-"""The listener for clients: descriptors, inherited sockets, and addresses that cannot be had."""
+"""The listener for clients: descriptor limit, inherited sockets, and addresses that cannot be bound."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
     return ClientListener(limit, PendingConnections(limit.for_connections), accepted.append)
 
 
-def test_accepting_pauses_without_descriptors_and_goes_on_when_there_are_some() -> None:
-    """Clients connected while every descriptor was taken.
+def test_accepting_pauses_without_descriptors_and_resumes_when_some_are_free() -> None:
+    """Clients that connect while all descriptors are in use wait in the backlog.
 
-    They wait in the backlog. The listener must neither spin on them nor log each try.
+    The listener must neither poll them in a busy loop nor log every attempt to accept.
     """
 
     async def play() -> None:
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize("accept_waiting", [True, False])
-def test_what_waits_is_accepted_before_the_close_only_where_the_socket_is_not_shared(
+def test_the_backlog_is_accepted_before_closing_only_if_the_socket_is_not_shared(
     accept_waiting: bool,
 ) -> None:
     async def play() -> None:
@@ -56,10 +56,10 @@
         listener = listener_with(DescriptorLimit(512), accepted)
         listener.open(("127.0.0.1", 0), os.dup(shared.fileno()))
         client = socket.create_connection(shared.getsockname())
-        listener.close(accept_waiting)  # before the loop had a turn
+        listener.close(accept_waiting)  # before the event loop could accept the client
         await run_loop_turns()
         assert len(accepted) == accept_waiting
-        if not accept_waiting:  # left to the other process, which shares the socket
+        if not accept_waiting:  # left for the other process that shares the socket
             shared.setblocking(False)
             accepted.append(shared.accept()[0])
         for sock in (*accepted, client, shared):
@@ -68,7 +68,7 @@
     asyncio.run(play())
 
 
-def test_an_address_that_cannot_be_had_names_the_key_of_the_configuration() -> None:
+def test_a_listen_error_names_the_configuration_key() -> None:
     async def play() -> None:
         listener = listener_with(DescriptorLimit(512), [])
         with socket.create_server(("127.0.0.1", 0)) as taken, pytest.raises(ListenError, match="'listen'"):
--- a/tests/proxy/test_opening.py
+++ b/tests/proxy/test_opening.py
@@ -1,4 +1,4 @@
-"""The opening of a client connection: its time limits, and requests that cross the proxy's end of it."""
+"""The opening of a client connection: its timeouts, and requests that arrive while the proxy closes it."""
 
 from __future__ import annotations
 
@@ -31,18 +31,18 @@
 def send_after_proxys_end(
     monkeypatch: pytest.MonkeyPatch, clients: list[RemoteConnection], text: bytes
 ) -> None:
-    """The client's bytes come right after the proxy has ended its side, or closed the connection."""
+    """Make ``clients`` send ``text`` right after the proxy has half-closed or closed a connection."""
 
-    def with_crossing(act: Callable[[SocketStream], None]) -> Callable[[SocketStream], None]:
-        def act_then_send(self: SocketStream) -> None:
-            act(self)
+    def then_send(close: Callable[[SocketStream], None]) -> Callable[[SocketStream], None]:
+        def close_then_send(self: SocketStream) -> None:
+            close(self)
             while clients:
                 clients.pop().sock.send(text)
 
-        return act_then_send
+        return close_then_send
 
-    monkeypatch.setattr(SocketStream, "send_eof", with_crossing(SocketStream.send_eof))
-    monkeypatch.setattr(SocketStream, "close", with_crossing(SocketStream.close))
+    monkeypatch.setattr(SocketStream, "send_eof", then_send(SocketStream.send_eof))
+    monkeypatch.setattr(SocketStream, "close", then_send(SocketStream.close))
 
 
 def shorten_time_limit(monkeypatch: pytest.MonkeyPatch, cause: str) -> None:
@@ -53,13 +53,14 @@
 
 
 @pytest.mark.parametrize("cause", ["drain", "first line", "ping", "shed"])
-def test_a_request_that_crosses_the_proxys_end_is_not_forwarded_and_not_reset(
+def test_a_request_that_arrives_after_the_half_close_is_neither_forwarded_nor_reset(
     monkeypatch: pytest.MonkeyPatch, cause: str
 ) -> None:
-    """The proxy ended a connection without a request in the moment in which the client sent one.
+    """Guards against requests that are lost or reset while the proxy closes an idle connection.
 
-    The request was forwarded though its answer could not be sent any more, or was met by a reset, which
-    clients count as a failure. It has to be met by an end, and by nothing after it.
+    The client sent its request at the moment of the half-close. The request was forwarded although its answer
+    could no longer be sent, or got a reset, which clients count as a failure. It has to get a FIN and nothing
+    else.
     """
     shorten_time_limit(monkeypatch, cause)
 
@@ -81,13 +82,13 @@
 
 
 @pytest.mark.parametrize("cause", ["drain", "first line", "ping"])
-def test_a_request_that_came_before_the_proxys_end_is_answered(
+def test_a_request_that_arrives_before_the_half_close_is_answered(
     monkeypatch: pytest.MonkeyPatch, cause: str
 ) -> None:
-    """A request had reached the kernel when the time of its connection was up.
+    """Guards against dropping a request that has reached the kernel when the timeout expires.
 
-    The coroutine that reads had not had its turn, so the request was dropped. Bytes that came before our end
-    are read first.
+    The reading coroutine had not run since, so the request was dropped. Bytes that arrive before the
+    half-close have to be read first.
     """
     on_timeout = Opening._on_timeout
     clients: list[RemoteConnection] = []
@@ -116,12 +117,12 @@
     asyncio.run(play())
 
 
-def test_a_request_that_is_read_but_not_yet_parsed_is_answered_though_its_time_is_up(
+def test_a_request_that_is_read_but_not_yet_parsed_when_the_timeout_expires_is_answered(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The time of a connection was up between a read and the turn of the coroutine that waits for it.
+    """Guards against dropping a request when the timeout expires before the reading coroutine resumes.
 
-    The kernel had nothing unread any more, so the connection was ended and its request dropped.
+    The read is done at that moment and the kernel has no unread bytes, so the connection was closed.
     """
     read = _HalfCloseIOStream.read_from_fd
     connections: list[ClientConnection] = []
@@ -161,8 +162,8 @@
     ],
 )
 @pytest.mark.parametrize("cause", ["ends", "resets", "stays until the proxy exits"])
-def test_protocol_errors_end_the_connection_and_leave_nothing_behind(sent: bytes, cause: str) -> None:
-    """Nothing raises and nothing is forwarded; the running proxy counts descriptors and tasks."""
+def test_protocol_errors_close_the_connection_and_leak_nothing(sent: bytes, cause: str) -> None:
+    """Nothing raises and nothing is forwarded; ``RunningProxy`` checks for leaked descriptors and tasks."""
 
     async def play() -> None:
         async with RunningProxy(request_class=SHORT) as proxy:
--- a/tests/proxy/test_peer_link.py
+++ b/tests/proxy/test_peer_link.py
@@ -1,4 +1,4 @@
-"""The socket between proxies on loopback: which datagrams are taken, and where messages go."""
+"""The socket between proxies, on loopback: which datagrams are accepted, and where messages are sent."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from tests.free_ports import free_addresses
 
 
-def test_only_what_a_peer_sends_from_its_own_address_is_taken() -> None:
+def test_only_datagrams_from_the_address_of_a_peer_are_accepted() -> None:
     async def play() -> tuple[list[PeerMessageReceived], int]:
         each = free_addresses(3)
         got: asyncio.Queue[PeerMessageReceived] = asyncio.Queue()
@@ -28,7 +28,7 @@
         links[0]._transport.sendto(b"\xff\n", each[1])  # type: ignore[union-attr]
         links[0].send_message(SendPeerMessage("x" * 300))
         links[0].send_message(SendPeerMessage("hello", 1))
-        links[0].send_message(SendPeerMessage("to all"))  # the third is not there, and nobody minds
+        links[0].send_message(SendPeerMessage("to all"))  # the third peer is down, which must not matter
         found = [await got.get(), await got.get()]
         for end in (outsider, *links):
             end.close()
--- a/tests/proxy/test_pending_connections.py
+++ b/tests/proxy/test_pending_connections.py
@@ -1,4 +1,4 @@
-"""Connections without a request: bounded, the one that has been quiet longest shed first."""
+"""Connections without a request: their number is limited, and the oldest activity is shed first."""
 
 from __future__ import annotations
 
@@ -12,57 +12,57 @@
 from tests.proxy.running_proxy import RunningProxy, wait_until
 
 
-class Idle:
-    """A pending connection that records what is done to it."""
+class RecordingConnection:
+    """A pending connection that records the calls of its methods."""
 
     def __init__(self) -> None:
-        self.acts: list[str] = []
+        self.calls: list[str] = []
 
     def shed(self) -> None:
-        self.acts.append("shed")
+        self.calls.append("shed")
 
     def drop(self) -> None:
-        self.acts.append("drop")
+        self.calls.append("drop")
 
 
-def test_the_connection_quiet_longest_is_shed_first() -> None:
+def test_the_connection_with_the_oldest_activity_is_shed_first() -> None:
     pending = PendingConnections(max_descriptors=400)
-    connections = [Idle() for _ in range(100)]
+    connections = [RecordingConnection() for _ in range(100)]
     for connection in connections:
         pending.touch(connection)
     pending.touch(connections[0])  # it has sent a PING
-    pending.make_room(open_descriptors=100)  # a quarter of the descriptors are pending
-    assert [number for number, each in enumerate(connections) if each.acts] == [1]
+    pending.make_room(open_descriptors=100)  # pending connections use a quarter of the descriptors
+    assert [number for number, each in enumerate(connections) if each.calls] == [1]
     assert len(pending) == 99
 
 
-def test_few_are_kept_when_descriptors_are_short_and_few_of_the_shed_wait_for_their_client() -> None:
+def test_few_connections_stay_pending_or_closing_when_descriptors_run_short() -> None:
     pending = PendingConnections(max_descriptors=40)
-    connections = [Idle() for _ in range(20)]
+    connections = [RecordingConnection() for _ in range(20)]
     for connection in connections:
         pending.touch(connection)
     pending.make_room(open_descriptors=60)
-    assert len(pending) == MIN_PENDING - 1  # one more fits
-    shed = [each for each in connections if each.acts]
+    assert len(pending) == MIN_PENDING - 1  # there is room for one more
+    shed = [each for each in connections if each.calls]
     assert len(shed) == 20 - len(pending)
-    assert sum(1 for each in shed if each.acts == ["shed", "drop"]) == len(shed) - MAX_CLOSING
+    assert sum(1 for each in shed if each.calls == ["shed", "drop"]) == len(shed) - MAX_CLOSING
 
 
-def test_idle_clients_that_fill_the_descriptors_leave_one_for_the_endpoint_list() -> None:
-    """A crowd of idle clients holds all descriptors that clients may have; discovery is still called."""
+def test_idle_clients_cannot_use_the_descriptors_of_discovery_calls() -> None:
+    """Discovery is still called while idle clients use all descriptors that clients may have."""
 
     async def play() -> None:
         async with RunningProxy(polled=True, sockets=48, poll_interval=0.4) as proxy:
-            crowd = [socket.create_connection(proxy.server.address()) for _ in range(120)]
-            for sock in crowd[::2]:
+            idle_clients = [socket.create_connection(proxy.server.address()) for _ in range(120)]
+            for sock in idle_clients[::2]:
                 with suppress(OSError):
                     sock.send(b"OPEN hal")
-            for _ in range(3):  # each call is cut off, and made again
+            for _ in range(3):  # each call is closed without an answer, and repeated by the proxy
                 async with asyncio.timeout(10.0):
                     call, _ = await asyncio.get_running_loop().sock_accept(proxy.discovery)
                 assert SocketStream.open_count + OWN_DESCRIPTORS <= 48
                 call.close()
-            for sock in crowd:
+            for sock in idle_clients:
                 sock.close()
             await wait_until(lambda: not proxy.server.clients)
 
--- a/tests/proxy/test_process_replacement.py
+++ b/tests/proxy/test_process_replacement.py
@@ -1,7 +1,8 @@
-"""Replacing the process: two real processes share one inherited listening socket, as the platform does it.
+"""Process replacement: two real processes share one inherited listening socket, as on the platform.
 
-The old one, on SIGTERM, accepts no more at once, migrates its established connection and exits by itself.
-Every client that connects meanwhile is served by one of the two, none refused, reset or left unread.
+On SIGTERM the old process stops accepting immediately, migrates its established connection and exits. Every
+client that connects in the meantime is served by one of the two processes; none is refused, reset or left
+unanswered.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 
 
 def push_server() -> tuple[socket.socket, threading.Thread]:
-    """A stand-in push server: UP to every OPEN, then holds the connection until the other side ends."""
+    """Start a fake push server that answers every OPEN with UP and waits for the other side to close."""
     listener = socket.create_server(("127.0.0.1", 0))
 
     def serve(connection: socket.socket) -> None:
@@ -33,12 +34,12 @@
                 while connection.recv(4096):
                     pass
 
-    def take() -> None:
-        with contextlib.suppress(OSError):  # closed: the test is over
+    def accept_connections() -> None:
+        with contextlib.suppress(OSError):  # the listener is closed when the test ends
             while True:
                 threading.Thread(target=serve, args=(listener.accept()[0],), daemon=True).start()
 
-    thread = threading.Thread(target=take, daemon=True)
+    thread = threading.Thread(target=accept_connections, daemon=True)
     thread.start()
     return listener, thread
 
@@ -70,18 +71,18 @@
             return process
         time.sleep(0.05)
     process.kill()
-    raise AssertionError("the process never said it was ready")
+    raise AssertionError("the process did not become ready within 200 polls of /_ready")
 
 
-def pings(address: tuple[str, int], answers: list[bytes]) -> None:
+def send_pings(address: tuple[str, int], answers: list[bytes]) -> None:
     for _ in range(CLIENTS):
-        with socket.create_connection(address, timeout=2.0) as client:  # refused or reset: the test fails
+        with socket.create_connection(address, timeout=2.0) as client:  # raises if refused or reset
             client.sendall(b"PING\r\n")
             answers.append(client.recv(64))
         time.sleep(0.02)
 
 
-def test_the_old_process_hands_over_and_no_client_is_refused(tmp_path: Path) -> None:
+def test_a_process_is_replaced_without_refusing_any_client(tmp_path: Path) -> None:
     server, _ = push_server()
     config = values(
         known={
@@ -99,24 +100,24 @@
     established = socket.create_connection(address, timeout=3.0)
     established.sendall(b"OPEN r1 x c=live-feed,d=1000\r\n")
     assert established.recv(64) == b"UP 1\r\n"
-    idle = socket.create_connection(address)  # says nothing: no connection asked for, not counted
-    figures = admin_answer(old_admin, "/_vars")[1].decode().split()
+    idle = socket.create_connection(address)  # not counted in svc.concurrent, because it sends no request
+    metrics = admin_answer(old_admin, "/_vars")[1].decode().split()
     assert {
         "svc.replies.live-feed.success:1|c",
         "svc.dispatches:1|c",
         "svc.concurrent:1|g",
         "svc.targets:1|g",
         "svc.targets_disabled:0|g",
-    } <= set(figures)
+    } <= set(metrics)
     new = start(path, new_admin, listener)
     try:
         answers: list[bytes] = []
-        clients = threading.Thread(target=pings, args=(address, answers))
+        clients = threading.Thread(target=send_pings, args=(address, answers))
         clients.start()
         time.sleep(0.2)
         old.send_signal(signal.SIGTERM)
-        assert established.recv(64) == b"MOVE\r\n"  # ended in good order, not cut
-        assert old.wait(timeout=3.0) == 0  # by itself, before the platform's SIGKILL would come
+        assert established.recv(64) == b"MOVE\r\n"  # migrated, not just closed
+        assert old.wait(timeout=3.0) == 0  # exits before the platform would send SIGKILL
         clients.join()
         assert answers == [b"PONG\r\n"] * CLIENTS
         assert admin_answer(new_admin, "/_ready")[0] == 200
--- a/tests/proxy/test_stream.py
+++ b/tests/proxy/test_stream.py
@@ -1,4 +1,4 @@
-"""Socket streams: the three ways in which a connection ends, and the bytes that the kernel took."""
+"""Socket streams: the three ways in which a connection ends, and the bytes that the kernel accepted."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
             await scenario(stream, remote)
         finally:
             stream.close()
-            stream.close()  # a second close counts nothing
+            stream.close()  # a second close must not change the count
             remote.sock.close()
             listener.close()
         assert SocketStream.open_count == open_before
@@ -36,7 +36,7 @@
     asyncio.run(run())
 
 
-def test_after_the_remotes_fin_our_side_can_still_write() -> None:
+def test_our_side_can_still_write_after_the_remotes_fin() -> None:
     async def scenario(stream: SocketStream, remote: RemoteConnection) -> None:
         await remote.send("half a li", b"")
         remote.sock.shutdown(socket.SHUT_WR)
@@ -51,7 +51,7 @@
     play(scenario)
 
 
-def test_a_reset_is_a_lost_connection() -> None:
+def test_a_reset_raises_connection_lost_error() -> None:
     async def scenario(stream: SocketStream, remote: RemoteConnection) -> None:
         remote.reset()
         with pytest.raises(ConnectionLostError):
@@ -61,7 +61,7 @@
     play(scenario)
 
 
-def test_an_abort_is_a_reset_for_the_remote() -> None:
+def test_abort_resets_the_connection() -> None:
     async def scenario(stream: SocketStream, remote: RemoteConnection) -> None:
         stream.abort()
         await remote.sees("reset")
@@ -71,7 +71,7 @@
     play(scenario)
 
 
-def test_an_end_behind_unread_bytes_is_known_before_they_are_read() -> None:
+def test_has_ended_sees_an_end_behind_unread_bytes() -> None:
     async def scenario(stream: SocketStream, remote: RemoteConnection) -> None:
         assert not stream.has_unread() and not stream.has_ended()
         await remote.send("one line", b"\r\n")
--- a/tests/proxy/test_traffic_summary.py
+++ b/tests/proxy/test_traffic_summary.py
@@ -1,4 +1,4 @@
-"""The summary's log lines: one for each backend with something to report, and one for all."""
+"""The log lines of the traffic summary: one per backend with something to report, and one for the total."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     )
 
 
-def test_outcomes_are_counted_by_backend_and_only_once() -> None:
+def test_outcomes_are_counted_by_backend_and_reset_after_each_summary() -> None:
     summary = TrafficSummary()
     for status in (AttemptStatus.TIMEOUT, AttemptStatus.FULL, AttemptStatus.TIMEOUT):
         summary.count_attempt("s0", status)
