--- a/saltcourse/proxy/client_connection.py
+++ b/saltcourse/proxy/client_connection.py
@@ -279,7 +279,7 @@
         if not may_begin or self.opened is None:
             self._attempts.report_not_sent(message)
             return
-        if self.stream.has_ended():  # the reader's ClientClosed is not in the mailbox yet
+        if self.stream.has_ended():  # the reader's ClientClosed has not been processed yet
             self._attempts.report_not_sent(message)
             self.send(ClientClosed(reset=False))
             return
--- a/saltcourse/proxy/connection_context.py
+++ b/saltcourse/proxy/connection_context.py
@@ -50,7 +50,7 @@
         self._count += 1
         now = self._clock.now()
         if now - self._last_logged >= PROTOCOL_ERROR_LOG_INTERVAL_SECONDS:
-            log.info("client protocol errors", count=self._count, last=reason)
+            log.info("client protocol errors", count=self._count, last_reason=reason)
             self._count = 0
             self._last_logged = now
 
--- a/saltcourse/proxy/connection_monitor.py
+++ b/saltcourse/proxy/connection_monitor.py
@@ -138,7 +138,11 @@
     def _migrate_silent(self, now: float) -> None:
         """Migrate silent connections without asking the balancer, because their clients get no answers."""
         for request in self._meter.silent_connections(now):
-            log.info("connection silent", request=request, backend=self.established[request].backend)
+            log.info(
+                "migrating silent connection",
+                request=request,
+                backend=self.established[request].backend,
+            )
             self._migrate(request)
 
     def _report_hung(self, now: float) -> None:
--- a/saltcourse/proxy/discovery_client.py
+++ b/saltcourse/proxy/discovery_client.py
@@ -190,7 +190,7 @@
                 raise EndpointListError(f"HTTP status {response.status}, expected {HTTP_OK}")
             return decode_endpoint_update(response.body)
         except TimeoutError:
-            log.info("endpoint list call timed out", elapsed_s=timeout)
+            log.info("endpoint list call timed out", timeout_s=timeout)
             raise DiscoveryTimeoutError from None
         except (OSError, OutOfSocketsError, HttpResponseError, EndpointListError) as error:
             log.info("endpoint list call failed", reason=str(error) or type(error).__name__)
--- a/saltcourse/proxy/request_events.py
+++ b/saltcourse/proxy/request_events.py
@@ -9,16 +9,16 @@
 RESUME_TIMEOUT_SECONDS = 40.0  # replaces the `d` of an OPEN that resumes a connection, which is over an hour
 
 
-def time_left_for_answer(opened: OpenRequest, program_time_left: float) -> float:
+def time_left_for_answer(opened: OpenRequest, shutdown_time_left: float) -> float:
     """Return the time (s) until the final answer has to be written.
 
-    It is limited by the client's timeout and by ``program_time_left`` (s), the time until a shutdown needs
+    It is limited by the client's timeout and by ``shutdown_time_left`` (s), the time until a shutdown needs
     all answers written.
     """
     time_left = opened.time_left
     if opened.resume_backend:
         time_left = min(time_left, RESUME_TIMEOUT_SECONDS)
-    return max(MIN_TIME_LEFT_SECONDS, min(time_left, program_time_left))
+    return max(MIN_TIME_LEFT_SECONDS, min(time_left, shutdown_time_left))
 
 
 def request_received(opened: OpenRequest, time_left: float) -> RequestReceived:
--- a/saltcourse/proxy/server.py
+++ b/saltcourse/proxy/server.py
@@ -279,7 +279,7 @@
     def reload(self) -> None:
         """Read the configuration file again and apply it; established connections are not affected.
 
-        This works in every phase, because a draining proxy also needs changes of the discovery address.
+        This works in every phase, because a draining proxy also has to follow the changes of its backends.
         """
         for service in self._background_services:
             service.reload()
--- a/saltcourse/proxy/stream.py
+++ b/saltcourse/proxy/stream.py
@@ -10,7 +10,7 @@
    by which coroutine resumes first.
 2. Whether the remote has ended is asked of the kernel (``has_ended``), because the reading coroutine may
    learn of it late.
-3. A connection is closed in three steps: half-close, read until the remote ends, for a limited time, then
+3. A connection is closed in three steps: half-close, read until the remote ends or a time limit passes,
    close. Closing a socket with unread bytes sends a reset, which may overtake the last line written.
 """
 
--- a/saltcourse/signals.py
+++ b/saltcourse/signals.py
@@ -26,15 +26,15 @@
         signal.signal(number, lambda received, _: _pending.add(received))
 
 
-def handle(number: int, act: Callable[[], object]) -> None:
-    """Call ``act`` for each signal ``number``, and immediately if one is held.
+def handle(number: int, callback: Callable[[], object]) -> None:
+    """Call ``callback`` for each signal ``number``, and immediately if one is held.
 
-    ``act`` runs in a signal handler, so it must be safe to call between any two bytecode instructions.
+    ``callback`` runs in a signal handler, so it must be safe to call between any two bytecode instructions.
     """
-    signal.signal(number, lambda *_: act())
+    signal.signal(number, lambda *_: callback())
     if number in _pending:
         _pending.discard(number)
-        act()
+        callback()
 
 
 def release() -> None:
--- a/tests/proxy/exchange_player.py
+++ b/tests/proxy/exchange_player.py
@@ -187,34 +187,34 @@
         assert len(os.listdir("/proc/self/fd")) <= self.open_files, "a descriptor has leaked"
 
     async def step(self, step: str, running: asyncio.Task[None]) -> None:
-        name, act, rest = (step.split(" ", 2) + [""])[:3]
+        name, verb, rest = (step.split(" ", 2) + [""])[:3]
         if name == "proxy":
-            await self.act_on_proxy(f"{act} {rest}".strip(), running)
+            await self.act_on_proxy(f"{verb} {rest}".strip(), running)
             return
         if name[0] == "c" and name not in self.remotes:
             self.remotes[name] = RemoteConnection(socket.create_connection(self.server.address()))
-        if act == "takes":
+        if verb == "takes":
             self.remotes[name] = await self.accept(name, rest)
             return
         remote = self.remotes[name]
-        if act == "<":
+        if verb == "<":
             line = await remote.line()
             seen = re.sub(r"\b(d=|BUSY )\d+", r"\1*", line) if "*" in rest else line
             assert seen == rest, f"got {line!r}"
-        elif act in (">", ">>"):
-            await remote.send(rest, b"\r\n" if act == ">" else b"")
-        elif act == "answers":
+        elif verb in (">", ">>"):
+            await remote.send(rest, b"\r\n" if verb == ">" else b"")
+        elif verb == "answers":
             await remote.send(f"HTTP/1.1 200 OK\\r\\nContent-Length: {len(rest)}\\r\\n\\r\\n{rest}", b"")
-        elif act == "floods":
+        elif verb == "floods":
             await remote.send("x" * 5000, b"")
-        elif act == "sees":
+        elif verb == "sees":
             await remote.sees(rest)
             assert not remote.received or name[0] == "d", f"unexpected data: {remote.received!r}"
-        elif act == "ends":
+        elif verb == "ends":
             remote.sock.shutdown(socket.SHUT_WR)
-        elif act == "resets":
+        elif verb == "resets":
             remote.reset()
-        elif act == "closes":
+        elif verb == "closes":
             remote.sock.close()
         else:
             raise ValueError(step)
@@ -233,7 +233,7 @@
         await asyncio.gather(*others, return_exceptions=True)
         return RemoteConnection(done.pop().result()[0])
 
-    async def act_on_proxy(self, act: str, running: asyncio.Task[None]) -> None:
+    async def act_on_proxy(self, action: str, running: asyncio.Task[None]) -> None:
         """Perform an action on the proxy.
 
         migrates: migrate all established connections. faults: the balancer raises an exception on its next
@@ -241,20 +241,20 @@
         after discovery has moved to another address. breaks: SIGHUP with an invalid configuration file.
         """
         dispatcher = self.server.dispatcher
-        if act == "migrates":
+        if action == "migrates":
             dispatcher.send(StartDraining())
-        elif act == "faults":
+        elif action == "faults":
             dispatcher._balancer = FaultyBalancer()  # type: ignore[assignment]
-        elif act == "leaves":
+        elif action == "leaves":
             self.server.stop_requested.set()
-        elif act in ("reloads", "breaks"):
-            self.config_is_broken = act == "breaks"
+        elif action in ("reloads", "breaks"):
+            self.config_is_broken = action == "breaks"
             if not self.config_is_broken:
                 self.discovery.close()
                 self.discovery = listen()
             os.kill(os.getpid(), signal.SIGHUP)
             await asyncio.sleep(0.05 if self.config_is_broken else 0)
-        elif act == "has exited":
+        elif action == "has exited":
             await running
         else:
-            raise ValueError(act)
+            raise ValueError(action)
--- a/tests/proxy/test_connection_context.py
+++ b/tests/proxy/test_connection_context.py
@@ -32,5 +32,5 @@
             errors.record("flood")
         clock.time += PROTOCOL_ERROR_LOG_INTERVAL_SECONDS
         errors.record("last")
-    assert [(entry["count"], entry["last"]) for entry in logs] == [(1, "first"), (51, "last")]
+    assert [(entry["count"], entry["last_reason"]) for entry in logs] == [(1, "first"), (51, "last")]
     assert {entry["event"] for entry in logs} == {"client protocol errors"}
--- a/tests/proxy/test_draining.py
+++ b/tests/proxy/test_draining.py
@@ -140,7 +140,7 @@
             proxy.server.stop_requested.set()
             await wait_until(lambda: proxy.server.phase is Phase.MIGRATING)
             await client.send("000", b"\r\n")
-            await (await proxy.accept()).line()  # and nothing ever comes back
+            await (await proxy.accept()).line()  # the backend never answers
             assert await client.line() in ("BUSY", "ERR")
             assert not proxy.running.done()
 
