--- a/saltcourse/proxy/attempt.py
+++ b/saltcourse/proxy/attempt.py
@@ -102,7 +102,7 @@
 
     async def run(self) -> None:
         """Make the attempt, relay its connection, and notify the owner of the outcome."""
-        outcome = await self._attempt()
+        outcome = await self._make_attempt()
         status = outcome.status
         if self._is_cancelled:
             status = AttemptStatus.CANCELLED if self._may_have_run() else AttemptStatus.NOT_SENT
@@ -127,7 +127,7 @@
         """
         return self.stream is not None and self.stream.bytes_sent >= len(self._spec.open_line)
 
-    async def _attempt(self) -> AttemptOutcome:
+    async def _make_attempt(self) -> AttemptOutcome:
         if self._is_cancelled or not self._owner.wants_answer():  # cancelled before this task first ran
             return AttemptOutcome(AttemptStatus.NOT_SENT)
         address = self._spec.address
--- a/saltcourse/proxy/client_connection.py
+++ b/saltcourse/proxy/client_connection.py
@@ -97,7 +97,7 @@
         self.context = context
         self.state = ConnectionState.OPENING
         self.opening = Opening(stream, context)
-        self.opened: OpenRequest | None = None
+        self.open_request: OpenRequest | None = None
         self.request = ""  # the request id; empty until the OPEN line is read
         self._deadline = 0.0  # clock time (s) by which the final answer has to be written
         self._attempts = RequestAttempts(context)
@@ -137,19 +137,19 @@
 
     async def run(self) -> None:
         """Read the request, have it answered, and relay lines until the connection ends."""
-        opened = await self._open()
-        if opened is None:
+        open_request = await self._read_request()
+        if open_request is None:
             return
         if self.context.is_short_of_descriptors():
-            self.context.metrics.count_reply(opened.request_class, ReplyOutcome.REJECTED)
+            self.context.metrics.count_reply(open_request.request_class, ReplyOutcome.REJECTED)
             await self._reject(busy_line(self.context.settings.longest_retry_after))
             return
-        await self._serve(opened)
+        await self._serve(open_request)
 
-    async def _open(self) -> OpenRequest | None:
+    async def _read_request(self) -> OpenRequest | None:
         """Read the request; return None if the client disconnected without one or violated the protocol."""
         try:
-            self.opened = await self.opening.read_request()
+            self.open_request = await self.opening.read_request()
         except ProtocolError as error:
             self.context.protocol_errors.record(str(error))
             self.opening.finish()
@@ -157,19 +157,19 @@
             return None
         except ConnectionLostError:
             return None
-        if self.opened is not None:
-            self.request = self.opened.request
+        if self.open_request is not None:
+            self.request = self.open_request.request
             self.opening.finish()
-        return self.opened
+        return self.open_request
 
     async def _reject(self, line: bytes) -> None:
         """Write the final answer to a client whose request is not accepted, and close."""
         self.state = ConnectionState.ENDED
         await reject_and_close(self.stream, line, REJECT_TIMEOUT_SECONDS, REJECT_MAX_BYTES)
 
-    async def _serve(self, opened: OpenRequest) -> None:
+    async def _serve(self, open_request: OpenRequest) -> None:
         now = self.context.clock.now()
-        time_left = time_left_for_answer(opened, self.context.answer_deadline - now)
+        time_left = time_left_for_answer(open_request, self.context.answer_deadline - now)
         self._deadline = now + time_left
         self.state = ConnectionState.WAITING
         self._reader = spawn(self._read_client(), "client connection reader")
@@ -177,10 +177,10 @@
             time_left + DEADLINE_GRACE_SECONDS, self.send, AbandonRequest(AbandonReason.DEADLINE_EXCEEDED)
         )
         try:
-            if opened.resume_backend:
-                self._resume(opened)
+            if open_request.resume_backend:
+                self._resume(open_request)
             else:
-                self.context.send_to_dispatcher(NewRequest(self, request_received(opened, time_left)))
+                self.context.send_to_dispatcher(NewRequest(self, request_received(open_request, time_left)))
             while self.state is not ConnectionState.ENDED:
                 await self._receive(await self.mailbox.get())
         finally:
@@ -212,7 +212,7 @@
 
     def _abandon_if_unanswered(self) -> None:
         """Fail the request of a client that sends data before the answer; a resumed client may do so."""
-        if self._is_waiting and self.opened and not self.opened.resume_backend:
+        if self._is_waiting and self.open_request and not self.open_request.resume_backend:
             self.send(AbandonRequest(AbandonReason.DATA_BEFORE_ANSWER))
 
     async def _send_to_backend(self, line: memoryview) -> None:
@@ -264,8 +264,8 @@
     async def _answer(self, line: bytes, outcome: ReplyOutcome) -> None:
         """Write the final answer and close; the attempt in flight, if any, is cancelled first."""
         self.state = ConnectionState.ENDED
-        if self.opened is not None:
-            self.context.metrics.count_reply(self.opened.request_class, outcome)
+        if self.open_request is not None:
+            self.context.metrics.count_reply(self.open_request.request_class, outcome)
         self._attempts.close()
         self._attempts.report(AttemptStatus.CANCELLED)
         self._may_read_lines.set()
@@ -276,14 +276,14 @@
 
     def _begin_attempt(self, message: BeginAttempt) -> None:
         may_begin = self._is_waiting and self._attempts.unreported is None
-        if not may_begin or self.opened is None:
+        if not may_begin or self.open_request is None:
             self._attempts.report_not_sent(message)
             return
         if self.stream.has_ended():  # the reader's ClientClosed has not been processed yet
             self._attempts.report_not_sent(message)
             self.send(ClientClosed(reset=False))
             return
-        self._attempts.begin(self, message, self.opened, self._deadline)
+        self._attempts.begin(self, message, self.open_request, self._deadline)
 
     def wants_answer(self) -> bool:
         """Return whether the request still needs an attempt.
@@ -298,17 +298,17 @@
 
     async def _establish(self, line: bytes) -> None:
         attempt = self._attempts.current
-        if attempt is None or self.opened is None:
+        if attempt is None or self.open_request is None:
             return
         if not self._is_waiting:
             attempt.close()
             return
         self.state = ConnectionState.ESTABLISHED
-        self.context.metrics.count_reply(self.opened.request_class, ReplyOutcome.ESTABLISHED)
+        self.context.metrics.count_reply(self.open_request.request_class, ReplyOutcome.ESTABLISHED)
         with contextlib.suppress(ConnectionLostError):  # the client reader reports the lost connection
             await self.stream.write(line)
-        if self.opened.resume_backend:
-            self.context.send_to_dispatcher(ResumedConnection(self, connection_resumed(self.opened)))
+        if self.open_request.resume_backend:
+            self.context.send_to_dispatcher(ResumedConnection(self, connection_resumed(self.open_request)))
         elif (begun := self._attempts.unreported) is not None:
             established = ConnectionEstablished(self.request, begun.attempt, self._attempts.elapsed())
             self.context.send_to_dispatcher(established)
@@ -324,8 +324,8 @@
             else:
                 await close_gracefully(self.stream, self._reader, CLOSE_TIMEOUT_SECONDS)
         elif self._is_waiting:
-            if self.opened is not None and self.opened.resume_backend:
-                await self._retry_resume(self.opened, status)
+            if self.open_request is not None and self.open_request.resume_backend:
+                await self._retry_resume(self.open_request, status)
             elif self.stream.has_ended():  # a final outcome, so that the balancer does not retry
                 self.state = ConnectionState.ENDED
                 self._attempts.report(status)
@@ -340,7 +340,7 @@
         if was_established:
             await self._end_backend(reset)
             return
-        if self.opened is None or not self.opened.resume_backend:
+        if self.open_request is None or not self.open_request.resume_backend:
             self.context.send_to_dispatcher(ClientDisconnected(self.request))
         self._attempts.close()
         self._attempts.report(AttemptStatus.CANCELLED)
@@ -390,11 +390,11 @@
 
     # ---- connections resumed after a restart of the proxy -----------------------------------------
 
-    def _resume(self, opened: OpenRequest) -> None:
-        address = self.context.address_of(opened.resume_backend)
-        self._begin_attempt(BeginAttempt(self.request, opened.resume_backend, 0, 0.0, address))
+    def _resume(self, open_request: OpenRequest) -> None:
+        address = self.context.address_of(open_request.resume_backend)
+        self._begin_attempt(BeginAttempt(self.request, open_request.resume_backend, 0, 0.0, address))
 
-    async def _retry_resume(self, opened: OpenRequest, status: AttemptStatus) -> None:
+    async def _retry_resume(self, open_request: OpenRequest, status: AttemptStatus) -> None:
         """Retry at the same backend, the only one possible: it may be restarting as well."""
         self._attempts.discard_outcome()
         retry_by = self._deadline - 2 * RESUME_RETRY_SECONDS
@@ -402,4 +402,4 @@
             await self._answer(FAIL_LINE, ReplyOutcome.FAILED)
             return
         await asyncio.sleep(RESUME_RETRY_SECONDS)
-        self._resume(opened)
+        self._resume(open_request)
--- a/saltcourse/proxy/discovery_client.py
+++ b/saltcourse/proxy/discovery_client.py
@@ -10,9 +10,9 @@
 1. A watch repeats its call for as long as it is answered. The first failure ends the watch, and the balancer
    orders another one.
 2. A watch call that times out is not a failure: the complete list is fetched in its place immediately.
-3. The known version only increases. An answer with a version lower than the one known when it arrives is late
-   and is dropped. If its version is also lower than the one known when its call was made, discovery has
-   restarted, and the answer is used.
+3. An answer with a version lower than the one known when it arrives is late and is dropped, unless its
+   version is also lower than the one known when its call was made: then discovery has restarted, and the
+   answer is used.
 4. After a change of address the versions of the new service are unknown, so the complete list is fetched
    first.
 """
--- a/saltcourse/proxy/opening.py
+++ b/saltcourse/proxy/opening.py
@@ -85,15 +85,15 @@
         return True
 
     def _parse(self, line: memoryview) -> OpenRequest:
-        opened = parse_open(line)
-        if opened.request_class not in self._context.request_classes:
+        open_request = parse_open(line)
+        if open_request.request_class not in self._context.request_classes:
             raise ProtocolError("OPEN: request class is not in the settings")
         if self._stream.buffer.has_data:
             # A client has to wait for its answer before it sends more. No backend may see further commands
             # sent with the first, and serving only the first would look as if one of the others had run.
             raise ProtocolError("OPEN: data follows the line before its answer")
-        self._context.request_ids.claim(opened.request)
-        return opened
+        self._context.request_ids.claim(open_request.request)
+        return open_request
 
     async def _next_line(self) -> memoryview | None:
         """Return the next line, or None once the client has ended; discard its data while closing."""
--- a/saltcourse/proxy/request_attempts.py
+++ b/saltcourse/proxy/request_attempts.py
@@ -27,7 +27,9 @@
         self.unreported: BeginAttempt | None = None  # the order whose outcome has not been reported yet
         self._context = context
 
-    def begin(self, owner: AttemptOwner, message: BeginAttempt, opened: OpenRequest, deadline: float) -> None:
+    def begin(
+        self, owner: AttemptOwner, message: BeginAttempt, open_request: OpenRequest, deadline: float
+    ) -> None:
         """Start an attempt for ``owner``; ``deadline`` is the request's, on the clock (s)."""
         timeout = self._timeout(message, deadline)
         self.unreported = message
@@ -35,7 +37,7 @@
             message.attempt,
             message.backend,
             message.address,
-            opened.with_timeout(timeout),
+            open_request.with_timeout(timeout),
             max(0.0, timeout),
             self._context.settings.connect_timeout,
         )
