--- a/saltcourse/gossip/failure_detector.py
+++ b/saltcourse/gossip/failure_detector.py
@@ -1,10 +1,11 @@
-"""SWIM's probes with Lifeguard's local health: one member after the other, and through others where it fails.
+"""Failure detection: SWIM probes, direct and then through relays, with Lifeguard's local health score.
 
     ping -- no ack in probe_timeout --> ping requests to relays -- no ack by the end of the period --> failed
 
-Cost is constant per member of the fleet: one probe is begun in each ``probe_interval``. A poor local health
-lengthens each probe, not the pace, so that up to MAX_HEALTH + 1 of them run side by side. The order of a
-round is a list of all live members, 8 bytes each, shuffled once in as many intervals as there are members.
+The cost for each member is constant: it starts one probe in each ``probe_interval``. A high health score
+lengthens each probe but not the interval between them, so that up to MAX_HEALTH_SCORE + 1 probes run
+concurrently. The probe order is a list of all live members, 8 bytes each, that is shuffled once for each
+round over all members.
 """
 
 from __future__ import annotations
@@ -29,57 +30,60 @@
 )
 from saltcourse.gossip.settings import Timing
 
-MAX_HEALTH = 8  # of the local health score: 0 is well
-MAX_RELAYED_PROBES = 64  # run for others at once; what comes beyond is not answered
-NACK_FRACTION = 0.8  # of the probe timeout: the Nack has to be back before the asker's period ends
+MAX_HEALTH_SCORE = 8  # worst local health score; 0 is healthy
+MAX_RELAYED_PROBES = 64  # concurrent probes for other members; requests above the limit are not answered
+NACK_FRACTION = 0.8  # fraction of ``probe_timeout``; the Nack has to arrive before the requester's probe ends
 SEQUENCE_BITS = 32
 
-Piggyback = Callable[[MemberId], tuple[Update, ...]]  # updates for one receiver
+Piggyback = Callable[[MemberId], tuple[Update, ...]]  # returns the updates to add to a message to one member
 
 
 class LocalHealth:
-    """How far this member trusts its own observations (Lifeguard's local health multiplier)."""
+    """Lifeguard's local health score: the higher it is, the less this member trusts its own observations."""
 
     def __init__(self) -> None:
         self.score = 0
 
     @property
     def factor(self) -> int:
-        """By which timeouts grow."""
+        """Multiplier for probe timeouts."""
         return 1 + self.score
 
-    def change(self, by: int) -> None:
-        """Add to the score, which stays between 0 and MAX_HEALTH."""
-        self.score = min(max(self.score + by, 0), MAX_HEALTH)
+    def change(self, delta: int) -> None:
+        """Add ``delta`` to the score, clamped to 0 .. MAX_HEALTH_SCORE."""
+        self.score = min(max(self.score + delta, 0), MAX_HEALTH_SCORE)
 
 
 @dataclass(slots=True)
 class Probe:
-    """A probe of this member's own."""
+    """A probe started by this member. Times in seconds."""
 
     target: MemberId
     process_id: int
     incarnation: int
-    relays_at: float  # when others are asked
+    ask_relays_at: float
     ends_at: float
-    relays: set[MemberId] | None = None  # None: not asked yet
-    nacks: set[MemberId] = field(default_factory=set)  # relays that got no answer either
+    relays: set[MemberId] | None = None  # None until the relays have been asked
+    nacks: set[MemberId] = field(default_factory=set)  # relays that answered with a Nack
 
 
 @dataclass(slots=True)
 class RelayedProbe:
-    """A probe run for another member."""
+    """A probe on behalf of another member. Times in seconds."""
 
     requester: Address
-    sequence: int  # the requester's
+    sequence: int  # sequence number of the requester's probe
     target: MemberId
     nack_at: float
-    ends_at: float  # a late Ack is passed on until then
+    ends_at: float  # until then a late Ack is forwarded to the requester
 
 
 @dataclass(frozen=True, slots=True)
 class FailedProbe:
-    """An own probe that ended without an Ack. ``missing_nacks``: relays that sent none either."""
+    """A probe by this member that ended without an Ack.
+
+    ``missing_nacks`` counts the relays that sent neither an Ack nor a Nack.
+    """
 
     target: MemberId
     process_id: int
@@ -88,28 +92,28 @@
 
 
 class AckOutcome(NamedTuple):
-    """What an Ack shows, and what is to be sent for it."""
+    """Result of handling an Ack."""
 
-    confirmed_member: MemberId | None  # the target of an own probe
-    sends: list[Send]  # the Ack of a relayed probe, to its requester
+    confirmed_member: MemberId | None  # target of this member's probe that the Ack has ended
+    sends: list[Send]  # Ack forwarded to the requester of a relayed probe
 
 
 class ProbeOrder:
-    """Round-robin over a shuffled list of the live members, shuffled anew in each round."""
+    """Round-robin order of probes over the live members, reshuffled for each round."""
 
     def __init__(self, table: MemberTable, rng: random.Random) -> None:
         self._table = table
         self._rng = rng
-        self._round: list[MemberId] = []  # still to be probed, the next one last
+        self._round: list[MemberId] = []  # members still to be probed in this round; the last one is next
 
     def insert(self, member: MemberId) -> None:
-        """A new member takes a random place in the running round."""
+        """Insert a new member at a random position of the current round."""
         self._round.append(member)
-        place = int(self._rng.random() * len(self._round))
-        self._round[place], self._round[-1] = self._round[-1], self._round[place]
+        index = int(self._rng.random() * len(self._round))
+        self._round[index], self._round[-1] = self._round[-1], self._round[index]
 
     def next(self) -> MemberId | None:
-        """None: there is nobody to probe."""
+        """Return the next member to probe, or None if there are no live members."""
         member = self._next_of_round()
         if member is None:
             self._round = list(self._table.live_ids)
@@ -126,7 +130,7 @@
 
 
 class FailureDetector:
-    """Runs the probes; what follows from a failed one is for the caller to decide."""
+    """Runs this member's probes and relayed probes. The caller decides what a failed probe means."""
 
     def __init__(self, timing: Timing, rng: random.Random, health: LocalHealth, piggyback: Piggyback) -> None:
         self.probes_begun = 0
@@ -135,29 +139,29 @@
         self._rng = rng
         self._health = health
         self._piggyback = piggyback
-        self._probes: dict[int, Probe] = {}  # by sequence, as the relayed ones
-        self._relayed: dict[int, RelayedProbe] = {}
+        self._probes: dict[int, Probe] = {}  # by sequence number
+        self._relayed: dict[int, RelayedProbe] = {}  # by sequence number of this member's Ping
 
-    # ---- own probes -------------------------------------------------------------------------------
+    # ---- probes by this member --------------------------------------------------------------------
 
     def begin(self, now: float, target: MemberId, record: MemberRecord) -> Send:
-        """Begin an own probe with a direct Ping; relays are asked when it stays unanswered."""
+        """Start a probe with a direct Ping. ``tick`` asks relays if the Ping is not answered in time."""
         factor = self._health.factor
         sequence = self._draw_sequence()
-        relays_at = now + self._timing.probe_timeout * factor
+        ask_relays_at = now + self._timing.probe_timeout * factor
         ends_at = now + self._timing.probe_interval * factor
-        self._probes[sequence] = Probe(target, record.process_id, record.incarnation, relays_at, ends_at)
+        self._probes[sequence] = Probe(target, record.process_id, record.incarnation, ask_relays_at, ends_at)
         self.probes_begun += 1
         return Send(record.address, Ping(sequence, target, self._piggyback(target)))
 
     def ping_once(self, target: MemberId, record: MemberRecord) -> Send:
-        """A Ping of which nothing follows but that its Ack shows the target to be alive."""
+        """Return a Ping outside of any probe. An Ack shows that the target is alive; no Ack has no effect."""
         return Send(record.address, Ping(self._draw_sequence(), target, self._piggyback(target)))
 
     def on_ack(self, now: float, sender: MemberId, message: Ack) -> AckOutcome:
-        """End the own or relayed probe of this sequence.
+        """End the direct or relayed probe with this sequence number.
 
-        An Ack of a member that was not asked proves nothing.
+        An Ack from a member that was not asked is ignored.
         """
         probe = self._probes.get(message.sequence)
         if probe is not None:
@@ -177,31 +181,31 @@
         return probe.target
 
     def on_nack(self, sender: MemberId, message: Nack) -> None:
-        """A relay reports that the target has not answered it: the relay itself is well."""
+        """Record that a relay is working although the target did not answer it."""
         probe = self._probes.get(message.sequence)
         if probe is not None and probe.relays is not None and sender in probe.relays:
             probe.nacks.add(sender)
 
-    # ---- probes for others ------------------------------------------------------------------------
+    # ---- probes for other members -----------------------------------------------------------------
 
     def relay(self, now: float, source: Address, message: PingRequest, target: Member) -> list[Send]:
-        """Ping the target of a PingRequest; ignored when too many of these run."""
+        """Ping the target of a PingRequest; ignore the request if MAX_RELAYED_PROBES are running."""
         if len(self._relayed) >= MAX_RELAYED_PROBES:
             self.relays_refused += 1
             return []
         sequence = self._draw_sequence()
         nack_at = now + NACK_FRACTION * self._timing.probe_timeout
-        ends_at = now + self._timing.probe_timeout * (1 + MAX_HEALTH)
+        ends_at = now + self._timing.probe_timeout * (1 + MAX_HEALTH_SCORE)
         self._relayed[sequence] = RelayedProbe(source, message.sequence, message.target, nack_at, ends_at)
         return [Send(target.record.address, Ping(sequence, message.target, self._piggyback(message.target)))]
 
     # ---- time -------------------------------------------------------------------------------------
 
     def tick(self, now: float, choose_relays: Callable[[MemberId], list[MemberRecord]]) -> list[Send]:
-        """Ask relays, and send a Nack for relayed probes whose target stayed silent."""
+        """Ask relays for unanswered probes, and send Nacks for relayed probes whose target did not answer."""
         sends = []
         for sequence, probe in self._probes.items():
-            if probe.relays is None and probe.relays_at <= now < probe.ends_at:
+            if probe.relays is None and probe.ask_relays_at <= now < probe.ends_at:
                 sends += self._ask_relays(sequence, probe, choose_relays(probe.target))
         for sequence, relayed in list(self._relayed.items()):
             if relayed.nack_at <= now:
@@ -222,7 +226,7 @@
         return sends
 
     def take_failed(self, now: float) -> list[FailedProbe]:
-        """Own probes that have ended without an Ack."""
+        """Remove and return this member's probes that have ended without an Ack."""
         failed = []
         for sequence, probe in list(self._probes.items()):
             if probe.ends_at <= now:
@@ -231,17 +235,20 @@
                 failed.append(FailedProbe(probe.target, probe.process_id, probe.incarnation, missing_nacks))
         return failed
 
-    def cancel_probes(self, concerned: Callable[[MemberId], bool]) -> None:
-        """Forget own probes of some members: their silence proves nothing any more."""
+    def cancel_probes(self, matches: Callable[[MemberId], bool]) -> None:
+        """Drop this member's probes of all targets for which ``matches`` returns true."""
         self._probes = {
-            sequence: probe for sequence, probe in self._probes.items() if not concerned(probe.target)
+            sequence: probe for sequence, probe in self._probes.items() if not matches(probe.target)
         }
 
     def next_deadline(self) -> float:
-        """At most MAX_HEALTH + 1 own probes and MAX_RELAYED_PROBES others are looked at."""
+        """Return the time of the next required ``tick`` or ``take_failed``, in seconds.
+
+        Scans at most MAX_HEALTH_SCORE + 1 of this member's probes and MAX_RELAYED_PROBES relayed probes.
+        """
         deadline = math.inf
         for probe in self._probes.values():
-            deadline = min(deadline, probe.relays_at if probe.relays is None else probe.ends_at)
+            deadline = min(deadline, probe.ask_relays_at if probe.relays is None else probe.ends_at)
         for relayed in self._relayed.values():
             deadline = min(deadline, relayed.nack_at, relayed.ends_at)
         return deadline
--- a/saltcourse/gossip/member_table.py
+++ b/saltcourse/gossip/member_table.py
@@ -1,7 +1,7 @@
-"""The member table: what this member believes of every other, with the indexes that keep each look-up cheap.
+"""The member table: one record for each known member, with indexes for constant-time lookups.
 
-Cost that grows with the fleet: about 0.8 kB for each member known, departed ones included; MAX_MEMBERS
-bounds it at 3.3 MB. A change costs O(members / SYNC_BUCKETS) at most (an insertion into a sorted list).
+Cost that grows with the fleet: about 0.8 kB for each known member, including departed ones; MAX_MEMBERS
+bounds it at 3.3 MB. A change costs at most O(members / SYNC_BUCKETS), for an insertion into a sorted list.
 ``live`` is cached and costs O(members log members) when it is called after a change.
 """
 
@@ -24,40 +24,44 @@
 )
 
 MAX_INCARNATION = 2**32 - 1
-_WORD = 2**64 - 1
-_MULTIPLIERS = (0x9E3779B97F4A7C15, 0xBF58476D1CE4E5B9, 0x94D049BB133111EB)  # of SplitMix64
+_MASK_64_BITS = 2**64 - 1
+_MULTIPLIERS = (0x9E3779B97F4A7C15, 0xBF58476D1CE4E5B9, 0x94D049BB133111EB)  # constants of SplitMix64
 
 
 @dataclass(slots=True)
 class Member:
-    """One entry of the table. ``since`` is when its status was last changed, on this member's clock."""
+    """One entry of the table. Times are in seconds on this member's clock."""
 
     record: MemberRecord
-    since: float
-    digest: int = 0  # of the record, while it has not departed
-    notified_at: float = float("-inf")  # when its own record was last sent to it
+    since: float  # last change of the status
+    digest: int = 0  # digest of the record; only valid while the member has not departed
+    notified_at: float = float("-inf")  # last time the record was sent to the member itself
 
     @property
     def status(self) -> Status:
-        """Of the record."""
+        """Status of the record."""
         return self.record.status
 
 
 def is_departed(status: Status) -> bool:
-    """Whether a member of this status counts as gone."""
+    """Return whether the status is DEAD or LEFT."""
     return status >= Status.DEAD
 
 
 def with_status(record: MemberRecord, incarnation: int, status: Status) -> MemberRecord:
-    """As ``dataclasses.replace``, at a third of its time: it is called for each new update."""
+    """Return the record with another incarnation and status.
+
+    Called for each new update; takes a third of the time of ``dataclasses.replace``.
+    """
     name, address, region, zone, role = record.name, record.address, record.region, record.zone, record.role
     return MemberRecord(name, address, region, zone, role, incarnation, record.process_id, status)
 
 
 def overrides(new: MemberRecord, current: MemberRecord) -> bool:
-    """A total order, so that all members settle on one record whatever the order in which records come.
+    """Return whether ``new`` takes precedence over ``current``.
 
-    The last criterion, the process, matters only while two processes use one name at one incarnation.
+    Records are totally ordered, so that all members converge on the same one in whatever order they arrive.
+    The process id decides only while two processes use the same name at the same incarnation.
     """
     return (new.incarnation, new.status, new.process_id) > (
         current.incarnation,
@@ -67,7 +71,7 @@
 
 
 def is_valid(record: MemberRecord) -> bool:
-    """Whether a decoded record can be a member's: it must be possible to name it and to send to it."""
+    """Return whether the name, zone, region, address and incarnation of a decoded record are valid."""
     host, port = record.address
     return (
         0 < len(record.name.encode()) <= MAX_NAME_BYTES
@@ -80,32 +84,32 @@
 
 
 class IdSet:
-    """A set of member ids with insertion, removal and a random choice in constant time."""
+    """Set of member ids with insertion, removal and random choice in constant time."""
 
     def __init__(self) -> None:
         self._ids: list[MemberId] = []
         self._indexes: dict[MemberId, int] = {}
 
     def __len__(self) -> int:
-        """Count the ids."""
+        """Return the number of ids."""
         return len(self._ids)
 
     def __iter__(self) -> Iterator[MemberId]:
-        """Iterate in no particular but a reproducible order."""
+        """Iterate in an unspecified but reproducible order."""
         return iter(self._ids)
 
     def __contains__(self, member: object) -> bool:
-        """Whether the id is in the set."""
+        """Return whether the id is in the set."""
         return member in self._indexes
 
     def add(self, member: MemberId) -> None:
-        """Insert an id, if it is not in the set."""
+        """Insert an id if it is not in the set."""
         if member not in self._indexes:
             self._indexes[member] = len(self._ids)
             self._ids.append(member)
 
     def discard(self, member: MemberId) -> None:
-        """Remove an id, if it is in the set."""
+        """Remove an id if it is in the set."""
         index = self._indexes.pop(member, None)
         if index is None:
             return
@@ -115,37 +119,37 @@
             self._indexes[last] = index
 
     def choose(self, rng: random.Random) -> MemberId:
-        """IndexError when it is empty."""
+        """Return a random id. Raise IndexError if the set is empty."""
         return self._ids[int(rng.random() * len(self._ids))]
 
 
 @dataclass(slots=True)
 class ZoneIndex:
-    """The members of one zone that have not departed, this member excluded."""
+    """Ids of the live members of one zone, without this member."""
 
     live: IdSet = field(default_factory=IdSet)
     suspects: IdSet = field(default_factory=IdSet)
 
 
 class MemberTable:
-    """All records, the own one included. Departed members are kept in the order of their departure."""
+    """Records of all known members, including this member and, until they are removed, departed members."""
 
     def __init__(self, own_record: MemberRecord) -> None:
         self.own_id = own_record.id
         self.members: dict[MemberId, Member] = {}
         self.live_ids = IdSet()
-        self.dead_ids = IdSet()  # without those that left
+        self.dead_ids = IdSet()  # members with status DEAD, not LEFT
         self.zones: dict[str, ZoneIndex] = {}
         self.digests = [0] * SYNC_BUCKETS
         self.status_counts = dict.fromkeys(Status, 0)
-        self._ids: dict[str, MemberId] = {}  # by name; spares the hash of names that are known
-        self._departed: dict[MemberId, None] = {}
+        self._ids: dict[str, MemberId] = {}  # by name; avoids hashing the names of known members again
+        self._departed: dict[MemberId, None] = {}  # in the order of departure
         self._buckets: list[list[MemberId]] = [[] for _ in range(SYNC_BUCKETS)]
         self._live_records: dict[str | None, tuple[MemberRecord, ...]] = {}
         self.store(0.0, self.own_id, own_record)
 
     def __len__(self) -> int:
-        """Count all records, the own one included."""
+        """Return the number of records, including this member's."""
         return len(self.members)
 
     def get(self, member: MemberId) -> Member | None:
@@ -164,13 +168,13 @@
 
     @property
     def size(self) -> int:
-        """Of the fleet: members that have not departed, this one included."""
+        """Size of the fleet: members that have not departed, including this member."""
         return len(self.live_ids) + 1
 
     # ---- changes ----------------------------------------------------------------------------------
 
-    def has_room(self) -> bool:
-        """Whether one more member can be stored; the one that departed first is dropped if need be."""
+    def make_room(self) -> bool:
+        """Return whether a new member can be stored; remove the member that departed first if necessary."""
         if len(self.members) < MAX_MEMBERS:
             return True
         oldest = next(iter(self._departed), None)
@@ -180,7 +184,7 @@
         return True
 
     def store(self, now: float, member: MemberId, record: MemberRecord) -> None:
-        """Insert or replace a record, whatever its status. The caller has checked ``has_room``."""
+        """Insert or replace a record of any status. The caller has called ``make_room`` for a new member."""
         entry = self.members.get(member)
         if entry is None:
             entry = self._insert(now, member, record)
@@ -195,7 +199,7 @@
         self._index(member, entry)
 
     def remove(self, member: MemberId) -> None:
-        """Forget a member. KeyError when it is not known."""
+        """Remove a member. Raise KeyError if it is not in the table."""
         entry = self.members.pop(member)
         self._unindex(member, entry)
         del self._ids[entry.record.name]
@@ -204,7 +208,7 @@
         del bucket[bisect_left(bucket, member)]
 
     def forget_departed(self, before: float) -> None:
-        """Remove those that departed before a time."""
+        """Remove the members that departed at or before ``before``, in seconds."""
         while self._departed:
             oldest = next(iter(self._departed))
             if self.members[oldest].since > before:
@@ -219,7 +223,10 @@
         return entry
 
     def _keeps_indexes(self, member: MemberId, current: MemberRecord, record: MemberRecord) -> bool:
-        """Whether a live member stays one, in the same zone: by far the most changes."""
+        """Return whether the member stays live and in the same zone, so that most indexes stay valid.
+
+        This is the case for almost all changes.
+        """
         return (
             member != self.own_id
             and current.status < Status.DEAD
@@ -267,7 +274,7 @@
         self._live_records.pop(record.zone, None)
 
     def _unindex(self, member: MemberId, entry: Member) -> None:
-        """All but the place among the departed, which a member keeps from DEAD to LEFT."""
+        """Remove a member from the indexes except ``_departed``, whose order is that of departure."""
         record = entry.record
         self.status_counts[record.status] -= 1
         self.dead_ids.discard(member)
@@ -290,7 +297,7 @@
     # ---- reads ------------------------------------------------------------------------------------
 
     def live(self, zone: str | None = None) -> Sequence[MemberRecord]:
-        """Records of members alive or suspect, without this one, in the order of their ids."""
+        """Return the records of the other members that are alive or suspect, sorted by id."""
         records = self._live_records.get(zone)
         if records is None:
             if zone is None:
@@ -304,36 +311,39 @@
         return records
 
     def ids_after(self, cursor: MemberId, buckets: Sequence[int]) -> Iterator[MemberId]:
-        """Ids above the cursor in the given buckets, in their order; lazily, so that a page costs a page."""
-        return merge(*(_tail(self._buckets[bucket], cursor) for bucket in buckets))
+        """Iterate over the ids above ``cursor`` in the given buckets, in ascending order.
+
+        Lazy, so that the cost is that of the ids which are consumed.
+        """
+        return merge(*(_ids_above(self._buckets[bucket], cursor) for bucket in buckets))
 
     def differing_buckets(self, digests: Sequence[int]) -> list[int]:
-        """All of them when the other side has sent none."""
+        """Return the buckets whose digests differ; all buckets if the peer sent no digests."""
         if len(digests) != SYNC_BUCKETS:
             return list(range(SYNC_BUCKETS))
         return [bucket for bucket in range(SYNC_BUCKETS) if digests[bucket] != self.digests[bucket]]
 
 
-def _tail(bucket: list[MemberId], cursor: MemberId) -> Iterator[MemberId]:
+def _ids_above(bucket: list[MemberId], cursor: MemberId) -> Iterator[MemberId]:
     for index in range(bisect_right(bucket, cursor), len(bucket)):
         yield bucket[index]
 
 
 def _digest(member: MemberId, record: MemberRecord) -> int:
-    """Return a member's part of its bucket's digest, into which it is XORed.
+    """Return the value of one record that is XORed into the digest of its bucket.
 
-    Alive and suspect are the same here: a suspicion ends by itself. Departed members are left out, so that
-    tables which forget them at different times agree.
+    It does not depend on the status: a suspicion is temporary, so alive and suspect compare equal. Departed
+    members are not part of the digest, so that tables agree although they remove them at different times.
     """
     return _mix(member + (record.process_id << 32 | record.incarnation) * _MULTIPLIERS[0])
 
 
 def _mix(value: int) -> int:
-    """Return the finalizer of SplitMix64: each bit of the result depends on each of the value.
+    """Apply the finalizer of SplitMix64, in which each bit of the result depends on each bit of the value.
 
-    So equal changes of two values do not cancel each other when the results are XORed.
+    This prevents equal changes of two values from cancelling each other when the results are XORed.
     """
-    value &= _WORD
-    value = (value ^ value >> 30) * _MULTIPLIERS[1] & _WORD
-    value = (value ^ value >> 27) * _MULTIPLIERS[2] & _WORD
+    value &= _MASK_64_BITS
+    value = (value ^ value >> 30) * _MULTIPLIERS[1] & _MASK_64_BITS
+    value = (value ^ value >> 27) * _MULTIPLIERS[2] & _MASK_64_BITS
     return value ^ value >> 31
--- a/saltcourse/gossip/membership.py
+++ b/saltcourse/gossip/membership.py
@@ -1,27 +1,28 @@
-"""Who is a member of the fleet and whether it is alive: SWIM with suspicion, Lifeguard, and table comparison.
+"""Fleet membership and failure detection: SWIM with suspicion and Lifeguard, plus anti-entropy table sync.
 
-``Membership`` joins the parts and holds the rules that concern more than one of them:
+``Membership`` combines the modules below and implements the rules that involve more than one of them:
 
     member_table       records and their order of precedence
     failure_detector   probes and the local health score
     suspicion          timers from suspect to dead
-    zone_silence       zones that cannot be reached, as opposed to many dead members
-    own_record         refutations, and other processes of this name
-    member_updates     what a claim about a member leads to
+    zone_silence       detection of unreachable zones, as opposed to many dead members
+    own_record         refutations, and name conflicts with other processes
+    member_updates     effects of a claim about a member
     sampling           random choices among live members
     broadcasts         updates that are piggybacked on other messages
     rounds             probe, reconnection and gossip at constant intervals
     table_sync         joining and anti-entropy repair
-    unknown_senders    limits for senders that are not in the table
+    unknown_senders    rate limits for senders that are not in the table
 
-The life of a member, as another one sees it:
+States of a member, as seen by another member:
 
     ALIVE -- probe failed --> SUSPECT -- timeout --> DEAD -- forget_after --> (removed)
       ^                          |                     |
       +------ refuted, by a higher incarnation --------+      ALIVE, SUSPECT -- Leave --> LEFT
 
-Work per message is that of its updates, work per second is constant (the probe, gossip and sync intervals).
-What grows with the fleet: see each part; all in all about 0.8 kB of memory for each member.
+The work per message is proportional to its updates. The periodic work per second is constant (probe, gossip
+and sync intervals). Memory is about 0.8 kB for each member of the fleet; each module states its other costs
+that grow with the fleet.
 """
 
 from __future__ import annotations
@@ -63,12 +64,16 @@
 from saltcourse.gossip.unknown_senders import UnknownSenders
 from saltcourse.gossip.zone_silence import ZoneSilence
 
-NOTIFY_INTERVAL_SECONDS = 1.0  # between two notices to one member of what is believed of it
-LEAVE_FANOUT = 8  # members notified at once by one that leaves
+NOTIFY_INTERVAL_SECONDS = 1.0  # minimum time between two messages that send one member its own record
+LEAVE_FANOUT = 8  # members that a leaving member notifies directly
 
 
 class Membership:
-    """One member's view of the fleet. Free of I/O; ``now`` is in seconds and never goes back."""
+    """One member's view of the fleet.
+
+    Performs no I/O. ``now`` is in seconds on a monotonic clock; ``tick`` has to be called at
+    ``next_deadline``.
+    """
 
     def __init__(
         self, own_record: MemberRecord, seeds: tuple[Address, ...], timing: Timing, rng: random.Random
@@ -108,29 +113,29 @@
 
     @property
     def members(self) -> Mapping[MemberId, Member]:
-        """All entries of the table, this member and departed ones included."""
+        """All entries of the table, including this member and departed members."""
         return self._table.members
 
     def live(self, zone: str | None = None) -> Sequence[MemberRecord]:
-        """Members alive or suspect, without this one, by id. Cached until one of them changes."""
+        """Return the other members that are alive or suspect, by id. Cached until one of them changes."""
         return self._table.live(zone)
 
     def sample(self, count: int) -> list[MemberRecord]:
-        """Different random live members; fewer where there are not so many."""
+        """Return up to ``count`` distinct random live members."""
         return self._sampler.sample(count)
 
-    def take_received(self) -> list[ZoneSum]:
-        """Zone sums that came as updates since the last call; they belong to the aggregation."""
+    def take_zone_sums(self) -> list[ZoneSum]:
+        """Return the zone sums received since the last call, for the aggregation."""
         received, self._updater.received_sums = self._updater.received_sums, []
         return received
 
     def take_changes(self) -> list[MemberChanged | ZoneReachability]:
-        """Changes since the last call, in order, for the host."""
+        """Return the changes since the last call, in order, for the host."""
         changes, self._updater.changes = self._updater.changes, []
         return changes
 
     def metrics(self) -> dict[str, int]:
-        """Metrics of ``/_vars``, by name."""
+        """Return the metrics of ``/_vars``, by name."""
         statuses = self._table.status_counts
         return {
             "alive": statuses[Status.ALIVE],
@@ -165,7 +170,7 @@
     # ---- start and end ----------------------------------------------------------------------------
 
     def start(self, now: float) -> list[Send]:
-        """Begin the rounds, and ask the seeds for the table."""
+        """Start the periodic rounds and request the member table from the seeds."""
         self._last_tick = now
         self._probe_round.start(now, self._rng)
         self._gossip_round.start(now, self._rng)
@@ -177,7 +182,10 @@
         return sends
 
     def leave(self, now: float) -> list[Send]:
-        """Notify a few members, who pass it on; this one refutes nothing any more."""
+        """Mark this member as LEFT and notify LEAVE_FANOUT members, which broadcast it.
+
+        Claims about this member are not refuted after this call.
+        """
         self._own.leave()
         self._detector.cancel_probes(lambda _: True)
         self._updater.publish_own(now)
@@ -185,33 +193,36 @@
         return [Send(record.address, message, Priority.MEMBERSHIP) for record in self.sample(LEAVE_FANOUT)]
 
     def broadcast(self, update: ZoneSum) -> None:
-        """Pass an update of the aggregation on to all members."""
+        """Queue a zone sum for broadcast to all members."""
         self._queue.add(update.zone, update)
 
     # ---- datagrams --------------------------------------------------------------------------------
 
     def observe(self, now: float, header: Header) -> list[Send]:
-        """Of every datagram, whatever its message: its sender is alive."""
+        """Process the header of a received datagram, which shows that its sender is alive.
+
+        Called for every datagram, whatever its message.
+        """
         if header.sender == self._id:
-            self._observe_own_name(now, header)
+            self._observe_name_conflict(now, header)
             return []
         self._zones.on_any_contact(now)
         member = self._table.get(header.sender)
         if member is None or member.record.process_id != header.process_id:
-            return []  # ``handle`` knows where it can be answered
+            return []  # ``handle`` has the source address and answers unknown senders
         self._updater.merge_header(now, header.sender, member, header)
         if not is_departed(member.status):
             self._on_zone_contact(now, member.record.zone)
         return self._notify_of_record(now, member, member.record.address)
 
     def handle(self, now: float, source: Address, header: Header, message: MembershipMessage) -> list[Send]:
-        """A message of this part. ``observe`` was called with its header before."""
+        """Handle a membership message. The caller has already called ``observe`` with its header."""
         if header.sender == self._id and header.process_id == self.own_record.process_id:
-            return []  # an own datagram
+            return []  # a datagram that this member sent itself
         sends: list[Send] = []
         is_known = self._is_known(header)
         if not is_known:
-            sends += self._meet_unknown(now, source, header)
+            sends += self._on_unknown_sender(now, source, header)
         if isinstance(message, Ping):
             sends += self._on_ping(now, source, header, message, is_known)
         elif isinstance(message, Ack):
@@ -262,39 +273,46 @@
         return self._detector.relay(now, source, message, target)
 
     def _on_sync_reply(self, now: float, source: Address, message: SyncReply) -> list[Send]:
-        """Records that a joining member reads are new to nobody else, so they are not passed on."""
-        self._updater.merge_table(now, message.records, spread=not self._sync.is_joining)
+        """Merge a page of records and request the next one.
+
+        Records read while joining are not broadcast, since the other members already have them.
+        """
+        self._updater.merge_table(now, message.records, broadcast=not self._sync.is_joining)
         return self._sync.on_reply(now, source, message)
 
     # ---- senders ----------------------------------------------------------------------------------
 
     def _is_known(self, header: Header) -> bool:
-        """Whether the table has the very process that sent it."""
+        """Return whether the sending process is the one in the member table."""
         member = self._table.get(header.sender)
         return member is not None and member.record.process_id == header.process_id
 
-    def _observe_own_name(self, now: float, header: Header) -> None:
+    def _observe_name_conflict(self, now: float, header: Header) -> None:
         if header.process_id == self.own_record.process_id:
             return
         if self._own.on_name_conflict(now, header.incarnation, header.process_id):
             self._updater.publish_own(now)
 
-    def _meet_unknown(self, now: float, source: Address, header: Header) -> list[Send]:
-        """Ask a new member for its table, which has its record.
+    def _on_unknown_sender(self, now: float, source: Address, header: Header) -> list[Send]:
+        """Request the table of an unknown sender, since that table contains the sender's record.
 
-        One that has the name of a known member is notified of the incarnation that it has to exceed.
+        A sender that uses the name of a known member is sent the known record instead, so that it can exceed
+        the incarnation.
         """
         self._unknown_senders.count += 1
         member = self._table.get(header.sender)
         if member is not None and header.incarnation <= member.record.incarnation:
-            return self._notify_of_record(now, member, source, even_alive=True)
+            return self._notify_of_record(now, member, source, include_alive=True)
         return self._sync.compare_with(now, source) if self._unknown_senders.allow_page(now) else []
 
     def _notify_of_record(
-        self, now: float, member: Member, destination: Address, even_alive: bool = False
+        self, now: float, member: Member, destination: Address, include_alive: bool = False
     ) -> list[Send]:
-        """Send a member what is believed of it, so that it can refute that."""
-        if member.status is Status.ALIVE and not even_alive:
+        """Send a member its record in this table, so that it can refute its status.
+
+        A member that is believed alive is sent nothing unless ``include_alive`` is set.
+        """
+        if member.status is Status.ALIVE and not include_alive:
             return []
         if now - member.notified_at < NOTIFY_INTERVAL_SECONDS:
             return []
@@ -308,7 +326,7 @@
     # ---- time -------------------------------------------------------------------------------------
 
     def next_deadline(self) -> float:
-        """When ``tick`` is to be called, in seconds on the clock of ``now``."""
+        """Return the time of the next required ``tick``, in seconds on the clock of ``now``."""
         deadline = min(
             self._probe_round.deadline,
             self._reconnect_round.deadline,
@@ -318,16 +336,16 @@
             self._sync.next_deadline(),
             self._own.next_deadline(),
         )
-        if self._queue.has_news_of_members and len(self._table.live_ids):
+        if self._queue.has_member_updates and len(self._table.live_ids):
             deadline = min(deadline, self._gossip_round.deadline)
         return deadline
 
     def tick(self, now: float) -> list[Send]:
-        """Do what has become ready by ``now``."""
+        """Run everything scheduled up to ``now`` and return the messages to send."""
         if now - self._last_tick > self._timing.stall:
             self._resume(now)
         self._last_tick = now
-        if self._own.raise_if_allowed(now):
+        if self._own.raise_incarnation_if_allowed(now):
             self._updater.publish_own(now)
         sends = self._tick_zones(now)
         self._end_probes(now)
@@ -336,20 +354,23 @@
         sends += self._tick_probe(now)
         sends += self._ping_once(self._reconnect_round.targets(now))
         sends += self._sync.tick(now)
-        self._end_join()
+        self._announce_after_join()
         sends += self._gossip_round.messages(now)
         self._table.forget_departed(now - self._timing.forget_after)
         return sends
 
     def _resume(self, now: float) -> None:
-        """After a stall of this process: the silence of others meanwhile proves nothing."""
+        """Cancel probes and restart timers after this process was stalled.
+
+        Missing answers during the stall do not show that the other members failed.
+        """
         self._stalls += 1
         self._detector.cancel_probes(lambda _: True)
         self._timers.restart(now, suspicion_timeout(self._timing, self._table.size))
         self._zones.restart(now)
 
-    def _end_join(self) -> None:
-        """Broadcast the own record once more, now that there are members to receive it."""
+    def _announce_after_join(self) -> None:
+        """Broadcast the own record again after joining, when there are members to receive it."""
         if self._was_joining and not self._sync.is_joining and len(self._table.live_ids):
             self._was_joining = False
             self._queue.add(self._id, self.own_record)
@@ -368,7 +389,7 @@
             self._on_failed_probe(now, failed)
 
     def _on_failed_probe(self, now: float, failed: FailedProbe) -> None:
-        """Suspect the target, unless it is another process or incarnation than the one that was probed."""
+        """Suspect the target, unless its process or incarnation has changed since the probe started."""
         entry = self._table.get(failed.target)
         if entry is None or is_departed(entry.status):
             return
--- a/saltcourse/gossip/node.py
+++ b/saltcourse/gossip/node.py
@@ -148,7 +148,7 @@
         self._carry_out(now, self.quorum.handle(now, source, header, message))
 
     def _pass_on_sums(self, now: float) -> None:
-        for update in self.membership.take_received():
+        for update in self.membership.take_zone_sums():
             if self.aggregation.receive(now, update):
                 self.membership.broadcast(update)
 
--- a/saltcourse/gossip/rounds.py
+++ b/saltcourse/gossip/rounds.py
@@ -98,7 +98,7 @@
 
     def messages(self, now: float) -> list[Send]:
         """One message for each chosen member, filled up with updates."""
-        if now < self.deadline or not self._queue.has_news_of_members:
+        if now < self.deadline or not self._queue.has_member_updates:
             return []
         factor = BUSY_INTERVAL_FACTOR if self._queue.is_busy else 1.0
         self.deadline = now + factor * self._interval
--- a/saltcourse/gossip/sizes.py
+++ b/saltcourse/gossip/sizes.py
@@ -1,4 +1,4 @@
-"""Encoded sizes of changes and configurations, to reject what is too large before it is proposed."""
+"""Encoded sizes of changes and configurations, to reject oversized changes before they are proposed."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def is_encodable(writes: tuple[Write, ...]) -> bool:
-    """Whether a change of these writes fits its bound and each key and value has a binary form."""
+    """Return whether a change with these writes has valid keys and values and is within the size limit."""
     try:
         change_size(Change(Position(), writes))
     except EncodeError:
@@ -19,20 +19,20 @@
 
 
 class ConfigurationSize:
-    """Encoded size of a configuration that changes are applied to."""
+    """Tracks the encoded size of a configuration while changes are applied to it."""
 
     def __init__(self, items: Iterable[tuple[str, bytes]]) -> None:
         self._items = {key: _item_size(key, value) for key, value in items}
         self._total = sum(self._items.values())
 
     def fits(self, writes: Iterable[Write]) -> bool:
-        """Whether the configuration is within its bound after these writes."""
+        """Return whether the configuration stays within MAX_CONFIGURATION_BYTES after these writes."""
         sizes = {key: _item_size(key, value) for key, value in writes}
         replaced = sum(self._items.get(key, 0) for key in sizes)
         return self._total - replaced + sum(sizes.values()) <= MAX_CONFIGURATION_BYTES
 
     def apply(self, writes: Iterable[Write]) -> None:
-        """Take over the writes of a change."""
+        """Update the size with the writes of a change."""
         for key, value in writes:
             self._total -= self._items.pop(key, 0)
             if value is not None:
--- a/saltcourse/gossip/table_sync.py
+++ b/saltcourse/gossip/table_sync.py
@@ -1,8 +1,8 @@
-"""Comparison of member tables with random members, and the first table of a joining one.
+"""Anti-entropy: compares member tables with random members, and fetches the whole table for a joining member.
 
-Cost: one request of 32 digests each ``sync_interval``, whatever the fleet's size; a page of full records for
-what differs. A joining member reads the whole table, about 60 bytes for each member of the fleet, in pages of
-one datagram from different members.
+Cost: one request of 32 digests in each ``sync_interval``, independent of the fleet size, and pages of full
+records for the buckets that differ. A joining member reads the whole table, about 60 bytes for each member of
+the fleet, in pages of one datagram from different members.
 """
 
 from __future__ import annotations
@@ -27,28 +27,28 @@
 )
 from saltcourse.gossip.settings import Timing
 
-JOIN_INTERVAL_SECONDS = 1.0  # between questions to the seeds while nobody is known
-JOIN_SEEDS = 3  # asked at a time
-SEED_INTERVAL_SECONDS = 30.0  # between questions to a seed that is not a live member
-PAGE_TIMEOUT_SECONDS = 1.0  # until another member is asked for the same page
-PAGE_TRIES = 5  # then the comparison is given up
-FIRST_SYNC_SECONDS = 1.0  # after the start; then twice as long each time, up to ``sync_interval``
-JITTER = 0.2  # of an interval, each way
+JOIN_INTERVAL_SECONDS = 1.0  # time between requests to the seeds while no other member is known
+JOIN_SEEDS = 3  # seeds asked at the same time
+SEED_INTERVAL_SECONDS = 30.0  # time between requests to a seed that is not a live member
+PAGE_TIMEOUT_SECONDS = 1.0  # time after which another member is asked for the same page
+MAX_PAGE_ATTEMPTS = 5  # requests for one page before the comparison is abandoned
+FIRST_SYNC_SECONDS = 1.0  # first interval after the start; doubled each time, up to ``sync_interval``
+JITTER = 0.2  # fraction of an interval, in either direction
 
 
 @dataclass(slots=True)
 class SyncSession:
-    """A comparison under way, page by page."""
+    """A running comparison, page by page."""
 
-    full_table: bool  # the whole table is requested, without comparison
-    cursor: MemberId
-    peers: tuple[Address, ...]  # asked for the page behind the cursor
-    deadline: float
-    tries: int = 1
+    full_table: bool  # request all records instead of those in differing buckets
+    cursor: MemberId  # last id received so far
+    peers: tuple[Address, ...]  # members asked for the page after the cursor
+    deadline: float  # time in seconds at which the request is repeated
+    attempts: int = 1  # requests for the current page
 
 
 class TableSync:
-    """The comparison under way, if any, and the times of the next ones."""
+    """Runs at most one comparison at a time, schedules the next ones and answers those of other members."""
 
     def __init__(
         self,
@@ -69,32 +69,32 @@
         self._next_interval = FIRST_SYNC_SECONDS
         self._sync_at = math.inf
         self._seed_at = math.inf
-        self._join_at = math.inf  # the next question to the seeds, if nobody is known by then
+        self._join_at = math.inf  # next request to the seeds if no other member is known by then
 
     @property
     def is_joining(self) -> bool:
-        """Whether the first table is still being read."""
+        """Whether the whole table is being read from the seeds or other members."""
         return self._session is not None and self._session.full_table
 
-    # ---- asking -----------------------------------------------------------------------------------
+    # ---- requests ---------------------------------------------------------------------------------
 
     def start(self, now: float) -> list[Send]:
-        """Ask the seeds for the whole table."""
+        """Start the schedule and request the whole table from the seeds."""
         self._sync_at = now + self._jittered(FIRST_SYNC_SECONDS)
         self._seed_at = now + self._jittered(SEED_INTERVAL_SECONDS)
         return self._join(now) if self._seeds else []
 
     def compare_with(self, now: float, peer: Address) -> list[Send]:
-        """Ask one member for what differs, unless a comparison is under way."""
+        """Start a comparison with one member, unless one is already running."""
         if self._session is not None:
             return []
         self._session = SyncSession(False, 0, (peer,), now + PAGE_TIMEOUT_SECONDS)
         return [self._request(peer, self._session)]
 
     def tick(self, now: float) -> list[Send]:
-        """Begin comparisons and repeat requests that have become ready."""
+        """Start the scheduled comparisons and repeat requests that have timed out."""
         sends: list[Send] = []
-        if self._is_alone() and self._join_at <= now:
+        if self._knows_no_members() and self._join_at <= now:
             sends += self._join(now)
         if self._session is not None and self._session.deadline <= now:
             sends += self._retry(now, self._session)
@@ -104,19 +104,19 @@
             sends += self._compare(now)
         if self._seed_at <= now:
             self._seed_at = now + self._jittered(SEED_INTERVAL_SECONDS)
-            sends += self._ask_absent_seed(now)
+            sends += self._sync_with_absent_seed(now)
         return sends
 
     def next_deadline(self) -> float:
-        """When ``tick`` is to be called, in seconds on the clock of ``now``."""
+        """Return the time of the next required ``tick``, in seconds on the clock of ``now``."""
         deadline = min(self._sync_at, self._seed_at)
         if self._session is not None:
             deadline = min(deadline, self._session.deadline)
-        if self._is_alone():
+        if self._knows_no_members():
             deadline = min(deadline, self._join_at)
         return deadline
 
-    def _is_alone(self) -> bool:
+    def _knows_no_members(self) -> bool:
         return len(self._table.live_ids) == 0
 
     def _join(self, now: float) -> list[Send]:
@@ -129,8 +129,8 @@
         peers = self._sample(1)
         return self.compare_with(now, peers[0].address) if peers else []
 
-    def _ask_absent_seed(self, now: float) -> list[Send]:
-        """Compare with a seed that is not a live member, one in each SEED_INTERVAL_SECONDS."""
+    def _sync_with_absent_seed(self, now: float) -> list[Send]:
+        """Compare tables with a random seed if it is not a live member."""
         if not self._seeds:
             return []
         seed = self._rng.choice(self._seeds)
@@ -139,15 +139,15 @@
         return self.compare_with(now, seed)
 
     def _retry(self, now: float, session: SyncSession) -> list[Send]:
-        """The same page from somebody else."""
-        if session.tries >= PAGE_TRIES:
+        """Request the same page from another member, or abandon the comparison after MAX_PAGE_ATTEMPTS."""
+        if session.attempts >= MAX_PAGE_ATTEMPTS:
             self._session = None
             self.given_up += 1
             return []
-        session.tries += 1
-        return self._ask_page(now, session)
+        session.attempts += 1
+        return self._request_page(now, session)
 
-    def _ask_page(self, now: float, session: SyncSession) -> list[Send]:
+    def _request_page(self, now: float, session: SyncSession) -> list[Send]:
         session.peers = tuple(record.address for record in self._sample(1)) or session.peers[:1]
         session.deadline = now + PAGE_TIMEOUT_SECONDS
         return [self._request(session.peers[0], session)]
@@ -159,10 +159,10 @@
     def _jittered(self, interval: float) -> float:
         return interval * self._rng.uniform(1 - JITTER, 1 + JITTER)
 
-    # ---- answering --------------------------------------------------------------------------------
+    # ---- answers ----------------------------------------------------------------------------------
 
     def reply(self, message: SyncRequest) -> SyncReply:
-        """Return one page. Who wants the whole table has no use for departed members."""
+        """Return one page of records. A request for the whole table is answered without departed members."""
         room = RECORDS_ROOM_BYTES
         records: list[MemberRecord] = []
         buckets = self._table.differing_buckets(message.digests)
@@ -177,16 +177,19 @@
         return self._page(records, False)
 
     def _page(self, records: list[MemberRecord], more: bool) -> SyncReply:
-        """Leave suspicions out: they travel as broadcasts alone, or one settled since would come back."""
+        """Build a page without suspicions.
+
+        Suspicions are only broadcast, since a page could bring back one that has been refuted meanwhile.
+        """
         self.pages_sent += 1
         return SyncReply(tuple([_without_suspicion(record) for record in records]), more)
 
     # ---- replies ----------------------------------------------------------------------------------
 
     def on_reply(self, now: float, source: Address, message: SyncReply) -> list[Send]:
-        """Go on with the next page. The caller has merged the records of this one.
+        """Request the page after ``message``, whose records the caller has already merged.
 
-        A reply that was not requested, or that came before, has no effect.
+        A reply that was not requested or that is a duplicate has no effect.
         """
         session = self._session
         if session is None or source not in session.peers:
@@ -198,8 +201,8 @@
         if last <= session.cursor:
             return []
         session.cursor = last
-        session.tries = 1
-        return self._ask_page(now, session)
+        session.attempts = 1
+        return self._request_page(now, session)
 
 
 def _without_suspicion(record: MemberRecord) -> MemberRecord:
--- a/saltcourse/gossip/zone_silence.py
+++ b/saltcourse/gossip/zone_silence.py
@@ -1,16 +1,20 @@
-"""Distinguishes a zone that cannot be reached from many dead members.
-
-A zone is unreachable when nothing was received from any of its members for ``zone_silence``, and there is
-more to it than a few dead ones: at least two members, and a fifth of the zone, are suspect or were declared
-dead since its last contact. In a large fleet a small zone may well send nothing for a while. So, while a
-member of a silent zone is suspect, others of it are sent Pings, and CHECKS_IF_MANY_LOST of these have to
-stay unanswered too; after CHECKS_IF_FEW_LOST unanswered ones a single suspect is enough. As many different
-members must have been pinged, or all that are left. A member that receives nothing at all takes every zone
-for unreachable: it is cut off itself.
-
-Cost that grows with the number of zones: one record each, below 1 kB. While suspicions are open, at most
-MAX_CHECKS_PER_TICK Pings at each evaluation; CHECKS_PER_MEMBER in a probe interval arrive at each member of
-the zone, from the whole fleet.
+"""Detects unreachable zones, as opposed to many dead members.
+
+A lost member is one that is suspect, or was declared dead since the last contact with its zone. A zone is
+unreachable when nothing was received from any of its members for ``zone_silence`` seconds and either
+
+- at least MIN_LOST_MEMBERS members and a fifth of the zone are lost, and CHECKS_IF_MANY_LOST check Pings to
+  other members of the zone were not answered, or
+- at least one member is lost, and CHECKS_IF_FEW_LOST check Pings were not answered.
+
+The checks are needed because in a large fleet a small zone may send this member nothing for a while. They are
+sent while a member of a silent zone is lost, and must have gone to as many different members as are required,
+or to all remaining ones. A member that receives nothing from anybody is isolated itself and treats every zone
+as unreachable.
+
+Cost that grows with the number of zones: one record for each zone, below 1 kB. While a zone has lost members,
+each evaluation sends at most MAX_CHECKS_PER_TICK Pings. Each member of the zone receives about
+CHECKS_PER_MEMBER check Pings in a probe interval, from all members of the fleet together.
 """
 
 from __future__ import annotations
@@ -23,58 +27,61 @@
 from saltcourse.gossip.messages import MemberId, Status
 from saltcourse.gossip.settings import Timing
 
-LOST_FRACTION = 5  # one in so many members of a zone
-MIN_LOST_MEMBERS = 2
-CHECKS_IF_MANY_LOST = 2  # unanswered, together with the fraction: one may go to another dead member
-CHECKS_IF_FEW_LOST = 4  # unanswered, in place of the fraction
-CHECKS_PER_MEMBER = 20.0  # each probe interval, at each member of a zone that may be silent
-MAX_CHECKED_MEMBERS = 16  # members remembered for each zone
-CHECKS_PER_INTERVAL = 2  # evaluations in each probe interval
-MAX_CHECKS_PER_TICK = 4  # zones
-CHECK_TRIES = 8  # random members tried for one that is not suspect
+LOST_FRACTION_DENOMINATOR = 5  # many members of a zone are lost: at least 1 in 5
+MIN_LOST_MEMBERS = 2  # many members of a zone are lost: also at least this number
+CHECKS_IF_MANY_LOST = 2  # unanswered checks required; a single one may have gone to another dead member
+CHECKS_IF_FEW_LOST = 4  # unanswered checks required if fewer members are lost
+CHECKS_PER_MEMBER = 20.0  # check Pings received by each member of a zone in a probe interval, fleet-wide
+MAX_CHECKED_MEMBERS = 16  # checked members remembered for each zone
+EVALUATIONS_PER_INTERVAL = 2  # evaluations in each probe interval
+MAX_CHECKS_PER_TICK = 4  # Pings in one evaluation, at most one to each zone
+CHECK_CANDIDATES = 8  # random members drawn to find one that is not suspect
 
 
 @dataclass(slots=True)
-class ZoneWatch:
-    """What is known of one zone besides its members."""
+class ZoneState:
+    """Reachability of one zone. Times in seconds; the counts are reset by each contact."""
 
     last_contact_at: float
-    checks: int = 0  # Pings sent since then
-    checked: set[MemberId] = field(default_factory=set)  # to whom
-    checked_at: float = 0.0  # when the last one was, that went to somebody new
-    deaths: int = 0  # declared since then for want of an answer
+    checks: int = 0  # check Pings sent since the last contact
+    checked: set[MemberId] = field(default_factory=set)  # members that the check Pings went to
+    last_new_check_at: float = 0.0  # last check Ping to a member that was not in ``checked``
+    deaths: int = 0  # members declared dead since the last contact
     reachable: bool = True
 
     def restart(self, now: float) -> None:
-        """The zone has answered: what was counted against it is no longer valid."""
+        """Reset the counts after a contact with the zone."""
         self.last_contact_at = now
         self.checks = self.deaths = 0
         self.checked.clear()
 
 
 class ZoneEvaluation(NamedTuple):
-    """What one evaluation has found."""
+    """Result of one evaluation."""
 
-    silent: list[str]  # zones that are unreachable from now on
-    to_ping: list[MemberId]  # to find out about other zones
+    silent: list[str]  # zones that have become unreachable
+    to_ping: list[MemberId]  # members to ping as checks
 
 
 class ZoneSilence:
-    """What this member knows of each zone's silence."""
+    """Tracks for each zone whether this member can reach it."""
 
     def __init__(self, timing: Timing, rng: random.Random, table: MemberTable) -> None:
         self._silence = timing.zone_silence
-        self._answer_time = timing.probe_interval  # that a check has
-        self._check_interval = timing.probe_interval / CHECKS_PER_INTERVAL
+        self._check_timeout = timing.probe_interval  # time to answer a check Ping, seconds
+        self._check_interval = timing.probe_interval / EVALUATIONS_PER_INTERVAL
         self._rng = rng
         self._table = table
-        self._zones: dict[str, ZoneWatch] = {}
+        self._zones: dict[str, ZoneState] = {}
         self._last_contact_at = 0.0
         self._evaluate_at = 0.0
-        self.unreachable: dict[str, None] = {}  # in the order in which they fell silent
+        self.unreachable: dict[str, None] = {}  # zone names, in the order in which they became unreachable
 
     def restart(self, now: float) -> None:
-        """At the start, and after a time in which this process did not run: silence until now is none."""
+        """Count silence from ``now`` only.
+
+        Called at the start, and after a time in which this process did not run and could receive nothing.
+        """
         self._last_contact_at = now
         for zone in self._zones.values():
             zone.restart(now)
@@ -82,52 +89,58 @@
     # ---- events -----------------------------------------------------------------------------------
 
     def member_added(self, now: float, zone: str) -> None:
-        """A live member of this zone was stored."""
+        """Start to track the zone of a live member that was added to the table."""
         if zone not in self._zones:
-            self._zones[zone] = ZoneWatch(now)
+            self._zones[zone] = ZoneState(now)
 
     def on_any_contact(self, now: float) -> None:
-        """A datagram of any member was received."""
+        """Record that a datagram was received from some member."""
         self._last_contact_at = now
 
     def on_contact(self, now: float, name: str) -> bool:
-        """A live member of the zone has answered or sent. Whether the zone has become reachable by it."""
+        """Record that a live member of the zone sent or answered a message.
+
+        Return whether the zone was unreachable until now.
+        """
         zone = self._zones.get(name)
         if zone is None:
             return False
         zone.restart(now)
-        released = not zone.reachable
+        became_reachable = not zone.reachable
         zone.reachable = True
         self.unreachable.pop(name, None)
-        return released
+        return became_reachable
 
     def on_death(self, name: str) -> None:
-        """A suspect of the zone was declared dead."""
+        """Record that a suspect of the zone was declared dead."""
         zone = self._zones.get(name)
         if zone is not None:
             zone.deaths += 1
 
     def is_reachable(self, name: str) -> bool:
-        """Whether the zone is not considered silent."""
+        """Return whether the zone is considered reachable."""
         return name not in self.unreachable
 
     def is_isolated(self, now: float) -> bool:
-        """Whether this member has received nothing from anybody for ``zone_silence``."""
+        """Return whether this member has received nothing from any member for ``zone_silence`` seconds."""
         return len(self._table.live_ids) > 0 and now - self._last_contact_at > self._silence
 
     # ---- time -------------------------------------------------------------------------------------
 
     def evaluate(self, now: float) -> ZoneEvaluation:
-        """Look at all zones, CHECKS_PER_INTERVAL times in a probe interval; nothing in between."""
+        """Find zones that have become unreachable, and choose members to ping as checks.
+
+        Does nothing before the next evaluation time (EVALUATIONS_PER_INTERVAL in a probe interval).
+        """
         if now < self._evaluate_at:
             return ZoneEvaluation([], [])
         self._evaluate_at = now + self._check_interval
-        self._forget_empty()
+        self._remove_empty_zones()
         isolated = self.is_isolated(now)
         silent: list[str] = []
         to_ping: list[MemberId] = []
         if now - self._last_contact_at > self._silence / 2:
-            to_ping += self._choose_anyone()
+            to_ping += self._choose_reachable_member()
         for name, zone in self._zones.items():
             if not zone.reachable:
                 continue
@@ -140,37 +153,44 @@
             self.unreachable[name] = None
         return ZoneEvaluation(silent, to_ping)
 
-    def _is_silent(self, now: float, name: str, zone: ZoneWatch) -> bool:
+    def _is_silent(self, now: float, name: str, zone: ZoneState) -> bool:
         if now - zone.last_contact_at <= self._silence:
             return False
         index = self._table.zones[name]
         lost = len(index.suspects) + zone.deaths
-        # Either many members are lost and a few checks confirm it, or one is lost and more checks do.
-        if lost >= MIN_LOST_MEMBERS and lost * LOST_FRACTION >= len(index.live) + zone.deaths:
+        # With many lost members a few unanswered checks suffice; with few lost members more are required.
+        if lost >= MIN_LOST_MEMBERS and lost * LOST_FRACTION_DENOMINATOR >= len(index.live) + zone.deaths:
             return self._is_checked(now, index, zone, CHECKS_IF_MANY_LOST)
         return lost > 0 and zone.checks > 0 and self._is_checked(now, index, zone, CHECKS_IF_FEW_LOST)
 
-    def _is_checked(self, now: float, index: ZoneIndex, zone: ZoneWatch, required: int) -> bool:
-        """Whether so many others, or all that there are, have had the time to answer and did not."""
+    def _is_checked(self, now: float, index: ZoneIndex, zone: ZoneState, required: int) -> bool:
+        """Return whether ``required`` check Pings to members that are not suspect were not answered in time.
+
+        They must have gone to ``required`` different members, or to all such members if there are fewer.
+        """
         others = len(index.live) - len(index.suspects)
         if others == 0:
             return True
         pinged = sum(member in index.live and member not in index.suspects for member in zone.checked)
-        had_time = now - zone.checked_at >= self._answer_time
-        return had_time and zone.checks >= required and pinged >= min(required, others)
+        timed_out = now - zone.last_new_check_at >= self._check_timeout
+        return timed_out and zone.checks >= required and pinged >= min(required, others)
 
-    def _needs_check(self, now: float, name: str, zone: ZoneWatch) -> bool:
+    def _needs_check(self, now: float, name: str, zone: ZoneState) -> bool:
         lost = len(self._table.zones[name].suspects) + zone.deaths
         return lost > 0 and now - zone.last_contact_at > self._silence / 2
 
-    def _choose_check(self, now: float, name: str, zone: ZoneWatch) -> list[MemberId]:
-        """Return one member to ping; often none where the zone is small: the whole fleet does the same."""
+    def _choose_check(self, now: float, name: str, zone: ZoneState) -> list[MemberId]:
+        """Return one member to ping, or none.
+
+        The probability is proportional to the zone's share of the fleet, since all other members send checks
+        too and a small zone must not be flooded.
+        """
         live = self._table.zones[name].live
-        share = CHECKS_PER_MEMBER / CHECKS_PER_INTERVAL * len(live) / self._table.size
-        if self._rng.random() >= share:
+        probability = CHECKS_PER_MEMBER / EVALUATIONS_PER_INTERVAL * len(live) / self._table.size
+        if self._rng.random() >= probability:
             return []
         chosen = None
-        for _ in range(CHECK_TRIES):
+        for _ in range(CHECK_CANDIDATES):
             member = live.choose(self._rng)
             if self._table.members[member].status is Status.ALIVE:
                 chosen = member
@@ -180,26 +200,30 @@
             return []
         if chosen not in zone.checked and len(zone.checked) < MAX_CHECKED_MEMBERS:
             zone.checked.add(chosen)
-            zone.checked_at = now
+            zone.last_new_check_at = now
         zone.checks += 1
         return [chosen]
 
-    def _choose_anyone(self) -> list[MemberId]:
-        """Return a member that should answer: silence may be chance in a small fleet that is half cut off."""
-        for _ in range(CHECK_TRIES if len(self._table.live_ids) else 0):
+    def _choose_reachable_member(self) -> list[MemberId]:
+        """Return a live member of a reachable zone to ping, or none.
+
+        Its answer shows that this member is not isolated: in a small fleet of which half is unreachable, it
+        may receive nothing for a while by chance.
+        """
+        for _ in range(CHECK_CANDIDATES if len(self._table.live_ids) else 0):
             member = self._table.live_ids.choose(self._rng)
             record = self._table.members[member].record
             if record.status is Status.ALIVE and self.is_reachable(record.zone):
                 return [member]
         return []
 
-    def _forget_empty(self) -> None:
-        """Zones without live members. Costs O(zones) at each evaluation."""
+    def _remove_empty_zones(self) -> None:
+        """Remove zones without live members. Costs at most O(zones) at each evaluation."""
         if len(self._zones) != len(self._table.zones):
             for name in [name for name in self._zones if name not in self._table.zones]:
                 del self._zones[name]
                 self.unreachable.pop(name, None)
 
     def next_deadline(self) -> float:
-        """When ``evaluate`` is to be called, in seconds on the clock of ``now``."""
+        """Return the time of the next ``evaluate``, in seconds on the clock of ``now``."""
         return self._evaluate_at
--- a/tests/gossip/golden.py
+++ b/tests/gossip/golden.py
@@ -173,16 +173,16 @@
 def membership_history(seed: int) -> str:
     """Membership alone, with loss, a crash, a departure and a cut of regions: each message and change."""
     history = History()
-    fleet = membership_fleet.fleet_of(24, seed, loss=0.05, double=0.05, settle=0.0)
+    fleet = membership_fleet.fleet_of(24, seed, loss=0.05, duplication=0.05, settle=0.0)
     fleet.log = []
     fleet.run(12.0)
     fleet.crash(fleet.hosts[5])
     leaving = fleet.hosts[7]
     fleet._send(leaving, leaving.membership.leave(fleet.now))
     fleet.run(20.0)
-    fleet.is_cut = membership_fleet.cut_regions
+    fleet.is_blocked = membership_fleet.cut_regions
     fleet.run(50.0)
-    fleet.is_cut = lambda sender, receiver: False
+    fleet.is_blocked = lambda sender, receiver: False
     fleet.run(80.0)
     history.add(fleet.log)
     history.add([(at, host.address, change) for at, host, change in fleet.changes])
--- a/tests/gossip/test_aggregation.py
+++ b/tests/gossip/test_aggregation.py
@@ -1,4 +1,4 @@
-"""Gossip aggregation: sums of a zone's connections over a tree of its proxies."""
+"""Aggregation of a zone's connection count over a tree of its proxies."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 import pytest
 from hypothesis import given
-from hypothesis import settings as effort
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
 from saltcourse.gossip.aggregation import (
-    CHILD_INTERVALS,
+    CHILD_TIMEOUT_INTERVALS,
     FAN_IN,
     MAX_U32,
     MAX_ZONES,
@@ -31,7 +31,7 @@
 )
 from saltcourse.gossip.settings import Timing
 
-TIMING = Timing(sum_interval=0.0)  # a sum with each tally, unless a test says otherwise
+TIMING = Timing(sum_interval=0.0)  # publish a sum with each tally, unless a test uses another value
 
 
 def record_of(number: int, role: Role = Role.PROXY, zone: str = "a") -> MemberRecord:
@@ -44,42 +44,42 @@
 
 
 class Zone:
-    """All members of a zone, in steps of one interval; what is sent arrives at once."""
+    """All members of a zone, run in steps of one interval. Messages are delivered immediately."""
 
     def __init__(self, proxies: int, controls: int = 0):
         self.now = 0.0
         self.records = [record_of(number) for number in range(proxies)]
         self.records += [record_of(1_000 + number, Role.CONTROL) for number in range(controls)]
-        self.parts = {record.address: aggregation_of(seed) for seed, record in enumerate(self.records)}
+        self.aggregations = {record.address: aggregation_of(seed) for seed, record in enumerate(self.records)}
         self.counts = {record.address: 10 + number for number, record in enumerate(self.records)}
         self.sent: list[tuple[MemberRecord, Send]] = []
         self.published: list[tuple[MemberRecord, ZoneSum]] = []
 
     def remove(self, record: MemberRecord) -> None:
         self.records.remove(record)
-        del self.parts[record.address]
+        del self.aggregations[record.address]
 
     def add(self, record: MemberRecord) -> None:
         self.records.append(record)
-        self.parts[record.address] = aggregation_of(99)
+        self.aggregations[record.address] = aggregation_of(99)
         self.counts[record.address] = 5
 
     def root(self) -> MemberRecord:
         return min((r for r in self.records if r.role is Role.PROXY), key=lambda record: record.id)
 
     def run(self, intervals: int) -> None:
-        """Members tick in their own order, so that a tally may need an interval for each level."""
+        """Tick all members in list order in each interval; a tally may need one interval for each level."""
         for _ in range(intervals):
             self.now += 1.2 * TIMING.tally_interval
             for record in list(self.records):
                 self._tick(record)
 
     def _tick(self, record: MemberRecord) -> None:
-        part = self.parts[record.address]
-        part.set_count(self.counts[record.address])
+        aggregation = self.aggregations[record.address]
+        aggregation.set_count(self.counts[record.address])
         others = [other for other in self.records if other is not record]
         others.sort(key=lambda other: other.id)
-        sends, update = part.tick(self.now, record, tuple(others))
+        sends, update = aggregation.tick(self.now, record, tuple(others))
         for send in sends:
             self.sent.append((record, send))
             self._deliver(record, send)
@@ -88,40 +88,40 @@
             self._spread(record, update)
 
     def _deliver(self, sender: MemberRecord, send: Send) -> None:
-        part = self.parts.get(send.destination)
-        if part is None:
+        aggregation = self.aggregations.get(send.destination)
+        if aggregation is None:
             return
         if isinstance(send.message, Tally):
-            part.handle(self.now, Header(sender.id, 0, 1), send.message)
+            aggregation.handle(self.now, Header(sender.id, 0, 1), send.message)
         elif isinstance(send.message, Gossip):
             for update in send.message.updates:
                 assert isinstance(update, ZoneSum)
-                part.receive(self.now, update)
+                aggregation.receive(self.now, update)
 
     def _spread(self, publisher: MemberRecord, update: ZoneSum) -> None:
         for record in self.records:
             if record is not publisher:
-                self.parts[record.address].receive(self.now, update)
+                self.aggregations[record.address].receive(self.now, update)
 
-    def wanted(self) -> tuple[int, int]:
+    def expected_sum(self) -> tuple[int, int]:
         proxies = [record for record in self.records if record.role is Role.PROXY]
         return len(proxies), sum(self.counts[record.address] for record in proxies)
 
-    def seen(self) -> set[tuple[int, int]]:
-        """(members, connections) by all who know a sum of the zone."""
-        sums = [part.sums(self.now).get("a") for part in self.parts.values()]
+    def known_sums(self) -> set[tuple[int, int]]:
+        """Return the distinct (members, connections) sums of the zone that the members know."""
+        sums = [aggregation.sums(self.now).get("a") for aggregation in self.aggregations.values()]
         return {(known.members, known.connections) for known in sums if known is not None}
 
 
 @pytest.mark.parametrize("proxies", [1, 2, 8, 9, 10, 73, 74])
-def test_everyone_learns_the_sum_of_the_zone(proxies: int) -> None:
+def test_all_members_learn_the_sum_of_the_zone(proxies: int) -> None:
     zone = Zone(proxies, controls=2)
     zone.run(5)
-    assert zone.seen() == {zone.wanted()}
+    assert zone.known_sums() == {zone.expected_sum()}
     assert {record for record, _ in zone.published} == {zone.root()}
 
 
-def test_control_members_take_no_place_and_send_nothing() -> None:
+def test_control_members_are_not_in_the_tree_and_send_nothing() -> None:
     zone = Zone(20, controls=5)
     zone.run(5)
     assert all(record.role is Role.PROXY for record, _ in zone.sent)
@@ -129,7 +129,7 @@
     assert not controls & {send.destination for _, send in zone.sent}
 
 
-def test_one_message_each_interval_and_a_bounded_number_received() -> None:
+def test_messages_sent_and_received_in_each_interval_are_bounded() -> None:
     zone = Zone(200)
     zone.run(1)
     zone.sent.clear()
@@ -143,7 +143,7 @@
     assert {send.priority for _, send in zone.sent} == {Priority.MEMBERSHIP}
 
 
-def test_the_parent_is_by_the_order_of_ids() -> None:
+def test_parent_is_determined_by_the_order_of_ids() -> None:
     zone = Zone(100)
     zone.run(1)
     ordered = sorted(zone.records, key=lambda record: record.id)
@@ -153,65 +153,67 @@
         assert destinations.get(record.name) == expected
 
 
-def test_nothing_is_sent_before_the_interval_is_over() -> None:
-    part, me, other = aggregation_of(), record_of(1), record_of(2)
-    sends, update = part.tick(0.0, me, (other,))
+def test_nothing_is_sent_before_the_interval_has_elapsed() -> None:
+    aggregation, own_record, other = aggregation_of(), record_of(1), record_of(2)
+    sends, update = aggregation.tick(0.0, own_record, (other,))
     assert bool(sends) != (update is not None)
-    assert part.tick(0.5 * TIMING.tally_interval, me, (other,)) == ([], None)
-    assert 0.9 * TIMING.tally_interval <= part.next_deadline() <= 1.1 * TIMING.tally_interval
+    assert aggregation.tick(0.5 * TIMING.tally_interval, own_record, (other,)) == ([], None)
+    assert 0.9 * TIMING.tally_interval <= aggregation.next_deadline() <= 1.1 * TIMING.tally_interval
 
 
-def test_counts_change_and_the_sum_follows() -> None:
+def test_sum_follows_changed_counts() -> None:
     zone = Zone(30)
     zone.run(4)
     zone.counts[zone.records[7].address] = 5_000
     zone.run(4)
-    assert zone.seen() == {zone.wanted()}
+    assert zone.known_sums() == {zone.expected_sum()}
 
 
-def test_a_child_that_falls_silent_falls_out_although_the_table_still_has_it() -> None:
+def test_silent_child_is_not_counted_although_it_is_still_in_the_table() -> None:
     zone = Zone(5)
     root = zone.root()
     zone.run(3)
     members = tuple(sorted((r for r in zone.records if r is not root), key=lambda record: record.id))
-    part = zone.parts[root.address]
-    part.handle(zone.now, Header(members[0].id, 0, 1), Tally("a", 1, 1))
-    before = part.tick(zone.now + 1.2, root, members)[1]
-    after = part.tick(zone.now + 1.2 + CHILD_INTERVALS * TIMING.tally_interval, root, members)[1]
+    aggregation = zone.aggregations[root.address]
+    aggregation.handle(zone.now, Header(members[0].id, 0, 1), Tally("a", 1, 1))
+    before = aggregation.tick(zone.now + 1.2, root, members)[1]
+    after = aggregation.tick(zone.now + 1.2 + CHILD_TIMEOUT_INTERVALS * TIMING.tally_interval, root, members)[
+        1
+    ]
     assert before is not None and before.members == 5
     assert after is not None and after.members == 1
 
 
-def test_a_member_that_is_gone_is_not_counted_any_more() -> None:
+def test_removed_member_is_not_counted() -> None:
     zone = Zone(100)
     zone.run(4)
     zone.remove(sorted(zone.records, key=lambda record: record.id)[3])
-    zone.run(CHILD_INTERVALS + 4)
-    assert zone.seen() == {zone.wanted()}
+    zone.run(CHILD_TIMEOUT_INTERVALS + 4)
+    assert zone.known_sums() == {zone.expected_sum()}
 
 
-def test_tallies_of_others_than_children_are_passed_over() -> None:
+def test_tallies_of_members_that_are_not_children_are_ignored() -> None:
     zone = Zone(100)
     zone.run(4)
-    root = zone.parts[zone.root().address]
+    root = zone.aggregations[zone.root().address]
     ordered = sorted(zone.records, key=lambda record: record.id)
     root.handle(zone.now, Header(ordered[50].id, 0, 1), Tally("a", 50, 1_000_000))
     root.handle(zone.now, Header(12345, 0, 1), Tally("a", 50, 1_000_000))
     root.handle(zone.now, Header(ordered[1].id, 0, 1), Tally("another zone", 50, 1_000_000))
     zone.run(1)
-    assert zone.seen() == {zone.wanted()}
+    assert zone.known_sums() == {zone.expected_sum()}
 
 
-def test_sequences_rise_by_one_from_the_newest_known() -> None:
+def test_sequence_increases_by_one_from_the_newest_known() -> None:
     zone = Zone(3)
     zone.run(3)
     assert [update.sequence for _, update in zone.published] == [1, 2, 3]
-    zone.parts[zone.root().address].receive(zone.now, ZoneSum("a", 40, 1, 1))
+    zone.aggregations[zone.root().address].receive(zone.now, ZoneSum("a", 40, 1, 1))
     zone.run(1)
     assert zone.published[-1][1].sequence == 41
 
 
-def test_a_new_root_learns_from_its_children_where_to_go_on() -> None:
+def test_new_root_learns_the_newest_sequence_from_its_children() -> None:
     zone = Zone(20)
     zone.run(10)
     number = next(n for n in range(1_000, 9_000) if record_of(n).id < zone.root().id)
@@ -220,115 +222,117 @@
     zone.run(5)
     assert zone.root() is new
     assert zone.published[-1][0] is new and zone.published[-1][1].sequence > 10
-    assert zone.seen() == {zone.wanted()}
+    assert zone.known_sums() == {zone.expected_sum()}
 
 
-def test_the_next_in_order_goes_on_when_the_root_is_gone() -> None:
+def test_next_member_becomes_root_when_the_root_is_removed() -> None:
     zone = Zone(20)
     zone.run(10)
     zone.remove(zone.root())
-    zone.run(CHILD_INTERVALS + 3)
+    zone.run(CHILD_TIMEOUT_INTERVALS + 3)
     assert zone.published[-1][1].sequence > 10
-    assert zone.seen() == {zone.wanted()}
-
-
-def test_older_and_repeated_sums_are_not_passed_on() -> None:
-    part = aggregation_of()
-    assert part.receive(0.0, ZoneSum("b", 5, 1, 10))
-    assert not part.receive(0.0, ZoneSum("b", 5, 1, 10))
-    assert not part.receive(0.0, ZoneSum("b", 4, 1, 99))
-    assert part.receive(0.0, ZoneSum("b", 6, 1, 11))
-    assert part.sums(0.0) == {"b": ZoneSum("b", 6, 1, 11)}
-
-
-def test_sums_that_are_not_renewed_are_not_reported() -> None:
-    part = aggregation_of()
-    part.receive(0.0, ZoneSum("b", 5, 1, 10))
-    part.receive(10.0, ZoneSum("c", 1, 1, 1))
-    part.receive(20.0, ZoneSum("b", 6, 1, 10))
-    assert set(part.sums(20.0 + SUM_LIFETIME_SECONDS - 0.1)) == {"b"}
-    assert part.sums(20.0 + SUM_LIFETIME_SECONDS) == {}
-    assert part.receive(60.0, ZoneSum("b", 1, 1, 1))  # its root began anew
-
-
-def test_the_highest_sequence_is_waited_out() -> None:
-    part, me = aggregation_of(), record_of(1)
-    part.receive(0.0, ZoneSum("a", MAX_U32, 1, 1))
-    assert part.tick(1.0, me, ()) == ([], None)
-    _, update = part.tick(SUM_LIFETIME_SECONDS + 1.0, me, ())
+    assert zone.known_sums() == {zone.expected_sum()}
+
+
+def test_older_and_repeated_sums_are_not_forwarded() -> None:
+    aggregation = aggregation_of()
+    assert aggregation.receive(0.0, ZoneSum("b", 5, 1, 10))
+    assert not aggregation.receive(0.0, ZoneSum("b", 5, 1, 10))
+    assert not aggregation.receive(0.0, ZoneSum("b", 4, 1, 99))
+    assert aggregation.receive(0.0, ZoneSum("b", 6, 1, 11))
+    assert aggregation.sums(0.0) == {"b": ZoneSum("b", 6, 1, 11)}
+
+
+def test_sums_that_are_not_renewed_expire() -> None:
+    aggregation = aggregation_of()
+    aggregation.receive(0.0, ZoneSum("b", 5, 1, 10))
+    aggregation.receive(10.0, ZoneSum("c", 1, 1, 1))
+    aggregation.receive(20.0, ZoneSum("b", 6, 1, 10))
+    assert set(aggregation.sums(20.0 + SUM_LIFETIME_SECONDS - 0.1)) == {"b"}
+    assert aggregation.sums(20.0 + SUM_LIFETIME_SECONDS) == {}
+    assert aggregation.receive(
+        60.0, ZoneSum("b", 1, 1, 1)
+    )  # a restarted sequence is accepted after the old sum has expired
+
+
+def test_sequence_restarts_after_the_highest_one_has_expired() -> None:
+    aggregation, own_record = aggregation_of(), record_of(1)
+    aggregation.receive(0.0, ZoneSum("a", MAX_U32, 1, 1))
+    assert aggregation.tick(1.0, own_record, ()) == ([], None)
+    _, update = aggregation.tick(SUM_LIFETIME_SECONDS + 1.0, own_record, ())
     assert update == ZoneSum("a", 1, 1, 0)
 
 
-def test_zones_are_bounded() -> None:
-    part = aggregation_of()
-    taken = [part.receive(0.0, ZoneSum(f"z{number}", 1, 1, 1)) for number in range(MAX_ZONES + 50)]
-    assert sum(taken) == MAX_ZONES == len(part.sums(0.0))
-    assert part.receive(0.0, ZoneSum("z3", 2, 1, 1))
-    assert part.receive(SUM_LIFETIME_SECONDS, ZoneSum("another", 1, 1, 1))
+def test_number_of_zones_is_bounded() -> None:
+    aggregation = aggregation_of()
+    accepted = [aggregation.receive(0.0, ZoneSum(f"z{number}", 1, 1, 1)) for number in range(MAX_ZONES + 50)]
+    assert sum(accepted) == MAX_ZONES == len(aggregation.sums(0.0))
+    assert aggregation.receive(0.0, ZoneSum("z3", 2, 1, 1))
+    assert aggregation.receive(SUM_LIFETIME_SECONDS, ZoneSum("another", 1, 1, 1))
 
 
-def test_a_member_that_has_left_sends_nothing() -> None:
-    part, me = aggregation_of(), replace(record_of(1), status=Status.LEFT)
-    assert part.tick(1.0, me, (record_of(2),)) == ([], None)
+def test_member_that_has_left_sends_nothing() -> None:
+    aggregation, own_record = aggregation_of(), replace(record_of(1), status=Status.LEFT)
+    assert aggregation.tick(1.0, own_record, (record_of(2),)) == ([], None)
 
 
 @pytest.mark.parametrize("connections, counted", [(-5, 0), (7, 7), (2**40, MAX_U32)])
-def test_counts_stay_within_their_fields(connections: int, counted: int) -> None:
-    part = aggregation_of()
-    part.set_count(connections)
-    _, update = part.tick(0.0, record_of(1), ())
+def test_connection_count_is_clamped_to_its_field(connections: int, counted: int) -> None:
+    aggregation = aggregation_of()
+    aggregation.set_count(connections)
+    _, update = aggregation.tick(0.0, record_of(1), ())
     assert update is not None and update.connections == counted
 
 
-def test_sums_of_children_stay_within_their_fields() -> None:
+def test_sum_of_children_is_clamped_to_its_fields() -> None:
     ordered = sorted((record_of(number) for number in range(5)), key=lambda record: record.id)
-    part = aggregation_of()
-    part.tick(0.0, ordered[0], tuple(ordered[1:]))
+    aggregation = aggregation_of()
+    aggregation.tick(0.0, ordered[0], tuple(ordered[1:]))
     for child in ordered[1:]:
-        part.handle(1.0, Header(child.id, 0, 1), Tally("a", MAX_U32, MAX_U32))
-    _, update = part.tick(2.0, ordered[0], tuple(ordered[1:]))
+        aggregation.handle(1.0, Header(child.id, 0, 1), Tally("a", MAX_U32, MAX_U32))
+    _, update = aggregation.tick(2.0, ordered[0], tuple(ordered[1:]))
     assert update is not None and (update.members, update.connections) == (MAX_U32, MAX_U32)
 
 
-def test_the_zone_is_looked_through_only_when_it_has_changed() -> None:
-    """A stand-in for the sequence that ``Membership.live`` gives: the same object until something changes."""
+def test_zone_members_are_scanned_only_after_a_change() -> None:
+    """``Membership.live`` returns the same object until something changes, as this test does."""
 
     class Counted(tuple[MemberRecord, ...]):
-        looks = 0
+        iterations = 0
 
         def __iter__(self):  # type: ignore[no-untyped-def]
-            Counted.looks += 1
+            Counted.iterations += 1
             return super().__iter__()
 
     members = Counted(record_of(number) for number in range(2, 90))
-    Counted.looks = 0
-    part = aggregation_of()
+    Counted.iterations = 0
+    aggregation = aggregation_of()
     for step in range(50):
-        part.tick(1.2 * step, record_of(1), members)
-    assert Counted.looks == 1
+        aggregation.tick(1.2 * step, record_of(1), members)
+    assert Counted.iterations == 1
 
 
-@effort(max_examples=25, deadline=None)
+@hypothesis_settings(max_examples=25, deadline=None)
 @given(st.integers(1, 30), st.lists(st.tuples(st.integers(0, 80), st.booleans()), max_size=12))
-def test_the_sum_is_right_again_after_any_changes(proxies: int, changes: list[tuple[int, bool]]) -> None:
+def test_sum_is_correct_again_after_any_changes(proxies: int, changes: list[tuple[int, bool]]) -> None:
     zone = Zone(proxies)
     zone.run(2)
     for number, is_new in changes:
         record = record_of(2_000 + number)
-        if is_new and record.address not in zone.parts:
+        if is_new and record.address not in zone.aggregations:
             zone.add(record)
         elif not is_new and len(zone.records) > 1:
             zone.remove(zone.records[number % len(zone.records)])
         zone.run(1)
-    zone.run(CHILD_INTERVALS + 6)
-    assert zone.seen() == {zone.wanted()}
+    zone.run(CHILD_TIMEOUT_INTERVALS + 6)
+    assert zone.known_sums() == {zone.expected_sum()}
 
 
-def test_the_root_sends_the_sum_once_in_each_sum_interval() -> None:
-    """Tallies come more often than that; a sum goes to the whole fleet and is passed on many times."""
+def test_root_publishes_one_sum_in_each_sum_interval() -> None:
+    """Sums are published less often than tallies are sent, since each is broadcast to the whole fleet."""
     timing = Timing()
-    part = Aggregation(timing, random.Random(1))
-    me = MemberRecord("root", ("10.0.0.1", 1), "north", "n1", Role.PROXY, 0, 1)
+    aggregation = Aggregation(timing, random.Random(1))
+    own_record = MemberRecord("root", ("10.0.0.1", 1), "north", "n1", Role.PROXY, 0, 1)
     times = [number * timing.tally_interval for number in range(60)]
-    sends = [now for now in times if part.tick(now, me, ())[1] is not None]
+    sends = [now for now in times if aggregation.tick(now, own_record, ())[1] is not None]
     assert len(sends) == pytest.approx(60 * timing.tally_interval / timing.sum_interval, abs=1)
--- a/tests/gossip/test_broadcasts.py
+++ b/tests/gossip/test_broadcasts.py
@@ -1,4 +1,4 @@
-"""The queue of updates on their way through the fleet."""
+"""The broadcast queue of updates."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import pytest
 
-from saltcourse.gossip.broadcasts import BUSY_QUEUE, MAX_QUEUED, RECORDS_ROOM_BYTES, BroadcastQueue
+from saltcourse.gossip.broadcasts import BUSY_QUEUE_LENGTH, MAX_QUEUED, RECORDS_ROOM_BYTES, BroadcastQueue
 from saltcourse.gossip.codec import update_size
 from saltcourse.gossip.messages import (
     Status,
@@ -20,61 +20,61 @@
     record_of,
 )
 
-FLEET = 490
-LIMIT = 9  # ceil(3 * log10(491))
-ROOM = 1_000  # bytes of one datagram
+FLEET_SIZE = 490
+TRANSMISSIONS = 9  # ceil(3 * log10(FLEET_SIZE + 1))
+ROOM_BYTES = 1_000  # space for updates in one datagram
 
 
-def filled(count: int) -> BroadcastQueue:
+def filled_queue(count: int) -> BroadcastQueue:
     queue = BroadcastQueue(3.0)
     for member in range(count):
         queue.add(member, StatusUpdate(member, 1, Status.SUSPECT))
-    queue.take(0, FLEET)  # learns how often an update is passed on
+    queue.take(0, FLEET_SIZE)  # sets the number of transmissions for this fleet size
     return queue
 
 
-def test_an_update_is_passed_on_as_often_as_the_size_of_the_fleet_asks() -> None:
-    queue = filled(1)
-    assert sum(len(queue.take(ROOM, FLEET)) for _ in range(2 * LIMIT)) == LIMIT
+def test_number_of_transmissions_depends_on_the_fleet_size() -> None:
+    queue = filled_queue(1)
+    assert sum(len(queue.take(ROOM_BYTES, FLEET_SIZE)) for _ in range(2 * TRANSMISSIONS)) == TRANSMISSIONS
 
 
-def test_in_a_busy_queue_an_update_that_others_send_too_is_passed_on_less() -> None:
-    queue = filled(BUSY_QUEUE + 10)
-    for _ in range(LIMIT):
+def test_duplicates_reduce_the_transmissions_in_a_busy_queue() -> None:
+    queue = filled_queue(BUSY_QUEUE_LENGTH + 10)
+    for _ in range(TRANSMISSIONS):
         queue.on_duplicate(5, 1, Status.SUSPECT)
-    assert len(queue) == BUSY_QUEUE + 9
+    assert len(queue) == BUSY_QUEUE_LENGTH + 9
 
 
 @pytest.mark.parametrize("duplicate", [(5, 0, Status.SUSPECT), (5, 1, Status.ALIVE), (5, 2, Status.SUSPECT)])
-def test_another_claim_about_the_same_member_does_not_count(duplicate: tuple[int, int, Status]) -> None:
-    queue = filled(BUSY_QUEUE + 10)
-    for _ in range(LIMIT):
+def test_different_claim_about_the_same_member_is_not_a_duplicate(duplicate: tuple[int, int, Status]) -> None:
+    queue = filled_queue(BUSY_QUEUE_LENGTH + 10)
+    for _ in range(TRANSMISSIONS):
         queue.on_duplicate(*duplicate)
-    assert len(queue) == BUSY_QUEUE + 10
+    assert len(queue) == BUSY_QUEUE_LENGTH + 10
 
 
-def test_in_a_quiet_queue_every_transmission_is_made() -> None:
-    queue = filled(BUSY_QUEUE - 1)
-    for _ in range(LIMIT):
+def test_duplicates_are_ignored_in_a_short_queue() -> None:
+    queue = filled_queue(BUSY_QUEUE_LENGTH - 1)
+    for _ in range(TRANSMISSIONS):
         queue.on_duplicate(5, 1, Status.SUSPECT)
-    assert len(queue) == BUSY_QUEUE - 1
+    assert len(queue) == BUSY_QUEUE_LENGTH - 1
 
 
-def test_zone_sums_alone_are_no_member_updates() -> None:
+def test_zone_sums_do_not_count_as_member_updates() -> None:
     queue = BroadcastQueue(3.0)
     queue.add("zone", ZoneSum("zone", 1, 1, 1))
     queue.add("zone", ZoneSum("zone", 2, 1, 1))
     assert len(queue) == 1
-    assert not queue.has_news_of_members
+    assert not queue.has_member_updates
     queue.add(5, StatusUpdate(5, 1, Status.SUSPECT))
-    assert queue.has_news_of_members
-    for _ in range(LIMIT):
-        queue.take(ROOM, FLEET)
+    assert queue.has_member_updates
+    for _ in range(TRANSMISSIONS):
+        queue.take(ROOM_BYTES, FLEET_SIZE)
     assert len(queue) == 0
-    assert not queue.has_news_of_members
+    assert not queue.has_member_updates
 
 
-def test_broadcasts_go_out_least_sent_first_and_so_often() -> None:
+def test_least_sent_updates_are_sent_first() -> None:
     queue = BroadcastQueue(3.0)
     first = [StatusUpdate(member, 0, SUSPECT) for member in range(40)]
     for update in first:
@@ -92,7 +92,7 @@
     assert set(sent.values()) == {limit}
 
 
-def test_only_the_newest_update_of_a_member_or_zone_waits() -> None:
+def test_only_the_newest_update_of_a_member_or_zone_is_queued() -> None:
     queue = BroadcastQueue(3.0)
     queue.add(record_of(1).id, record_of(1))
     queue.add(record_of(1).id, StatusUpdate(record_of(1).id, 0, DEAD))
@@ -101,13 +101,13 @@
     assert queue.take(1_000, 10) == (StatusUpdate(record_of(1).id, 0, DEAD), ZoneSum("a", 2, 1, 1))
 
 
-def test_the_broadcast_queue_is_bounded_and_keeps_the_newest_updates() -> None:
+def test_queue_is_bounded_and_keeps_the_newest_updates() -> None:
     queue = BroadcastQueue(3.0)
     for member in range(MAX_QUEUED):
         queue.add(member, StatusUpdate(member, 0, SUSPECT))
-    often = queue.take(RECORDS_ROOM_BYTES, 100)
+    sent_once = queue.take(RECORDS_ROOM_BYTES, 100)
     queue.add(10**6, StatusUpdate(10**6, 0, SUSPECT))
     assert len(queue) == MAX_QUEUED and queue.dropped == 1
-    waiting = {broadcast.update for broadcast in queue._broadcasts.values()}
-    assert StatusUpdate(10**6, 0, SUSPECT) in waiting
-    assert often[0] not in waiting
+    queued = {broadcast.update for broadcast in queue._broadcasts.values()}
+    assert StatusUpdate(10**6, 0, SUSPECT) in queued
+    assert sent_once[0] not in queued
--- a/tests/gossip/test_member_table.py
+++ b/tests/gossip/test_member_table.py
@@ -1,7 +1,7 @@
-"""The member table: precedence of claims, indexes that follow from the records, and bounds.
+"""The member table: precedence of claims, consistency of the indexes, and size limits.
 
-The story: claims about one member reach different members in different orders, some are forged or useless,
-and members come and go without end. All tables must settle on the same records, and stay within their bounds.
+Claims about one member reach other members in different orders, some of them are forged or invalid, and new
+members join all the time. All tables must converge on the same records and stay within their limits.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 import pytest
 from hypothesis import HealthCheck, given
-from hypothesis import settings as effort
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
 from saltcourse.gossip import member_table
@@ -40,15 +40,15 @@
     DEAD,
     LEFT,
     SUSPECT,
-    Lone,
-    answering,
+    MemberHarness,
+    acks_from,
     record_of,
     send_size,
 )
 
 
 @pytest.mark.parametrize(
-    "new, held, wins",
+    "new, current, expected",
     [
         ((1, SUSPECT), (1, ALIVE), True),
         ((1, DEAD), (1, SUSPECT), True),
@@ -64,40 +64,40 @@
         ((2, SUSPECT), (1, DEAD), True),
     ],
 )
-def test_precedence_of_records(new: tuple[int, Status], held: tuple[int, Status], wins: bool) -> None:
+def test_precedence_of_records(new: tuple[int, Status], current: tuple[int, Status], expected: bool) -> None:
     one = record_of(1, incarnation=new[0], status=new[1])
-    other = record_of(1, incarnation=held[0], status=held[1])
-    assert overrides(one, other) is wins
+    other = record_of(1, incarnation=current[0], status=current[1])
+    assert overrides(one, other) is expected
 
 
-def test_precedence_is_total_between_processes() -> None:
+def test_process_id_decides_between_otherwise_equal_records() -> None:
     one, other = record_of(1, process_id=1), record_of(1, process_id=2)
     assert overrides(other, one) and not overrides(one, other)
 
 
 def test_claims_change_the_table_by_precedence() -> None:
     one, two = record_of(1, incarnation=3), record_of(2)
-    lone = Lone(two, one)
-    lone.receive(two, Gossip((StatusUpdate(one.id, 2, DEAD),)))
-    assert lone.status(one) is ALIVE
-    lone.receive(two, Gossip((StatusUpdate(one.id, 3, SUSPECT),)))
-    assert lone.status(one) is SUSPECT
-    lone.receive(two, Gossip((replace(one, incarnation=4),)))
-    assert lone.status(one) is ALIVE
-    lone.receive(two, Gossip((StatusUpdate(one.id, 4, LEFT), StatusUpdate(one.id, 4, DEAD))))
-    assert lone.status(one) is LEFT
-    changes = [change for change in lone.membership.take_changes() if isinstance(change, MemberChanged)]
+    harness = MemberHarness(two, one)
+    harness.receive(two, Gossip((StatusUpdate(one.id, 2, DEAD),)))
+    assert harness.status(one) is ALIVE
+    harness.receive(two, Gossip((StatusUpdate(one.id, 3, SUSPECT),)))
+    assert harness.status(one) is SUSPECT
+    harness.receive(two, Gossip((replace(one, incarnation=4),)))
+    assert harness.status(one) is ALIVE
+    harness.receive(two, Gossip((StatusUpdate(one.id, 4, LEFT), StatusUpdate(one.id, 4, DEAD))))
+    assert harness.status(one) is LEFT
+    changes = [change for change in harness.membership.take_changes() if isinstance(change, MemberChanged)]
     assert [c.status for c in changes if c.name == one.name] == [ALIVE, SUSPECT, ALIVE, LEFT]
 
 
-def test_a_status_of_an_unknown_member_is_passed_over() -> None:
-    lone = Lone(record_of(1))
-    lone.receive(record_of(1), Gossip((StatusUpdate(member_id("nobody"), 1, DEAD),)))
-    assert len(lone.membership.members) == 2
+def test_status_update_of_an_unknown_member_is_ignored() -> None:
+    harness = MemberHarness(record_of(1))
+    harness.receive(record_of(1), Gossip((StatusUpdate(member_id("nobody"), 1, DEAD),)))
+    assert len(harness.membership.members) == 2
 
 
 @pytest.mark.parametrize(
-    "wrong",
+    "invalid_fields",
     [
         {"name": ""},
         {"name": "n" * 65},
@@ -109,15 +109,15 @@
         {"incarnation": 2**32},
     ],
 )
-def test_records_that_cannot_be_members_are_rejected(wrong: dict[str, Any]) -> None:
-    lone = Lone(record_of(1))
-    lone.receive(record_of(1), Gossip((replace(record_of(2), **wrong),)))
-    assert len(lone.membership.members) == 2
-    assert lone.figure("invalid_records") == 1
+def test_invalid_records_are_rejected(invalid_fields: dict[str, Any]) -> None:
+    harness = MemberHarness(record_of(1))
+    harness.receive(record_of(1), Gossip((replace(record_of(2), **invalid_fields),)))
+    assert len(harness.membership.members) == 2
+    assert harness.metric("invalid_records") == 1
 
 
 def check_indexes(membership: Membership) -> None:
-    """All that the table keeps beside the records must follow from them."""
+    """Check that the indexes, digests, counts and timers match the records."""
     table = membership._table
     digests = [0] * SYNC_BUCKETS
     live, dead = set(), set()
@@ -177,59 +177,62 @@
 )
 
 
-@effort(max_examples=100, deadline=None, suppress_health_check=list(HealthCheck))
+@hypothesis_settings(max_examples=100, deadline=None, suppress_health_check=list(HealthCheck))
 @given(st.lists(st.tuples(RECORDS, MESSAGES, st.sampled_from([0.0, 0.01, 0.3, 1.0, 9.0])), max_size=25))
-def test_any_messages_leave_the_table_whole(events: list[tuple[MemberRecord, Any, float]]) -> None:
-    lone = Lone(record_of(1), record_of(2))
+def test_any_messages_keep_the_table_consistent(events: list[tuple[MemberRecord, Any, float]]) -> None:
+    harness = MemberHarness(record_of(1), record_of(2))
     incarnation = 0
     for sender, message, pause in events:
-        lone.run(lone.now + pause)
-        lone.receive(sender, message)
-        check_indexes(lone.membership)
-        assert incarnation <= lone.membership.own_record.incarnation <= MAX_INCARNATION
-        incarnation = lone.membership.own_record.incarnation
-        assert lone.membership.own_record.name == lone.me.name and lone.membership.own_record.status is ALIVE
-    assert all(send_size(send) <= MAX_DATAGRAM_BYTES for send in lone.sends)
+        harness.run(harness.now + pause)
+        harness.receive(sender, message)
+        check_indexes(harness.membership)
+        assert incarnation <= harness.membership.own_record.incarnation <= MAX_INCARNATION
+        incarnation = harness.membership.own_record.incarnation
+        assert (
+            harness.membership.own_record.name == harness.initial_record.name
+            and harness.membership.own_record.status is ALIVE
+        )
+    assert all(send_size(send) <= MAX_DATAGRAM_BYTES for send in harness.sends)
 
 
-def test_the_table_is_bounded_and_departed_members_give_way(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_table_is_bounded_and_drops_departed_members_first(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(member_table, "MAX_MEMBERS", 10)
     others = [record_of(number) for number in range(1, 30)]
-    lone = Lone(others[0])
-    lone.receive(others[0], Gossip(tuple(others)))
-    assert len(lone.membership.members) == 10
-    assert lone.figure("table_full") == 20
+    harness = MemberHarness(others[0])
+    harness.receive(others[0], Gossip(tuple(others)))
+    assert len(harness.membership.members) == 10
+    assert harness.metric("table_full") == 20
     departed = StatusUpdate(others[3].id, 0, LEFT), StatusUpdate(others[2].id, 0, DEAD)
-    lone.receive(others[0], Gossip(departed))
-    lone.receive(others[0], Gossip((others[25], others[26], others[27])))
-    assert len(lone.membership.members) == 10
-    assert lone.status(others[3]) is None and lone.status(others[2]) is None
-    assert lone.status(others[25]) is ALIVE and lone.status(others[27]) is None
-    check_indexes(lone.membership)
+    harness.receive(others[0], Gossip(departed))
+    harness.receive(others[0], Gossip((others[25], others[26], others[27])))
+    assert len(harness.membership.members) == 10
+    assert harness.status(others[3]) is None and harness.status(others[2]) is None
+    assert harness.status(others[25]) is ALIVE and harness.status(others[27]) is None
+    check_indexes(harness.membership)
 
 
-def test_departed_members_are_forgotten_after_their_time() -> None:
+def test_departed_members_are_removed_after_forget_after() -> None:
     others = [record_of(number) for number in range(1, 4)]
-    lone = Lone(*others)
-    lone.receive(others[2], Gossip((StatusUpdate(others[0].id, 0, LEFT),)))
-    lone.now = 100.0
-    lone.membership.tick(lone.now)
-    lone.receive(others[2], Gossip((StatusUpdate(others[1].id, 0, DEAD),)))
+    harness = MemberHarness(*others)
+    harness.receive(others[2], Gossip((StatusUpdate(others[0].id, 0, LEFT),)))
+    harness.now = 100.0
+    harness.membership.tick(harness.now)
+    harness.receive(others[2], Gossip((StatusUpdate(others[1].id, 0, DEAD),)))
     for now, known in ((3_599.0, 4), (3_601.0, 3), (3_699.0, 3), (3_701.0, 2)):
-        lone.now = now
-        lone.membership.tick(now)
-        assert len(lone.membership.members) == known
-    check_indexes(lone.membership)
+        harness.now = now
+        harness.membership.tick(now)
+        assert len(harness.membership.members) == known
+    check_indexes(harness.membership)
 
 
-def test_departed_members_that_are_unknown_stay_so_when_tables_are_compared() -> None:
+def test_unknown_departed_members_of_a_page_are_ignored() -> None:
     other = record_of(1)
-    lone = Lone(other)
-    lone.receive(other, SyncReply((record_of(2, status=DEAD), record_of(3, status=LEFT)), False))
-    assert len(lone.membership.members) == 2
+    harness = MemberHarness(other)
+    harness.receive(other, SyncReply((record_of(2, status=DEAD), record_of(3, status=LEFT)), False))
+    assert len(harness.membership.members) == 2
 
 
-def test_tables_that_forgot_at_different_times_have_the_same_digest() -> None:
+def test_digests_do_not_depend_on_suspicions_and_removed_members() -> None:
     one, two = MemberTable(record_of(0)), MemberTable(record_of(0))
     for table in (one, two):
         for number in range(1, 40):
@@ -243,14 +246,14 @@
     assert one.differing_buckets(two.digests) == []
 
 
-def test_reads_are_cached_until_something_changes() -> None:
+def test_live_is_cached_until_a_change() -> None:
     others = [record_of(number, "ab"[number % 2]) for number in range(1, 9)]
-    lone = Lone(*others)
-    live, zone = lone.membership.live(), lone.membership.live("a")
-    lone.run(1.0, answering(*others))
-    assert lone.membership.live() is live and lone.membership.live("a") is zone
-    lone.receive(others[0], Gossip((StatusUpdate(others[2].id, 0, LEFT),)))
-    assert lone.membership.live("a") is zone  # the other zone's
+    harness = MemberHarness(*others)
+    live, zone = harness.membership.live(), harness.membership.live("a")
+    harness.run(1.0, acks_from(*others))
+    assert harness.membership.live() is live and harness.membership.live("a") is zone
+    harness.receive(others[0], Gossip((StatusUpdate(others[2].id, 0, LEFT),)))
+    assert harness.membership.live("a") is zone  # only the other zone has changed
     remaining = [record.id for record in others if record != others[2]]
-    assert [record.id for record in lone.membership.live()] == sorted(remaining)
-    assert lone.membership.live("nowhere") == ()
+    assert [record.id for record in harness.membership.live()] == sorted(remaining)
+    assert harness.membership.live("nowhere") == ()
--- a/tests/gossip/test_membership.py
+++ b/tests/gossip/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership as a whole: what one member sends, and fleets through loss, stops, crashes and restarts."""
+"""Membership as a whole: messages of one member, and fleets with loss, stops, crashes and restarts."""
 
 from __future__ import annotations
 
@@ -28,31 +28,31 @@
     SUSPECT,
     TIMING,
     Fleet,
-    Lone,
-    answering,
+    MemberHarness,
+    acks_from,
     fleet_of,
     record_of,
     send_size,
 )
 
 
-def test_messages_fit_a_datagram_with_the_longest_names() -> None:
+def test_messages_with_the_longest_names_fit_into_a_datagram() -> None:
     others = [
         MemberRecord(f"{number:064}", (f"fd00::{number}", 1), "r" * 16, "z" * 16, Role.PROXY, 0, 1)
         for number in range(1, 200)
     ]
-    lone = Lone(*others)
-    lone.receive(others[0], SyncRequest(0))
-    lone.receive(others[0], SyncRequest(0, tuple(range(SYNC_BUCKETS))))
-    lone.receive(others[0], Gossip(tuple(StatusUpdate(record.id, 0, SUSPECT) for record in others[1:])))
-    lone.receive(others[0], Ping(1, lone.me.id))
-    lone.receive(others[1], Ping(1, lone.me.id))
-    lone.run(10.0, answering(*others[:50]))
-    sizes = [send_size(send) for send in lone.sends]
+    harness = MemberHarness(*others)
+    harness.receive(others[0], SyncRequest(0))
+    harness.receive(others[0], SyncRequest(0, tuple(range(SYNC_BUCKETS))))
+    harness.receive(others[0], Gossip(tuple(StatusUpdate(record.id, 0, SUSPECT) for record in others[1:])))
+    harness.receive(others[0], Ping(1, harness.initial_record.id))
+    harness.receive(others[1], Ping(1, harness.initial_record.id))
+    harness.run(10.0, acks_from(*others[:50]))
+    sizes = [send_size(send) for send in harness.sends]
     assert 1_000 < max(sizes) <= MAX_DATAGRAM_BYTES
 
 
-def test_priorities_of_what_is_sent() -> None:
+def test_message_priorities() -> None:
     fleet = fleet_of(12, settle=0.0)
     fleet.log = []
     fleet.run(15.0)
@@ -66,46 +66,46 @@
     }
 
 
-def test_samples_are_different_live_members_and_rather_not_suspects() -> None:
+def test_sample_returns_distinct_members_and_avoids_suspects() -> None:
     others = [record_of(number, f"z{number}") for number in range(1, 9)]
-    lone = Lone(*others)
-    gone = StatusUpdate(others[1].id, 0, SUSPECT), StatusUpdate(others[2].id, 0, DEAD)
-    lone.receive(others[0], Gossip(gone))
+    harness = MemberHarness(*others)
+    updates = StatusUpdate(others[1].id, 0, SUSPECT), StatusUpdate(others[2].id, 0, DEAD)
+    harness.receive(others[0], Gossip(updates))
     for _ in range(50):
-        names = [record.name for record in lone.membership.sample(4)]
+        names = [record.name for record in harness.membership.sample(4)]
         assert len(names) == len(set(names)) > 0
-        assert not {others[1].name, others[2].name, lone.me.name} & set(names)
-    assert Lone().membership.sample(3) == []
+        assert not {others[1].name, others[2].name, harness.initial_record.name} & set(names)
+    assert MemberHarness().membership.sample(3) == []
 
 
-def test_updates_of_other_parts_are_handed_over_and_bounded() -> None:
+def test_zone_sums_are_handed_over_and_bounded() -> None:
     other = record_of(1)
-    lone = Lone(other)
-    lone.receive(other, Gossip(tuple(ZoneSum("a", number, 1, 1) for number in range(1_000))))
-    received = lone.membership.take_received()
+    harness = MemberHarness(other)
+    harness.receive(other, Gossip(tuple(ZoneSum("a", number, 1, 1) for number in range(1_000))))
+    received = harness.membership.take_zone_sums()
     assert received[0] == ZoneSum("a", 0, 1, 1) and len(received) == 256
-    assert lone.membership.take_received() == []
-    lone.membership.broadcast(ZoneSum("a", 7, 1, 1))
-    gossip = [send.message for send in lone.run(1.0, answering(other)) if isinstance(send.message, Gossip)]
+    assert harness.membership.take_zone_sums() == []
+    harness.membership.broadcast(ZoneSum("a", 7, 1, 1))
+    gossip = [send.message for send in harness.run(1.0, acks_from(other)) if isinstance(send.message, Gossip)]
     assert any(ZoneSum("a", 7, 1, 1) in message.updates for message in gossip)
 
 
-def test_a_crash_is_known_everywhere_in_time() -> None:
-    """A process is killed: all believe it dead after the time of a suspicion, and none before."""
+def test_crash_is_detected_by_all_members_in_time() -> None:
+    """A process is killed. All members must consider it dead after the suspicion timeout, and none before."""
     fleet = fleet_of(30)
-    gone = fleet.hosts[7]
-    fleet.crash(gone)
-    crashed = fleet.now
+    crashed_host = fleet.hosts[7]
+    fleet.crash(crashed_host)
+    crashed_at = fleet.now
     bound = TIMING.suspicion_multiplier * math.log10(30) * TIMING.probe_interval
-    fleet.run(crashed + bound - 0.5)
-    assert fleet.statuses(gone.membership.own_record)[DEAD] == 0
-    fleet.run(crashed + bound + 5.0)
-    assert set(fleet.statuses(gone.membership.own_record)) == {DEAD}
-    assert fleet.figure("dead") == 29
+    fleet.run(crashed_at + bound - 0.5)
+    assert fleet.statuses(crashed_host.membership.own_record)[DEAD] == 0
+    fleet.run(crashed_at + bound + 5.0)
+    assert set(fleet.statuses(crashed_host.membership.own_record)) == {DEAD}
+    assert fleet.metric("dead") == 29
 
 
-def test_a_leaving_member_is_gone_at_once_and_does_not_object() -> None:
-    """A process ends in order. Late claims must not make it refute that it has left."""
+def test_leaving_member_is_left_everywhere_and_does_not_refute() -> None:
+    """A process shuts down cleanly. Late claims must not make it refute that it has left."""
     fleet = fleet_of(30)
     leaver = fleet.hosts[3]
     fleet._send(leaver, leaver.membership.leave(fleet.now))
@@ -118,45 +118,45 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_loss_doubling_and_reordering_kill_nobody(seed: int) -> None:
-    """The network loses, doubles and reorders datagrams, and nobody has failed."""
-    fleet = fleet_of(30, seed=seed, loss=0.15, double=0.2, delay=(0.001, 0.15), through_codec=True)
+def test_loss_duplication_and_reordering_cause_no_deaths(seed: int) -> None:
+    """The network loses, duplicates and reorders datagrams while no member has failed."""
+    fleet = fleet_of(30, seed=seed, loss=0.15, duplication=0.2, delay=(0.001, 0.15), through_codec=True)
     fleet.run(40.0)
-    assert fleet.figure("deaths") == 0
+    assert fleet.metric("deaths") == 0
     fleet.loss = 0.0
-    fleet.run_until_whole(15.0)
+    fleet.run_until_converged(15.0)
 
 
-def test_a_stopped_process_goes_on_without_harm() -> None:
-    """A process is stopped for a minute and goes on: it must not take the others for dead."""
+def test_resumed_process_declares_no_other_member_dead() -> None:
+    """A process is stopped for a minute and resumed. It must not consider the other members dead."""
     fleet = fleet_of(30, zones=5)
-    sleeper = fleet.hosts[9]
-    fleet.stop(sleeper)
+    stopped = fleet.hosts[9]
+    fleet.stop(stopped)
     fleet.run(fleet.now + 60.0)
-    assert set(fleet.statuses(sleeper.membership.own_record)) == {DEAD}
-    fleet.go_on(sleeper)
-    fleet.run_until_whole(20.0)
+    assert set(fleet.statuses(stopped.membership.own_record)) == {DEAD}
+    fleet.resume(stopped)
+    fleet.run_until_converged(20.0)
     fleet.run(fleet.now + 20.0)
-    assert sleeper.membership.metrics()["deaths"] == 0
-    assert sleeper.membership.metrics()["stalls"] == 1
-    assert sum(host.membership.own_record.incarnation for host in fleet.hosts if host is not sleeper) == 0
+    assert stopped.membership.metrics()["deaths"] == 0
+    assert stopped.membership.metrics()["stalls"] == 1
+    assert sum(host.membership.own_record.incarnation for host in fleet.hosts if host is not stopped) == 0
 
 
-def test_a_restart_under_the_same_name_at_another_address() -> None:
-    """A process dies, and its successor has the name and another address."""
+def test_restart_with_the_same_name_at_another_address() -> None:
+    """A process dies, and a new process with the same name starts at another address."""
     fleet = fleet_of(30)
     old = fleet.hosts[4]
     fleet.crash(old)
     fleet.run(fleet.now + 1.0)
     new = replace(old.membership.own_record, address=("10.8.8.8", 7000), process_id=4711)
     host = fleet.add(new, (record_of(0).address, record_of(1).address))
-    fleet.run_until_whole(20.0)
+    fleet.run_until_converged(20.0)
     assert host.membership.own_record.incarnation == 1
     assert host.membership.metrics()["name_conflicts"] == 0
 
 
-def test_an_address_used_again_by_another_name() -> None:
-    """A process dies and another member gets its address: its answers must not keep the dead one alive."""
+def test_address_reused_by_another_member() -> None:
+    """A process dies and another member gets its address. Its answers must not keep the dead member alive."""
     fleet = fleet_of(30, zones=3)
     old = fleet.hosts[4]
     fleet.crash(old)
@@ -168,19 +168,19 @@
     assert host.membership.metrics()["misaddressed_pings"] > 0
 
 
-def test_two_live_processes_of_one_name_in_a_fleet_do_not_shake_it() -> None:
-    """Two processes run under one name by mistake: the others must not be drawn into it."""
+def test_two_live_processes_with_one_name_do_not_disturb_the_others() -> None:
+    """Two processes run under one name by mistake. The other members must not raise their incarnations."""
     fleet = fleet_of(30)
     first = fleet.hosts[4]
-    twin = replace(first.membership.own_record, address=("10.8.8.8", 7000), process_id=4711)
-    second = fleet.add(twin, (record_of(0).address, record_of(1).address))
+    second_record = replace(first.membership.own_record, address=("10.8.8.8", 7000), process_id=4711)
+    second = fleet.add(second_record, (record_of(0).address, record_of(1).address))
     fleet.run(fleet.now + 30.0)
     assert max(first.membership.own_record.incarnation, second.membership.own_record.incarnation) <= 62
     assert first.membership.metrics()["name_conflicts"] + second.membership.metrics()["name_conflicts"] > 0
     assert sum(h.membership.own_record.incarnation for h in fleet.hosts if h not in (first, second)) == 0
 
 
-def test_one_seed_gives_one_history() -> None:
+def test_history_is_reproducible_for_a_seed() -> None:
     logs = []
     for _ in range(2):
         fleet = Fleet(9, loss=0.1)
@@ -192,8 +192,8 @@
     assert len(logs[0]) > 500 and logs[0] == logs[1]
 
 
-def test_a_quiet_fleet_sends_a_constant_amount() -> None:
-    """Datagrams of one member and second: a Ping, an Ack, and now and then a comparison of tables."""
+def test_idle_fleet_sends_a_constant_number_of_datagrams() -> None:
+    """Each member sends about one Ping and one Ack per second, and occasionally compares tables."""
     rates = []
     for count in (10, 40):
         fleet = fleet_of(count, settle=20.0)
--- a/tests/gossip/test_sizes.py
+++ b/tests/gossip/test_sizes.py
@@ -1,4 +1,4 @@
-"""Encoded sizes of changes and configurations, known before anything is proposed."""
+"""Encoded sizes of changes and configurations, computed before a change is proposed."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from saltcourse.gossip.sizes import ConfigurationSize, is_encodable
 
 
-def test_writes_that_can_not_be_encoded_are_found_out() -> None:
+def test_writes_that_cannot_be_encoded_are_detected() -> None:
     assert is_encodable((("key", b""), ("other", None)))
     for key in ("", "x" * 129, "a\nb", "\x85", "\ud800"):
         assert not is_encodable(((key, b""),))
 
 
-def test_the_projected_size_follows_writes_replacements_and_deletions() -> None:
+def test_size_follows_writes_replacements_and_deletions() -> None:
     items = [(f"key{i}", bytes(50_000)) for i in range(5)]
     size = ConfigurationSize(items)
     room = MAX_CONFIGURATION_BYTES - len(encode_configuration([*items, ("b", b"")]))
--- a/tests/gossip/test_token_bucket.py
+++ b/tests/gossip/test_token_bucket.py
@@ -5,7 +5,7 @@
 from saltcourse.gossip.token_bucket import TokenBucket
 
 
-def test_a_bucket_spends_what_it_holds_and_fills_at_its_rate():
+def test_bucket_spends_available_tokens_and_fills_at_its_rate():
     bucket = TokenBucket(rate=100, burst=50)
     assert bucket.available(10.0) == 50
     assert bucket.take(10.0, 50) and not bucket.take(10.0, 1)
@@ -13,7 +13,7 @@
     assert bucket.available(99.0) == 50
 
 
-def test_a_buckets_debt_is_bounded_and_paid_back():
+def test_debt_is_bounded_and_paid_back():
     bucket = TokenBucket(rate=100, burst=50)
     bucket.force(0.0, 1_000)
     assert bucket.available(0.0) == -50
@@ -21,7 +21,7 @@
     assert bucket.take(1.0, 50)
 
 
-def test_a_bucket_knows_when_it_has_a_token_again():
+def test_available_at_is_the_time_of_the_next_token():
     bucket = TokenBucket(rate=100, burst=50)
     assert bucket.available_at() < 0
     bucket.force(10.0, 80)
@@ -30,7 +30,7 @@
     assert bucket.available_at() == pytest.approx(10.31)
 
 
-def test_a_clock_that_goes_back_gives_a_bucket_nothing():
+def test_clock_that_goes_back_adds_no_tokens():
     bucket = TokenBucket(rate=100, burst=50)
     assert bucket.take(10.0, 50)
     assert bucket.available(5.0) == 0
