--- a/saltcourse/gossip/member_table.py
+++ b/saltcourse/gossip/member_table.py
@@ -153,11 +153,11 @@
         return len(self.members)
 
     def get(self, member: MemberId) -> Member | None:
-        """None when the member is not known."""
+        """Return the entry of a member, or None if it is not in the table."""
         return self.members.get(member)
 
     def id_of(self, record: MemberRecord) -> MemberId:
-        """Return the id of a record, without hashing a name that is known."""
+        """Return the member id of a record, without hashing the name of a known member."""
         member = self._ids.get(record.name)
         return record.id if member is None else member
 
--- a/saltcourse/gossip/member_updates.py
+++ b/saltcourse/gossip/member_updates.py
@@ -233,7 +233,7 @@
         self._table.store(now, member, record)
         status = record.status
         if before is None or is_departed(before.status):
-            self._add_live_member(now, member, record)
+            self._add_if_live(now, member, record)
         elif before.zone != record.zone and not is_departed(status):
             self._zones.member_added(now, record.zone)
         if before is None or _restarts_timer(before, record):
@@ -245,7 +245,7 @@
         if broadcast:
             self._queue.add(member, _as_update(member, record))
 
-    def _add_live_member(self, now: float, member: MemberId, record: MemberRecord) -> None:
+    def _add_if_live(self, now: float, member: MemberId, record: MemberRecord) -> None:
         if not is_departed(record.status):
             self._zones.member_added(now, record.zone)
             self._order.insert(member)
--- a/saltcourse/gossip/membership.py
+++ b/saltcourse/gossip/membership.py
@@ -252,8 +252,8 @@
         return [Send(source, Ack(message.sequence))] if self._unknown_senders.allow_ack(now) else []
 
     def _on_ack(self, now: float, header: Header, message: Ack) -> list[Send]:
-        alive, sends = self._detector.on_ack(now, header.sender, message)
-        member = self._table.get(alive) if alive is not None else None
+        confirmed, sends = self._detector.on_ack(now, header.sender, message)
+        member = self._table.get(confirmed) if confirmed is not None else None
         if member is not None and not is_departed(member.status):
             self._on_zone_contact(now, member.record.zone)
         self._updater.merge_updates(now, message.updates)
@@ -296,8 +296,8 @@
     def _on_unknown_sender(self, now: float, source: Address, header: Header) -> list[Send]:
         """Request the table of an unknown sender, since that table contains the sender's record.
 
-        A sender that uses the name of a known member is sent the known record instead, so that it can exceed
-        the incarnation.
+        A sender with the name of a known member and an incarnation that is not higher is sent the known
+        record instead, so that it can exceed that incarnation.
         """
         self._unknown_senders.count += 1
         member = self._table.get(header.sender)
@@ -376,8 +376,8 @@
             self._queue.add(self._id, self.own_record)
 
     def _tick_zones(self, now: float) -> list[Send]:
-        silent, to_ping = self._zones.evaluate(now)
-        for zone in silent:
+        newly_unreachable, to_ping = self._zones.evaluate(now)
+        for zone in newly_unreachable:
             self._updater.pause_suspicions(zone)
         return self._ping_once(to_ping)
 
--- a/saltcourse/gossip/own_record.py
+++ b/saltcourse/gossip/own_record.py
@@ -12,7 +12,7 @@
 from saltcourse.gossip.member_table import MAX_INCARNATION
 from saltcourse.gossip.messages import MemberRecord, Status
 
-RAISE_INTERVAL_SECONDS = 1.0
+RAISE_INTERVAL_SECONDS = 1.0  # minimum time between two raises of the incarnation
 
 
 class OwnRecord:
@@ -33,9 +33,9 @@
         return self.record.status is Status.LEFT
 
     def on_claim(self, now: float, incarnation: int, status: Status, process_id: int | None) -> bool:
-        """Handle a claim about this member, or about its process if ``process_id`` is given.
+        """Handle a claim about this member. Return whether the own record changed.
 
-        Return whether the own record changed.
+        ``process_id`` is the process that the claim is about; None if the claim does not contain it.
         """
         if not self._must_exceed(incarnation, status, process_id):
             return False
@@ -79,6 +79,7 @@
         return self.raise_incarnation_if_allowed(now)
 
     def _must_exceed(self, incarnation: int, status: Status, process_id: int | None) -> bool:
+        """Return whether a claim can only be overridden with a higher incarnation."""
         if self.has_left:
             return False
         if incarnation != self.record.incarnation:
--- a/saltcourse/gossip/table_sync.py
+++ b/saltcourse/gossip/table_sync.py
@@ -41,7 +41,7 @@
     """A running comparison, page by page."""
 
     full_table: bool  # request all records instead of those in differing buckets
-    cursor: MemberId  # last id received so far
+    cursor: MemberId  # last id received; 0 before the first page
     peers: tuple[Address, ...]  # members asked for the page after the cursor
     deadline: float  # time in seconds at which the request is repeated
     attempts: int = 1  # requests for the current page
@@ -59,7 +59,7 @@
         sample: Callable[[int], list[MemberRecord]],
     ) -> None:
         self.pages_sent = 0
-        self.given_up = 0
+        self.given_up = 0  # comparisons abandoned after MAX_PAGE_ATTEMPTS
         self._table = table
         self._seeds = tuple(seed for seed in seeds if seed != table.own.address)
         self._interval = timing.sync_interval
--- a/saltcourse/gossip/zone_silence.py
+++ b/saltcourse/gossip/zone_silence.py
@@ -27,10 +27,11 @@
 from saltcourse.gossip.messages import MemberId, Status
 from saltcourse.gossip.settings import Timing
 
-LOST_FRACTION_DENOMINATOR = 5  # many members of a zone are lost: at least 1 in 5
-MIN_LOST_MEMBERS = 2  # many members of a zone are lost: also at least this number
-CHECKS_IF_MANY_LOST = 2  # unanswered checks required; a single one may have gone to another dead member
-CHECKS_IF_FEW_LOST = 4  # unanswered checks required if fewer members are lost
+# A zone has many lost members if they are at least MIN_LOST_MEMBERS and 1 in LOST_FRACTION_DENOMINATOR.
+LOST_FRACTION_DENOMINATOR = 5
+MIN_LOST_MEMBERS = 2
+CHECKS_IF_MANY_LOST = 2  # unanswered checks required; a single check may have gone to another dead member
+CHECKS_IF_FEW_LOST = 4  # unanswered checks required otherwise, if any member is lost
 CHECKS_PER_MEMBER = 20.0  # check Pings received by each member of a zone in a probe interval, fleet-wide
 MAX_CHECKED_MEMBERS = 16  # checked members remembered for each zone
 EVALUATIONS_PER_INTERVAL = 2  # evaluations in each probe interval
@@ -59,7 +60,7 @@
 class ZoneEvaluation(NamedTuple):
     """Result of one evaluation."""
 
-    silent: list[str]  # zones that have become unreachable
+    newly_unreachable: list[str]  # names of zones
     to_ping: list[MemberId]  # members to ping as checks
 
 
@@ -137,23 +138,23 @@
         self._evaluate_at = now + self._check_interval
         self._remove_empty_zones()
         isolated = self.is_isolated(now)
-        silent: list[str] = []
+        newly_unreachable: list[str] = []
         to_ping: list[MemberId] = []
         if now - self._last_contact_at > self._silence / 2:
             to_ping += self._choose_reachable_member()
         for name, zone in self._zones.items():
             if not zone.reachable:
                 continue
-            if isolated or self._is_silent(now, name, zone):
-                silent.append(name)
+            if isolated or self._is_unreachable(now, name, zone):
+                newly_unreachable.append(name)
             elif self._needs_check(now, name, zone) and len(to_ping) < MAX_CHECKS_PER_TICK:
                 to_ping += self._choose_check(now, name, zone)
-        for name in silent:
+        for name in newly_unreachable:
             self._zones[name].reachable = False
             self.unreachable[name] = None
-        return ZoneEvaluation(silent, to_ping)
+        return ZoneEvaluation(newly_unreachable, to_ping)
 
-    def _is_silent(self, now: float, name: str, zone: ZoneState) -> bool:
+    def _is_unreachable(self, now: float, name: str, zone: ZoneState) -> bool:
         if now - zone.last_contact_at <= self._silence:
             return False
         index = self._table.zones[name]
--- a/tests/gossip/test_aggregation.py
+++ b/tests/gossip/test_aggregation.py
@@ -250,9 +250,8 @@
     aggregation.receive(20.0, ZoneSum("b", 6, 1, 10))
     assert set(aggregation.sums(20.0 + SUM_LIFETIME_SECONDS - 0.1)) == {"b"}
     assert aggregation.sums(20.0 + SUM_LIFETIME_SECONDS) == {}
-    assert aggregation.receive(
-        60.0, ZoneSum("b", 1, 1, 1)
-    )  # a restarted sequence is accepted after the old sum has expired
+    # A restarted sequence is accepted after the old sum has expired.
+    assert aggregation.receive(60.0, ZoneSum("b", 1, 1, 1))
 
 
 def test_sequence_restarts_after_the_highest_one_has_expired() -> None:
@@ -295,7 +294,7 @@
 
 
 def test_zone_members_are_scanned_only_after_a_change() -> None:
-    """``Membership.live`` returns the same object until something changes, as this test does."""
+    """Guard the cost of a tick: like ``Membership.live``, the test passes the same object until a change."""
 
     class Counted(tuple[MemberRecord, ...]):
         iterations = 0
--- a/tests/gossip/test_failure_detector.py
+++ b/tests/gossip/test_failure_detector.py
@@ -41,7 +41,7 @@
     There are four members, each in its own zone.
     """
     others = [record_of(number, f"z{number}") for number in range(1, 5)]
-    silent, live = others[0], others[1:]
+    unresponsive, live = others[0], others[1:]
     harness = MemberHarness(*others)
     sends: list[Send] = []
     started = asked = suspected = dead = None
@@ -49,7 +49,7 @@
     def answer(send: Send) -> Any:
         nonlocal started, asked
         sends.append(send)
-        if isinstance(send.message, Ping) and send.destination == silent.address and started is None:
+        if isinstance(send.message, Ping) and send.destination == unresponsive.address and started is None:
             started = harness.now
         if isinstance(send.message, PingRequest):
             asked = asked or harness.now
@@ -59,15 +59,15 @@
 
     while dead is None:
         harness.run(harness.now + 0.05, answer)
-        if suspected is None and harness.status(silent) is SUSPECT:
+        if suspected is None and harness.status(unresponsive) is SUSPECT:
             suspected = harness.now
-        if harness.status(silent) is DEAD:
+        if harness.status(unresponsive) is DEAD:
             dead = harness.now
         assert harness.now < 30
     assert started is not None and asked is not None and suspected is not None
     first = [send.message for send in sends if isinstance(send.message, PingRequest)][:3]
     assert asked - started == pytest.approx(TIMING.probe_timeout)
-    assert {request.target for request in first} == {silent.id}
+    assert {request.target for request in first} == {unresponsive.id}
     assert len({send.destination for send in sends if send.message in first}) == TIMING.indirect_probes
     assert suspected - started == pytest.approx(TIMING.probe_interval, abs=0.06)
     timeout = TIMING.suspicion_multiplier * max(1.0, math.log10(5)) * TIMING.probe_interval
@@ -157,7 +157,7 @@
     started: dict[int, float] = {}
     asked: dict[int, float] = {}
 
-    def silent(send: Send) -> Any:
+    def record_times(send: Send) -> Any:
         if isinstance(send.message, Ping):
             started.setdefault(send.message.sequence, harness.now)
         if isinstance(send.message, PingRequest):
@@ -166,13 +166,13 @@
             return others[0], Gossip()  # the member still receives messages, so it is not isolated
         return None
 
-    harness.run(2.5, silent)
+    harness.run(2.5, record_times)
     assert harness.metric("health") >= 4  # one failed probe and three missing Nacks
-    harness.run(30.0, silent)
+    harness.run(30.0, record_times)
     assert harness.metric("health") <= MAX_HEALTH_SCORE
-    waits = [asked[sequence] - started[sequence] for sequence in asked if sequence in started]
-    assert min(waits) == pytest.approx(TIMING.probe_timeout)
-    assert max(waits) >= 4 * TIMING.probe_timeout
+    delays = [asked[sequence] - started[sequence] for sequence in asked if sequence in started]
+    assert min(delays) == pytest.approx(TIMING.probe_timeout)
+    assert max(delays) >= 4 * TIMING.probe_timeout
 
 
 def test_health_score_recovers_with_direct_answers_and_is_bounded() -> None:
--- a/tests/gossip/test_member_table.py
+++ b/tests/gossip/test_member_table.py
@@ -188,10 +188,8 @@
         check_indexes(harness.membership)
         assert incarnation <= harness.membership.own_record.incarnation <= MAX_INCARNATION
         incarnation = harness.membership.own_record.incarnation
-        assert (
-            harness.membership.own_record.name == harness.initial_record.name
-            and harness.membership.own_record.status is ALIVE
-        )
+        assert harness.membership.own_record.name == harness.initial_record.name
+        assert harness.membership.own_record.status is ALIVE
     assert all(send_size(send) <= MAX_DATAGRAM_BYTES for send in harness.sends)
 
 
--- a/tests/gossip/test_zone_silence.py
+++ b/tests/gossip/test_zone_silence.py
@@ -35,12 +35,12 @@
 
     No timer was started for such a member, so that it stayed suspect forever.
     """
-    near, far = record_of(1, "near"), record_of(2, "far")
-    harness = MemberHarness(near, far)
+    local, remote = record_of(1, "local"), record_of(2, "remote")
+    harness = MemberHarness(local, remote)
     harness.run(9.0)
-    assert harness.metric("zones_unreachable") == 2 and harness.status(far) is SUSPECT
-    harness.receive(near, Gossip((replace(far, zone="new", process_id=2, status=SUSPECT),)))
-    assert far.id in harness.membership._timers
+    assert harness.metric("zones_unreachable") == 2 and harness.status(remote) is SUSPECT
+    harness.receive(local, Gossip((replace(remote, zone="new", process_id=2, status=SUSPECT),)))
+    assert remote.id in harness.membership._timers
 
 
 @pytest.mark.parametrize("count, zones, crashes", [(30, 5, 2), (60, 12, 3)])
@@ -51,15 +51,14 @@
     crashed = [host for host in fleet.hosts if host.membership.own_record.zone == "z3"][:crashes]
     for host in crashed:
         fleet.crash(host)
-    fleet.run(
-        fleet.now + 25.0
-    )  # long enough for each member to compare tables, since a broadcast may miss a member
+    # Each member has time to compare tables, since a broadcast may miss a member.
+    fleet.run(fleet.now + 25.0)
     for host in crashed:
         assert fleet.statuses(host.membership.own_record) == {DEAD: count - crashes}
     assert not [change for _, _, change in fleet.changes if isinstance(change, ZoneReachability)]
 
 
-def cut_and_heal(fleet: Fleet, seconds: float = 120.0) -> tuple[int, int]:
+def cut_and_restore(fleet: Fleet, seconds: float = 120.0) -> tuple[int, int]:
     """Cut the regions for ``seconds`` and restore the link.
 
     Return how many updates were queued and how many incarnations were raised after the link was restored.
@@ -79,37 +78,36 @@
     fleet = fleet_of(30, seed=seed, zones=6, loss=0.01)
     fleet.changes.clear()
     start = fleet.now
-    queued, raised = cut_and_heal(fleet, seconds)
+    queued, raised = cut_and_restore(fleet, seconds)
     assert fleet.metric("deaths") == 0
     assert raised <= 2 and queued <= 2 * len(fleet.hosts)
     zones = [(host, c) for _, host, c in fleet.changes if isinstance(c, ZoneReachability)]
     for host in fleet.hosts:
-        other = "r1" if host.membership.own_record.region == "r0" else "r0"
-        far = {"z1", "z3", "z5"} if other == "r1" else {"z0", "z2", "z4"}
-        mine = [c for h, c in zones if h is host]
-        assert {c.zone for c in mine if not c.reachable} == far
-        assert {c.zone for c in mine if c.reachable} == far
+        other_region = "r1" if host.membership.own_record.region == "r0" else "r0"
+        remote_zones = {"z1", "z3", "z5"} if other_region == "r1" else {"z0", "z2", "z4"}
+        own_changes = [c for h, c in zones if h is host]
+        assert {c.zone for c in own_changes if not c.reachable} == remote_zones
+        assert {c.zone for c in own_changes if c.reachable} == remote_zones
         assert host.membership.metrics()["zones_unreachable"] == 0
     times = [when for when, _, c in fleet.changes if isinstance(c, ZoneReachability) and not c.reachable]
-    assert (
-        max(times) - start < 25.0
-    )  # a member that received no suspicion detects the cut with its own probes
+    # A member that received no suspicion detects the cut with its own probes.
+    assert max(times) - start < 25.0
 
 
 def test_cut_of_regions_causes_many_refutations_without_zone_detection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The checks of the test above must fail when zones are never considered unreachable."""
-    monkeypatch.setattr(ZoneSilence, "_is_silent", lambda *_: False)
+    monkeypatch.setattr(ZoneSilence, "_is_unreachable", lambda *_: False)
     fleet = fleet_of(30, seed=1, zones=6)
-    queued, raised = cut_and_heal(fleet, 30.0)
+    queued, raised = cut_and_restore(fleet, 30.0)
     assert fleet.metric("deaths") > 0
     assert raised > len(fleet.hosts) / 2 and queued > 10 * len(fleet.hosts)
 
 
 def test_short_cut_causes_no_deaths_and_few_refutations() -> None:
     fleet = fleet_of(36, zones=6)
-    _, raised = cut_and_heal(fleet, 5.0)
+    _, raised = cut_and_restore(fleet, 5.0)
     assert fleet.metric("deaths") == 0
     assert raised <= len(fleet.hosts) / 2
 
@@ -127,21 +125,21 @@
 
 
 def test_member_of_an_unreachable_zone_stays_suspect_when_others_declare_it_dead() -> None:
-    near = [record_of(number, "near") for number in range(1, 4)]
-    far = [record_of(number, "far") for number in range(4, 8)]
-    harness = MemberHarness(*near, *far, initial_record=record_of(0, "near"))
-    harness.run(15.0, acks_from(*near))
-    assert ZoneReachability("far", False) in harness.membership.take_changes()
+    local = [record_of(number, "local") for number in range(1, 4)]
+    remote = [record_of(number, "remote") for number in range(4, 8)]
+    harness = MemberHarness(*local, *remote, initial_record=record_of(0, "local"))
+    harness.run(15.0, acks_from(*local))
+    assert ZoneReachability("remote", False) in harness.membership.take_changes()
     assert harness.metric("zones_silent") == 1
     assert harness.metric("dead") == 0
     queued = harness.metric("broadcasts_queued")
-    harness.receive(near[0], Gossip(tuple(StatusUpdate(record.id, 0, DEAD) for record in far)))
-    assert [harness.status(record) for record in far] == [SUSPECT] * 4
+    harness.receive(local[0], Gossip(tuple(StatusUpdate(record.id, 0, DEAD) for record in remote)))
+    assert [harness.status(record) for record in remote] == [SUSPECT] * 4
     assert harness.metric("broadcasts_queued") == queued
     harness.membership.take_changes()
-    harness.receive(far[0], Gossip())
-    assert harness.membership.take_changes()[0] == ZoneReachability("far", True)
-    assert [harness.status(record) for record in far] == [ALIVE] * 4
+    harness.receive(remote[0], Gossip())
+    assert harness.membership.take_changes()[0] == ZoneReachability("remote", True)
+    assert [harness.status(record) for record in remote] == [ALIVE] * 4
     assert harness.metric("broadcasts_queued") == queued
 
 
