--- a/benchmarks/admin.py
+++ b/benchmarks/admin.py
@@ -1,9 +1,9 @@
-"""How fast the admin address answers beside a crowd: ``python benchmarks/admin.py [--quick] [--json]``.
+"""Benchmark of the admin address under load: ``python benchmarks/admin.py [--quick] [--json]``.
 
-One proxy runs as a real process on loopback. Beside it other callers hold admin connections with
-half a call, and clients that connect to the clients' port and say nothing or half a line. Each trial
-asks `/_ready` and `/_vars` once; the time is from connecting to the last byte of the answer. The control
-is the same calls with nobody else there, in the same run. The last line is one JSON object.
+One proxy runs as a real process on loopback. Each trial requests ``/_ready`` and ``/_vars`` once and measures
+the time from connecting to the last byte of the response: first without other load (the control, ``alone_*``
+in the output), then while other sockets hold incomplete admin requests, and client connections that have sent
+nothing or part of a line (``beside_*``). Times are in milliseconds. The last line is one JSON object.
 """
 
 from __future__ import annotations
@@ -30,7 +30,8 @@
         return port
 
 
-def ask(port: int, path: str) -> float:
+def request(port: int, path: str) -> float:
+    """Return the seconds that one admin request takes."""
     began = time.perf_counter()
     with socket.create_connection(("127.0.0.1", port), timeout=5.0) as caller:
         caller.sendall(f"GET {path} HTTP/1.1\r\nHost: a\r\n\r\n".encode())
@@ -39,33 +40,37 @@
     return time.perf_counter() - began
 
 
-def trials(port: int, count: int) -> list[float]:
-    return [ask(port, path) for _ in range(count) for path in ("/_ready", "/_vars")]
+def response_times(port: int, count: int) -> list[float]:
+    return [request(port, path) for _ in range(count) for path in ("/_ready", "/_vars")]
 
 
-def crowd(admin: int, clients: int, slow: int, idle: int) -> list[socket.socket]:
-    held = []
-    for _ in range(slow):
+def open_incomplete_connections(
+    admin: int, listen: int, slow_callers: int, idle_clients: int
+) -> list[socket.socket]:
+    """Open admin connections with part of a request, and client connections with part of a line or none."""
+    connections = []
+    for _ in range(slow_callers):
         caller = socket.create_connection(("127.0.0.1", admin))
         caller.sendall(b"GET /_rea")
-        held.append(caller)
-    for number in range(idle):
-        client = socket.create_connection(("127.0.0.1", clients))
+        connections.append(caller)
+    for number in range(idle_clients):
+        client = socket.create_connection(("127.0.0.1", listen))
         if number % 2:
             client.sendall(b"OPEN half")
-        held.append(client)
-    return held
+        connections.append(client)
+    return connections
 
 
 @click.command()
-@click.option("--quick", is_flag=True, help="Fewer trials, smaller crowd; within 40 s.")
-@click.option("--json", "as_json", is_flag=True, help="Only the JSON line.")
+@click.option("--quick", is_flag=True, help="Fewer trials and connections; takes under 40 s.")
+@click.option("--json", "as_json", is_flag=True, help="Print the JSON object only.")
 def main(quick: bool, as_json: bool) -> None:
-    count, slow, idle = (50, 40, 200) if quick else (300, 64, 1000)
+    """Measure the response time of the admin address with and without other connections."""
+    trials, slow_callers, idle_clients = (50, 40, 200) if quick else (300, 64, 1000)
     config = json.loads((ROOT / "example" / "config.json").read_text())
-    admin, clients = free_port(), free_port()
+    admin, listen = free_port(), free_port()
     config.update(
-        listen=f"127.0.0.1:{clients}",
+        listen=f"127.0.0.1:{listen}",
         admin=f"127.0.0.1:{admin}",
         discovery="127.0.0.1:9",
         known={
@@ -87,28 +92,28 @@
         try:
             for _ in range(100):
                 try:
-                    ask(admin, "/_ready")
+                    request(admin, "/_ready")
                     break
                 except OSError:
                     time.sleep(0.05)
-            alone = trials(admin, count)
-            held = crowd(admin, clients, slow, idle)
-            beside = trials(admin, count)
-            for each in held:
-                each.close()
+            unloaded = response_times(admin, trials)
+            connections = open_incomplete_connections(admin, listen, slow_callers, idle_clients)
+            loaded = response_times(admin, trials)
+            for connection in connections:
+                connection.close()
         finally:
             process.terminate()
             process.wait(timeout=10)
     figures = {
-        "calls": len(beside),
-        "slow_callers": slow,
-        "idle_clients": idle,
-        "alone_p50_ms": round(1000 * statistics.median(alone), 2),
-        "beside_p50_ms": round(1000 * statistics.median(beside), 2),
-        "beside_p99_ms": round(1000 * sorted(beside)[int(0.99 * len(beside))], 2),
-        "beside_max_ms": round(1000 * max(beside), 2),
-        "beside_over_alone_p50_ratio": round(statistics.median(beside) / statistics.median(alone), 2),
-        "over_1s": sum(t > 1.0 for t in beside),
+        "calls": len(loaded),
+        "slow_callers": slow_callers,
+        "idle_clients": idle_clients,
+        "alone_p50_ms": round(1000 * statistics.median(unloaded), 2),
+        "beside_p50_ms": round(1000 * statistics.median(loaded), 2),
+        "beside_p99_ms": round(1000 * sorted(loaded)[int(0.99 * len(loaded))], 2),
+        "beside_max_ms": round(1000 * max(loaded), 2),
+        "beside_over_alone_p50_ratio": round(statistics.median(loaded) / statistics.median(unloaded), 2),
+        "over_1s": sum(seconds > 1.0 for seconds in loaded),
     }
     if not as_json:
         for key, value in figures.items():
--- a/tests/benchmarks/test_capacity.py
+++ b/tests/benchmarks/test_capacity.py
@@ -275,11 +275,11 @@
 def test_an_observed_proxy_of_the_mesh_knows_all_others_also_after_its_restart() -> None:
     site = slopes_mesh.ObservedSite(6, 1, seed=1)
     site.net.run(3.0)
-    assert set(site.cores[0].peers) == set(range(1, 6))
-    assert site.received > 0 < site.sent_bytes()
+    assert set(site.shared_states[0].peers) == set(range(1, 6))
+    assert site.received_bytes > 0 < site.sent_bytes()
     site.restart_first()
     site.net.run(6.0)
-    assert set(site.cores[0].peers) == set(range(1, 6))
+    assert set(site.shared_states[0].peers) == set(range(1, 6))
 
 
 def test_the_mesh_gives_every_cost_that_is_kept() -> None:
