--- a/benchmarks/slopes_module.py
+++ b/benchmarks/slopes_module.py
@@ -1,4 +1,4 @@
-"""What a placement, an update of the endpoint list and a group cost in the balancer, driven directly."""
+"""Cost of placements, endpoint-list updates and groups in the balancer, which is driven directly."""
 
 from __future__ import annotations
 
@@ -32,32 +32,32 @@
 
 
 def settings(**changes: Any) -> Settings:
-    """One class of requests, with changes."""
+    """Return settings with one request class and the given changes."""
     return Settings((RequestClass("c", 1.0, 3.0),), **changes)
 
 
 def endpoints(count: int) -> tuple[Endpoint, ...]:
-    """So many backends that are ready."""
+    """Return ``count`` endpoints that are ready."""
     return tuple(Endpoint(f"server-{i}") for i in range(count))
 
 
 def timed(balancer: Balancer, now: float, event: Event) -> tuple[float, list[Action]]:
-    """CPU in ms of one event, and the balancer's actions."""
+    """Handle one event; return the CPU milliseconds that it takes, and the actions."""
     begin = time.process_time()
     actions = balancer.handle(now, event)
     return 1e3 * (time.process_time() - begin), actions
 
 
 def place(balancer: Balancer, number: int, group: str) -> float:
-    """CPU in ms of one placement; its connection is then established."""
+    """Place one request and establish its connection; return the CPU milliseconds of the placement."""
     now, request = 10.0 + number / 100, f"r{number}"
-    cpu, _ = timed(balancer, now, RequestReceived(request, "c", 3.0, group=group))
+    cpu_ms, _ = timed(balancer, now, RequestReceived(request, "c", 3.0, group=group))
     balancer.handle(now, ConnectionEstablished(request, 0, 0.01))
-    return cpu
+    return cpu_ms
 
 
 def placements(servers: int, count: int, groups: bool) -> tuple[float, float]:
-    """Mean CPU in ms of a placement: of groups that are new here, and of the same groups again."""
+    """Return the mean CPU milliseconds of a placement: the first of each group, and the second."""
     balancer = Balancer(settings(has_groups=groups), 1)
     balancer.handle(0.0, EndpointsUpdated(EndpointUpdateKind.SNAPSHOT, endpoints(servers)))
     names = [f"group-{i}" if groups else "" for i in range(count)]
@@ -67,7 +67,11 @@
 
 
 def list_costs(servers: int) -> dict[str, float]:
-    """CPU in ms of the list: text read, first complete list, one change, complete list again; its kB."""
+    """Return the costs of one endpoint list: CPU milliseconds, and its encoded size (``list_text``) in kB.
+
+    Measured are decoding (``list_read``), the first snapshot (``list_first``), a delta with one changed
+    endpoint (``list_change``) and a later snapshot (``list_whole``).
+    """
     text = orjson.dumps(
         {
             "version": 1,
@@ -89,23 +93,23 @@
     )
     begin = time.process_time()
     read_endpoint_update(orjson.loads(text))
-    read = 1e3 * (time.process_time() - begin)
-    balancer, complete = Balancer(settings(), 1), endpoints(servers)
-    first, _ = timed(balancer, 0.0, EndpointsUpdated(EndpointUpdateKind.SNAPSHOT, complete))
-    drained = (Endpoint("server-0", BackendState.DRAINING),)
-    change, _ = timed(balancer, 1.0, EndpointsUpdated(EndpointUpdateKind.DELTA, drained))
-    again, _ = timed(balancer, 2.0, EndpointsUpdated(EndpointUpdateKind.SNAPSHOT, complete))
+    decode_ms = 1e3 * (time.process_time() - begin)
+    balancer, snapshot = Balancer(settings(), 1), endpoints(servers)
+    first_ms, _ = timed(balancer, 0.0, EndpointsUpdated(EndpointUpdateKind.SNAPSHOT, snapshot))
+    draining = (Endpoint("server-0", BackendState.DRAINING),)
+    delta_ms, _ = timed(balancer, 1.0, EndpointsUpdated(EndpointUpdateKind.DELTA, draining))
+    later_ms, _ = timed(balancer, 2.0, EndpointsUpdated(EndpointUpdateKind.SNAPSHOT, snapshot))
     return {
-        "list_read": read,
-        "list_first": first,
-        "list_change": change,
-        "list_whole": again,
+        "list_read": decode_ms,
+        "list_first": first_ms,
+        "list_change": delta_ms,
+        "list_whole": later_ms,
         "list_text": len(text) / 1e3,
     }
 
 
 def measure_module(results: Results, sizes: Sizes) -> None:
-    """Add what placements and lists cost by the number of backends."""
+    """Add the costs of placements and endpoint lists by the number of backends."""
     plain = [placements(count, sizes.placements, groups=False) for count in sizes.servers]
     grouped = [placements(count, sizes.placements, groups=True) for count in sizes.servers]
     lists = [list_costs(count) for count in sizes.servers]
@@ -119,17 +123,17 @@
         "list_whole": "ms",
         "list_text": "kb",
     }.items():
-        results.add(name, unit, "server", sizes.servers, [found[name] for found in lists])
+        results.add(name, unit, "server", sizes.servers, [costs[name] for costs in lists])
 
 
-# ---- what a group costs -----------------------------------------------------------------------------
+# ---- memory of a group ------------------------------------------------------------------------------
 
 
-def traced(work: Callable[[], Any]) -> float:
-    """kB that stay allocated for what ``work`` returns and what it has changed."""
+def allocated_kb(build: Callable[[], Any]) -> float:
+    """Return the kB that remain allocated after ``build`` as long as its result is alive."""
     gc.collect()
     tracemalloc.start()
-    result = work()
+    result = build()
     gc.collect()
     allocated, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
@@ -137,19 +141,19 @@
     return allocated / 1e3
 
 
-def resume(count: int, groups: bool) -> Balancer:
-    """A balancer with so many connections, each of a group of its own or of none."""
+def balancer_with_connections(count: int, groups: bool) -> Balancer:
+    """Return a balancer with ``count`` connections, each in its own group or all without a group."""
     balancer = Balancer(settings(has_groups=True, peers_allowed=True, proxy_count=2), 1)
     balancer.handle(0.0, EndpointsUpdated(EndpointUpdateKind.SNAPSHOT, endpoints(100)))
     for i in range(count):
         group = f"group-{i}" if groups else ""
         balancer.handle(1.0, ConnectionResumed(f"r{i}", "c", f"server-{i % 100}", group=group))
-    balancer.handle(20.0, ClientDisconnected("nobody"))  # pending peer messages go out
+    balancer.handle(20.0, ClientDisconnected("nobody"))  # flushes pending peer messages
     return balancer
 
 
-def pairs_of_peer(count: int) -> float:
-    """kB that one peer's pairs of group and backend take in this proxy's replica."""
+def peer_pairs_kb(count: int) -> float:
+    """Return the kB that ``count`` (group, backend) pairs of one peer take in a replica."""
     shared = partial(settings, proxy_count=2, peers_allowed=True, has_groups=True)
     owner, receiver = SharedState(shared(proxy_index=0), 1, {}), SharedState(shared(proxy_index=1), 2, {})
     for i in range(count):
@@ -161,11 +165,15 @@
             receiver.receive(1.1, 0, text)
         return receiver
 
-    return traced(receive)
+    return allocated_kb(receive)
 
 
 def measure_groups(results: Results, sizes: Sizes) -> None:
-    """Add what a group costs here, and a pair of a peer."""
-    own = [traced(lambda n=n: resume(n, True)) - traced(lambda n=n: resume(n, False)) for n in sizes.groups]
+    """Add the memory of a group in the balancer, and of a peer's (group, backend) pair in a replica."""
+    own = [
+        allocated_kb(lambda n=n: balancer_with_connections(n, True))
+        - allocated_kb(lambda n=n: balancer_with_connections(n, False))
+        for n in sizes.groups
+    ]
     results.add("group_in_module", "kb", "group", sizes.groups, own)
-    results.add("pair_of_peer", "kb", "pair", sizes.groups, [pairs_of_peer(n) for n in sizes.groups])
+    results.add("pair_of_peer", "kb", "pair", sizes.groups, [peer_pairs_kb(n) for n in sizes.groups])
--- a/tests/benchmarks/test_capacity.py
+++ b/tests/benchmarks/test_capacity.py
@@ -289,9 +289,11 @@
 
 
 def test_a_peers_pairs_and_own_groups_take_memory_by_their_number() -> None:
-    assert slopes_module.pairs_of_peer(400) > 1.5 * slopes_module.pairs_of_peer(200)
-    with_groups = slopes_module.traced(lambda: slopes_module.resume(200, True))
-    assert with_groups > slopes_module.traced(lambda: slopes_module.resume(200, False))
+    assert slopes_module.peer_pairs_kb(400) > 1.5 * slopes_module.peer_pairs_kb(200)
+    with_groups = slopes_module.allocated_kb(lambda: slopes_module.balancer_with_connections(200, True))
+    assert with_groups > slopes_module.allocated_kb(
+        lambda: slopes_module.balancer_with_connections(200, False)
+    )
 
 
 # ---- pages ------------------------------------------------------------------------------------------
