--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -1,9 +1,14 @@
-"""How long the service address stays without a holder: ``python benchmarks/takeover.py [--quick]``.
+"""Benchmark of the takeover of the service address: ``python benchmarks/takeover.py [--quick] [--json]``.
 
-Two proxies and a witness run as real processes on loopback, with two stand-in route servers and a toy
-platform. In each trial the holder meets one failure; time is taken from the failure to the first moment at
-which another instance's route is the best at both route servers (by what they hold, not by our own books).
-For a planned leave the gap counts in which no route is there. The last line is one JSON object.
+Two proxies and a witness run as real processes on loopback, with two simulated route servers and the toy
+platform. Each trial ends or stops the process that holds the address:
+
+- ``kill9`` and ``sigstop`` (takeover): the time from the signal until the best route at both route servers
+  leads to the other proxy;
+- ``sigterm``, a planned exit (gap): the time in which a route server has no route, the longer of the two.
+
+Times are taken from the state of the route servers, not from what the proxies report. A trial that exceeds
+``TRIAL_TIMEOUT`` counts as infinite. The last line is one JSON object with p50, p99 and maximum in seconds.
 """
 
 from __future__ import annotations
@@ -32,13 +37,15 @@
 ADDRESS = "192.0.2.7"
 SIGNALS = {"kill9": signal.SIGKILL, "sigstop": signal.SIGSTOP, "sigterm": signal.SIGTERM}
 FAILURES = tuple(SIGNALS)
-PATIENCE = 20.0  # s after which a trial counts as failed
-SETTLE = 1.5  # s between trials, so that a returned member's sessions are established
+TRIAL_TIMEOUT = 20.0  # seconds
+SETTLE_SECONDS = 1.5  # between trials, so that a restarted member has established its BGP sessions
 
 
 class Site:
+    """The processes of two proxies (``a``, ``b``) and a witness (``w``), and the route servers."""
+
     def __init__(self, folder: Path) -> None:
-        self.folder, self.env = folder, {**os.environ, "PYTHONPATH": str(ROOT)}
+        self.folder, self.environment = folder, {**os.environ, "PYTHONPATH": str(ROOT)}
         self.servers = [RouteServer(64512), RouteServer(64512)]
         self.processes: dict[str, asyncio.subprocess.Process] = {}
         self.log = os.open(folder / "log", os.O_WRONLY | os.O_CREAT)
@@ -51,10 +58,11 @@
         key.write_text(os.urandom(32).hex())
         key.chmod(0o600)
         kinds = {"a": socket.SOCK_DGRAM, "b": socket.SOCK_DGRAM, "w": socket.SOCK_DGRAM}
-        places = {name: self._free(kind) for name, kind in kinds.items()}
+        ports = {name: self._free_port(kind) for name, kind in kinds.items()}
         roles = {"a": "priority: 2", "b": "priority: 1", "w": "witness: true"}
         members = "".join(
-            f'  member {{ name: "{n}" address: "127.0.0.1:{p}" {roles[n]} }}\n' for n, p in places.items()
+            f'  member {{ name: "{name}" address: "127.0.0.1:{port}" {roles[name]} }}\n'
+            for name, port in ports.items()
         )
         config = json.loads((ROOT / "example" / "config.json").read_text())
         config["settings"]["limits"]["peers"] = True
@@ -73,70 +81,76 @@
                 f'membership {{\n  me: "{name}"\n  service_address: "{ADDRESS}"\n{members}  key_file: "key"\n'
                 f'  store_file: "{name}.vote"\n{bgp}}}\n'
             )
-            config |= {"name": name, "listen": f"127.0.0.1:{self._free(socket.SOCK_STREAM)}"}
+            config |= {"name": name, "listen": f"127.0.0.1:{self._free_port(socket.SOCK_STREAM)}"}
             (self.folder / f"{name}.json").write_text(json.dumps(config))
-            await self.start_one(name)
+            await self.start_process(name)
 
     @staticmethod
-    def _free(kind: int) -> int:
+    def _free_port(kind: int) -> int:
         with socket.socket(socket.AF_INET, kind) as sock:
             sock.bind(("127.0.0.1", 0))
             return int(sock.getsockname()[1])
 
-    async def start_one(self, name: str) -> None:
-        words = ["witness"] if name == "w" else ["serve", "--config", str(self.folder / f"{name}.json")]
+    async def start_process(self, name: str) -> None:
+        arguments = ["witness"] if name == "w" else ["serve", "--config", str(self.folder / f"{name}.json")]
         self.processes[name] = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
             "saltcourse",
-            *words,
+            *arguments,
             "--operator",
             str(self.folder / f"{name}.txtpb"),
             cwd=self.folder,
-            env=self.env,
+            env=self.environment,
             stderr=self.log,
         )
 
     def holder(self) -> str:
-        """Whose route is the best at both; empty where they differ or there is none."""
-        hops = {str(r.next_hop) if (r := s.best(ADDRESS)) else "" for s in self.servers}
-        return {"10.0.0.1": "a", "10.0.0.2": "b"}.get(hops.pop(), "") if len(hops) == 1 else ""
+        """Return the proxy that the best route at both route servers leads to.
+
+        Empty if the route servers differ or have no route.
+        """
+        next_hops = {str(r.next_hop) if (r := s.best(ADDRESS)) else "" for s in self.servers}
+        return {"10.0.0.1": "a", "10.0.0.2": "b"}.get(next_hops.pop(), "") if len(next_hops) == 1 else ""
 
-    async def held(self, but: str = "") -> str:
+    async def wait_for_holder(self, other_than: str = "") -> str:
+        """Return the holder, once it is not ``other_than``. Raises TimeoutError after ``TRIAL_TIMEOUT``."""
         began = time.monotonic()
-        while not (found := self.holder()) or found == but:
-            if time.monotonic() - began > PATIENCE:
+        while not (holder := self.holder()) or holder == other_than:
+            if time.monotonic() - began > TRIAL_TIMEOUT:
                 raise TimeoutError
             await asyncio.sleep(0.001)
-        return found
+        return holder
 
     async def trial(self, failure: str) -> float:
-        """Seconds."""
-        await asyncio.sleep(SETTLE)
-        name = await self.held()
+        """Make the holder fail, and return the seconds of the takeover or of the gap."""
+        await asyncio.sleep(SETTLE_SECONDS)
+        name = await self.wait_for_holder()
         process = self.processes[name]
-        marks = [len(s.record) for s in self.servers]
+        record_starts = [len(server.record) for server in self.servers]
         began = asyncio.get_running_loop().time()
         process.send_signal(SIGNALS[failure])
         try:
-            await self.held(but=name)
+            await self.wait_for_holder(other_than=name)
         finally:
             if failure == "sigstop":
                 process.send_signal(signal.SIGCONT)
-        took = asyncio.get_running_loop().time() - began
-        if failure == "sigterm":  # the gap without any route, the longer of both records
+        duration = asyncio.get_running_loop().time() - began
+        if failure == "sigterm":  # the time without any route, the longer one of the two route servers
             gaps = []
-            for server, mark in zip(self.servers, marks, strict=True):
-                gone = min(change.time for change in server.record[mark:] if change.route is None)
-                new = min(change.time for change in server.record[mark:] if change.route is not None)
-                gaps.append(max(0.0, new - gone))
-            took = max(gaps)
+            for server, start in zip(self.servers, record_starts, strict=True):
+                withdrawn_at = min(change.time for change in server.record[start:] if change.route is None)
+                announced_at = min(
+                    change.time for change in server.record[start:] if change.route is not None
+                )
+                gaps.append(max(0.0, announced_at - withdrawn_at))
+            duration = max(gaps)
         if failure != "sigstop":
             await process.wait()
-            await self.start_one(name)
-        return took
+            await self.start_process(name)
+        return duration
 
-    async def end(self) -> None:
+    async def stop(self) -> None:
         for process in self.processes.values():
             if process.returncode is None:
                 process.kill()
@@ -147,7 +161,8 @@
 
 
 async def measure(trials: int, failures: tuple[str, ...]) -> dict[str, list[float]]:
-    found: dict[str, list[float]] = {f: [] for f in failures}
+    """Return the seconds of each trial by failure, and what is complete so far if it is interrupted."""
+    durations: dict[str, list[float]] = {failure: [] for failure in failures}
     with tempfile.TemporaryDirectory() as folder:
         site = Site(Path(folder))
         try:
@@ -156,45 +171,50 @@
                 for _ in range(trials):
                     for failure in failures:
                         try:
-                            found[failure].append(await site.trial(failure))
+                            durations[failure].append(await site.trial(failure))
                         except TimeoutError:
-                            found[failure].append(float("inf"))
+                            durations[failure].append(float("inf"))
                         bar.update(1)
         except (KeyboardInterrupt, asyncio.CancelledError):
-            click.echo("\nstopped; what follows is what had ended", err=True)
+            click.echo("\ninterrupted; the results cover the completed trials only", err=True)
         finally:
-            await site.end()
-    return found
+            await site.stop()
+    return durations
 
 
-def share(values: list[float], part: float) -> float:
-    return sorted(values)[min(len(values) - 1, int(part * len(values)))]
+def quantile(values: list[float], fraction: float) -> float:
+    return sorted(values)[min(len(values) - 1, int(fraction * len(values)))]
 
 
 @click.command()
 @click.option(
-    "--trials", type=click.IntRange(1, 10_000), default=200, show_default=True, help="Of each failure."
+    "--trials", type=click.IntRange(1, 10_000), default=200, show_default=True, help="Trials per failure."
+)
+@click.option("--quick", is_flag=True, help="Four trials per failure; takes under 40 s.")
+@click.option(
+    "--failure",
+    type=click.Choice(FAILURES),
+    multiple=True,
+    help="Only this failure; may be given more than once.",
 )
-@click.option("--quick", is_flag=True, help="Four trials of each failure, under 40 s.")
-@click.option("--failure", type=click.Choice(FAILURES), multiple=True, help="Only these.")
 @click.option("--json", "only_json", is_flag=True, help="Print the JSON object only.")
 def main(trials: int, quick: bool, failure: tuple[str, ...], only_json: bool) -> None:
-    """Measure takeover by real processes and stand-in route servers on loopback."""
+    """Measure the takeover of the service address by real processes on loopback."""
     began = time.monotonic()
-    found = asyncio.run(measure(4 if quick else trials, failure or FAILURES))
+    durations = asyncio.run(measure(4 if quick else trials, failure or FAILURES))
     result: dict[str, Any] = {}
-    for name, values in found.items():
+    for name, values in durations.items():
         if not values:
             continue
-        what = "gap" if name == "sigterm" else "takeover"
-        row = {"p50": statistics.median(values), "p99": share(values, 0.99), "max": max(values)}
+        metric = "gap" if name == "sigterm" else "takeover"
+        row = {"p50": statistics.median(values), "p99": quantile(values, 0.99), "max": max(values)}
         if not only_json:
             click.echo(
-                f"{name:8} {what:8} {len(values):4} trials  "
-                + "  ".join(f"{k} {v * 1000:7.1f} ms" for k, v in row.items())
+                f"{name:8} {metric:8} {len(values):4} trials  "
+                + "  ".join(f"{statistic} {seconds * 1000:7.1f} ms" for statistic, seconds in row.items())
             )
-        result |= {f"{what}_{name}_{k}_s": round(v, 4) for k, v in row.items()}
-        result[f"{what}_{name}_trials"] = len(values)
+        result |= {f"{metric}_{name}_{statistic}_s": round(seconds, 4) for statistic, seconds in row.items()}
+        result[f"{metric}_{name}_trials"] = len(values)
     click.echo(json.dumps(result | {"took_s": round(time.monotonic() - began, 1)}))
 
 
--- a/example/demo.py
+++ b/example/demo.py
@@ -1,7 +1,8 @@
-"""The main job in one terminal, in about twelve seconds.
+"""A demo of the proxy in one terminal, which takes about twelve seconds.
 
-Readers connect and disconnect, a push server drains, its readers are migrated, and the proxy itself drains
-and exits. Exit code 1 if a connection was cut off.
+Clients ("readers") connect and disconnect, a push server drains and its clients are migrated, and finally the
+proxy drains and exits. The exit code is 1 if a connection was cut or failed, if the drained push server got a
+new connection, or if the proxy exited with an error.
 """
 
 from __future__ import annotations
@@ -21,18 +22,18 @@
 
 READERS = 12
 DEMO_SECONDS = 9.0
-RETRY_AFTER_SECONDS = 0.5  # where BUSY names no time
+DEFAULT_RETRY_AFTER = 0.5  # seconds; used if BUSY does not name a delay
 HERE = Path(__file__).parent
-outcomes: Counter[str] = Counter()  # what readers saw
+outcomes: Counter[str] = Counter()  # first words of answers, and events, over all readers
 
 
 def report(text: str) -> None:
-    """Print a line with the time since the start."""
+    """Print a line with the seconds since the start."""
     print(f"{asyncio.get_running_loop().time() - started:5.1f} s  {text}", flush=True)
 
 
 async def reader(number: int, port: int, stopping: asyncio.Event, random_source: random.Random) -> None:
-    """One client: connects, reads, disconnects after a while; migrated or rejected, it reconnects."""
+    """Run one client, which connects, reads for a while, disconnects and reconnects until ``stopping``."""
     while not stopping.is_set():
         try:
             stream, writer = await asyncio.open_connection(HOST, port)
@@ -41,7 +42,7 @@
             word = first[0] if first else "CUT"
             outcomes[word] += 1
             if word == "BUSY":
-                await asyncio.sleep(int(first[1]) / 1000 if len(first) > 1 else RETRY_AFTER_SECONDS)
+                await asyncio.sleep(int(first[1]) / 1000 if len(first) > 1 else DEFAULT_RETRY_AFTER)
                 continue
             disconnect_at = asyncio.get_running_loop().time() + random_source.uniform(2.0, 6.0)
             while word == "UP":
@@ -70,7 +71,7 @@
     started = asyncio.get_running_loop().time()
     platform = Platform({"toy-1": 0, "toy-2": 0, "toy-3": 0}, headline_every=1.0)
     discovery = await platform.start(0)
-    report(f"three push servers and discovery are up: {', '.join(platform.ports)}")
+    report(f"discovery and three push servers are listening: {', '.join(platform.ports)}")
     config: dict[str, Any] = json.loads((HERE / "config.json").read_text())
     with tempfile.TemporaryDirectory() as folder:
         with socket.create_server((HOST, 0)) as free_socket:
@@ -110,36 +111,36 @@
 
 async def run_demo(platform: Platform, proxy: asyncio.subprocess.Process, port: int) -> int:
     if not await wait_until_listening(port):
-        report("the proxy does not listen: see above")
+        report("the proxy did not start listening within 5 s")
         return 1
-    report(f"the proxy listens; {READERS} readers connect")
+    report(f"the proxy is listening; {READERS} readers connect")
     stopping = asyncio.Event()
     tasks = [asyncio.create_task(reader(i, port, stopping, random.Random(i))) for i in range(READERS)]
     await asyncio.sleep(DEMO_SECONDS / 3)
-    report(f"connections accepted: {dict(platform.accepted)}")
+    report(f"connections accepted by push server: {dict(platform.accepted)}")
     drained = max(platform.accepted, key=lambda name: platform.accepted[name])
     migrated = outcomes["MOVE"]
     platform.drain(drained)
-    report(f"{drained} drains")
+    report(f"{drained} is draining")
     await asyncio.sleep(1.0)
     report(f"{outcomes['MOVE'] - migrated} readers were migrated and reconnected elsewhere")
     accepted_before = platform.accepted[drained]
     await asyncio.sleep(DEMO_SECONDS * 2 / 3 - 1.0)
-    late = platform.accepted[drained] - accepted_before
+    accepted_while_draining = platform.accepted[drained] - accepted_before
     migrated = outcomes["MOVE"]
     stopping.set()
     proxy.send_signal(signal.SIGTERM)
-    report("the proxy is told to exit (SIGTERM)")
+    report("SIGTERM sent to the proxy")
     code = await proxy.wait()
     await asyncio.wait(tasks, timeout=2)
-    report(f"it has exited with code {code}; {outcomes['MOVE'] - migrated} readers were migrated")
+    report(f"the proxy exited with code {code}; {outcomes['MOVE'] - migrated} readers were migrated")
     report(
         f"summary: {outcomes['UP']} served, {outcomes['BUSY']} rejected, {outcomes['ERR']} failed, "
         f"{outcomes['MOVE']} migrated, {outcomes['disconnected']} disconnected, "
         f"{outcomes['HEADLINE']} headlines, "
-        f"{late} to the drained server, {outcomes['CUT']} cut off"
+        f"{accepted_while_draining} accepted by the drained server, {outcomes['CUT']} cut off"
     )
-    return 1 if code or late or outcomes["CUT"] or outcomes["ERR"] else 0
+    return 1 if code or accepted_while_draining or outcomes["CUT"] or outcomes["ERR"] else 0
 
 
 if __name__ == "__main__":
--- a/example/toy.py
+++ b/example/toy.py
@@ -1,9 +1,9 @@
-"""A toy platform to try saltcourse with: two push servers and discovery, or one reader.
+"""A toy platform to try saltcourse with: two push servers and discovery, or one client.
 
-    python example/toy.py platform      push servers on 8101 and 8102, discovery on 8500
-    python example/toy.py reader        opens one connection through the proxy and prints what comes
+    python example/toy.py platform      runs push servers on ports 8101 and 8102, and discovery on port 8500
+    python example/toy.py reader        opens one connection through the proxy and prints each received line
 
-``example/demo.py`` plays both in one terminal, with a push server that drains.
+``example/demo.py`` runs both in one terminal and drains a push server.
 """
 
 from __future__ import annotations
@@ -26,7 +26,11 @@
 
 
 class Platform:
-    """Push servers on their ports (0: any) and the list of them, with versions and watches."""
+    """Push servers, and a discovery service that serves the endpoint list and supports long polling.
+
+    ``servers`` maps the names of the push servers to their ports. Port 0 stands for any free port; ``ports``
+    has the actual ports after ``start``. An idle connection gets a headline every ``headline_every`` seconds.
+    """
 
     def __init__(self, servers: dict[str, int], headline_every: float = 5.0) -> None:
         self.ports, self.headline_every = dict(servers), headline_every
@@ -37,7 +41,7 @@
         self._receipts = itertools.count(1)
 
     async def start(self, discovery: int) -> int:
-        """Start all listeners; returns discovery's port."""
+        """Start all listeners, with discovery on the given port (0: any); return the port of discovery."""
         for name, port in self.ports.items():
             server = await asyncio.start_server(lambda r, w, n=name: self._push_server(n, r, w), HOST, port)
             self.ports[name] = server.sockets[0].getsockname()[1]
@@ -45,14 +49,14 @@
         return int(server.sockets[0].getsockname()[1])
 
     def drain(self, name: str) -> None:
-        """Tell discovery's watches that a push server drains."""
+        """Mark a push server as draining, and answer the pending long polls of discovery."""
         self.states[name] = "DRAINING"
         self.version += 1
         self._changed.set()
         self._changed = asyncio.Event()
 
     async def _push_server(self, name: str, reader: Reader, writer: Writer) -> None:
-        """Accept a connection, answer each line at once and send a headline now and then."""
+        """Serve one connection: echo each line, and send a headline when the connection has been idle."""
         first = await reader.readline()
         if not first.startswith(b"OPEN "):
             writer.close()
@@ -72,15 +76,19 @@
             writer.write(b"HEARD " + line)
 
     async def _discovery(self, reader: Reader, writer: Writer) -> None:
-        """Answer with the whole endpoint list, at once or, to a watch, as soon as there is a newer one."""
+        """Answer one discovery request with the complete endpoint list.
+
+        A long poll, which names a version and a maximum time to wait, is answered as soon as the list is
+        newer, or with an empty update when the time is over.
+        """
         request = (await reader.readuntil(b"\r\n\r\n")).decode()
-        watch = re.search(r"after=(\d+)&wait_ms=(\d+)", request)
-        if watch and int(watch[1]) >= self.version:
-            # Cancelled when the toy ends: a watch that waits then is nobody's error.
+        long_poll = re.search(r"after=(\d+)&wait_ms=(\d+)", request)
+        if long_poll and int(long_poll[1]) >= self.version:
+            # Cancellation is expected: a long poll may be pending when the program exits.
             with contextlib.suppress(TimeoutError, asyncio.CancelledError):
-                await asyncio.wait_for(self._changed.wait(), int(watch[2]) / 1000)
+                await asyncio.wait_for(self._changed.wait(), int(long_poll[2]) / 1000)
         servers: list[dict[str, Any]] = []
-        if watch is None or int(watch[1]) < self.version:
+        if long_poll is None or int(long_poll[1]) < self.version:
             servers = [
                 {
                     "id": name,
@@ -100,26 +108,26 @@
 
 
 def open_line() -> bytes:
-    """An OPEN line with a new id and key."""
+    """Return an OPEN line with a random request id and client key."""
     return f"OPEN {secrets.token_hex(8)} {secrets.token_hex(8)} c=live-feed,d=1200\r\n".encode()
 
 
 async def platform() -> None:
     """Run the push servers and discovery until Ctrl-C."""
     await Platform(SERVER_PORTS).start(DISCOVERY_PORT)
-    print("push servers and discovery are up; end with Ctrl-C")
+    print("push servers and discovery are listening; stop with Ctrl-C")
     await asyncio.Event().wait()
 
 
 async def reader() -> None:
-    """Open one connection and print what comes."""
+    """Open one connection through the proxy and print each received line."""
     stream, writer = await asyncio.open_connection(HOST, PROXY_PORT)
     writer.write(open_line())
     while line := await stream.readline():
         print(line.decode().rstrip())
         if line.startswith(b"UP "):
             writer.write(b"good morning\r\n")
-    print("the connection has ended")
+    print("connection closed")
 
 
 if __name__ == "__main__":
@@ -129,6 +137,6 @@
     try:
         asyncio.run(role())
     except ConnectionRefusedError:
-        raise SystemExit(f"nothing listens on {HOST}:{PROXY_PORT}: start the proxy first") from None
+        raise SystemExit(f"connection to {HOST}:{PROXY_PORT} refused: start the proxy first") from None
     except KeyboardInterrupt:
         pass
--- a/tests/benchmarks/test_spread.py
+++ b/tests/benchmarks/test_spread.py
@@ -1,4 +1,4 @@
-"""The spread benchmark reads the log lines of proxies: a renamed event or key must not leave it empty."""
+"""Tests that the spread benchmark can parse the proxy's log; a renamed event or key would leave it empty."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from benchmarks.spread import read_logs
 
 ROOT = Path(__file__).parents[2]
-# In a process of its own: the log is set up once for a whole process, and its loggers are kept.
+# Runs in a separate process, because logging is configured once per process and loggers are cached.
 WRITE_SUMMARY = """
 from saltcourse.balancing.backend_report import BackendReport
 from saltcourse.balancing.events import AttemptStatus, BackendState
@@ -29,11 +29,11 @@
 """
 
 
-def test_the_lines_that_the_proxy_writes_are_read(tmp_path: Path) -> None:
-    written = subprocess.run(
+def test_read_logs_parses_the_lines_that_the_proxy_writes(tmp_path: Path) -> None:
+    process = subprocess.run(
         [sys.executable, "-c", WRITE_SUMMARY], cwd=ROOT, capture_output=True, check=True, timeout=20
     )
-    (tmp_path / "proxy.log").write_bytes(written.stderr)
+    (tmp_path / "proxy.log").write_bytes(process.stderr)
     limits, imbalance = read_logs(tmp_path)
     assert limits == {"s1": {"ejected": 1, "slow": 1}, "s3": {"slow": 1}}
     assert imbalance == pytest.approx(9.0 / 5.0)
