--- a/benchmarks/slopes_mesh.py
+++ b/benchmarks/slopes_mesh.py
@@ -119,7 +119,7 @@
         "mesh_messages": site.taken / spent,
         "mesh_take": take,
         "mesh_send": 1e3 * site.send_cpu / spent,
-        "mesh_memory": deep_bytes([core.peers, core.holders], set()) / 1e3,
+        "mesh_memory": deep_bytes([core.peers, core.peers_by_key], set()) / 1e3,
     }
     site.begin()
     site.restart_first()
--- a/saltcourse/shared_state/__init__.py
+++ b/saltcourse/shared_state/__init__.py
@@ -1,4 +1,5 @@
-"""What the proxies of one tier know of each other, where the settings let them talk. No I/O, no clock.
+"""State that the proxies of one tier share by exchanging messages, if the settings allow it.
 
-``state.SharedState`` is the interface for the balancing; the other modules are its parts.
+The package does no I/O and reads no clock. ``state.SharedState`` is the interface for the balancer; the other
+modules implement it.
 """
--- a/saltcourse/shared_state/codec.py
+++ b/saltcourse/shared_state/codec.py
@@ -1,10 +1,10 @@
-"""The bytes of messages: text of at most 256 bytes, which is decoded whole or not at all.
+"""Text encoding of messages, at most 256 bytes each. A message with any invalid part is rejected.
 
     2AbQ0cHk9+srv1grp1-srv2grp2        version, incarnation, sequence, digest, then records
 
-A record is a character for its kind and a body whose length the kind gives. Numbers are digits to the base of
-64, the most significant first. Rules of this file: any text is a message or a ``MalformedMessageError``; a
-message that was decoded gives the same text again.
+A record is one character for its kind, followed by a body whose length depends on the kind. Numbers are
+base-64 digits, most significant first. Invariants: ``decode`` returns a message or raises
+``MalformedMessageError`` for any text, and encoding a decoded message gives the original text.
 """
 
 from __future__ import annotations
@@ -32,42 +32,42 @@
     SnapshotRequest,
 )
 
-MAX_BYTES = 256  # of a datagram
+MAX_BYTES = 256  # size limit of a datagram
 VERSION = "2"
 DIGITS = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789_-"  # '-' last: for patterns
-VALUE_OF_DIGIT = {digit: value for value, digit in enumerate(DIGITS)}
-# Lengths in digits.
+DIGIT_VALUES = {digit: value for value, digit in enumerate(DIGITS)}
+# Field lengths in digits.
 INCARNATION_LENGTH, SEQUENCE_LENGTH, DIGEST_LENGTH = 2, 3, 3
 NAME_LENGTH, NUMBER_LENGTH, CLOCK_LENGTH = 4, 3, 5
 PAIR_LENGTH = 2 * NAME_LENGTH
 HEADER_LENGTH = len(VERSION) + INCARNATION_LENGTH + SEQUENCE_LENGTH + DIGEST_LENGTH
-# What numbers are taken modulo.
-INCARNATIONS = 1 << 6 * INCARNATION_LENGTH
-SEQUENCES = 1 << 6 * SEQUENCE_LENGTH
-DIGESTS = 1 << 6 * DIGEST_LENGTH
-NUMBERS = 1 << 6 * NUMBER_LENGTH
-CLOCK_MODULUS = 1 << 6 * CLOCK_LENGTH  # clock units: four months
+# Moduli at which the numeric fields wrap.
+INCARNATION_MODULUS = 1 << 6 * INCARNATION_LENGTH
+SEQUENCE_MODULUS = 1 << 6 * SEQUENCE_LENGTH
+DIGEST_MODULUS = 1 << 6 * DIGEST_LENGTH
+NUMBER_MODULUS = 1 << 6 * NUMBER_LENGTH
+CLOCK_MODULUS = 1 << 6 * CLOCK_LENGTH  # clock units; wraps after four months
 SCALE_STEPS_PER_SLOT = 100
-MAX_CACHED_COUNTS = 512  # encoded counts of connections: the same small ones are encoded again and again
+MAX_CACHED_COUNTS = 512  # encoded connection counts; the same small counts recur in every heartbeat
 
 
 def encode_number(value: int, length: int) -> str:
-    """The last ``length`` digits: numbers count modulo what fits."""
+    """Return the ``length`` least significant digits of ``value``."""
     return "".join([DIGITS[value >> shift & 63] for shift in range(6 * length - 6, -1, -6)])
 
 
 def decode_number(digits: str) -> int:
-    """The value of digits, which must all be of DIGITS."""
+    """Return the value of a number. All its characters must be in ``DIGITS``."""
     value = 0
     for digit in digits:
-        value = value << 6 | VALUE_OF_DIGIT[digit]
+        value = value << 6 | DIGIT_VALUES[digit]
     return value
 
 
 @lru_cache(maxsize=MAX_CACHED_COUNTS)
 def encode_count(count: int) -> str:
-    """A count of connections; one that does not fit is sent as the largest that does."""
-    return encode_number(min(max(0, count), NUMBERS - 1), NUMBER_LENGTH)
+    """Return an encoded count, clamped to the range that the field can represent."""
+    return encode_number(min(max(0, count), NUMBER_MODULUS - 1), NUMBER_LENGTH)
 
 
 # ---- records ---------------------------------------------------------------------------------------
@@ -75,17 +75,17 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordFormat:
-    """How one type of record is written."""
+    """Encoding of one record type."""
 
-    kind: str  # one character
-    length: int  # of the body
-    encode: Callable[[Any], str]  # a record's body
-    decode: Callable[[str], Record]  # of the kind and the body
+    kind: str  # the record's first character
+    length: int  # length of the body in characters
+    encode: Callable[[Any], str]  # returns the body of a record
+    decode: Callable[[str], Record]  # parses the record's text, including the kind
 
 
 def _decode_connections(text: str) -> Connections:
-    # Written out, for most records are of this type: one for each backend with each heartbeat.
-    values = VALUE_OF_DIGIT
+    # Inlined for speed: most records are of this type, one for each backend in every heartbeat.
+    values = DIGIT_VALUES
     count = values[text[-3]] << 12 | values[text[-2]] << 6 | values[text[-1]]
     return Connections(text[1 : 1 + NAME_LENGTH], count)
 
@@ -102,7 +102,7 @@
     return record.backend + encode_number(record.end, CLOCK_LENGTH)
 
 
-FORMATS: dict[type[Record], RecordFormat] = {
+RECORD_FORMATS: dict[type[Record], RecordFormat] = {
     PairHeld: RecordFormat("+", PAIR_LENGTH, lambda record: record.pair, lambda text: PairHeld(text[1:])),
     PairReleased: RecordFormat(
         "-", PAIR_LENGTH, lambda record: record.pair, lambda text: PairReleased(text[1:])
@@ -142,23 +142,29 @@
     ),
     EjectionNotice: RecordFormat("v", NAME_LENGTH + CLOCK_LENGTH, _encode_ejection, _decode_ejection),
 }
-DECODERS = {form.kind: form.decode for form in FORMATS.values()}
-RECORD = "|".join(f"{re.escape(form.kind)}[{DIGITS}]{{{form.length}}}" for form in FORMATS.values())
-RECORDS = re.compile(RECORD)
-MESSAGE = re.compile(f"{VERSION}[{DIGITS}]{{{HEADER_LENGTH - len(VERSION)}}}(?:{RECORD})*")
+DECODERS = {record_format.kind: record_format.decode for record_format in RECORD_FORMATS.values()}
+RECORD_PATTERN = "|".join(
+    f"{re.escape(record_format.kind)}[{DIGITS}]{{{record_format.length}}}"
+    for record_format in RECORD_FORMATS.values()
+)
+RECORD_REGEX = re.compile(RECORD_PATTERN)
+MESSAGE_REGEX = re.compile(f"{VERSION}[{DIGITS}]{{{HEADER_LENGTH - len(VERSION)}}}(?:{RECORD_PATTERN})*")
 
 
 def encode_record(record: Record) -> str:
-    """The kind and the body of a record."""
-    form = FORMATS[type(record)]
-    return form.kind + form.encode(record)
+    """Return the text of a record: its kind followed by its body."""
+    record_format = RECORD_FORMATS[type(record)]
+    return record_format.kind + record_format.encode(record)
 
 
 # ---- messages --------------------------------------------------------------------------------------
 
 
 def encode(message: Message) -> str:
-    """The text of a message, which may be longer than MAX_BYTES: see ``split_to_fit``."""
+    """Return the text of a message.
+
+    It exceeds ``MAX_BYTES`` if there are too many records; split them with ``split_to_fit`` first.
+    """
     return "".join(
         (
             VERSION,
@@ -171,27 +177,29 @@
 
 
 def decode(text: str) -> Message:
-    """A message of a peer. Raises MalformedMessageError."""
+    """Parse a message received from a peer. Raises MalformedMessageError."""
     if len(text) > MAX_BYTES or len(text) < HEADER_LENGTH:
-        raise MalformedMessageError("too long or too short")
+        raise MalformedMessageError(
+            f"message has {len(text)} characters, expected {HEADER_LENGTH} to {MAX_BYTES}"
+        )
     if not text.startswith(VERSION):
-        raise MalformedMessageError("another version")
-    if MESSAGE.fullmatch(text) is None:
-        raise MalformedMessageError("a character that is no digit, an unknown record, or a part of one")
-    header = decode_number(text[len(VERSION) : HEADER_LENGTH])  # three numbers as if they were one
-    rest, digest = divmod(header, DIGESTS)
-    incarnation, sequence = divmod(rest, SEQUENCES)
-    records = [DECODERS[record[0]](record) for record in RECORDS.findall(text, HEADER_LENGTH)]
+        raise MalformedMessageError(f"unsupported protocol version {text[:1]!r}, expected {VERSION!r}")
+    if MESSAGE_REGEX.fullmatch(text) is None:
+        raise MalformedMessageError("invalid digit in the header, or an unknown, invalid or truncated record")
+    header = decode_number(text[len(VERSION) : HEADER_LENGTH])  # decodes the three fields as one number
+    rest, digest = divmod(header, DIGEST_MODULUS)
+    incarnation, sequence = divmod(rest, SEQUENCE_MODULUS)
+    records = [DECODERS[record[0]](record) for record in RECORD_REGEX.findall(text, HEADER_LENGTH)]
     return Message(incarnation, sequence, digest, tuple(records))
 
 
 def split_to_fit(records: Sequence[Record]) -> Iterator[tuple[Record, ...]]:
-    """The records in their order, in parts that each fit into one message; at least one part."""
+    """Split records, in order, into parts that each fit into one message. Yields at least one part."""
     part: list[Record] = []
     size = HEADER_LENGTH
     for record in records:
-        form = FORMATS[type(record)]
-        length = len(form.kind) + form.length
+        record_format = RECORD_FORMATS[type(record)]
+        length = len(record_format.kind) + record_format.length
         if size + length > MAX_BYTES:
             yield tuple(part)
             part, size = [], HEADER_LENGTH
--- a/saltcourse/shared_state/ejections.py
+++ b/saltcourse/shared_state/ejections.py
@@ -1,9 +1,9 @@
-"""Backends that peers have ejected, and until when: an ejection ends everywhere as it ends at its origin.
+"""Backends ejected by peers. An ejection ends at every proxy when it ends at the proxy that made it.
 
-Its end travels in its origin's clock. A receiver knows that clock by the messages that were least delayed:
-each has the time of its sending, and the least difference to its arrival is the clocks' own and a link's
-shortest delay. So a message that was held up on its way carries an ejection that is as old as it is,
-or over.
+The end of an ejection is sent as a time on the origin's clock. A receiver estimates the offset between the
+two clocks from the clock readings in the origin's messages: the smallest difference between receive time and
+reading is the true offset plus the shortest network delay. So a notice that was delayed on its way does not
+prolong the ejection; it may have expired when it arrives.
 """
 
 from __future__ import annotations
@@ -19,76 +19,85 @@
     Record,
 )
 
-MAX_HOLD_SECONDS = 10.0  # from its arrival, for which any ejection is held
-MAX_EJECTIONS = 1024  # of all peers together; later notices are ignored
+MAX_HOLD_SECONDS = 10.0  # maximum lifetime of a peer's ejection, from the arrival of its notice
+MAX_EJECTIONS = 1024  # of all peers together; further notices are ignored
 
 
 @dataclass(frozen=True, slots=True)
 class ClockOffset:
-    """This proxy's clock less a peer's (s), and when it was taken; a message's delay makes it too large."""
+    """An estimate of the offset between this proxy's clock and a peer's.
 
-    difference: float
-    taken_at: float
+    The estimate is too large by the network delay of the message that it was taken from.
+    """
+
+    difference: float  # this proxy's clock minus the peer's, seconds
+    measured_at: float  # seconds on this proxy's clock
 
 
 @dataclass(frozen=True, slots=True)
 class PeerEjection:
-    """An ejection that a peer has made."""
+    """An ejection made by a peer."""
 
-    end: int  # units of its origin's clock
-    latest_end: float  # s of this proxy's clock, whatever the origin's shows
+    end: int  # clock units on the origin's clock
+    latest_end: float  # upper bound for the end, seconds on this proxy's clock
 
 
 class Ejections:
-    """Those of this proxy that are still to be sent, and those of its peers.
+    """Queues this proxy's ejection notices and tracks the ejections of its peers.
 
-    ``drift``: the ratio by which a clock may run too fast or too slow.
+    ``clock_drift``: the maximum ratio by which the rate of a clock deviates from true time.
     """
 
-    def __init__(self, drift: float) -> None:
-        self.drift = drift
+    def __init__(self, clock_drift: float) -> None:
+        self.clock_drift = clock_drift
         self.offsets: dict[int, ClockOffset] = {}  # by peer
         self.peer_ejections: dict[tuple[EntryKey, int], PeerEjection] = {}  # by backend and origin
-        self.pending: list[EjectionNotice] = []  # to be sent to all
+        self.pending: list[EjectionNotice] = []  # to be broadcast
 
     def announce(self, backend: EntryKey, until: float) -> None:
-        """This proxy has ejected the backend until then (s)."""
+        """Queue a notice that this proxy has ejected the backend until ``until`` (seconds, own clock)."""
         self.pending.append(EjectionNotice(backend, int(until / CLOCK_UNIT_SECONDS)))
 
     def pop_pending(self, now: float) -> list[Record]:
-        """What is to be sent to all, behind a reading of the clock that it counts in."""
+        """Return the queued notices, preceded by a reading of the clock they refer to; clear the queue."""
         pending, self.pending = self.pending, []
         return [self.clock_reading(now), *pending] if pending else []
 
     @staticmethod
     def clock_reading(now: float) -> ClockReading:
-        """This proxy's clock, to be sent at once."""
+        """Return a reading of this proxy's clock. It has to be sent immediately."""
         return ClockReading(int(now / CLOCK_UNIT_SECONDS))
 
     def receive_clock(self, now: float, sender: int, reading: ClockReading) -> None:
-        """Take a peer's clock reading, where its message was less delayed than those before."""
+        """Update a peer's clock offset if this message was less delayed than the earlier ones."""
         sample = now - reading.time * CLOCK_UNIT_SECONDS
         known = self.offsets.get(sender)
         if known is None or self._is_less_delayed(now, sample, known):
             self.offsets[sender] = ClockOffset(sample, now)
 
     def _is_less_delayed(self, now: float, sample: float, known: ClockOffset) -> bool:
-        """Allows for the drift of both clocks since the known offset was taken."""
+        """Compare offsets, allowing for the drift of both clocks since the known one was measured."""
         later = _wrapped_difference((sample - known.difference) / CLOCK_UNIT_SECONDS) * CLOCK_UNIT_SECONDS
-        return later <= 2 * self.drift * (now - known.taken_at)
+        return later <= 2 * self.clock_drift * (now - known.measured_at)
 
     def receive_notice(self, now: float, sender: int, notice: EjectionNotice) -> None:
-        """Ignore the notice where the sender's clock is not known, for then nobody can tell how old it is."""
+        """Store a peer's ejection.
+
+        Ignored if the sender's clock offset is unknown, because the notice's age cannot be determined then.
+        """
         if sender in self.offsets and len(self.peer_ejections) < MAX_EJECTIONS:
             self.peer_ejections[notice.backend, sender] = PeerEjection(notice.end, now + MAX_HOLD_SECONDS)
 
     def _remaining(self, now: float, origin: int, end: int) -> float:
-        """Seconds, by the offset as it is known now: it was no better when the ejection came."""
+        """Return the seconds until an ejection ends.
+
+        Uses the current offset, which is at least as accurate as the one when the notice arrived.
+        """
         offset = self.offsets[origin].difference
         return _wrapped_difference(end - (now - offset) / CLOCK_UNIT_SECONDS) * CLOCK_UNIT_SECONDS
 
     def active(self, now: float) -> set[EntryKey]:
-        """Backends that a peer has ejected; ejections that are over are forgotten."""
+        """Return the backends that are ejected by a peer, and discard expired ejections."""
         self.peer_ejections = {
             key: ejection
             for key, ejection in self.peer_ejections.items()
@@ -97,7 +106,7 @@
         return {backend for backend, _ in self.peer_ejections}
 
     def forget_peer(self, sender: int) -> None:
-        """Its process is another now, with a clock and ejections of its own."""
+        """Discard a peer's ejections and clock offset, because it has restarted and its clock may differ."""
         self.peer_ejections = {
             key: ejection for key, ejection in self.peer_ejections.items() if key[1] != sender
         }
@@ -105,5 +114,5 @@
 
 
 def _wrapped_difference(units: float) -> float:
-    """A difference of clocks on the wire, the short way around."""
+    """Map a difference of two wrapped clock readings to the range -CLOCK_MODULUS/2 to CLOCK_MODULUS/2."""
     return (units + CLOCK_MODULUS / 2) % CLOCK_MODULUS - CLOCK_MODULUS / 2
--- a/saltcourse/shared_state/errors.py
+++ b/saltcourse/shared_state/errors.py
@@ -1,11 +1,11 @@
-"""Errors of this package; the texts give what was found."""
+"""Exceptions raised by this package. Each message states what was found."""
 
 from __future__ import annotations
 
 
 class SharedStateError(Exception):
-    """Base of all errors that this package raises."""
+    """Base class of all errors that this package raises."""
 
 
 class MalformedMessageError(SharedStateError):
-    """A peer sent what no proxy of this version sends."""
+    """The text of a peer's datagram is not a message of this protocol version."""
--- a/saltcourse/shared_state/health_check_budget.py
+++ b/saltcourse/shared_state/health_check_budget.py
@@ -1,4 +1,4 @@
-"""How many health checks of a backend this proxy may start: its share of what the whole fleet may send."""
+"""Limits the health checks that this proxy sends to a backend to its share of a fleet-wide rate."""
 
 from __future__ import annotations
 
@@ -6,24 +6,24 @@
 
 from saltcourse.shared_state.quota import QuotaLeases
 
-BURST_PER_PROXY = 2.0  # health checks: the smallest share of the burst, half an equal part, then holds one
+BURST_PER_PROXY = 2.0  # health checks; the smallest share, half an equal part, then still allows one
 
 
 @dataclass(slots=True)
 class SharedTokenBucket:
-    """A bucket that this proxy's share of a rate fills.
+    """A token bucket that is refilled at this proxy's share of a fleet-wide rate.
 
-    What all proxies spend in any span of time stays under ``rate`` times the span plus ``burst``, for a
-    share that grows adds no tokens.
+    Over any time span, all proxies together spend at most ``rate`` times the span plus ``burst`` tokens. A
+    share that grows raises the refill rate and the capacity but adds no tokens.
     """
 
     rate: float  # of the whole fleet, tokens per second
     burst: float  # of the whole fleet, tokens
     tokens: float = 0.0
-    refilled_at: float = 0.0  # s
+    refilled_at: float = 0.0  # seconds
 
     def spend(self, now: float, share: float, amount: float = 1.0) -> bool:
-        """Take tokens, if there are enough."""
+        """Take ``amount`` tokens; return False and take none if there are not enough."""
         gained = share * self.rate * max(0.0, now - self.refilled_at)
         self.tokens = min(share * self.burst, self.tokens + gained)
         self.refilled_at = now
@@ -34,7 +34,7 @@
 
 
 class HealthCheckBudget:
-    """A bucket for each backend that was ever checked; ``rate``: health checks a second of the fleet."""
+    """One token bucket per backend. ``rate``: health checks per second to one backend, of the whole fleet."""
 
     def __init__(self, rate: float, leases: QuotaLeases) -> None:
         self.rate = rate
@@ -42,14 +42,20 @@
         self.buckets: dict[str, SharedTokenBucket] = {}
 
     def spend(self, now: float, backend: str, started_at: float) -> bool:
-        """Take a token for a health check, if there is one; a new bucket fills from ``started_at``."""
+        """Return whether a health check of the backend may start now, and take its token.
+
+        ``started_at``: when this proxy started (seconds); a new bucket is refilled from then.
+        """
         bucket = self.buckets.get(backend)
         if bucket is None:
             bucket = self.buckets[backend] = self._new_bucket(started_at)
         return bucket.spend(now, self.leases.share(now))
 
     def _new_bucket(self, started_at: float) -> SharedTokenBucket:
-        """Empty, unless this proxy is alone: an earlier incarnation may have spent the tokens."""
+        """Return a full bucket for an isolated proxy, otherwise an empty one.
+
+        An earlier process of this proxy may have spent the tokens.
+        """
         burst = BURST_PER_PROXY * self.leases.proxy_count
-        tokens = burst if self.leases.alone else 0.0
+        tokens = burst if self.leases.isolated else 0.0
         return SharedTokenBucket(self.rate, burst, tokens, started_at)
--- a/saltcourse/shared_state/messages.py
+++ b/saltcourse/shared_state/messages.py
@@ -1,8 +1,8 @@
-"""Messages between the proxies of one tier: a header and records. ``codec`` has their bytes.
+"""Messages between the proxies of one tier: a header followed by records. ``codec`` defines their encoding.
 
-Backends and groups go by their ``short_names``. Every number counts modulo what ``codec`` has room for.
-Times are units of the sender's own clock (``CLOCK_UNIT_SECONDS``), which the receiver has to compare with
-its own.
+Backends and groups are identified by their ``short_names``. Every number wraps at the modulus that ``codec``
+defines for its field. Times are in units of ``CLOCK_UNIT_SECONDS`` on the sender's clock; the receiver has to
+convert them to its own clock.
 """
 
 from __future__ import annotations
@@ -10,27 +10,27 @@
 from dataclasses import dataclass
 
 CLOCK_UNIT_SECONDS = 0.01
-# Of a table: the short name of a backend, or of a backend and a group, one behind the other.
+# Key of a table entry: the short name of a backend, or the concatenated short names of a backend and a group.
 EntryKey = str
 
 
 @dataclass(frozen=True, slots=True)
 class PairHeld:
-    """The sender has connections of a group at a backend."""
+    """The sender has connections of a group to a backend."""
 
     pair: EntryKey
 
 
 @dataclass(frozen=True, slots=True)
 class PairReleased:
-    """The sender no longer has any connection of a group at a backend."""
+    """The sender has closed its last connection of a group to a backend."""
 
     pair: EntryKey
 
 
 @dataclass(frozen=True, slots=True)
 class Connections:
-    """The sender has ``count`` connections at a backend."""
+    """The sender has ``count`` connections to a backend."""
 
     backend: EntryKey
     count: int
@@ -38,52 +38,52 @@
 
 @dataclass(frozen=True, slots=True)
 class Reset:
-    """The sender's table is empty but for what follows: all that it sent before is no longer valid."""
+    """Discards all table records that the sender sent before this one; a full snapshot follows."""
 
 
 @dataclass(frozen=True, slots=True)
 class Scale:
-    """The capacity scale that the sender has learned: a backend's whole load in slots."""
+    """The sender's estimate of the capacity scale: the number of slots at a backend's full load."""
 
     slots: float
 
 
 @dataclass(frozen=True, slots=True)
 class ResendRequest:
-    """Asks for what followed the message of this sequence."""
+    """Requests the table records sent after the message with sequence number ``after``."""
 
     after: int
 
 
 @dataclass(frozen=True, slots=True)
 class SnapshotRequest:
-    """Asks for the whole table."""
+    """Requests the full table."""
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseRequest:
-    """Asks to renew the lease of the sender's portion that the receiver grants, see ``quota``."""
+    """Requests renewal of the lease that the receiver grants on one of the sender's portions (``quota``)."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseGrant:
-    """The lease is renewed, counted from the sending of the request of that number."""
+    """Renews the lease; its term is counted from when the request with this number was sent."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class ClockReading:
-    """The sender's clock, as the message leaves."""
+    """The sender's clock when it sent the message."""
 
     time: int
 
 
 @dataclass(frozen=True, slots=True)
 class EjectionNotice:
-    """The sender has ejected a backend until ``end``, see ``ejections``."""
+    """The sender has ejected a backend until ``end`` on its own clock (``ejections``)."""
 
     backend: EntryKey
     end: int
@@ -95,15 +95,16 @@
     Scale | ResendRequest | SnapshotRequest | LeaseRequest | LeaseGrant | ClockReading | EjectionNotice
 )
 Record = TableRecord | OtherRecord
-TABLE_RECORDS = (PairHeld, Connections, PairReleased, Reset)  # of TableRecord, the most frequent first
+TABLE_RECORDS = (PairHeld, Connections, PairReleased, Reset)  # members of TableRecord, most frequent first
 
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """The records of one datagram.
+    """The contents of one datagram.
 
-    ``incarnation`` is drawn anew at each start; ``sequence`` grows by one a message; ``digest`` is that of
-    the table as the sender has announced it, this message included.
+    ``incarnation`` is a random number that each process of a proxy draws at its start. ``sequence`` increases
+    by one with each message. ``digest`` is the digest of the table that the sender has announced, including
+    the records of this message.
     """
 
     incarnation: int
--- a/saltcourse/shared_state/outbox.py
+++ b/saltcourse/shared_state/outbox.py
@@ -1,4 +1,4 @@
-"""Numbered messages of records, to all or to one peer, and a history of them for resends."""
+"""Numbers and encodes outgoing messages, and keeps a history of broadcast records for resends."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 from collections.abc import Iterator, Sequence
 from typing import NamedTuple
 
-from saltcourse.shared_state.codec import INCARNATIONS, SEQUENCES, encode, split_to_fit
+from saltcourse.shared_state.codec import INCARNATION_MODULUS, SEQUENCE_MODULUS, encode, split_to_fit
 from saltcourse.shared_state.messages import Connections, EntryRecord, Message, PairHeld, PairReleased, Record
 from saltcourse.shared_state.table import key_of
 
-HISTORY_LENGTH = 256  # records sent to all that can be sent again to a peer that missed some
+HISTORY_LENGTH = 256  # broadcast records kept for resending to peers that missed them
 
 
 class Outgoing(NamedTuple):
-    """A message to one peer, or to all (None)."""
+    """An encoded message to one peer, or to all peers if ``peer`` is None."""
 
     peer: int | None
     text: str
@@ -23,23 +23,24 @@
 class Outbox:
     """Numbers and encodes the messages of one process.
 
-    All messages of a broadcast have the digest of the table after the last of them: a replica that lacks
-    one of several has another digest, and asks.
+    All messages of a broadcast carry the table's digest after the last of them. So a replica that misses any
+    of them has a different digest, and its proxy requests a repair.
     """
 
     def __init__(self, incarnation: int) -> None:
-        self.incarnation = incarnation % INCARNATIONS
-        self.sequence = 0  # of the next message
-        self.replies: dict[int, list[Record]] = {}  # peer -> records that it alone is to get
-        self._history: deque[tuple[int, EntryRecord]] = deque(maxlen=HISTORY_LENGTH)  # sequence, sent to all
-
-    def reply(self, peer: int, records: Sequence[Record]) -> None:
-        """Send records with the next messages to the peer."""
+        self.incarnation = incarnation % INCARNATION_MODULUS
+        self.sequence = 0  # sequence number of the next message
+        self.replies: dict[int, list[Record]] = {}  # records queued for a single peer, by peer
+        # Sequence number and record of the latest broadcasts.
+        self._history: deque[tuple[int, EntryRecord]] = deque(maxlen=HISTORY_LENGTH)
+
+    def queue_reply(self, peer: int, records: Sequence[Record]) -> None:
+        """Queue records to be sent to one peer with the next messages."""
         if records:
             self.replies.setdefault(peer, []).extend(records)
 
     def broadcast(self, records: Sequence[Record], digest: int) -> list[Outgoing]:
-        """Messages to all; ``digest`` is that of the announced table."""
+        """Return messages to all peers; ``digest`` is the digest of the announced table."""
         messages = []
         for message in self._messages(records, digest):
             messages.append(Outgoing(None, encode(message)))
@@ -53,7 +54,7 @@
         return messages
 
     def pop_replies(self, digest: int) -> list[Outgoing]:
-        """Messages with all replies that are waiting."""
+        """Return messages with all queued replies, and clear the queue."""
         replies, self.replies = self.replies, {}
         return [
             Outgoing(peer, encode(message))
@@ -67,11 +68,11 @@
             self.sequence += 1
 
     def records_after(self, sequence: int) -> list[EntryRecord] | None:
-        """The newest record of each entry that was sent to all after the message of this wire sequence.
+        """Return the newest broadcast record of each entry that changed after message number ``sequence``.
 
-        None where the history does not reach back so far.
+        ``sequence`` is as on the wire, wrapped. Returns None if the history does not reach back that far.
         """
-        after = self.sequence - (self.sequence - sequence) % SEQUENCES
+        after = self.sequence - (self.sequence - sequence) % SEQUENCE_MODULUS
         if after < 0 or (len(self._history) == HISTORY_LENGTH and self._history[0][0] > after):
             return None
         newest = {key_of(record): record for sent, record in self._history if sent > after}
--- a/saltcourse/shared_state/peer.py
+++ b/saltcourse/shared_state/peer.py
@@ -1,56 +1,62 @@
-"""What this proxy knows of one peer: how far its messages have come, its replica, what it held when lost."""
+"""State about one peer: its message sequence, the replica of its table, and its last known connections."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-from saltcourse.shared_state.codec import SEQUENCES
+from saltcourse.shared_state.codec import SEQUENCE_MODULUS
 from saltcourse.shared_state.messages import EntryKey, Message, ResendRequest, SnapshotRequest
 from saltcourse.shared_state.table import Replica, is_pair
 
-MISMATCH_GRACE_SECONDS = 1.0  # that a digest may differ before a peer is asked: a message may be on its way
-RETRY_INTERVAL_SECONDS = 1.5  # until the next request to the same peer
-LOST_PEER_HALF_LIFE_SECONDS = 30.0
+MISMATCH_GRACE_SECONDS = 1.0  # time to let delayed messages arrive before requesting a repair
+RETRY_INTERVAL_SECONDS = 1.5  # between repair requests to the same peer
+LOST_PEER_HALF_LIFE_SECONDS = 30.0  # of the connection counts of a lost peer
 
 
 @dataclass(slots=True)
 class Peer:
-    """One other proxy, from its first message to its silence or its next start. Times are seconds."""
+    """One process of another proxy, from its first message until it restarts or is lost.
+
+    Times are seconds on this proxy's clock.
+    """
 
     incarnation: int
-    sequence: int  # of its newest message; it does not wrap, as those on the wire do
+    sequence: int  # sequence number of its newest message, unwrapped
     replica: Replica = field(default_factory=Replica)
-    announced_digest: int = 0  # the digest of its newest message
-    received_at: float = 0.0
-    synchronized_at: float = 0.0  # when the replica last agreed
-    synchronized_sequence: int | None = None  # and with which message
-    retry_at: float = 0.0  # when it may be asked again; 0: not asked since the replica last agreed
-    scale: float = 0.0  # the capacity scale that it has reported; 0: none
+    announced_digest: int = 0  # table digest in its newest message
+    received_at: float = 0.0  # when its last message arrived
+    synchronized_at: float = 0.0  # when the digests last matched
+    synchronized_sequence: int | None = None  # the newest message at that time
+    retry_at: float = 0.0  # when the next repair may be requested; 0: none requested since the last match
+    scale: float = 0.0  # capacity scale that it has reported; 0: none
 
     def begin_message(self, now: float, message: Message) -> int:
-        """Take the message's header. Its sequence, as one that does not wrap."""
+        """Process a message's header; return its sequence number, unwrapped."""
         self.received_at = now
-        ahead = (message.sequence - self.sequence + SEQUENCES // 2) % SEQUENCES - SEQUENCES // 2
+        ahead = (
+            message.sequence - self.sequence + SEQUENCE_MODULUS // 2
+        ) % SEQUENCE_MODULUS - SEQUENCE_MODULUS // 2
         sequence = self.sequence + ahead
         if ahead > 0:
             self.sequence, self.announced_digest = sequence, message.digest
         return sequence
 
     def end_message(self, now: float) -> None:
-        """Note whether the replica agrees with the peer's table, now that the whole message is applied."""
+        """Check the replica's digest once all records of a message have been applied."""
         if self.is_synchronized():
             self.synchronized_at = now
             self.synchronized_sequence = self.sequence
             self.retry_at = 0.0
 
     def is_synchronized(self) -> bool:
-        """Whether the replica is as the peer last announced its table."""
+        """Return whether the replica's digest matches the one that the peer last announced."""
         return self.replica.digest == self.announced_digest
 
     def repair_request(self, now: float) -> ResendRequest | SnapshotRequest | None:
-        """What to ask the peer for where its digest has differed for a while.
+        """Return the request to send if the digests have differed for ``MISMATCH_GRACE_SECONDS``, else None.
 
-        First what followed the message that the replica last agreed with, then a snapshot.
+        The first request is for the records since the message at which the digests last matched; later ones
+        are for a snapshot.
         """
         if (
             self.is_synchronized()
@@ -65,19 +71,22 @@
         return SnapshotRequest()
 
     def connections(self) -> dict[EntryKey, int]:
-        """Its connections at each backend, as far as it sends them."""
+        """Return the peer's connection counts by backend; empty if it does not send them."""
         return {key: value for key, value in self.replica.entries.items() if not is_pair(key)}
 
 
 @dataclass(frozen=True, slots=True)
 class LostPeer:
-    """What a peer held that has fallen silent. It may still serve those connections."""
+    """A peer from which no message has arrived for a lease term. It may still serve its connections."""
 
-    since: float
-    connections: dict[EntryKey, int]
+    since: float  # when the peer was declared lost, seconds
+    connections: dict[EntryKey, int]  # its last known connection counts by backend
 
     def remaining(self, now: float, backend: EntryKey, mean: float) -> float:
-        """Its connections at a backend; they decay to the ``mean`` of the other proxies, not to nothing."""
+        """Return the estimated number of its connections to a backend.
+
+        The estimate decays exponentially, but not below ``mean``, the average count of the other proxies.
+        """
         held = self.connections.get(backend, 0)
         decay: float = 0.5 ** ((now - self.since) / LOST_PEER_HALF_LIFE_SECONDS)
         return max(min(held, mean), held * decay)
--- a/saltcourse/shared_state/peers.py
+++ b/saltcourse/shared_state/peers.py
@@ -1,29 +1,32 @@
-"""All peers of this proxy: those that send, those that have fallen silent, and who has which entry."""
+"""Registry of this proxy's peers: active ones, lost ones, and an index from entries to peers."""
 
 from __future__ import annotations
 
 from saltcourse.shared_state.messages import EntryKey, Message, TableRecord
 from saltcourse.shared_state.peer import LostPeer, Peer
 
-MIN_SCALE_RATIO = 0.5  # of the peers' mean scale
+MIN_SCALE_RATIO = 0.5  # ratio of the minimum scale to the peers' mean scale
 
 
 class PeerRegistry:
-    """Peers go by their numbers. ``silence_timeout``: seconds of silence after which a peer is lost."""
+    """Tracks peers by proxy index.
+
+    ``silence_timeout``: seconds without a message after which a peer is considered lost.
+    """
 
     def __init__(self, silence_timeout: float) -> None:
         self.silence_timeout = silence_timeout
         self.peers: dict[int, Peer] = {}
         self.lost: dict[int, LostPeer] = {}
-        self.holders: dict[EntryKey, set[int]] = {}  # entry -> the peers that have it
-        self._incarnations: dict[int, int] = {}  # of the peers, also of the lost ones
+        self.peers_by_key: dict[EntryKey, set[int]] = {}  # the peers that have each entry
+        self._incarnations: dict[int, int] = {}  # by peer, including lost ones
 
     def has_restarted(self, sender: int, message: Message) -> bool:
-        """Whether the message is the first of its sender's process."""
+        """Return whether the message is the first one from a new process of its sender."""
         return self._incarnations.get(sender) != message.incarnation
 
-    def sender_of(self, now: float, sender: int, message: Message) -> Peer:
-        """The peer that sent the message; a new one where its process is another or where it was lost."""
+    def get_or_create(self, now: float, sender: int, message: Message) -> Peer:
+        """Return the peer that sent the message; a new one if it is unknown, was lost or has restarted."""
         self.lost.pop(sender, None)
         peer = self.peers.get(sender)
         if peer is not None and peer.incarnation == message.incarnation:
@@ -34,23 +37,26 @@
         return peer
 
     def update_replica(self, sender: int, peer: Peer, sequence: int, record: TableRecord) -> None:
-        """Take a record of the sender's table."""
+        """Apply a record to the sender's replica and update the index."""
         for key in peer.replica.apply(sequence, record):
             if key in peer.replica.entries:
-                self.holders.setdefault(key, set()).add(sender)
+                self.peers_by_key.setdefault(key, set()).add(sender)
             else:
-                self._remove_holder(sender, key)
+                self._remove_from_index(sender, key)
 
     def minimum_scale(self) -> float:
-        """What this proxy's scale is at least, by what the peers report; 0 while none does.
+        """Return the lower bound that the peers' reports set for this proxy's scale; 0 without reports.
 
-        A proxy that has just started holds too few connections to learn a backend's capacity by itself.
+        A proxy that has just started has too few connections to estimate a backend's capacity on its own.
         """
         reported = [peer.scale for peer in self.peers.values() if peer.scale > 0]
         return MIN_SCALE_RATIO * sum(reported) / len(reported) if reported else 0.0
 
     def connections(self, now: float, backend: EntryKey, own: int) -> float:
-        """The whole fleet's at a backend, this proxy's ``own`` included; those of lost peers decay."""
+        """Return the estimated number of connections of all proxies to a backend.
+
+        ``own`` is this proxy's count. The counts of lost peers decay.
+        """
         known = [own, *[peer.replica.entries.get(backend, 0) for peer in self.peers.values()]]
         mean = sum(known) / len(known)
         total = float(sum(known))
@@ -59,7 +65,7 @@
         return total
 
     def expire(self, now: float) -> None:
-        """Give up the peers that have been silent for longer than a lease term."""
+        """Move the peers that have been silent for longer than ``silence_timeout`` to the lost ones."""
         silent = [
             sender for sender, peer in self.peers.items() if now > peer.received_at + self.silence_timeout
         ]
@@ -71,10 +77,10 @@
         peer = self.peers.pop(sender, None)
         if peer is not None:
             for key in peer.replica.entries:
-                self._remove_holder(sender, key)
+                self._remove_from_index(sender, key)
 
-    def _remove_holder(self, sender: int, key: EntryKey) -> None:
-        holders = self.holders.get(key, set())
-        holders.discard(sender)
-        if not holders:
-            self.holders.pop(key, None)
+    def _remove_from_index(self, sender: int, key: EntryKey) -> None:
+        peers = self.peers_by_key.get(key, set())
+        peers.discard(sender)
+        if not peers:
+            self.peers_by_key.pop(key, None)
--- a/saltcourse/shared_state/short_names.py
+++ b/saltcourse/shared_state/short_names.py
@@ -1,7 +1,7 @@
-"""Short names of backends and groups: four digits of a hash, because a message has little room.
+"""Short names of backends and groups: four base-64 digits of a hash, because messages are small.
 
-Two identifiers that share a short name are taken for one. That makes a hint wrong, and all that a message
-carries are hints.
+Two identifiers with the same short name cannot be told apart. Such a collision makes a hint wrong, which is
+acceptable because messages carry only hints.
 """
 
 from __future__ import annotations
@@ -10,23 +10,23 @@
 
 from saltcourse.shared_state.codec import NAME_LENGTH, encode_number
 
-MAX_CACHED = 20_000  # short names; groups come and go without end
+MAX_CACHED = 20_000  # short names; bounds the cache, since new group names keep appearing
 
 
 def short_name(identifier: str) -> str:
-    """The name that represents an identifier in messages."""
+    """Return the short name that represents an identifier in messages."""
     digest = hashlib.blake2b(identifier.encode(), digest_size=NAME_LENGTH).digest()
     return encode_number(int.from_bytes(digest, "big"), NAME_LENGTH)
 
 
 class ShortNameCache:
-    """Hashes each identifier once; at MAX_CACHED the cache is emptied."""
+    """Caches the short names of identifiers; cleared when it exceeds ``MAX_CACHED`` entries."""
 
     def __init__(self) -> None:
         self._cached: dict[str, str] = {}
 
     def get(self, identifier: str) -> str:
-        """The short name of an identifier."""
+        """Return the short name of an identifier."""
         if len(self._cached) > MAX_CACHED:
             self._cached.clear()
         return self._cached.get(identifier) or self._cached.setdefault(identifier, short_name(identifier))
--- a/saltcourse/shared_state/state.py
+++ b/saltcourse/shared_state/state.py
@@ -1,9 +1,9 @@
-"""What this proxy knows of the others of its tier by their messages. No I/O, no clock of its own.
+"""State shared with the other proxies of the tier. No I/O; the caller passes the time.
 
-``receive`` takes a message that has come, ``outgoing_messages`` returns those that are to be sent now;
-times are seconds on this proxy's clock. All that is asked of it is either a hint (which peer serves which
-group, the capacity scale, which backends are ejected, how many connections a backend has) or a bound that
-holds whatever was lost (a share of a budget). It decides nothing.
+``receive`` processes a received message, ``outgoing_messages`` returns the messages to send now. Times are
+seconds on this proxy's clock. The answers are either hints (which peer serves a group, the capacity scale,
+the ejected backends, the connections of a backend) or bounds that hold even if messages are lost (the share
+of a budget). The balancer makes the decisions.
 """
 
 from __future__ import annotations
@@ -37,107 +37,127 @@
 from saltcourse.shared_state.short_names import ShortNameCache
 from saltcourse.shared_state.table import LocalTable, is_pair
 
-BROADCAST_INTERVAL_SECONDS = 0.05  # between broadcasts of one proxy: what changes meanwhile goes together
+BROADCAST_INTERVAL_SECONDS = 0.05  # minimum time between broadcasts; changes in between are sent together
 CHECK_INTERVAL_SECONDS = MISMATCH_GRACE_SECONDS  # between checks for silent peers and differing replicas
-STALL_THRESHOLD_SECONDS = 3.0  # without any event: this process was stopped
-STALL_RECOVERY_SECONDS = 0.5  # after a stall, in which this process takes what waited meanwhile
-SCALE_CHANGE_RATIO = 0.2  # by which the capacity scale has to change to be sent again
-LONG_AGO = -1e9  # s
+STALL_THRESHOLD_SECONDS = 3.0  # time without any event after which this process must have been stopped
+STALL_RECOVERY_SECONDS = 0.5  # time to process the messages that were queued in the socket during a stall
+SCALE_CHANGE_RATIO = 0.2  # minimum relative change of the capacity scale to announce it again
+DISTANT_PAST = -1e9  # seconds
 
 
-class Holding(Protocol):
-    """What the balancing knows of a backend, as far as peers are sent it."""
+class BackendConnections(Protocol):
+    """The part of the balancer's backend record that is shared with peers."""
 
-    count: int  # connections there through this proxy
+    count: int  # connections to the backend through this proxy
 
 
 class SharedState:
-    """The state of one proxy. With no others to talk to it sends nothing, and its shares are equal parts."""
+    """The shared state of one proxy.
 
-    def __init__(self, settings: Settings, incarnation: int, backends: Mapping[str, Holding]) -> None:
-        """``incarnation``: another number with each start of this proxy. ``backends``: those it knows now."""
+    If the settings allow no peers, or there are none, it sends no messages and its share is an equal part.
+    """
+
+    def __init__(
+        self, settings: Settings, incarnation: int, backends: Mapping[str, BackendConnections]
+    ) -> None:
+        """Initialize the state.
+
+        ``incarnation``: a number that differs with each start of this proxy. ``backends``: the balancer's
+        mapping of the current backends; it is read whenever connection counts are announced.
+        """
         self.index = settings.proxy_index
-        self.count = settings.proxy_count if settings.peers_allowed else 1
+        self.mesh_size = settings.proxy_count if settings.peers_allowed else 1  # proxies, including this one
         self.settings = settings.shared_state
         self.backends = backends
-        self.heartbeat_interval = self.settings.lease_term / HEARTBEATS_PER_TERM  # s
-        self.names = ShortNameCache()
+        self.heartbeat_interval = self.settings.lease_term / HEARTBEATS_PER_TERM  # seconds
+        self.short_names = ShortNameCache()
         self.table = LocalTable()
         self.outbox = Outbox(incarnation)
-        self.leases = QuotaLeases(self.index, settings.proxy_count, self.settings, alone=self.count < 2)
+        self.leases = QuotaLeases(
+            self.index, settings.proxy_count, self.settings, isolated=self.mesh_size < 2
+        )
         self.health_checks = HealthCheckBudget(self.settings.health_checks_per_second, self.leases)
         self.ejections = Ejections(self.settings.clock_drift)
         self.registry = PeerRegistry(self.settings.lease_term)
-        self.scale = 0.0  # this proxy's capacity scale: slots in a backend's whole load
+        self.scale = 0.0  # this proxy's capacity scale: slots at a backend's full load
         self.announced_scale = 0.0
-        self.minimum_scale = 0.0  # what the capacity scale is at least; 0 while no peer reports one
-        self.broadcast_at = LONG_AGO
-        self.heartbeat_at = LONG_AGO
-        self.checked_at = 0.0
-        self.event_at: float | None = None  # when anything happened here last
-        self.trusted_from = LONG_AGO  # when the messages that waited during a stall have been taken
+        self.minimum_scale = 0.0  # lower bound for the capacity scale; 0 if no peer reports one
+        self.last_broadcast_at = DISTANT_PAST
+        self.last_heartbeat_at = DISTANT_PAST
+        self.last_check_at = 0.0
+        self.last_event_at: float | None = None  # last call of receive or outgoing_messages
+        self.stall_recovered_at = DISTANT_PAST  # when the messages queued during a stall have been processed
         self.started_at: float | None = None
         self.undecodable_messages = 0
 
     @property
     def peers(self) -> Mapping[int, Peer]:
-        """The peers that send, by their numbers."""
+        """The active peers, by proxy index."""
         return self.registry.peers
 
     @property
     def lost(self) -> Mapping[int, LostPeer]:
-        """The peers that have fallen silent, by their numbers."""
+        """The peers that have been silent for longer than a lease term, by proxy index."""
         return self.registry.lost
 
     @property
-    def holders(self) -> Mapping[EntryKey, set[int]]:
-        """The peers that have an entry, by its key."""
-        return self.registry.holders
+    def peers_by_key(self) -> Mapping[EntryKey, set[int]]:
+        """The indexes of the peers that have an entry, by the entry's key."""
+        return self.registry.peers_by_key
 
-    # ---- for the balancing ------------------------------------------------------------------------
+    # ---- interface for the balancer ---------------------------------------------------------------
 
     def peer_serves_group(self, backend: str, group: str) -> bool:
-        """Whether a peer has connections of the group at the backend."""
-        holders = self.registry.holders
-        return bool(holders) and self._pair(backend, group) in holders
+        """Return whether a peer has connections of the group to the backend."""
+        peers_by_key = self.registry.peers_by_key
+        return bool(peers_by_key) and self._pair(backend, group) in peers_by_key
 
     def record_group(self, backend: str, group: str, held: bool) -> None:
-        """This proxy has got its first connection of the group at the backend, or lost its last."""
-        if self.count > 1:
+        """Record that this proxy opened its first connection of the group to the backend, or closed its last.
+
+        ``held``: whether it has any such connection now.
+        """
+        if self.mesh_size > 1:
             self.table.set_pair(self._pair(backend, group), held)
 
     def set_capacity_scale(self, scale: float) -> None:
-        """Note this proxy's slots in a backend's whole load; sent when it has changed by a fifth."""
+        """Set this proxy's estimate of the slots at a backend's full load.
+
+        Changes of at most ``SCALE_CHANGE_RATIO`` are ignored.
+        """
         if _has_changed(scale, self.scale):
             self.scale = scale
 
     def announce_ejection(self, backend: str, until: float) -> None:
-        """This proxy has ejected the backend until then."""
-        if self.count > 1:
-            self.ejections.announce(self.names.get(backend), until)
+        """Announce to the peers that this proxy has ejected the backend until ``until`` (seconds)."""
+        if self.mesh_size > 1:
+            self.ejections.announce(self.short_names.get(backend), until)
 
     def peer_ejections(self, now: float) -> list[str]:
-        """Backends that a peer has ejected and that are ejected still."""
+        """Return the backends that are currently ejected by a peer."""
         active = self.ejections.active(now)
-        return [backend for backend in self.backends if self.names.get(backend) in active]
+        return [backend for backend in self.backends if self.short_names.get(backend) in active]
 
     def relative_share(self, now: float) -> float:
-        """This proxy's share in equal parts, for what each proxy does at a rate of its own: 0.5 to 1.5."""
+        """Return this proxy's share of a fleet-wide budget in units of an equal part, from 0.5 to 1.5."""
         return self.leases.share(now) * self.leases.proxy_count
 
     def may_health_check(self, now: float, backend: str) -> bool:
-        """Take one of the health checks that the fleet may send a second, if its share has one left."""
-        return self.health_checks.spend(now, backend, self._started(now))
+        """Return whether this proxy may send a health check to the backend now; if so, charge the budget."""
+        return self.health_checks.spend(now, backend, self._start_time(now))
 
     def fleet_connections(self, now: float, backend: str) -> float:
-        """The whole fleet's connections at the backend, as far as is known; those of lost peers decay."""
-        key = self.names.get(backend)
+        """Return the estimated number of connections of all proxies to the backend.
+
+        The counts of lost peers decay.
+        """
+        key = self.short_names.get(backend)
         return self.registry.connections(now, key, self.table.entries.get(key, 0))
 
     def _pair(self, backend: str, group: str) -> EntryKey:
-        return self.names.get(backend) + self.names.get(group)
+        return self.short_names.get(backend) + self.short_names.get(group)
 
-    def _started(self, now: float) -> float:
+    def _start_time(self, now: float) -> float:
         if self.started_at is None:
             self.started_at = now
         return self.started_at
@@ -145,11 +165,12 @@
     # ---- incoming messages ------------------------------------------------------------------------
 
     def receive(self, now: float, sender: int, text: str) -> list[str]:
-        """Take a message of the peer ``sender``.
+        """Process a message from the peer with index ``sender``. Invalid messages are counted and dropped.
 
-        Returns the backends that peers have ejected if the message has an ejection notice, otherwise nothing.
+        Returns the backends currently ejected by peers if the message has an ejection notice, otherwise an
+        empty list.
         """
-        if sender == self.index or not 0 <= sender < self.count:
+        if sender == self.index or not 0 <= sender < self.mesh_size:
             return []
         self._detect_stall(now)
         try:
@@ -164,7 +185,7 @@
     def _apply_message(self, now: float, sender: int, message: Message) -> None:
         if self.registry.has_restarted(sender, message):
             self.ejections.forget_peer(sender)
-        peer = self.registry.sender_of(now, sender, message)
+        peer = self.registry.get_or_create(now, sender, message)
         sequence = peer.begin_message(now, message)
         for record in message.records:
             if isinstance(record, TABLE_RECORDS):
@@ -176,46 +197,47 @@
     def _handle_record(self, now: float, sender: int, peer: Peer, record: OtherRecord) -> None:
         match record:
             case LeaseRequest():
-                self.outbox.reply(sender, self.leases.grant(now, sender, record))
+                self.outbox.queue_reply(sender, self.leases.grant(now, sender, record))
             case LeaseGrant():
                 self.leases.receive_grant(now, sender, record)
             case ClockReading():
-                if now >= self.trusted_from:
+                if now >= self.stall_recovered_at:
                     self.ejections.receive_clock(now, sender, record)
             case EjectionNotice():
-                if now >= self.trusted_from:
+                if now >= self.stall_recovered_at:
                     self.ejections.receive_notice(now, sender, record)
             case SnapshotRequest():
-                self.outbox.reply(sender, self._snapshot())
+                self.outbox.queue_reply(sender, self._snapshot())
             case ResendRequest():
                 missed = self.outbox.records_after(record.after)
-                self.outbox.reply(sender, self._snapshot() if missed is None else missed)
+                self.outbox.queue_reply(sender, self._snapshot() if missed is None else missed)
             case Scale():
                 peer.scale = record.slots
                 self.minimum_scale = self.registry.minimum_scale()
 
     def _detect_stall(self, now: float) -> None:
-        """After a stall, messages have waited in the socket, and nobody can tell for how long.
+        """Detect that this process was stopped, and start the recovery period.
 
-        Their clock readings and ejections are ignored, or an ejection would outlive its end.
+        Messages were queued in the socket for an unknown time during the stall. Their clock readings and
+        ejection notices are ignored, because they would make ejections last too long.
         """
-        if self.event_at is not None and now > self.event_at + STALL_THRESHOLD_SECONDS:
-            self.trusted_from = now + STALL_RECOVERY_SECONDS
-        self.event_at = now
+        if self.last_event_at is not None and now > self.last_event_at + STALL_THRESHOLD_SECONDS:
+            self.stall_recovered_at = now + STALL_RECOVERY_SECONDS
+        self.last_event_at = now
 
     # ---- outgoing messages ------------------------------------------------------------------------
 
     def outgoing_messages(self, now: float) -> list[Outgoing]:
-        """The messages to be sent now."""
-        self._started(now)
+        """Return the messages to send now."""
+        self._start_time(now)
         self._detect_stall(now)
-        if self.count < 2 or not self._has_work(now):
+        if self.mesh_size < 2 or not self._has_work(now):
             return []
         if self.outbox.sequence == 0:  # this process has just started
             self._request_snapshots()
         messages = self._broadcast(now)
         if self._is_check_due(now):
-            self.checked_at = now
+            self.last_check_at = now
             self.registry.expire(now)
             self._request_repairs(now)
         return messages + self.outbox.pop_replies(self.table.digest)
@@ -226,39 +248,42 @@
         return self._may_broadcast(now) and bool(self.table.changed or self.ejections.pending)
 
     def _may_broadcast(self, now: float) -> bool:
-        return now >= self.broadcast_at + BROADCAST_INTERVAL_SECONDS
+        return now >= self.last_broadcast_at + BROADCAST_INTERVAL_SECONDS
 
     def _is_heartbeat_due(self, now: float) -> bool:
-        return now >= self.heartbeat_at + self.heartbeat_interval
+        return now >= self.last_heartbeat_at + self.heartbeat_interval
 
     def _is_check_due(self, now: float) -> bool:
-        return now >= self.checked_at + CHECK_INTERVAL_SECONDS
+        return now >= self.last_check_at + CHECK_INTERVAL_SECONDS
 
     def _request_snapshots(self) -> None:
-        for peer in range(self.count):
+        for peer in range(self.mesh_size):
             if peer != self.index:
-                self.outbox.reply(peer, [SnapshotRequest()])
+                self.outbox.queue_reply(peer, [SnapshotRequest()])
 
     def _broadcast(self, now: float) -> list[Outgoing]:
         records = self._collect_broadcast_records(now) if self._may_broadcast(now) else []
         if not records:
             return []
-        self.broadcast_at = now
+        self.last_broadcast_at = now
         return self.outbox.broadcast(records, self.table.digest)
 
     def _collect_broadcast_records(self, now: float) -> list[Record]:
-        """What all peers are to be sent. Connection counts change all the time and wait for the heartbeat."""
+        """Return the records to broadcast.
+
+        Connection counts change constantly and are only sent with heartbeats.
+        """
         is_heartbeat = self._is_heartbeat_due(now)
         if is_heartbeat and self.settings.share_connection_counts:
-            for backend, holding in self.backends.items():
-                self.table.set_connections(self.names.get(backend), holding.count)
+            for backend, connections in self.backends.items():
+                self.table.set_connections(self.short_names.get(backend), connections.count)
         records: list[Record] = [*self.table.pop_changes(lambda key: is_heartbeat or is_pair(key))]
         if _has_changed(self.scale, self.announced_scale):
             self.announced_scale = self.scale
             records.append(Scale(self.announced_scale))
         records += self.ejections.pop_pending(now)
         if is_heartbeat:
-            self.heartbeat_at = now
+            self.last_heartbeat_at = now
             records += [self.ejections.clock_reading(now), *self.leases.request(now)]
         return records
 
@@ -269,7 +294,7 @@
         for sender, peer in self.peers.items():
             request = peer.repair_request(now)
             if request is not None:
-                self.outbox.reply(sender, [request])
+                self.outbox.queue_reply(sender, [request])
 
 
 def _has_changed(scale: float, before: float) -> bool:
--- a/saltcourse/shared_state/table.py
+++ b/saltcourse/shared_state/table.py
@@ -1,9 +1,10 @@
-"""Each proxy's table of what it holds, and replicas of the others': any order of messages fills them alike.
+"""This proxy's table of connections, and replicas of the peers' tables.
 
-An entry's key is a pair of backend and group (its value is ``PAIR_VALUE``) or a backend (its value is the
-number of connections there). The owner sends changes to all, with a digest of all that it has announced; a
-replica whose digest differs has missed a message. It requests what followed the last message it agreed with,
-then a snapshot, and so agrees seconds after the last loss.
+An entry's key is a backend and a group (its value is ``PAIR_VALUE``), or a backend (its value is the number
+of connections to it). The owner of a table broadcasts changes, with a digest of the entries announced so far.
+A replica with a different digest has missed a message: its proxy requests the records since the last message
+at which the digests matched, and then a snapshot, so replicas converge within seconds of the last loss. The
+contents of a replica do not depend on the order in which messages arrive.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 from dataclasses import dataclass, field
 from hashlib import blake2b
 
-from saltcourse.shared_state.codec import DIGESTS, NAME_LENGTH, NUMBERS, encode_count
+from saltcourse.shared_state.codec import DIGEST_MODULUS, NAME_LENGTH, NUMBER_MODULUS, encode_count
 from saltcourse.shared_state.messages import (
     Connections,
     EntryKey,
@@ -23,40 +24,43 @@
     TableRecord,
 )
 
-MAX_ENTRIES = 4096  # of one replica, so that no peer can make this process grow without bound
-MAX_NAMED_KEYS = 2 * MAX_ENTRIES  # of a replica, also of entries that are gone
-PAIR_VALUE = 0  # of a pair's entry, whose presence means that the pair is held
-NEVER = -1  # a sequence below that of any message
+MAX_ENTRIES = 4096  # entries per replica; bounds the memory that one peer can consume
+MAX_TRACKED_KEYS = 2 * MAX_ENTRIES  # keys per replica with a known sequence, including removed entries
+PAIR_VALUE = 0  # value of every pair entry; only the presence of the entry matters
+NO_SEQUENCE = -1  # lower than the sequence number of any message
 
 
 def is_pair(key: EntryKey) -> bool:
-    """Whether the key is of a backend and a group, not of a backend alone."""
+    """Return whether the key identifies a backend and a group rather than a backend."""
     return len(key) > NAME_LENGTH
 
 
 def entry_digest(key: EntryKey, value: int) -> int:
-    """An entry's part of a table's digest, which is the exclusive or of all parts, the same in any order.
+    """Return the digest of one entry. A table's digest is the XOR of its entries' digests.
 
-    A checksum would not do: those of two backends' pairs with the same two groups cancel each other out.
+    A linear checksum (CRC) is not sufficient: with two backends and the same two groups at both, the
+    checksums of the four pairs cancel each other out.
     """
     text = key if len(key) > NAME_LENGTH else key + encode_count(value)
-    return int.from_bytes(blake2b(text.encode(), digest_size=4).digest(), "big") % DIGESTS
+    return int.from_bytes(blake2b(text.encode(), digest_size=4).digest(), "big") % DIGEST_MODULUS
 
 
 @dataclass(slots=True)
 class Replica:
     """A copy of one peer's table.
 
-    Each entry is as the newest message that named it has it, and a Reset clears what older ones have set.
+    For each key the record with the highest sequence number wins; a Reset removes entries set by messages
+    with a lower one.
     """
 
     entries: dict[EntryKey, int] = field(default_factory=dict)
-    last_named: dict[EntryKey, int] = field(default_factory=dict)  # -> sequence of the newest that named it
-    reset_sequence: int = NEVER  # of the newest message with a Reset
+    # Sequence number of the newest message that changed each key.
+    last_sequences: dict[EntryKey, int] = field(default_factory=dict)
+    reset_sequence: int = NO_SEQUENCE  # sequence number of the newest message with a Reset
     digest: int = 0
 
     def apply(self, sequence: int, record: TableRecord) -> list[EntryKey]:
-        """Take a record of the message of that sequence. The keys whose entries may have changed."""
+        """Apply a record of message number ``sequence``; return the keys whose entries may have changed."""
         if isinstance(record, Reset):
             return self._reset(sequence)
         value: int | None
@@ -68,24 +72,24 @@
 
     def _reset(self, sequence: int) -> list[EntryKey]:
         self.reset_sequence = max(self.reset_sequence, sequence)
-        old = [key for key in self.entries if self.last_named[key] < sequence]
+        old = [key for key in self.entries if self.last_sequences[key] < sequence]
         return [key for key in old if self._set(key, None, sequence)]
 
     def _set(self, key: EntryKey, value: int | None, sequence: int) -> bool:
-        """Whether the message is new enough, and there is room."""
-        if sequence < self.reset_sequence or sequence < self.last_named.get(key, NEVER):
+        """Set or remove an entry. Return False if the message is outdated or the replica is full."""
+        if sequence < self.reset_sequence or sequence < self.last_sequences.get(key, NO_SEQUENCE):
             return False
         before = self.entries.get(key)
         if before is None and value is not None and self.is_full():
             return False
-        self.last_named[key] = sequence
+        self.last_sequences[key] = sequence
         if value != before:
-            self._replace(key, before, value)
-        if len(self.last_named) > MAX_NAMED_KEYS:  # entries that are long gone need not be remembered
-            self.last_named = {k: n for k, n in self.last_named.items() if k in self.entries}
+            self._replace_entry(key, before, value)
+        if len(self.last_sequences) > MAX_TRACKED_KEYS:  # drops the sequence numbers of removed entries
+            self.last_sequences = {k: n for k, n in self.last_sequences.items() if k in self.entries}
         return True
 
-    def _replace(self, key: EntryKey, before: int | None, after: int | None) -> None:
+    def _replace_entry(self, key: EntryKey, before: int | None, after: int | None) -> None:
         if before is not None:
             self.digest ^= entry_digest(key, before)
         if after is not None:
@@ -95,26 +99,26 @@
             del self.entries[key]
 
     def is_full(self) -> bool:
-        """Whether new entries are ignored; a full replica never agrees, however often it asks."""
+        """Return whether new entries are ignored. Repair requests cannot bring a full replica in sync."""
         return len(self.entries) >= MAX_ENTRIES
 
 
 class LocalTable:
-    """This proxy's own table, and what of it has been announced to all."""
+    """This proxy's own table, and the part of it that has been broadcast."""
 
     def __init__(self) -> None:
         self.entries: dict[EntryKey, int] = {}
-        self.announced: dict[EntryKey, int] = {}  # the replica of a peer that has missed nothing
-        self.digest = 0  # of what has been announced
+        self.announced: dict[EntryKey, int] = {}  # entries as broadcast so far
+        self.digest = 0  # digest of ``announced``
         self.changed: set[EntryKey] = set()  # keys whose entries may differ from the announced ones
 
     def set_pair(self, pair: EntryKey, held: bool) -> None:
-        """Note whether this proxy has connections of a group at a backend."""
+        """Record whether this proxy has connections of a group to a backend."""
         self._set(pair, PAIR_VALUE if held else None)
 
     def set_connections(self, backend: EntryKey, connections: int) -> None:
-        """Note how many connections this proxy has at a backend."""
-        self._set(backend, min(connections, NUMBERS - 1) if connections > 0 else None)
+        """Record the number of connections that this proxy has to a backend."""
+        self._set(backend, min(connections, NUMBER_MODULUS - 1) if connections > 0 else None)
 
     def _set(self, key: EntryKey, value: int | None) -> None:
         if value is None:
@@ -123,10 +127,10 @@
             self.entries[key] = value
         self.changed.add(key)
 
-    def pop_changes(self, is_due: Callable[[EntryKey], bool]) -> list[EntryRecord]:
-        """Announce the changed entries whose keys are due: the records that say so to all."""
+    def pop_changes(self, include: Callable[[EntryKey], bool]) -> list[EntryRecord]:
+        """Mark the changed entries whose keys satisfy ``include`` as announced; return their records."""
         records = []
-        for key in sorted(key for key in self.changed if is_due(key)):
+        for key in sorted(key for key in self.changed if include(key)):
             self.changed.discard(key)
             before, after = self.announced.get(key), self.entries.get(key)
             if before != after:
@@ -142,12 +146,12 @@
             self.announced[key] = after
 
     def snapshot(self) -> list[TableRecord]:
-        """Records that make any replica one of what has been announced."""
+        """Return records that set a replica to the announced entries, whatever it contained before."""
         return [Reset(), *[_record(key, value) for key, value in sorted(self.announced.items())]]
 
 
 def key_of(record: EntryRecord) -> EntryKey:
-    """The key of the entry that a record sets."""
+    """Return the key of the entry that a record sets."""
     return record.backend if isinstance(record, Connections) else record.pair
 
 
--- a/tests/shared_state/simulated_proxies.py
+++ b/tests/shared_state/simulated_proxies.py
@@ -118,7 +118,7 @@
         found = []
         for i, core in enumerate(self.cores):
             for j, other in enumerate(self.cores):
-                indexed = {key for key, peers in core.holders.items() if j in peers}
+                indexed = {key for key, peers in core.peers_by_key.items() if j in peers}
                 if i != j and not (
                     j in core.peers
                     and core.peers[j].replica.entries == other.table.entries
--- a/tests/shared_state/test_quota.py
+++ b/tests/shared_state/test_quota.py
@@ -65,5 +65,5 @@
 
 
 def test_a_proxy_alone_has_an_equal_part() -> None:
-    assert QuotaLeases(0, 4, SETTINGS, alone=True).share(0.0) == EQUAL_PART
+    assert QuotaLeases(0, 4, SETTINGS, isolated=True).share(0.0) == EQUAL_PART
     assert QuotaLeases(0, 1, SETTINGS).share(0.0) == 1.0
