--- a/saltcourse/address_failover/__init__.py
+++ b/saltcourse/address_failover/__init__.py
@@ -1,5 +1,5 @@
-"""Which live member announces the service address: lease election, its transport, and the announcement.
+"""Address failover: members elect a lease holder, which announces the service address to the network.
 
-``election`` decides (no I/O), ``host`` runs it on sockets, ``bgp_announcer`` and ``command_announcer``
-bring its decisions to the network.
+``election`` implements the election without I/O, ``host`` runs it on sockets, and ``bgp_announcer`` and
+``command_announcer`` announce and withdraw the address.
 """
--- a/saltcourse/address_failover/actions.py
+++ b/saltcourse/address_failover/actions.py
@@ -1,4 +1,4 @@
-"""Actions of the election, to be carried out in their order. Times are seconds on the host's clock."""
+"""Actions returned by the election, executed by the host in order. Times are seconds on the host's clock."""
 
 from __future__ import annotations
 
@@ -18,42 +18,42 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreVote:
-    """Store the vote durably before anything that follows is carried out."""
+    """Store the vote durably before executing the actions that follow."""
 
     vote: Vote
 
 
 @dataclass(frozen=True, slots=True)
 class AnnounceAddress:
-    """Announce the service address, with a rank that grows with the term."""
+    """Announce the service address with a route preference that increases with the term."""
 
     term: int
 
 
 @dataclass(frozen=True, slots=True)
 class ExtendLease:
-    """The lease is good until this time at most."""
+    """The lease is valid until ``until``, unless it is extended again."""
 
     until: float
 
 
 @dataclass(frozen=True, slots=True)
 class WithdrawAddress:
-    """Withdraw what was announced for the term."""
+    """Withdraw the announcement of the term."""
 
     term: int
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Give a ``TimerExpired`` at this time; it replaces the timer before it."""
+    """Deliver a ``TimerExpired`` event at this time. Replaces the previous timer."""
 
     at: float
 
 
 @dataclass(frozen=True, slots=True)
 class LogEvent:
-    """Write a log line; ``member`` is the other member that it is about, empty for none."""
+    """Write a log line. ``member`` is the other member involved, or empty."""
 
     event: str
     member: str = ""
--- a/saltcourse/address_failover/election.py
+++ b/saltcourse/address_failover/election.py
@@ -73,9 +73,9 @@
 from saltcourse.address_failover.vote import NOTHING_RECOVERED, RecoveredState
 from saltcourse.address_failover.voters import ElectionConfig
 
-NEVER = float("inf")  # the time of what is not planned
-LONG_AGO = -float("inf")  # the time of what has not happened
-RECENT_LEASES = 2  # lease durations within which a member was heard that may take over a lease
+NO_DEADLINE = float("inf")  # the time of what is not planned
+NO_LEASE = -float("inf")  # the time of what has not happened
+RECENT_LEASE_DURATIONS = 2  # lease durations within which a member was heard that may take over a lease
 
 
 class Election:
@@ -106,18 +106,18 @@
         self.term = 0  # of the candidacy or the lease
         self.transferred_term = 0  # the term of the lease that was transferred for this candidacy; 0: none
         self.grants = Grants(config.majority, config.timing.holder_lease)
-        self.last_received: dict[str, float] = {}  # member -> when its last message came
-        self.lease_ends_at = LONG_AGO
-        self.candidacy = Candidacy(now, NEVER)
-        self.next_candidacy_at = NEVER
-        self.next_send_at = NEVER  # the next repeat of requests or renewals
+        self.last_received_at: dict[str, float] = {}  # member -> when its last message came
+        self.lease_ends_at = NO_LEASE
+        self.candidacy = Candidacy(now, NO_DEADLINE)
+        self.next_candidacy_at = NO_DEADLINE
+        self.next_send_at = NO_DEADLINE  # the next repeat of requests or renewals
         self.now = now
         self._actions: list[Action] = []
 
     def start(self, now: float) -> list[Action]:
         """Begin as a follower; to be called once."""
         self._begin_event(now)
-        self._follow()
+        self._become_follower()
         return self._end_event()
 
     def handle(self, now: float, event: Event) -> list[Action]:
@@ -127,12 +127,12 @@
         if self.role is not Role.STOPPED:
             match event:
                 case MessageReceived(sender, message):
-                    self.last_received[sender] = now
+                    self.last_received_at[sender] = now
                     self._receive(sender, message)
                 case TimerExpired():
                     self._on_timer()
                 case AnnouncerAvailabilityChanged(available):
-                    self._on_announcer(available)
+                    self._on_announcer_availability(available)
                 case ShutdownRequested():
                     self._on_shutdown()
         return self._end_event()
@@ -145,7 +145,7 @@
 
     def _end_event(self) -> list[Action]:
         deadline = self._next_deadline()
-        if deadline < NEVER:
+        if deadline < NO_DEADLINE:
             self._actions.append(SetTimer(deadline))
         return self._actions
 
@@ -161,7 +161,7 @@
         if self.role is Role.HOLDER and self.now >= self.lease_ends_at:
             self._actions.append(LogEvent("lease expired"))
             self._step_down()
-            self._follow()
+            self._become_follower()
         elif self.role in CANDIDATE_ROLES and self.now >= self.candidacy.ends_at:
             self._abandon_candidacy()
 
@@ -175,20 +175,20 @@
             else:
                 self._request_votes()
 
-    def _follow(self) -> None:
+    def _become_follower(self) -> None:
         """Become a follower, and a pre-candidate some time after all promises of this member have expired."""
         self.role = Role.FOLLOWER
-        self.next_candidacy_at = NEVER
+        self.next_candidacy_at = NO_DEADLINE
         if not self._is_witness and self.can_announce:
             jitter = self.random.random() * self.timing.start_jitter
-            self.next_candidacy_at = self.promises.free_at(self.now) + self._start_delay + jitter
+            self.next_candidacy_at = self.promises.all_expired_at(self.now) + self._start_delay + jitter
 
     # ---- candidacy ------------------------------------------------------------------------------------
 
     def _become_pre_candidate(self) -> None:
         """Ask who would vote, which changes nothing at the others (rule 6)."""
-        if not self.promises.allows(self.now, self.own_name):
-            self._follow()
+        if not self.promises.can_promise_to(self.now, self.own_name):
+            self._become_follower()
             return
         self._start_candidacy(Role.PRE_CANDIDATE)
 
@@ -210,17 +210,17 @@
         self._actions += [SendMessage(voter.name, request) for voter in missing]
 
     def _on_vote_response(self, sender: str, response: VoteResponse) -> None:
-        if not self._answers_this_candidacy(response):
+        if not self._is_current_response(response):
             return
         if response.granted:
             self.grants.record(sender, response.request_sent_at)
             self._count_grants()
-        elif self._is_overtaken_by(response.newest_term):
+        elif self._supersedes_candidacy(response.newest_term):
             # The next candidacy takes a term above it.
             self._actions += self.promises.learn_term(response.newest_term)
             self._abandon_candidacy()
 
-    def _answers_this_candidacy(self, response: VoteResponse) -> bool:
+    def _is_current_response(self, response: VoteResponse) -> bool:
         """A pre-vote uses up no term, so only the time tells which of two rounds a response belongs to."""
         expects_pre_vote = self.role is Role.PRE_CANDIDATE
         return (
@@ -230,11 +230,11 @@
             and response.request_sent_at >= self.candidacy.started_at
         )
 
-    def _is_overtaken_by(self, term: int) -> bool:
+    def _supersedes_candidacy(self, term: int) -> bool:
         return term_round(term) >= term_round(self.term) and term != self.term
 
     def _count_grants(self) -> None:
-        if not self.grants.is_majority():
+        if not self.grants.has_majority():
             return
         if self.role is Role.PRE_CANDIDATE:
             self._start_candidacy(Role.CANDIDATE)
@@ -246,7 +246,7 @@
         if self.role is Role.CANDIDATE:
             self._release_promises(self.term)
         self.transferred_term = 0
-        self._follow()
+        self._become_follower()
 
     def _release_promises(self, term: int) -> None:
         """Free the voters of their promises; without it a split vote would cost a whole lease duration."""
@@ -273,7 +273,7 @@
 
     def _renew(self) -> None:
         self.next_send_at = self.now + self.timing.renewal_interval
-        self._actions += self.promises.give(self.now, self.own_name, self.term)
+        self._actions += self.promises.promise_to(self.now, self.own_name, self.term)
         renewal = LeaseRenewal(self.term, self.now)
         self._actions += [SendMessage(voter.name, renewal) for voter in self.others]
         if not self.others:
@@ -287,22 +287,22 @@
     def _step_down(self) -> None:
         """Withdraw; from here on this member relies on nobody's promise."""
         self._actions.append(WithdrawAddress(self.term))
-        self.lease_ends_at = LONG_AGO
+        self.lease_ends_at = NO_LEASE
         self._release_promises(self.term)
 
     def _transfer_lease(self) -> None:
         """Step down and have the preferred one of the live members become a candidate at once."""
         term = self.term
         self._step_down()
-        alive_since = self.now - RECENT_LEASES * self.timing.lease_duration
-        successor = self.config.preferred_successor(self.last_received, alive_since)
+        alive_since = self.now - RECENT_LEASE_DURATIONS * self.timing.lease_duration
+        successor = self.config.preferred_successor(self.last_received_at, alive_since)
         if successor is not None:
             self._actions.append(SendMessage(successor, LeaseTransfer(term)))
             self._actions.append(LogEvent("lease transferred", successor))
 
     # ---- what the host reports --------------------------------------------------------------------------
 
-    def _on_announcer(self, available: bool) -> None:
+    def _on_announcer_availability(self, available: bool) -> None:
         """A member that cannot announce must not hold: another one may be able to."""
         if available is self.can_announce:
             return
@@ -316,7 +316,7 @@
         if not available and self.role is Role.CANDIDATE:
             self._abandon_candidacy()
         if self.role is not Role.HOLDER:
-            self._follow()
+            self._become_follower()
 
     def _on_shutdown(self) -> None:
         if self.role is Role.HOLDER:
@@ -324,7 +324,7 @@
         elif self.role is Role.CANDIDATE:
             self._release_promises(self.term)
         self.role = Role.STOPPED
-        self.next_candidacy_at = NEVER
+        self.next_candidacy_at = NO_DEADLINE
 
     # ---- messages ---------------------------------------------------------------------------------------
 
@@ -354,7 +354,7 @@
         if granted and not request.pre_vote:
             self._actions += self.promises.vote_for(self.now, sender, request.term)
             self.transferred_term = 0
-            self._follow()  # a pre-candidate has no vote of its own any more
+            self._become_follower()  # a pre-candidate has no vote of its own any more
         newest_term = self.promises.vote.term
         response = VoteResponse(request.term, request.sent_at, request.pre_vote, granted, newest_term)
         self._actions.append(SendMessage(sender, response))
@@ -366,13 +366,13 @@
         if not self.promises.would_renew(self.now, sender, renewal):
             return
         self._actions += self.promises.learn_term(renewal.term)
-        self._actions += self.promises.give(self.now, sender, renewal.term)
-        self._follow()
+        self._actions += self.promises.promise_to(self.now, sender, renewal.term)
+        self._become_follower()
         self._actions.append(SendMessage(sender, LeaseRenewalAck(renewal.term, renewal.sent_at)))
 
     def _on_release(self, member: str, term: int) -> None:
         if self.promises.release(self.now, member, term) and self.role is Role.FOLLOWER:
-            self._follow()
+            self._become_follower()
 
     def _on_transfer(self, sender: str, term: int) -> None:
         if self._is_witness or not self.can_announce:
@@ -381,7 +381,7 @@
             return
         self._actions += self.promises.learn_term(term)
         self._on_release(sender, term)
-        if self.promises.allows(self.now, self.own_name):
+        if self.promises.can_promise_to(self.now, self.own_name):
             self.transferred_term = term
             self._start_candidacy(Role.CANDIDATE)
 
--- a/saltcourse/address_failover/errors.py
+++ b/saltcourse/address_failover/errors.py
@@ -1,32 +1,35 @@
-"""Errors of this package; the texts give what was found or what was expected."""
+"""Exceptions raised by this package. Each message states what was found or what was expected."""
 
 from __future__ import annotations
 
 
 class AddressFailoverError(Exception):
-    """Base of all errors that this package raises."""
+    """Base class of all errors that this package raises."""
 
 
 class InvalidTimingError(AddressFailoverError):
-    """An ``ElectionTiming`` that the election cannot run with."""
+    """A field of an ``ElectionTiming`` is out of range.
 
-    def __init__(self, field: str, expected: str) -> None:
-        super().__init__(f"{field}: {expected}")
-        self.field = field  # of ElectionTiming
+    ``field`` is its name, ``expected`` describes the allowed range.
+    """
+
+    def __init__(self, field: str, expected: str, value: float) -> None:
+        super().__init__(f"{field}: expected {expected}, got {value}")
+        self.field = field
         self.expected = expected
 
 
 class InvalidVotersError(AddressFailoverError):
-    """A set of voters that cannot elect a holder, or that lacks this member."""
+    """The configured voters cannot elect a holder, or do not include this member."""
 
 
 class InvalidKeysError(AddressFailoverError):
-    """Keys that cannot authenticate datagrams."""
+    """The keys cannot be used to authenticate datagrams: wrong number, too short or duplicate."""
 
 
 class InvalidPeeringError(AddressFailoverError):
-    """A BGP peering that RFC 4271 does not allow."""
+    """A BGP peering has a parameter that RFC 4271 does not allow."""
 
 
 class VoteStoreError(AddressFailoverError):
-    """The vote file cannot be used; the text names the file and the reason."""
+    """The vote file cannot be used. The message names the file and the reason."""
--- a/saltcourse/address_failover/events.py
+++ b/saltcourse/address_failover/events.py
@@ -1,4 +1,4 @@
-"""Events that the election handles."""
+"""Input events of the election."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageReceived:
-    """An authenticated message of another member."""
+    """An authenticated message from another member has arrived."""
 
     sender: str
     message: ElectionMessage
@@ -17,19 +17,19 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerExpired:
-    """The time of the last ``SetTimer`` has come; one that comes early or twice does no harm."""
+    """The time of the last ``SetTimer`` has been reached. Early or duplicate events are harmless."""
 
 
 @dataclass(frozen=True, slots=True)
 class AnnouncerAvailabilityChanged:
-    """Whether this member can announce the address by any of its ways."""
+    """The announcer has become able, or unable, to announce the address."""
 
     available: bool
 
 
 @dataclass(frozen=True, slots=True)
 class ShutdownRequested:
-    """A planned leave: a lease is transferred, and from here on nothing is requested or granted."""
+    """The member leaves as planned: it transfers its lease and stops requesting and granting anything."""
 
 
 Event = MessageReceived | TimerExpired | AnnouncerAvailabilityChanged | ShutdownRequested
--- a/saltcourse/address_failover/grants.py
+++ b/saltcourse/address_failover/grants.py
@@ -1,13 +1,13 @@
-"""What voters have granted a candidate or holder, and the lease that comes of it (rule 2 of ``election``)."""
+"""Grants that a candidate or holder has received, and the lease they add up to (rule 2 of ``election``)."""
 
 from __future__ import annotations
 
 
 class Grants:
-    """For each voter, when the request was sent that it granted last. The member itself always grants.
+    """Tracks when the latest request granted by each other voter was sent. The member itself always grants.
 
-    ``majority``: how many grants a lease needs, the member's own included. ``holder_lease``: seconds from the
-    sending of a request for which its grant may be relied on.
+    ``majority``: number of grants that a lease needs, including the member's own. ``holder_lease``: seconds
+    for which a grant is valid, counted from when its request was sent.
     """
 
     def __init__(self, majority: int, holder_lease: float) -> None:
@@ -16,24 +16,24 @@
         self.request_sent_at: dict[str, float] = {}
 
     def clear(self) -> None:
-        """Begin a new candidacy, which nobody has granted yet."""
+        """Discard all grants at the start of a candidacy."""
         self.request_sent_at = {}
 
     def record(self, voter: str, request_sent_at: float) -> None:
-        """Note a grant; one of an older request changes nothing."""
+        """Record a grant. A grant of an older request than the recorded one is ignored."""
         before = self.request_sent_at.get(voter, request_sent_at)
         self.request_sent_at[voter] = max(request_sent_at, before)
 
     def __contains__(self, voter: str) -> bool:
-        """Whether the voter has granted anything in this candidacy or lease."""
+        """Return whether the voter has granted a request in this candidacy or lease."""
         return voter in self.request_sent_at
 
-    def is_majority(self) -> bool:
-        """Whether enough have granted."""
+    def has_majority(self) -> bool:
+        """Return whether a majority of the voters has granted a request."""
         return len(self.request_sent_at) + 1 >= self.majority
 
     def lease_end(self, now: float) -> float:
-        """When the promises of a majority may begin to expire; only for a majority."""
+        """Return the time until which the promises of a majority are valid. Requires ``has_majority``."""
         needed = self.majority - 1
         if needed == 0:
             return now + self.holder_lease
--- a/saltcourse/address_failover/roles.py
+++ b/saltcourse/address_failover/roles.py
@@ -1,4 +1,4 @@
-"""What a member is in the election, and the candidacy that it has begun."""
+"""Roles of a member in the election, and the timing of a candidacy."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Role(Enum):
-    """What a member is in the election; see the table at the head of ``election``."""
+    """Role of a member. The docstring of ``election`` has the table of transitions."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre-candidate"
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Candidacy:
-    """A round of vote or pre-vote requests, from its begin until it is given up. Times in seconds."""
+    """A round of vote or pre-vote requests. It is abandoned at ``ends_at``. Times are seconds."""
 
     started_at: float
     ends_at: float
--- a/saltcourse/address_failover/vote.py
+++ b/saltcourse/address_failover/vote.py
@@ -1,4 +1,4 @@
-"""What a member must remember across restarts to keep its promises."""
+"""The vote that a member stores to keep its promises across restarts."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Vote:
-    """The newest term known, for whom this member voted in it, and to whom its last promise went.
+    """The newest term known, the candidate voted for in it, and the receiver of the last promise.
 
-    A promise is given by a vote or by the acknowledgement of a renewal; an empty name means nobody.
+    Votes and acknowledged renewals are promises. An empty name means nobody.
     """
 
     term: int = 0
@@ -19,11 +19,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RecoveredState:
-    """What a member knows at its start of the time before.
+    """State that a member recovers when it starts.
 
-    ``vote`` is what the vote store returned, None where nothing outlives a restart. ``never_promised``: no
-    promise of this member can still be good, as at its first start ever. ``lowest_term`` is surely above
-    all forgotten terms, for members without a vote store.
+    ``vote``: the stored vote, or None without a vote store. ``never_promised``: no earlier promise of this
+    member can still be active, as on its first start. ``lowest_term``: for members without a vote store, a
+    term that is higher than all terms they may have forgotten.
     """
 
     vote: Vote | None = None
--- a/saltcourse/address_failover/voters.py
+++ b/saltcourse/address_failover/voters.py
@@ -1,4 +1,4 @@
-"""The configured members of the election, and what one of them derives from the configuration."""
+"""Configuration of the election: its members, which of them this one is, and the timing."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Voter:
-    """A configured member. A witness only votes; of the others the highest ``priority`` is preferred."""
+    """A configured member. A witness only votes; the other members are preferred by highest ``priority``."""
 
     name: str
     priority: int = 0
@@ -22,9 +22,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ElectionConfig:
-    """All voters in the order that all members share, which of them this member is, and the timing.
+    """The election as configured for one member. All members must list the voters in the same order.
 
-    Raises InvalidVotersError.
+    Raises InvalidVotersError if the voters cannot elect a holder or do not include this member.
     """
 
     voters: tuple[Voter, ...]
@@ -32,60 +32,65 @@
     timing: ElectionTiming
 
     def __post_init__(self) -> None:
-        """Check that the voters can elect a holder and that this member is one of them."""
+        """Raise InvalidVotersError if the configuration is invalid."""
         names = [voter.name for voter in self.voters]
         if len(set(names)) != len(names):
-            raise InvalidVotersError("members: a name stands twice")
+            raise InvalidVotersError(f"members: duplicate name in {', '.join(names)}")
         if len(names) > MAX_VOTERS:
-            raise InvalidVotersError(f"members: {MAX_VOTERS} at most")
+            raise InvalidVotersError(f"members: {len(names)} configured, at most {MAX_VOTERS} allowed")
         if self.own_name not in names:
-            raise InvalidVotersError(f"members: {self.own_name} is not among them")
+            raise InvalidVotersError(
+                f"members: this member, {self.own_name}, is not one of {', '.join(names)}"
+            )
         if all(voter.witness for voter in self.voters):
-            raise InvalidVotersError("members: all are witnesses, so nobody could hold the address")
+            raise InvalidVotersError(
+                "members: all are witnesses, at least one must be able to hold the address"
+            )
 
     @property
     def own_index(self) -> int:
-        """Place of this member among the voters, which its terms carry."""
+        """Index of this member among the voters, which is part of its terms."""
         return self.index_of(self.own_name)
 
     @property
     def own_voter(self) -> Voter:
-        """Entry of this member."""
+        """This member's entry among the voters."""
         return self.voters[self.own_index]
 
     @property
     def others(self) -> tuple[Voter, ...]:
-        """All voters but this member."""
+        """All voters except this member."""
         return tuple(voter for voter in self.voters if voter.name != self.own_name)
 
     @property
     def majority(self) -> int:
-        """How many promises a lease needs, this member's own included."""
+        """Number of promises that a lease needs, including this member's own."""
         return len(self.voters) // 2 + 1
 
     @property
     def start_delay(self) -> float:
-        """Seconds for which this member lets higher priorities go first."""
+        """Seconds by which this member delays its candidacy in favor of higher priorities."""
         if self.own_voter.witness:
             return 0.0
         priorities = sorted({voter.priority for voter in self.voters if not voter.witness}, reverse=True)
         return self.timing.priority_delay * priorities.index(self.own_voter.priority)
 
-    def preferred_successor(self, last_received: Mapping[str, float], alive_since: float) -> str | None:
-        """The member to transfer a lease to: of the highest priority, then the one heard last.
+    def preferred_successor(self, last_received_at: Mapping[str, float], alive_since: float) -> str | None:
+        """Return the member to transfer a lease to, or None if no other member is eligible.
 
-        ``last_received``: when each other member's last message came. Only those count that may hold the
-        lease and were heard since ``alive_since``; None where there is none.
+        Eligible are members that may hold the lease and have sent a message since ``alive_since``. The one
+        with the highest priority is chosen, among equals the one that sent a message last.
+        ``last_received_at``: when the last message of each other member arrived.
         """
         alive = [
             voter
             for voter in self.others
-            if not voter.witness and last_received.get(voter.name, -math.inf) >= alive_since
+            if not voter.witness and last_received_at.get(voter.name, -math.inf) >= alive_since
         ]
         if not alive:
             return None
-        return max(alive, key=lambda voter: (voter.priority, last_received[voter.name])).name
+        return max(alive, key=lambda voter: (voter.priority, last_received_at[voter.name])).name
 
     def index_of(self, name: str) -> int:
-        """The place of a voter, or -1 for a name that is none."""
+        """Return the index of a voter, or -1 if there is no voter of this name."""
         return next((index for index, voter in enumerate(self.voters) if voter.name == name), -1)
--- a/saltcourse/shared_state/codec.py
+++ b/saltcourse/shared_state/codec.py
@@ -34,7 +34,7 @@
 
 MAX_BYTES = 256  # size limit of a datagram
 VERSION = "2"
-DIGITS = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789_-"  # '-' last: for patterns
+DIGITS = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789_-"  # '-' is last for regex classes
 DIGIT_VALUES = {digit: value for value, digit in enumerate(DIGITS)}
 # Field lengths in digits.
 INCARNATION_LENGTH, SEQUENCE_LENGTH, DIGEST_LENGTH = 2, 3, 3
--- a/saltcourse/shared_state/ejections.py
+++ b/saltcourse/shared_state/ejections.py
@@ -20,7 +20,7 @@
 )
 
 MAX_HOLD_SECONDS = 10.0  # maximum lifetime of a peer's ejection, from the arrival of its notice
-MAX_EJECTIONS = 1024  # of all peers together; further notices are ignored
+MAX_EJECTIONS = 1024  # limit for all peers together; further notices are ignored
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,9 +50,9 @@
 
     def __init__(self, clock_drift: float) -> None:
         self.clock_drift = clock_drift
-        self.offsets: dict[int, ClockOffset] = {}  # by peer
+        self.offsets: dict[int, ClockOffset] = {}  # clock offset of each peer
         self.peer_ejections: dict[tuple[EntryKey, int], PeerEjection] = {}  # by backend and origin
-        self.pending: list[EjectionNotice] = []  # to be broadcast
+        self.pending: list[EjectionNotice] = []  # this proxy's notices that have not been broadcast yet
 
     def announce(self, backend: EntryKey, until: float) -> None:
         """Queue a notice that this proxy has ejected the backend until ``until`` (seconds, own clock)."""
--- a/saltcourse/shared_state/health_check_budget.py
+++ b/saltcourse/shared_state/health_check_budget.py
@@ -17,8 +17,8 @@
     share that grows raises the refill rate and the capacity but adds no tokens.
     """
 
-    rate: float  # of the whole fleet, tokens per second
-    burst: float  # of the whole fleet, tokens
+    rate: float  # refill rate of the whole fleet, tokens per second
+    burst: float  # capacity for the whole fleet, tokens
     tokens: float = 0.0
     refilled_at: float = 0.0  # seconds
 
--- a/saltcourse/shared_state/peer.py
+++ b/saltcourse/shared_state/peer.py
@@ -9,8 +9,8 @@
 from saltcourse.shared_state.table import Replica, is_pair
 
 MISMATCH_GRACE_SECONDS = 1.0  # time to let delayed messages arrive before requesting a repair
-RETRY_INTERVAL_SECONDS = 1.5  # between repair requests to the same peer
-LOST_PEER_HALF_LIFE_SECONDS = 30.0  # of the connection counts of a lost peer
+RETRY_INTERVAL_SECONDS = 1.5  # minimum time between repair requests to the same peer
+LOST_PEER_HALF_LIFE_SECONDS = 30.0  # half-life of a lost peer's connection counts
 
 
 @dataclass(slots=True)
@@ -26,7 +26,7 @@
     announced_digest: int = 0  # table digest in its newest message
     received_at: float = 0.0  # when its last message arrived
     synchronized_at: float = 0.0  # when the digests last matched
-    synchronized_sequence: int | None = None  # the newest message at that time
+    synchronized_sequence: int | None = None  # sequence number of the newest message at that time
     retry_at: float = 0.0  # when the next repair may be requested; 0: none requested since the last match
     scale: float = 0.0  # capacity scale that it has reported; 0: none
 
--- a/saltcourse/shared_state/state.py
+++ b/saltcourse/shared_state/state.py
@@ -38,11 +38,11 @@
 from saltcourse.shared_state.table import LocalTable, is_pair
 
 BROADCAST_INTERVAL_SECONDS = 0.05  # minimum time between broadcasts; changes in between are sent together
-CHECK_INTERVAL_SECONDS = MISMATCH_GRACE_SECONDS  # between checks for silent peers and differing replicas
+CHECK_INTERVAL_SECONDS = MISMATCH_GRACE_SECONDS  # time between checks for silent peers and replica mismatches
 STALL_THRESHOLD_SECONDS = 3.0  # time without any event after which this process must have been stopped
 STALL_RECOVERY_SECONDS = 0.5  # time to process the messages that were queued in the socket during a stall
 SCALE_CHANGE_RATIO = 0.2  # minimum relative change of the capacity scale to announce it again
-DISTANT_PAST = -1e9  # seconds
+DISTANT_PAST = -1e9  # initial value of timestamps, seconds
 
 
 class BackendConnections(Protocol):
@@ -85,7 +85,7 @@
         self.last_broadcast_at = DISTANT_PAST
         self.last_heartbeat_at = DISTANT_PAST
         self.last_check_at = 0.0
-        self.last_event_at: float | None = None  # last call of receive or outgoing_messages
+        self.last_event_at: float | None = None  # time of the last receive or outgoing_messages call
         self.stall_recovered_at = DISTANT_PAST  # when the messages queued during a stall have been processed
         self.started_at: float | None = None
         self.undecodable_messages = 0
--- a/tests/address_failover/broken_elections.py
+++ b/tests/address_failover/broken_elections.py
@@ -11,7 +11,7 @@
 class BrokenPromises(VoterPromises):
     """Promises to whoever asks, whatever was promised before."""
 
-    def allows(self, now: float, member: str, transferred_term: int = 0) -> bool:
+    def can_promise_to(self, now: float, member: str, transferred_term: int = 0) -> bool:
         return True
 
 
@@ -27,10 +27,10 @@
     """Becomes a candidate without asking first."""
 
     def _become_pre_candidate(self) -> None:
-        if self.promises.allows(self.now, self.own_name):
+        if self.promises.can_promise_to(self.now, self.own_name):
             self._start_candidacy(Role.CANDIDATE)
         else:
-            self._follow()
+            self._become_follower()
 
 
 class VoteForgotten(Election):
--- a/tests/address_failover/test_election.py
+++ b/tests/address_failover/test_election.py
@@ -120,10 +120,10 @@
 @pytest.mark.parametrize(
     "voters, own_name, named",
     [
-        ((Voter("a"), Voter("a")), "a", "twice"),
-        ((Voter("a"),), "b", "b is not among"),
-        ((Voter("a", witness=True),), "a", "witnesses"),
-        (tuple(Voter(f"m{i}") for i in range(65)), "m0", "64 at most"),
+        ((Voter("a"), Voter("a")), "a", "duplicate name in a, a"),
+        ((Voter("a"),), "b", "this member, b, is not one of a"),
+        ((Voter("a", witness=True),), "a", "all are witnesses"),
+        (tuple(Voter(f"m{i}") for i in range(65)), "m0", "65 configured, at most 64"),
     ],
 )
 def test_voters_that_cannot_elect_a_holder_are_rejected(
--- a/tests/address_failover/test_election_model.py
+++ b/tests/address_failover/test_election_model.py
@@ -64,7 +64,7 @@
         new.members = {}
         for name, member in self.members.items():
             new.members[name] = twin = copy.copy(member)
-            twin.grants, twin.last_received = copy.deepcopy(member.grants), dict(member.last_received)
+            twin.grants, twin.last_received_at = copy.deepcopy(member.grants), dict(member.last_received_at)
             twin.promises = copy.copy(member.promises)
         new.timers, new.lease_ends, new.announced_by = (
             dict(self.timers),
--- a/tests/address_failover/test_grants.py
+++ b/tests/address_failover/test_grants.py
@@ -12,9 +12,9 @@
 def test_the_lease_counts_from_the_request_that_the_last_voter_needed_was_sent() -> None:
     grants = Grants(majority=3, holder_lease=HOLDER_LEASE)
     grants.record("a", 1.0)
-    assert not grants.is_majority() and "a" in grants and "b" not in grants
+    assert not grants.has_majority() and "a" in grants and "b" not in grants
     grants.record("b", 1.2)
-    assert grants.is_majority() and grants.lease_end(9.0) == pytest.approx(1.5)
+    assert grants.has_majority() and grants.lease_end(9.0) == pytest.approx(1.5)
     grants.record("c", 1.3)
     assert grants.lease_end(9.0) == pytest.approx(1.7)
 
@@ -28,11 +28,11 @@
 
 def test_a_member_alone_is_its_own_majority() -> None:
     grants = Grants(majority=1, holder_lease=HOLDER_LEASE)
-    assert grants.is_majority() and grants.lease_end(9.0) == pytest.approx(9.5)
+    assert grants.has_majority() and grants.lease_end(9.0) == pytest.approx(9.5)
 
 
 def test_a_new_candidacy_begins_without_grants() -> None:
     grants = Grants(majority=2, holder_lease=HOLDER_LEASE)
     grants.record("a", 2.0)
     grants.clear()
-    assert not grants.is_majority() and "a" not in grants
+    assert not grants.has_majority() and "a" not in grants
