--- a/saltcourse/address_failover/authentication.py
+++ b/saltcourse/address_failover/authentication.py
@@ -1,13 +1,13 @@
-"""Datagrams between members: authenticated, and each accepted only once. No I/O.
+"""Authentication and replay protection of the datagrams between members. No I/O.
 
-On the wire: ``SC``, one byte of version (1), 4 bytes that identify the key, 32 bytes of HMAC-SHA256 (RFC
-2104) over what follows, then a ``Datagram`` (``schema/membership.proto``). Checks run in the order of their
-cost, so junk is dropped for the price of a comparison.
+Wire format: ``SC``, a version byte (1), a 4-byte key ID, a 32-byte HMAC-SHA256 (RFC 2104) of the rest, then a
+``Datagram`` (``schema/membership.proto``). The cheapest checks run first, so most junk is rejected by
+comparing a few bytes.
 
-Replays: each process has an incarnation number and counts its datagrams. A receiver accepts a sequence number
-once, from the newest incarnation of its sender only, and only where the sender knew the receiver's own
-incarnation; so a recording from before the receiver's restart is no longer valid either. A sender that does
-not know it yet is sent a Hello.
+Replay protection: each process has an incarnation number and numbers its datagrams. A receiver accepts each
+sequence number once, only from the sender's newest incarnation, and only if the datagram names the receiver's
+current incarnation. So datagrams recorded before a restart of either side are rejected. A sender that does
+not know the receiver's incarnation is sent a Hello.
 """
 
 from __future__ import annotations
@@ -31,28 +31,28 @@
 KEY_ID_LENGTH = 4
 TAG_LENGTH = 32
 HEADER_LENGTH = len(MAGIC) + KEY_ID_LENGTH + TAG_LENGTH
-MAX_DATAGRAM_LENGTH = 512  # the longest message takes under 300
+MAX_DATAGRAM_LENGTH = 512  # the longest valid datagram has less than 300 bytes
 MIN_KEY_LENGTH = 16
-MAX_KEYS = 2  # the one in use, and the one that it replaces or that will replace it
+MAX_KEYS = 2  # during a key change, the old and the new key
 SCHEMA_VERSION = 1
 
 
 class DropReason(Enum):
-    """Why a datagram was dropped."""
+    """Reason for dropping a datagram."""
 
-    MALFORMED = "malformed"  # no datagram of this protocol
+    MALFORMED = "malformed"  # not a datagram of this protocol
     UNKNOWN_KEY = "unknown_key"
     BAD_SIGNATURE = "bad_signature"
     UNSUPPORTED = "unsupported"  # authentic, but this version cannot read it
-    NOT_A_MEMBER = "not_a_member"  # another sender, source address or receiver than configured
+    NOT_A_MEMBER = "not_a_member"  # sender, source address or receiver does not match the configuration
     REPLAYED = "replayed"
     STALE_INCARNATION = "stale_incarnation"  # from an earlier process of the sender
-    UNKNOWN_INCARNATION = "unknown_incarnation"  # the sender does not know this process yet
+    UNKNOWN_INCARNATION = "unknown_incarnation"  # the sender does not know this process's incarnation
 
 
 @dataclass(frozen=True, slots=True)
 class AuthenticatedMessage:
-    """A message that its sender signed and that was not accepted before."""
+    """A message with a valid signature that is not a replay."""
 
     sender: str
     message: Message
@@ -60,28 +60,29 @@
 
 @dataclass(slots=True)
 class MemberProcess:
-    """What is known of another member's process."""
+    """State about another member's current process."""
 
     address: tuple[str, int]
     incarnation: int = 0
     window: ReplayWindow = field(default_factory=ReplayWindow)
 
     def restart(self, incarnation: int) -> None:
-        """A newer process of this member has sent something; it counts from 1 again."""
+        """Record that the member runs a new process, whose sequence numbers start from 1."""
         self.incarnation = incarnation
         self.window = ReplayWindow()
 
 
 def key_id(key: bytes) -> bytes:
-    """What identifies a key on the wire."""
+    """Return the identifier of a key on the wire."""
     return hashlib.sha256(b"saltcourse key id " + key).digest()[:KEY_ID_LENGTH]
 
 
 class DatagramAuthenticator:
-    """One member's end.
+    """Signs outgoing datagrams of one member and verifies incoming ones.
 
-    ``incarnation`` grows with each start of this member: microseconds since 1970. ``keys``: the first
-    signs, all of them verify. ``peer_addresses``: of the other members by name. Raises InvalidKeysError.
+    ``incarnation``: must increase with each start of this member (microseconds since 1970). ``keys``: the
+    first key signs, all keys verify. ``peer_addresses``: UDP addresses of the other members by name. Raises
+    InvalidKeysError.
     """
 
     def __init__(
@@ -95,18 +96,20 @@
         self.change_keys(keys)
 
     def change_keys(self, keys: list[bytes]) -> None:
-        """Replace all keys. Raises InvalidKeysError, and the old ones then stay."""
+        """Replace all keys. Raises InvalidKeysError and keeps the old keys if the new ones are invalid."""
         if not 1 <= len(keys) <= MAX_KEYS:
-            raise InvalidKeysError(f"one or {MAX_KEYS} keys, not {len(keys)}")
+            raise InvalidKeysError(f"expected 1 to {MAX_KEYS} keys, got {len(keys)}")
         if any(len(key) < MIN_KEY_LENGTH for key in keys):
-            raise InvalidKeysError(f"a key under {MIN_KEY_LENGTH} bytes")
+            raise InvalidKeysError(
+                f"key of {min(map(len, keys))} bytes is too short, expected at least {MIN_KEY_LENGTH}"
+            )
         if len({key_id(key) for key in keys}) != len(keys):
-            raise InvalidKeysError("the same key twice")
+            raise InvalidKeysError("duplicate key: the keys must differ")
         self._keys = {key_id(key): key for key in keys}
         self._signing_key_id = key_id(keys[0])
 
     def sign(self, receiver: str, message: Message) -> bytes:
-        """The signed datagram that carries a message to a member."""
+        """Return a signed datagram that carries the message to the member ``receiver``."""
         self._sequence += 1
         datagram = pb.Datagram(
             version=SCHEMA_VERSION,
@@ -122,7 +125,10 @@
         return MAGIC + self._signing_key_id + tag + body
 
     def verify(self, data: bytes, source: tuple[str, int]) -> AuthenticatedMessage | DropReason:
-        """Verify a datagram that came from ``source``. Any bytes may come; what is dropped is counted."""
+        """Verify a datagram from the address ``source``.
+
+        Returns the message, or the reason if the datagram must be dropped; drops are counted by reason.
+        """
         body = self._verify_signature(data)
         result = body if isinstance(body, DropReason) else self._read(body, source)
         if isinstance(result, DropReason):
@@ -158,8 +164,8 @@
         if datagram.boot < peer.incarnation:
             return DropReason.STALE_INCARNATION
         if datagram.to_boot != self.incarnation:
-            # A recorded Hello could pass an old incarnation off as new. That costs one round trip: the peer's
-            # own datagrams then say which is newer, and a Hello decides nothing.
+            # A replayed Hello can make an outdated incarnation look new. This costs one round trip, because
+            # the peer's next datagram has its newer incarnation; a Hello has no other effect.
             if datagram.WhichOneof("message") == "hello" and datagram.boot > peer.incarnation:
                 peer.restart(datagram.boot)
             return DropReason.UNKNOWN_INCARNATION
--- a/saltcourse/address_failover/election.py
+++ b/saltcourse/address_failover/election.py
@@ -1,35 +1,38 @@
-"""The lease election: which member holds the service address. No I/O, no clock; logging is an action.
-
-The rules that this file lives by:
-
-1. A *promise* is given by a voter to one member: the voter helps nobody else until ``lease_duration`` has
-   passed on its own clock. Votes and acknowledged renewals are promises. An active promise is kept, with two
-   exceptions: its receiver gives it back (``LeaseRelease``), or a candidate to whom the holder transferred
-   the lease of that promise asks for a vote (``transferred_term``).
-2. A *lease* counts from when the request was sent, not from its answer, and is shorter than the promise by
-   what two clocks may differ. So while a majority's promises hold up a lease, nobody else can get a
-   majority.
-3. Each event first meets the clock: a holder whose lease has expired, perhaps because the process was
-   stopped, withdraws before it does anything else, and late responses find their round over.
-4. A vote, and to whom the promise goes, is stored before it is sent. After a restart a member promises only
-   to the receiver of its last promise until that has surely expired; without a vote store to nobody.
-5. A term belongs to one member, and each candidacy takes a new one: no two announcements share a term. A
-   vote is for a newer round only, so ranks made of rounds grow strictly (``terms``).
-6. A member that would become a candidate asks first (pre-vote) and changes nothing by asking, so a member
-   that returns, or is cut off in one direction, cannot unseat a healthy holder.
+"""Lease election: decides which member holds the service address.
+
+The module does no I/O and reads no clock; log lines are actions as well. The protocol follows these rules:
+
+1. A voter makes a *promise* to one member: it makes none to other members until ``lease_duration`` has passed
+   on the voter's clock. Votes and acknowledged renewals are promises. An active promise ends early in two
+   cases: its receiver releases it (``LeaseRelease``), or the holder transferred the lease that the promise
+   supports and the new candidate requests a vote (``transferred_term``).
+2. A *lease* is counted from when its request was sent, not from the response, and is shorter than the promise
+   by the maximum difference of two clocks. So nobody else can get a majority while a majority's promises
+   support a lease.
+3. Expired deadlines are handled before each event: a holder whose lease has expired, for example because its
+   process was stopped, first withdraws the address, and responses that arrive late are ignored because
+   their round has ended.
+4. A vote and the receiver of a promise are stored before they are sent. After a restart, a member makes
+   promises only to the receiver of its last promise until that promise must have expired; without a vote
+   store it makes none during that time.
+5. A term belongs to one member and each candidacy uses a new one, so no two announcements share a term. A
+vote
+   is granted only for a newer round, so route preferences derived from rounds increase strictly (``terms``).
+6. A member sends pre-vote requests, which change no state at the voters, before it becomes a candidate. So a
+   member that returns, or is cut off in one direction, cannot depose a healthy holder.
 
 ::
 
-    FOLLOWER ----> PRE_CANDIDATE ----> CANDIDATE ----> HOLDER      and from each of them back to FOLLOWER
+    FOLLOWER ----> PRE_CANDIDATE ----> CANDIDATE ----> HOLDER      each of them can return to FOLLOWER
 
     role           event                                              next role
-    FOLLOWER       timer, when all promises have expired              PRE_CANDIDATE
+    FOLLOWER       timer, after all promises have expired             PRE_CANDIDATE
                    LeaseTransfer                                      CANDIDATE
     PRE_CANDIDATE  a majority would vote for it, LeaseTransfer        CANDIDATE
-                   timed out, a newer term, promised to another,      FOLLOWER
+                   time-out, newer term, promise to another member,   FOLLOWER
                    cannot announce
     CANDIDATE      a majority voted for it                            HOLDER
-                   timed out, a newer term, cannot announce           FOLLOWER
+                   time-out, newer term, cannot announce              FOLLOWER
     HOLDER         lease expired, cannot announce                     FOLLOWER
     any            ShutdownRequested                                  STOPPED
 
@@ -73,15 +76,16 @@
 from saltcourse.address_failover.vote import NOTHING_RECOVERED, RecoveredState
 from saltcourse.address_failover.voters import ElectionConfig
 
-NO_DEADLINE = float("inf")  # the time of what is not planned
-NO_LEASE = -float("inf")  # the time of what has not happened
-RECENT_LEASE_DURATIONS = 2  # lease durations within which a member was heard that may take over a lease
+NO_DEADLINE = float("inf")  # deadline of events that are not scheduled
+NO_LEASE = -float("inf")  # end of the lease of a member that holds none
+RECENT_LEASE_DURATIONS = 2  # a lease is transferred only to a member that sent a message within this time
 
 
 class Election:
-    """One member's part in the election. ``seed`` spreads the candidacies of members with one priority.
+    """The election state machine of one member.
 
-    ``can_announce`` is False for a member whose announcer has not reported yet that it is available.
+    ``seed``: seed for the start jitter, which spreads the candidacies of members with equal priority.
+    ``can_announce``: False if the member has an announcer that has not reported to be available yet.
     """
 
     def __init__(
@@ -103,25 +107,28 @@
         self.promises = VoterPromises(config.own_name, config.timing.lease_duration, now, recovered)
         self.role = Role.FOLLOWER
         self.can_announce = can_announce
-        self.term = 0  # of the candidacy or the lease
-        self.transferred_term = 0  # the term of the lease that was transferred for this candidacy; 0: none
+        self.term = 0  # term of the candidacy or the lease
+        self.transferred_term = 0  # term of the lease whose transfer started this candidacy; 0: none
         self.grants = Grants(config.majority, config.timing.holder_lease)
-        self.last_received_at: dict[str, float] = {}  # member -> when its last message came
+        self.last_received_at: dict[str, float] = {}  # arrival time of each other member's last message
         self.lease_ends_at = NO_LEASE
         self.candidacy = Candidacy(now, NO_DEADLINE)
         self.next_candidacy_at = NO_DEADLINE
-        self.next_send_at = NO_DEADLINE  # the next repeat of requests or renewals
+        self.next_send_at = NO_DEADLINE  # when vote requests or renewals are sent next
         self.now = now
         self._actions: list[Action] = []
 
     def start(self, now: float) -> list[Action]:
-        """Begin as a follower; to be called once."""
+        """Start as a follower. Must be called exactly once, before ``handle``."""
         self._begin_event(now)
         self._become_follower()
         return self._end_event()
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Take one event at ``now``, seconds on the host's clock; carry the actions out in their order."""
+        """Process an event and return the actions, which must be executed in order.
+
+        ``now``: seconds on the host's clock.
+        """
         self._begin_event(now)
         self._check_deadlines()
         if self.role is not Role.STOPPED:
@@ -157,7 +164,7 @@
         return self.next_candidacy_at
 
     def _check_deadlines(self) -> None:
-        """Rule 3: what has expired ends before the event is looked at."""
+        """End an expired lease or candidacy before the event is processed (rule 3)."""
         if self.role is Role.HOLDER and self.now >= self.lease_ends_at:
             self._actions.append(LogEvent("lease expired"))
             self._step_down()
@@ -176,7 +183,7 @@
                 self._request_votes()
 
     def _become_follower(self) -> None:
-        """Become a follower, and a pre-candidate some time after all promises of this member have expired."""
+        """Become a follower, and schedule the next candidacy after this member's promises have expired."""
         self.role = Role.FOLLOWER
         self.next_candidacy_at = NO_DEADLINE
         if not self._is_witness and self.can_announce:
@@ -186,7 +193,7 @@
     # ---- candidacy ------------------------------------------------------------------------------------
 
     def _become_pre_candidate(self) -> None:
-        """Ask who would vote, which changes nothing at the others (rule 6)."""
+        """Start a round of pre-vote requests, which change no state at the voters (rule 6)."""
         if not self.promises.can_promise_to(self.now, self.own_name):
             self._become_follower()
             return
@@ -203,7 +210,7 @@
         self._count_grants()
 
     def _request_votes(self) -> None:
-        """Ask all that have not granted yet, for an answer may have been lost."""
+        """Send a request to all voters that have not granted it yet; messages may have been lost."""
         self.next_send_at = self.now + self.timing.retry_interval
         request = VoteRequest(self.term, self.now, self.role is Role.PRE_CANDIDATE, self.transferred_term)
         missing = [voter for voter in self.others if voter.name not in self.grants]
@@ -216,12 +223,15 @@
             self.grants.record(sender, response.request_sent_at)
             self._count_grants()
         elif self._supersedes_candidacy(response.newest_term):
-            # The next candidacy takes a term above it.
+            # The next candidacy will use a newer term than the learned one.
             self._actions += self.promises.learn_term(response.newest_term)
             self._abandon_candidacy()
 
     def _is_current_response(self, response: VoteResponse) -> bool:
-        """A pre-vote uses up no term, so only the time tells which of two rounds a response belongs to."""
+        """Return whether a response belongs to the current candidacy.
+
+        Pre-votes do not use up a term, so two rounds of them can only be told apart by the send time.
+        """
         expects_pre_vote = self.role is Role.PRE_CANDIDATE
         return (
             self.role in CANDIDATE_ROLES
@@ -242,14 +252,17 @@
             self._become_holder()
 
     def _abandon_candidacy(self) -> None:
-        """Give the candidacy up, and free those that have promised something."""
+        """Abandon the candidacy and release the promises made for it."""
         if self.role is Role.CANDIDATE:
             self._release_promises(self.term)
         self.transferred_term = 0
         self._become_follower()
 
     def _release_promises(self, term: int) -> None:
-        """Free the voters of their promises; without it a split vote would cost a whole lease duration."""
+        """Release all voters from their promises in ``term``.
+
+        Otherwise the next candidacy after a split vote would have to wait for a full lease duration.
+        """
         self._actions += [SendMessage(voter.name, LeaseRelease(term)) for voter in self.others]
         self._on_release(self.own_name, term)
 
@@ -257,7 +270,7 @@
 
     def _become_holder(self) -> None:
         self.transferred_term = 0
-        if self.grants.lease_end(self.now) <= self.now:  # the votes took longer than they are good for
+        if self.grants.lease_end(self.now) <= self.now:  # the promises expired before the last vote arrived
             self._abandon_candidacy()
             return
         self.role = Role.HOLDER
@@ -285,13 +298,13 @@
             self._extend_lease()
 
     def _step_down(self) -> None:
-        """Withdraw; from here on this member relies on nobody's promise."""
+        """Withdraw the address and release the promises that supported the lease."""
         self._actions.append(WithdrawAddress(self.term))
         self.lease_ends_at = NO_LEASE
         self._release_promises(self.term)
 
     def _transfer_lease(self) -> None:
-        """Step down and have the preferred one of the live members become a candidate at once."""
+        """Step down and ask the preferred live member to become a candidate immediately."""
         term = self.term
         self._step_down()
         alive_since = self.now - RECENT_LEASE_DURATIONS * self.timing.lease_duration
@@ -300,18 +313,18 @@
             self._actions.append(SendMessage(successor, LeaseTransfer(term)))
             self._actions.append(LogEvent("lease transferred", successor))
 
-    # ---- what the host reports --------------------------------------------------------------------------
+    # ---- events of the host -----------------------------------------------------------------------------
 
     def _on_announcer_availability(self, available: bool) -> None:
-        """A member that cannot announce must not hold: another one may be able to."""
+        """Give up the lease or candidacy if the address cannot be announced; another member may succeed."""
         if available is self.can_announce:
             return
         self.can_announce = available
         if not available and self.role is Role.HOLDER:
             self._actions.append(LogEvent("service address cannot be announced"))
             self._transfer_lease()
-            # Still HOLDER with an ended lease: the timer, due at once, logs "lease expired", withdraws again
-            # and follows.
+            # The role is still HOLDER, with an expired lease: the timer fires immediately, logs "lease
+            # expired", withdraws again and makes this member a follower.
             return
         if not available and self.role is Role.CANDIDATE:
             self._abandon_candidacy()
@@ -344,7 +357,7 @@
                 self._on_transfer(sender, term)
 
     def _owns_term(self, member: str, term: int) -> bool:
-        """Whether the member may use the term (rule 5)."""
+        """Return whether the term belongs to the member (rule 5)."""
         return term_owner(term) == self.config.index_of(member)
 
     def _on_vote_request(self, sender: str, request: VoteRequest) -> None:
@@ -354,13 +367,13 @@
         if granted and not request.pre_vote:
             self._actions += self.promises.vote_for(self.now, sender, request.term)
             self.transferred_term = 0
-            self._become_follower()  # a pre-candidate has no vote of its own any more
+            self._become_follower()  # a pre-candidate ends its own candidacy after voting for another member
         newest_term = self.promises.vote.term
         response = VoteResponse(request.term, request.sent_at, request.pre_vote, granted, newest_term)
         self._actions.append(SendMessage(sender, response))
 
     def _on_renewal(self, sender: str, renewal: LeaseRenewal) -> None:
-        """A holder's renewal; this member need not have voted for it."""
+        """Acknowledge a holder's renewal, even if this member did not vote for it."""
         if not self._owns_term(sender, renewal.term):
             return
         if not self.promises.would_renew(self.now, sender, renewal):
--- a/saltcourse/address_failover/message_codec.py
+++ b/saltcourse/address_failover/message_codec.py
@@ -1,4 +1,4 @@
-"""Messages as protobuf (``schema/membership.proto``); its older field names are mapped here alone.
+"""Protobuf encoding of messages (``schema/membership.proto``). Only this module knows its older names.
 
 ::
 
@@ -27,7 +27,7 @@
 
 
 def write_message(datagram: pb.Datagram, message: Message) -> None:
-    """Set the datagram's message."""
+    """Store a message in the datagram."""
     match message:
         case Hello():
             datagram.hello.SetInParent()
@@ -47,8 +47,8 @@
             datagram.hand_over.CopyFrom(pb.HandOver(term=term))
 
 
-def read_message(datagram: pb.Datagram) -> Message | None:  # noqa: PLR0911 - one return a kind of message
-    """The datagram's message; None for a kind that this version does not know."""
+def read_message(datagram: pb.Datagram) -> Message | None:  # noqa: PLR0911 - one return per message type
+    """Return the datagram's message, or None if this version does not know its type."""
     match datagram.WhichOneof("message"):
         case "hello":
             return Hello()
--- a/saltcourse/address_failover/messages.py
+++ b/saltcourse/address_failover/messages.py
@@ -1,6 +1,6 @@
-"""Messages between the members of the election. ``message_codec`` maps them to their protobuf names.
+"""Messages between the members of the election. ``message_codec`` maps them to protobuf.
 
-``sent_at`` is the sender's own clock in seconds; the answer returns it unchanged in ``request_sent_at``.
+``sent_at`` is seconds on the sender's clock; the response returns it unchanged as ``request_sent_at``.
 """
 
 from __future__ import annotations
@@ -10,10 +10,10 @@
 
 @dataclass(frozen=True, slots=True)
 class VoteRequest:
-    """Asks for a vote in ``term``, or with ``pre_vote`` whether the receiver would give it.
+    """Requests a vote in ``term``; with ``pre_vote``, only asks whether the receiver would grant it.
 
-    ``transferred_term`` is the term that a leaving holder has transferred to the sender: promises made in
-    it do not bind any more.
+    ``transferred_term`` is the term of the lease that its holder has transferred to the sender. Promises made
+    in that term are void. 0 if there is none.
     """
 
     term: int
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class VoteResponse:
-    """Answers a VoteRequest of ``term``; ``newest_term`` is the newest that the voter knows."""
+    """Responds to the VoteRequest of ``term``; ``newest_term`` is the newest term that the voter knows."""
 
     term: int
     request_sent_at: float
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseRenewal:
-    """The holder asks for another promise in its term."""
+    """Requests another promise for the holder in its term."""
 
     term: int
     sent_at: float
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseRenewalAck:
-    """The voter has given that promise."""
+    """Confirms that the voter made the requested promise."""
 
     term: int
     request_sent_at: float
@@ -51,24 +51,21 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseRelease:
-    """The sender gives up its lease or candidacy of this term.
-
-    Promises to it in this term are no longer valid.
-    """
+    """Gives up the sender's lease or candidacy of this term, and releases the promises made to it."""
 
     term: int
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseTransfer:
-    """The sender has given up its lease of ``term`` and asks the receiver to become a candidate at once."""
+    """Asks the receiver to become a candidate immediately; the sender has given up its lease of ``term``."""
 
     term: int
 
 
 @dataclass(frozen=True, slots=True)
 class Hello:
-    """Carries only the sender's incarnation, as each datagram does. The election never sees it."""
+    """Tells the receiver the sender's incarnation, as every datagram does. Not passed to the election."""
 
 
 ElectionMessage = VoteRequest | VoteResponse | LeaseRenewal | LeaseRenewalAck | LeaseRelease | LeaseTransfer
--- a/saltcourse/address_failover/replay_window.py
+++ b/saltcourse/address_failover/replay_window.py
@@ -1,22 +1,22 @@
-"""A window over sequence numbers that accepts each of them once (as in RFC 4303, section 3.4.3)."""
+"""Sliding window that accepts each sequence number once (as in RFC 4303, section 3.4.3)."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-WINDOW_SIZE = 64  # datagrams that may overtake one another
+WINDOW_SIZE = 64  # how far datagrams may be reordered
 WINDOW_MASK = (1 << WINDOW_SIZE) - 1
 
 
 @dataclass(slots=True)
 class ReplayWindow:
-    """``accepted`` has bit i set when the number ``highest - i`` has been accepted."""
+    """The highest accepted sequence number, and a bitmap: bit i is set if ``highest - i`` was accepted."""
 
     highest: int = 0
     accepted: int = 0
 
     def accept(self, sequence: int) -> bool:
-        """False for a number that was accepted before, or that is too old to tell."""
+        """Accept a sequence number; return False if it was accepted before or is older than the window."""
         ahead = sequence - self.highest
         if ahead > 0:
             self.accepted = (self.accepted << min(ahead, WINDOW_SIZE) | 1) & WINDOW_MASK
--- a/saltcourse/address_failover/route_announcement.py
+++ b/saltcourse/address_failover/route_announcement.py
@@ -1,4 +1,4 @@
-"""What the election host needs of whatever announces the service address to the network."""
+"""Interface between the election host and the component that announces the service address."""
 
 from __future__ import annotations
 
@@ -11,19 +11,22 @@
 class AddressAnnouncer(Protocol):
     """Announces and withdraws the address, in the order of the calls.
 
-    ``available``: whether at least one way to announce works; a member without one must not hold the address.
+    ``available``: whether the address can be announced. If not, the member must not hold the address.
     """
 
     available: bool
 
     def start(self, on_availability: AvailabilityCallback) -> None:
-        """Begin; ``on_availability`` is called whenever ``available`` changes."""
+        """Start, and call ``on_availability`` whenever ``available`` changes."""
 
     def announce(self, term: int) -> None:
-        """Announce the address for the lease of a term."""
+        """Announce the address for the lease of ``term``."""
 
     def withdraw(self, term: int) -> None:
-        """Withdraw the address."""
+        """Withdraw the address, which was announced for the lease of ``term``."""
 
     async def stop(self, reason: str) -> None:
-        """Finish what is still to be withdrawn, in bounded time, and release all resources."""
+        """Complete pending withdrawals within a bounded time and release all resources.
+
+        ``reason`` is sent to the route servers by announcers that have any.
+        """
--- a/saltcourse/address_failover/vote_store.py
+++ b/saltcourse/address_failover/vote_store.py
@@ -1,9 +1,9 @@
-"""The durable vote of a member, for sites whose disk survives a restart: one row in an SQLite file.
+"""Durable storage of a member's vote: one row in an SQLite file, for sites whose disk survives a restart.
 
-SQLite is in the standard library and durable against power loss with ``synchronous=FULL``. A write takes
-place only when the vote, the newest term or the receiver of the last promise changes; a holder's further
-renewals write nothing. A file that is torn, foreign or another member's is an error: to begin anew could
-mean a second vote in the same term.
+SQLite is in the standard library, and ``synchronous=FULL`` makes it durable against power loss. The file is
+written only when the vote, the newest term or the receiver of the last promise changes, not with each renewal
+of the same holder. A file that is corrupt, has another format or belongs to another member is an error:
+starting with an empty vote instead could lead to a second vote in the same term.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 APPLICATION_ID = 0x53616C74  # "Salt", as SQLite's application_id
 FORMAT_VERSION = 1  # as SQLite's user_version
-# Columns keep their first names: ``voted`` is Vote.voted_for, ``promised`` is Vote.promised_to.
+# Column names are fixed by the file format: ``voted`` is Vote.voted_for, ``promised`` is Vote.promised_to.
 CREATE_TABLES = (
     "CREATE TABLE vote (one INTEGER PRIMARY KEY CHECK (one = 1), member TEXT NOT NULL,"
     " term INTEGER NOT NULL, voted TEXT NOT NULL, promised TEXT NOT NULL,"
@@ -26,9 +26,9 @@
 
 
 class VoteStore:
-    """The vote file of the member ``own_name``, held open and locked until ``close``.
+    """The vote file of the member ``own_name``; stays open and locked until ``close``.
 
-    The constructor and all methods raise VoteStoreError.
+    The constructor, ``load`` and ``save`` raise VoteStoreError.
     """
 
     def __init__(self, file: Path, own_name: str) -> None:
@@ -50,7 +50,7 @@
             raise
 
     def _lock(self, is_new: bool) -> None:
-        # Exclusive: two processes with one vote between them would be two votes.
+        # Locked exclusively: two processes that share the file could each use the member's vote.
         self._db.execute("PRAGMA locking_mode=EXCLUSIVE")
         self._db.execute("PRAGMA synchronous=FULL")
         self._db.execute("BEGIN IMMEDIATE")
@@ -64,19 +64,23 @@
     def _check_format(self) -> None:
         application_id = self._pragma("application_id")
         if application_id != APPLICATION_ID:
-            raise VoteStoreError(f"{self.file}: not a vote file of this program")
+            raise VoteStoreError(
+                f"{self.file}: not a vote file: application_id is {application_id}, expected {APPLICATION_ID}"
+            )
         version = self._pragma("user_version")
         if version != FORMAT_VERSION:
-            raise VoteStoreError(f"{self.file}: format {version}, this program reads {FORMAT_VERSION}")
+            raise VoteStoreError(
+                f"{self.file}: unsupported format version {version}, expected {FORMAT_VERSION}"
+            )
         integrity = self._pragma("quick_check")
         if integrity != "ok":
-            raise VoteStoreError(f"{self.file}: torn: {integrity}")
+            raise VoteStoreError(f"{self.file}: corrupt: {integrity}")
 
     def _pragma(self, name: str) -> object:
         return self._db.execute(f"PRAGMA {name}").fetchone()[0]
 
     def load(self) -> Vote | None:
-        """The vote that was stored last; None when none ever was."""
+        """Return the stored vote, or None if no vote has been stored yet."""
         try:
             row = self._db.execute("SELECT member, term, voted, promised, digest FROM vote").fetchone()
         except sqlite3.Error as error:
@@ -86,13 +90,13 @@
         member, term, voted_for, promised_to, digest = row
         vote = Vote(term, voted_for, promised_to)
         if member != self.own_name:
-            raise VoteStoreError(f"{self.file}: holds the vote of {member}, not of {self.own_name}")
+            raise VoteStoreError(f"{self.file}: contains the vote of {member}, expected {self.own_name}")
         if digest != _digest(member, vote):
-            raise VoteStoreError(f"{self.file}: torn: the digest does not fit")
+            raise VoteStoreError(f"{self.file}: corrupt: the digest does not match the vote")
         return vote
 
     def save(self, vote: Vote) -> None:
-        """Return when the vote is on the disk."""
+        """Store the vote; return once it is on disk."""
         try:
             self._db.execute(
                 "INSERT OR REPLACE INTO vote VALUES (1, ?, ?, ?, ?, ?)",
@@ -102,7 +106,7 @@
             raise VoteStoreError(f"{self.file}: {error}") from None
 
     def close(self) -> None:
-        """Release the file and its lock."""
+        """Close the file and release its lock."""
         self._db.close()
 
 
--- a/tests/address_failover/test_authentication.py
+++ b/tests/address_failover/test_authentication.py
@@ -100,7 +100,12 @@
 
 @pytest.mark.parametrize(
     "keys, named",
-    [([], "not 0"), ([b"short"], "under 16"), ([OLD, OLD], "twice"), ([OLD, NEW, b"x" * 32], "not 3")],
+    [
+        ([], "expected 1 to 2 keys, got 0"),
+        ([b"short"], "key of 5 bytes is too short, expected at least 16"),
+        ([OLD, OLD], "duplicate key"),
+        ([OLD, NEW, b"x" * 32], "expected 1 to 2 keys, got 3"),
+    ],
 )
 def test_invalid_keys_are_rejected_and_the_old_ones_stay(keys: list[bytes], named: str) -> None:
     a, b = pair()
--- a/tests/address_failover/test_vote_store.py
+++ b/tests/address_failover/test_vote_store.py
@@ -66,7 +66,7 @@
     again = VoteStore(tmp_path / "vote", "a")
     assert again.load() == Vote(129, "a", "a")
     again.close()
-    with pytest.raises(VoteStoreError, match="holds the vote of a, not of b"):
+    with pytest.raises(VoteStoreError, match="contains the vote of a, expected b"):
         VoteStore(tmp_path / "vote", "b").load()
 
 
