--- a/saltcourse/address_failover/bgp_announcer.py
+++ b/saltcourse/address_failover/bgp_announcer.py
@@ -1,4 +1,4 @@
-"""Announces the service address by BGP: a session, on a TCP connection, to each route server."""
+"""Announces the service address by BGP, over one session to each route server."""
 
 from __future__ import annotations
 
@@ -28,7 +28,10 @@
 
 
 class BgpConnection:
-    """The socket and the timer of one session; the session decides what they do."""
+    """Runs the socket and the timer of one ``BgpSession`` and executes its actions.
+
+    ``on_change`` is called whenever the session becomes established or is lost.
+    """
 
     def __init__(
         self,
@@ -51,19 +54,19 @@
         self._loop = asyncio.get_running_loop()
 
     def start(self) -> None:
-        """Begin to connect."""
+        """Start connecting."""
         self.execute(self.session.start(self._loop.time()))
 
     def set_route(self, route: Route | None) -> None:
-        """Announce this route in place of any before; None withdraws."""
+        """Announce a route in place of the previous one; None withdraws it."""
         self.execute(self.session.set_route(self._loop.time(), route))
 
     def stop(self, reason: str) -> None:
-        """Close the session for good."""
+        """Close the session permanently."""
         self.execute(self.session.stop(self._loop.time(), reason))
 
     def execute(self, actions: Sequence[Action]) -> None:
-        """Carry out a session's actions; the timer before them is cancelled."""
+        """Execute the actions of the session. The previous timer is cancelled first."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -82,7 +85,7 @@
                     self._on_established(established, reason)
 
     def close(self) -> None:
-        """Close the connection, if there is one; the session is not notified."""
+        """Close the connection, if it is open, without notifying the session."""
         task, self._task = self._task, None
         writer, self._writer = self._writer, None
         if writer is not None:
@@ -100,7 +103,7 @@
         self._on_change()
 
     async def _run(self) -> None:
-        """One connection from its opening to its end; after ``close`` it reports nothing any more."""
+        """Open one connection and read from it until it ends; after ``close`` the session is not notified."""
         this_task = asyncio.current_task()
         reason = "connection closed"
         try:
@@ -116,7 +119,7 @@
             self.execute(self.session.closed(self._loop.time(), reason))
 
     async def _connect(self, this_task: asyncio.Task[None] | None) -> asyncio.StreamReader | None:
-        """Open the connection; None where the session gave it up meanwhile. Raises OSError."""
+        """Open the connection; return None if the session closed it in the meantime. Raises OSError."""
         local = (self._source_address, 0) if self._source_address else None
         reader, writer = await asyncio.open_connection(self._host, self._port, local_addr=local)
         if self._task is not this_task:
@@ -128,7 +131,10 @@
 
 
 class BgpAnnouncer:
-    """Announces at every route server; available while a session to any of them is established."""
+    """Announces the address to every route server; available while a session to any of them is established.
+
+    ``seed`` spreads the attempts to connect.
+    """
 
     def __init__(
         self,
@@ -150,24 +156,24 @@
         self._on_availability: AvailabilityCallback = lambda available: None
 
     def start(self, on_availability: AvailabilityCallback) -> None:
-        """Begin to connect to all route servers."""
+        """Start connecting to all route servers."""
         self._on_availability = on_availability
         for connection in self.connections:
             connection.start()
 
     def announce(self, term: int) -> None:
-        """Announce the address with the rank of the term."""
+        """Announce the address with the route preference of the term."""
         self._set_route(ranked_route(self.address, self.next_hop, term_round(term), self.peering))
 
     def withdraw(self, term: int) -> None:
-        """Withdraw the address, of whatever term."""
+        """Withdraw the address, regardless of the term."""
         self._set_route(None)
 
     async def stop(self, reason: str) -> None:
-        """Close all sessions; the route servers are sent the reason."""
+        """Close all sessions and send the reason to the route servers."""
         for connection in self.connections:
             connection.stop(reason)
-        await asyncio.sleep(0)  # lets cancelled tasks end
+        await asyncio.sleep(0)  # lets the cancelled tasks finish
 
     def _set_route(self, route: Route | None) -> None:
         for connection in self.connections:
--- a/saltcourse/address_failover/bgp_session.py
+++ b/saltcourse/address_failover/bgp_session.py
@@ -1,11 +1,11 @@
-"""One BGP session to one route server, without I/O.
+"""State machine of a BGP session to one route server. No I/O.
 
-It follows RFC 4271, section 8, for a speaker that opens the connection itself, announces one address at most
-and wants no routes.
+It implements RFC 4271, section 8, for a speaker that always opens the connection itself, announces at most
+one route and ignores the routes that it receives.
 
-The host turns what the socket does into method calls and carries out the actions in their order. The desired
-route is announced as soon as the session is established, also after it broke. Where no session is established
-nothing has to be withdrawn: the route server drops the routes of a broken session by itself.
+The caller reports socket events by method calls and executes the returned actions in order. The desired route
+is announced whenever the session becomes established, including after a reconnect. Nothing has to be
+withdrawn while the session is down, because a route server removes the routes of a broken session.
 
 ::
 
@@ -15,7 +15,7 @@
     OPEN_SENT      OPEN received                     OPEN_CONFIRM   send KEEPALIVE
     OPEN_CONFIRM   KEEPALIVE received                ESTABLISHED    announce the desired route
     ESTABLISHED    KEEPALIVE or UPDATE received      ESTABLISHED    restart the hold timer
-    any of these   hold timer, error, NOTIFICATION   IDLE           CloseConnection, set the retry timer
+    all of these   hold timer, error, NOTIFICATION   IDLE           CloseConnection, set the retry timer
                    or end of the connection
     any            stop                              STOPPED        send NOTIFICATION (Cease)
 """
@@ -31,18 +31,18 @@
 from saltcourse.codec import bgp
 from saltcourse.codec.bgp_decoder import MessageBuffer, decode
 
-# For the TCP connection, and again for the peer's OPEN and first KEEPALIVE.
+# Limit for opening the TCP connection, and again for receiving the peer's OPEN.
 CONNECT_TIMEOUT_SECONDS = 2.0
-# Between attempts to connect; doubles with each that fails.
+# Time between connection attempts; doubles with each consecutive failure.
 RETRY_INITIAL_SECONDS, RETRY_MAX_SECONDS = 0.2, 8.0
-MAX_DOUBLINGS = 10
+MAX_DOUBLINGS = 10  # limits the exponent, which would overflow a float in a long outage
 MIN_HOLD_TIME_SECONDS = 3  # RFC 4271, section 4.2
 KEEPALIVES_PER_HOLD_TIME = 3  # RFC 4271, section 4.4
-NEVER = float("inf")
+NO_DEADLINE = float("inf")  # deadline of a timer that is not set
 
 
 class State(Enum):
-    """RFC 4271's names; its Active, in which a speaker listens, is never entered."""
+    """Session states as in RFC 4271. Active is missing, because this speaker never listens."""
 
     IDLE = "Idle"
     CONNECT = "Connect"
@@ -61,31 +61,31 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenConnection:
-    """Open a TCP connection to the route server; report it with ``connected`` or ``closed``."""
+    """Open a TCP connection to the route server, and report the result with ``connected`` or ``closed``."""
 
 
 @dataclass(frozen=True, slots=True)
 class SendBytes:
-    """Write to the connection."""
+    """Write data to the connection."""
 
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class CloseConnection:
-    """Close the connection once what was written has gone out."""
+    """Close the connection after sending the data that was written to it."""
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Call ``timer_expired`` at this time (s); it replaces the timer before it."""
+    """Call ``timer_expired`` at this time (seconds). Replaces the previous timer."""
 
     at: float
 
 
 @dataclass(frozen=True, slots=True)
 class EstablishedChanged:
-    """The session is established now, or is not any more and why."""
+    """The session has become established, or has been lost for ``reason``."""
 
     established: bool
     reason: str = ""
@@ -96,9 +96,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Peering:
-    """Both ends of a session; ``hold_time`` in seconds: a route server that hangs is noticed within it.
+    """Parameters of a session. ``asn`` and ``identifier`` are this speaker's, ``peer_asn`` is the peer's.
 
-    Raises InvalidPeeringError.
+    ``hold_time``: seconds within which a route server that stops responding is detected. Raises
+    InvalidPeeringError if it is below ``MIN_HOLD_TIME_SECONDS``.
     """
 
     asn: int
@@ -107,46 +108,48 @@
     hold_time: int = 3
 
     def __post_init__(self) -> None:
-        """Check the hold time."""
+        """Raise InvalidPeeringError if the hold time is too short."""
         if self.hold_time < MIN_HOLD_TIME_SECONDS:
-            raise InvalidPeeringError(f"hold time: {MIN_HOLD_TIME_SECONDS} s at least, not {self.hold_time}")
+            raise InvalidPeeringError(
+                f"hold time: expected at least {MIN_HOLD_TIME_SECONDS} s, got {self.hold_time} s"
+            )
 
     @property
     def is_internal(self) -> bool:
-        """Whether both ends are of one autonomous system (IBGP)."""
+        """Whether both ends are in the same autonomous system (IBGP)."""
         return self.asn == self.peer_asn
 
 
 class BgpSession:
-    """The speaker's end of one session. Times are seconds; ``seed`` spreads the attempts to connect."""
+    """This speaker's end of one session. Times are seconds. ``seed`` is for the jitter of the retry delay."""
 
     def __init__(self, peering: Peering, seed: int) -> None:
         self.peering = peering
         self.random = random.Random(seed)
         self.state = State.IDLE
         self.desired_route: bgp.Route | None = None
-        self.announced_route: bgp.Route | None = None  # in this session
-        self.failures = 0  # since a session was last established
+        self.announced_route: bgp.Route | None = None  # route announced in the current session
+        self.failures = 0  # failures since the session was last established
         self.now = 0.0
         self._actions: list[Action] = []
         self._buffer = MessageBuffer()
-        self._hold_time = float(peering.hold_time)  # as negotiated
-        self._four_octet_asn = False  # as negotiated
-        self._retry_at = NEVER
-        self._expires_at = NEVER  # the hold timer, or in CONNECT the time-out of the connection
-        self._keepalive_at = NEVER
+        self._hold_time = float(peering.hold_time)  # negotiated with the peer
+        self._four_octet_asn = False  # negotiated with the peer
+        self._retry_at = NO_DEADLINE
+        self._expires_at = NO_DEADLINE  # expiry of the hold timer, or in CONNECT of the connection attempt
+        self._keepalive_at = NO_DEADLINE
 
     # ---- events -----------------------------------------------------------------------------------
 
     def start(self, now: float) -> list[Action]:
-        """Begin to connect."""
+        """Start connecting."""
         self._begin_event(now)
         if self.state is State.IDLE:
             self._connect()
         return self._end_event()
 
     def connected(self, now: float) -> list[Action]:
-        """The connection that ``OpenConnection`` asked for is open."""
+        """Handle the opening of the connection that ``OpenConnection`` requested."""
         self._begin_event(now)
         if self.state is State.CONNECT:
             self.state = State.OPEN_SENT
@@ -156,27 +159,27 @@
         return self._end_event()
 
     def closed(self, now: float, reason: str = "connection closed") -> list[Action]:
-        """The connection could not be opened, or has ended without a ``CloseConnection``."""
+        """Handle a failed connection attempt, or the end of a connection without a ``CloseConnection``."""
         self._begin_event(now)
         if self.state not in INACTIVE_STATES:
             self._reset(reason, close=False)
         return self._end_event()
 
     def received(self, now: float, data: bytes) -> list[Action]:
-        """Bytes came in on the connection."""
+        """Handle data received on the connection."""
         self._begin_event(now)
         if self.state in CONNECTED_STATES:
             try:
                 self._buffer.feed(data)
                 while self.state not in INACTIVE_STATES and (frame := self._buffer.next()):
-                    self._receive(decode(frame, self._four_octet_asn))
+                    self._handle_message(decode(frame, self._four_octet_asn))
             except bgp.BgpError as error:
                 self._send(bgp.encode_notification(error.code, error.subcode, error.data))
-                self._reset(f"protocol error of the peer: {error}", close=True)
+                self._reset(f"peer violated the protocol: {error}", close=True)
         return self._end_event()
 
     def timer_expired(self, now: float) -> list[Action]:
-        """The time of ``SetTimer`` has come."""
+        """Handle the expiry of the timer set by ``SetTimer``."""
         self._begin_event(now)
         if self.state is State.IDLE and now >= self._retry_at:
             self._connect()
@@ -189,24 +192,24 @@
         return self._end_event()
 
     def set_route(self, now: float, route: bgp.Route | None) -> list[Action]:
-        """Announce this route in place of any before; None withdraws."""
+        """Announce a route in place of the previous one; None withdraws it."""
         self._begin_event(now)
         self.desired_route = route
         self._update_announcement()
         return self._end_event()
 
     def stop(self, now: float, reason: str) -> list[Action]:
-        """Close for good; the route server drops the route at once and is sent the reason (RFC 9003)."""
+        """Close the session permanently and send the reason (RFC 9003); the peer then removes the route."""
         self._begin_event(now)
         if self.state in CONNECTED_STATES:
             self._send(bgp.encode_shutdown(reason))
         if self.state not in INACTIVE_STATES:
             self._reset(reason, close=True)
         self.state = State.STOPPED
-        self._retry_at = NEVER
+        self._retry_at = NO_DEADLINE
         return self._end_event()
 
-    # ---- inside -----------------------------------------------------------------------------------
+    # ---- internals --------------------------------------------------------------------------------
 
     def _begin_event(self, now: float) -> None:
         self.now = now
@@ -214,7 +217,7 @@
 
     def _end_event(self) -> list[Action]:
         deadline = min(self._retry_at, self._expires_at, self._keepalive_at)
-        if deadline < NEVER:
+        if deadline < NO_DEADLINE:
             self._actions.append(SetTimer(deadline))
         return self._actions
 
@@ -228,29 +231,29 @@
 
     def _connect(self) -> None:
         self.state = State.CONNECT
-        self._retry_at = NEVER
+        self._retry_at = NO_DEADLINE
         self._expires_at = self.now + CONNECT_TIMEOUT_SECONDS
         self._actions.append(OpenConnection())
 
     def _reset(self, reason: str, close: bool) -> None:
-        """Back to IDLE, until the retry timer expires."""
+        """Return to IDLE and set the retry timer."""
         if close:
             self._actions.append(CloseConnection())
         if self.state is State.ESTABLISHED:
             self._actions.append(EstablishedChanged(False, reason))
         self.state = State.IDLE
         self.announced_route = None
-        self._expires_at = self._keepalive_at = NEVER
+        self._expires_at = self._keepalive_at = NO_DEADLINE
         self.failures += 1
         self._retry_at = self.now + self._retry_delay()
 
     def _retry_delay(self) -> float:
-        """Exponential backoff, from 75 to 125% of the delay, so that members do not connect in step."""
+        """Return the exponential backoff with +-25% jitter, which keeps members from connecting in step."""
         doublings = min(self.failures - 1, MAX_DOUBLINGS)
         delay: float = min(RETRY_MAX_SECONDS, RETRY_INITIAL_SECONDS * 2.0**doublings)
         return delay * (0.75 + self.random.random() / 2)
 
-    def _receive(self, message: bgp.Message) -> None:
+    def _handle_message(self, message: bgp.Message) -> None:
         match message:
             case bgp.Notification():
                 self._reset(f"peer sent {message.describe()}", close=True)
@@ -259,7 +262,7 @@
             case bgp.Keepalive() if self.state is State.OPEN_CONFIRM:
                 self._become_established()
             case bgp.Keepalive() | bgp.Update() if self.state is State.ESTABLISHED:
-                self._restart_hold_timer()  # the routes of others are not used
+                self._restart_hold_timer()  # received routes are ignored
             case _:
                 unexpected = f"{type(message).__name__} in {self.state.value}"
                 raise bgp.BgpError(bgp.FSM_ERROR, 0, unexpected)
@@ -283,13 +286,13 @@
         self._update_announcement()
 
     def _restart_hold_timer(self) -> None:
-        """A hold time of 0 means that neither end sends KEEPALIVEs."""
-        self._expires_at = self.now + self._hold_time if self._hold_time else NEVER
+        """Restart the hold timer, or disable it if the negotiated hold time is 0 (no KEEPALIVEs are sent)."""
+        self._expires_at = self.now + self._hold_time if self._hold_time else NO_DEADLINE
 
     def _send_keepalive(self) -> None:
         self._send(bgp.encode_keepalive())
         interval = self._hold_time / KEEPALIVES_PER_HOLD_TIME
-        self._keepalive_at = self.now + interval if self._hold_time else NEVER
+        self._keepalive_at = self.now + interval if self._hold_time else NO_DEADLINE
 
     def _update_announcement(self) -> None:
         desired, announced = self.desired_route, self.announced_route
@@ -303,11 +306,11 @@
 
 
 def ranked_route(address: str, next_hop: str, term_round: int, peering: Peering) -> bgp.Route:
-    """The route of a lease, ranked by the round of its term.
+    """Return the route of a lease, with a preference that increases with the round of its term.
 
-    So a route server that still has the route of a dead member prefers the new one. The rank is LOCAL_PREF
-    within an AS, and between two the MED, which is compared only among routes from one neighbouring AS: the
-    members'.
+    So a route server that still has the route of a dead member prefers the new one. The preference is the
+    LOCAL_PREF within an AS. Between two ASes it is the MED (lower is better), which route servers compare
+    only among routes from the same neighboring AS; all members are in one.
     """
     rank = min(term_round, bgp.MAX_U32)
     target, hop = ipaddress.ip_address(address), ipaddress.ip_address(next_hop)
--- a/saltcourse/address_failover/command_announcer.py
+++ b/saltcourse/address_failover/command_announcer.py
@@ -1,4 +1,4 @@
-"""Announces the service address by the operator's own program."""
+"""Announces the service address by running the operator's program."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 from saltcourse.address_failover.route_announcement import AvailabilityCallback
 
-COMMAND_TIMEOUT_SECONDS = 1.0  # then the program is killed and counts as failed
-# For which a failed program makes this member unavailable; doubles with each failure in a row.
+COMMAND_TIMEOUT_SECONDS = 1.0  # time after which the program is killed; this counts as a failure
+# Time for which this member is unavailable after a failure; doubles with each consecutive failure.
 BACKOFF_INITIAL_SECONDS, BACKOFF_MAX_SECONDS = 1.0, 30.0
-WITHDRAW_RETRY_SECONDS = 1.0
-STOP_GRACE_SECONDS = 0.2  # beyond the command's own time-out
+WITHDRAW_RETRY_SECONDS = 1.0  # time between attempts of a failed withdrawal
+STOP_GRACE_SECONDS = 0.2  # time allowed for stopping, in addition to the command time-out
 
 log = structlog.get_logger("saltcourse")
 
 
 class Operation(Enum):
-    """The first argument of the program."""
+    """What the program is asked to do; passed as an argument."""
 
     ANNOUNCE = "announce"
     WITHDRAW = "withdraw"
@@ -30,18 +30,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Command:
-    """One run of the program."""
+    """A queued run of the program."""
 
     operation: Operation
     term: int
 
 
 class CommandAnnouncer:
-    """Runs ``PROGRAM... announce|withdraw ADDRESS TERM``, one at a time and in order.
+    """Runs ``PROGRAM... announce|withdraw ADDRESS TERM``, one command at a time and in order.
 
-    Exit code 0 is success. A program that fails to announce, or hangs, makes this member unavailable for a
-    while; one that fails to withdraw is run again until it succeeds, for an announcement that stays behind
-    is worse. While a withdrawal fails, later commands wait and this member still counts as available.
+    Exit code 0 means success. If an announcement fails or times out, this member is unavailable for the
+    backoff time. A failed withdrawal is repeated until it succeeds, because an announcement that is not
+    withdrawn is worse. While a withdrawal is repeated, later commands wait and this member still counts as
+    available.
     """
 
     def __init__(
@@ -49,7 +50,7 @@
     ) -> None:
         self.address = address
         self.program = list(program)
-        self.timeout = timeout  # s
+        self.timeout = timeout  # seconds
         self.available = False
         self._on_availability: AvailabilityCallback = lambda available: None
         self._queue: asyncio.Queue[Command] = asyncio.Queue()
@@ -57,21 +58,21 @@
         self._backoff = BACKOFF_INITIAL_SECONDS
 
     def start(self, on_availability: AvailabilityCallback) -> None:
-        """Begin to take commands; available at once."""
+        """Start running queued commands, and report to be available immediately."""
         self._on_availability = on_availability
         self._worker = asyncio.get_running_loop().create_task(self._work())
         self._set_available(True)
 
     def announce(self, term: int) -> None:
-        """Queue an announcement."""
+        """Queue the announcement of the address for the lease of ``term``."""
         self._queue.put_nowait(Command(Operation.ANNOUNCE, term))
 
     def withdraw(self, term: int) -> None:
-        """Queue a withdrawal."""
+        """Queue the withdrawal of the address."""
         self._queue.put_nowait(Command(Operation.WITHDRAW, term))
 
     async def stop(self, reason: str) -> None:
-        """Give what is queued the time of one command, then end."""
+        """Wait for the queued commands, at most for the time of one command, then stop."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(self.timeout + STOP_GRACE_SECONDS):
                 await self._queue.join()
@@ -95,7 +96,7 @@
                 self._queue.task_done()
 
     async def _complete(self, command: Command) -> bool:
-        """Run a command, a withdrawal until it succeeds. Whether it has succeeded."""
+        """Run a command and return whether it succeeded. A withdrawal is repeated until it succeeds."""
         succeeded = await self._run(command)
         while command.operation is Operation.WITHDRAW and not succeeded:
             await asyncio.sleep(WITHDRAW_RETRY_SECONDS)
@@ -108,7 +109,7 @@
         self._backoff = min(BACKOFF_MAX_SECONDS, 2 * self._backoff)
 
     async def _run(self, command: Command) -> bool:
-        """Whether the program exits with 0 in time; if not, the log says why."""
+        """Run the program once; return whether it exits with 0 in time. Failures are logged."""
         operation = command.operation.value
         command_log = log.bind(
             program=self.program[0], operation=operation, address=self.address, term=command.term
@@ -118,7 +119,7 @@
                 *self.program, operation, self.address, str(command.term), stdin=asyncio.subprocess.DEVNULL
             )
         except OSError as error:
-            command_log.error("announce program cannot be run", reason=error.strerror)
+            command_log.error("announcer command cannot be started", reason=error.strerror)
             return False
         try:
             async with asyncio.timeout(self.timeout):
@@ -126,8 +127,8 @@
         except TimeoutError:
             process.kill()
             await process.wait()
-            command_log.error("announce program timed out", timeout_s=self.timeout)
+            command_log.error("announcer command timed out", timeout_s=self.timeout)
             return False
         if exit_code:
-            command_log.error("announce program failed", exit_code=exit_code)
+            command_log.error("announcer command failed", exit_code=exit_code)
         return exit_code == 0
--- a/saltcourse/address_failover/host.py
+++ b/saltcourse/address_failover/host.py
@@ -1,7 +1,7 @@
-"""One member on real sockets: UDP, timers, the vote store and the announcer around the election core.
+"""Runs one member of the election on a UDP socket, with timers, the vote store and the announcer.
 
-It decides nothing. The clock is CLOCK_BOOTTIME, which also counts while the machine is suspended: a lease
-must not outlast a suspension.
+All decisions are made by ``election``. The clock is CLOCK_BOOTTIME, which also advances while the machine is
+suspended, so that a lease expires during a suspension.
 """
 
 from __future__ import annotations
@@ -40,16 +40,15 @@
 from saltcourse.address_failover.voters import ElectionConfig
 from saltcourse.boottime import boottime_seconds
 
-# Between two Hellos to one member, however many of its datagrams do not know this process.
+# Minimum time between Hellos to a member, which are sent in response to datagrams with an unknown
+# incarnation.
 HELLO_INTERVAL_SECONDS = 0.05
-# By which the first term of a member without a vote store grows with the calendar. Such a member abstains
-# for a lease before its first candidacy, in which all members together use up fewer rounds; so its terms
-# grow with each start.
+# Without a vote store, a member derives its first round from the calendar, at this rate. It abstains for a
+# lease duration before its first candidacy, and all members together use up fewer rounds than that in this
+# time, so its terms increase with each start.
 ROUNDS_PER_SECOND = 8
-ROUNDS_EPOCH = (
-    1_767_225_600  # 2026-01-01 in seconds since 1970, so that rounds fit BGP's four octets until 2043
-)
-DROP_LOG_INTERVAL_SECONDS = 5.0
+ROUNDS_EPOCH = 1_767_225_600  # 2026-01-01, seconds since 1970; rounds fit into BGP's four octets until 2043
+DROP_LOG_INTERVAL_SECONDS = 5.0  # minimum time between log lines about dropped datagrams
 
 log = structlog.get_logger("saltcourse")
 
@@ -57,8 +56,8 @@
 class ElectionHost(asyncio.DatagramProtocol):
     """Runs one member's ``Election``.
 
-    ``vote_store`` is None where no disk survives a restart, ``announcer`` for a witness. The constructor
-    raises VoteStoreError, ``start`` OSError.
+    ``announcer`` is None for a witness, ``vote_store`` if no disk survives a restart. ``clock`` returns
+    seconds. The constructor raises VoteStoreError.
     """
 
     def __init__(
@@ -74,35 +73,34 @@
         self.announcer = announcer
         self.vote_store = vote_store
         self.clock = clock
-        # The end of the lease that the address is announced under, as the election last extended it; 0: none.
-        self.announced_until = 0.0
+        self.announced_until = 0.0  # end of the current lease on this member's clock; 0 if it holds none
         self._loop = asyncio.get_running_loop()
         self._socket: asyncio.DatagramTransport | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._hello_sent_at: dict[str, float] = {}
         self._drops_logged_at = self._loop.time()
-        # With an announcer: not before that reports that it is available.
+        # A member with an announcer cannot announce until the announcer reports to be available.
         can_announce = announcer is None
         self.election = Election(config, seed, clock(), _recovered_state(vote_store), can_announce)
 
     async def start(self, address: tuple[str, int]) -> None:
-        """Listen and take part. Raises OSError when the address cannot be used."""
+        """Listen on ``address`` and join the election. Raises OSError if the address cannot be bound."""
         await self._loop.create_datagram_endpoint(lambda: self, local_addr=address)
-        for name in self.authenticator.peers:  # a first request from an unknown incarnation would be dropped
+        for name in self.authenticator.peers:  # so that the first request is not dropped: unknown incarnation
             self._send_message(name, Hello())
-        self._carry_out(self.election.start(self.clock()))
+        self._execute(self.election.start(self.clock()))
         if self.announcer is not None:
             self.announcer.start(lambda available: self._handle(AnnouncerAvailabilityChanged(available)))
 
     async def leave(self) -> None:
-        """Transfer the lease, withdraw the address, and close."""
+        """Leave the election: transfer the lease, withdraw the address, and close."""
         self._handle(ShutdownRequested())
         if self.announcer is not None:
             await self.announcer.stop("planned leave")
         self.close()
 
     def close(self) -> None:
-        """Release the socket, the timer and the vote store at once."""
+        """Close the socket, the timer and the vote store immediately."""
         if self._timer is not None:
             self._timer.cancel()
         if self._socket is not None:
@@ -112,7 +110,7 @@
 
     @property
     def is_holder(self) -> bool:
-        """Whether the lease is good at this moment."""
+        """Whether this member currently holds a valid lease."""
         return self.clock() < self.announced_until
 
     # ---- events -----------------------------------------------------------------------------------
@@ -131,7 +129,7 @@
             self._handle(MessageReceived(received.sender, received.message))
 
     def error_received(self, exc: Exception) -> None:
-        """Called by asyncio when a member's port is closed; the election notices its silence."""
+        """Called by asyncio for ICMP errors, such as a closed port; the election detects silent members."""
 
     def _on_dropped(self, reason: DropReason, source: tuple[str, int]) -> None:
         now = self._loop.time()
@@ -140,21 +138,21 @@
         if now - self._drops_logged_at >= DROP_LOG_INTERVAL_SECONDS:
             self._drops_logged_at = now
             counts = {reason.value: count for reason, count in self.authenticator.dropped.items()}
-            log.info("dropped datagrams", **dict(sorted(counts.items())))
+            log.info("election datagrams dropped", **dict(sorted(counts.items())))
 
     def _send_hellos(self, now: float, source: tuple[str, int]) -> None:
         for name, peer in self.authenticator.peers.items():
-            is_due = now - self._hello_sent_at.get(name, -1.0) >= HELLO_INTERVAL_SECONDS
-            if peer.address == source and is_due:
+            is_interval_over = now - self._hello_sent_at.get(name, -1.0) >= HELLO_INTERVAL_SECONDS
+            if peer.address == source and is_interval_over:
                 self._hello_sent_at[name] = now
                 self._send_message(name, Hello())
 
     def _handle(self, event: Event) -> None:
-        self._carry_out(self.election.handle(self.clock(), event))
+        self._execute(self.election.handle(self.clock(), event))
 
     # ---- actions ----------------------------------------------------------------------------------
 
-    def _carry_out(self, actions: list[Action]) -> None:
+    def _execute(self, actions: list[Action]) -> None:
         for action in actions:
             match action:
                 case SendMessage(receiver, message):
@@ -180,24 +178,27 @@
         self._timer = self._loop.call_later(delay, self._handle, TimerExpired())
 
     def _announce(self, term: int) -> None:
-        log.info("service address claimed", term=term)
+        log.info("announcing service address", term=term)
         if self.announcer is not None:
             self.announcer.announce(term)
 
     def _withdraw(self, term: int) -> None:
         self.announced_until = 0.0
-        log.info("service address withdrawn", term=term)
+        log.info("withdrawing service address", term=term)
         if self.announcer is not None:
             self.announcer.withdraw(term)
 
     def _store_vote(self, vote: Vote) -> bool:
-        """Whether what follows may be done: a vote that is not stored must not be sent, nor any after it."""
+        """Store a vote; return False and stop the member if this fails.
+
+        A vote that is not stored must not be sent, so the actions after it must not be executed either.
+        """
         if self.vote_store is None:
             return True
         try:
             self.vote_store.save(vote)
         except VoteStoreError as error:
-            log.error("vote cannot be stored, member stopped", reason=str(error))
+            log.error("cannot store vote, election member stopped", reason=str(error))
             if self.announcer is not None and self.announced_until:
                 self.announcer.withdraw(vote.term)
             self.announced_until = 0.0
@@ -214,12 +215,12 @@
 
 
 def _recovered_state(vote_store: VoteStore | None) -> RecoveredState:
-    """What the vote store knows of the time before the start. Raises VoteStoreError."""
+    """Return the state that the member recovers from its vote store. Raises VoteStoreError."""
     lowest_round = max(0, int((time.time() - ROUNDS_EPOCH) * ROUNDS_PER_SECOND))
     lowest_term = first_term_of_round(lowest_round)
     if vote_store is None:
         return RecoveredState(lowest_term=lowest_term)
     stored = vote_store.load()
-    if stored is None:  # an empty file: nothing was ever promised
+    if stored is None:  # the file is new, so this member has never made a promise
         return RecoveredState(Vote(), never_promised=True)
     return RecoveredState(stored)
--- a/tests/address_failover/test_bgp_session.py
+++ b/tests/address_failover/test_bgp_session.py
@@ -153,7 +153,7 @@
 
 
 def test_a_hold_time_that_the_rfc_forbids_is_rejected() -> None:
-    with pytest.raises(InvalidPeeringError, match="3 s at least, not 2"):
+    with pytest.raises(InvalidPeeringError, match="expected at least 3 s, got 2 s"):
         Peering(64512, 64512, "10.0.0.1", 2)
 
 
