--- a/saltcourse/address_failover/election.py
+++ b/saltcourse/address_failover/election.py
@@ -78,7 +78,7 @@
 
 NO_DEADLINE = float("inf")  # deadline of events that are not scheduled
 NO_LEASE = -float("inf")  # end of the lease of a member that holds none
-RECENT_LEASE_DURATIONS = 2  # a lease is transferred only to a member that sent a message within this time
+RECENT_LEASE_DURATIONS = 2  # a lease goes only to a member that sent a message within so many durations
 
 
 class Election:
--- a/saltcourse/address_failover/host.py
+++ b/saltcourse/address_failover/host.py
@@ -43,9 +43,9 @@
 # Minimum time between Hellos to a member, which are sent in response to datagrams with an unknown
 # incarnation.
 HELLO_INTERVAL_SECONDS = 0.05
-# Without a vote store, a member derives its first round from the calendar, at this rate. It abstains for a
-# lease duration before its first candidacy, and all members together use up fewer rounds than that in this
-# time, so its terms increase with each start.
+# Rate at which the calendar time advances the first round of a member without a vote store. Such a member
+# abstains for a lease duration before its first candidacy, and all members together use up rounds at a lower
+# rate than this, so its terms increase with each start.
 ROUNDS_PER_SECOND = 8
 ROUNDS_EPOCH = 1_767_225_600  # 2026-01-01, seconds since 1970; rounds fit into BGP's four octets until 2043
 DROP_LOG_INTERVAL_SECONDS = 5.0  # minimum time between log lines about dropped datagrams
@@ -86,7 +86,8 @@
     async def start(self, address: tuple[str, int]) -> None:
         """Listen on ``address`` and join the election. Raises OSError if the address cannot be bound."""
         await self._loop.create_datagram_endpoint(lambda: self, local_addr=address)
-        for name in self.authenticator.peers:  # so that the first request is not dropped: unknown incarnation
+        # Peers drop requests from an incarnation that they do not know, so introduce this process first.
+        for name in self.authenticator.peers:
             self._send_message(name, Hello())
         self._execute(self.election.start(self.clock()))
         if self.announcer is not None:
--- a/tests/address_failover/test_bgp_session.py
+++ b/tests/address_failover/test_bgp_session.py
@@ -1,4 +1,4 @@
-"""One BGP session: what peers do wrong, and what a session that breaks means for the route."""
+"""The BGP session: errors of the peer, broken sessions, and the announcement of the route."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class SessionDriver:
-    """A session, a clock, and what the session did."""
+    """Drives a session with a simulated clock and records its actions."""
 
     def __init__(self, peering: Peering = IBGP) -> None:
         self.session = BgpSession(peering, 1)
@@ -36,10 +36,10 @@
         self.sent: list[bgp.Message] = []
         self.changes: list[EstablishedChanged] = []
         self.connects = self.closes = 0
-        self.do("start")
+        self.call("start")
 
-    def do(self, what: str, *args: Any) -> None:
-        for action in getattr(self.session, what)(self.now, *args):
+    def call(self, method: str, *args: Any) -> None:
+        for action in getattr(self.session, method)(self.now, *args):
             match action:
                 case SendBytes(data):
                     self.sent += decode_all(data)
@@ -52,42 +52,42 @@
                 case CloseConnection():
                     self.closes += 1
 
-    def until(self, when: float) -> None:
-        while self.timer_at <= when:
+    def run_until(self, end: float) -> None:
+        while self.timer_at <= end:
             self.now = max(self.now, self.timer_at)
-            self.do("timer_expired")
-        self.now = when
+            self.call("timer_expired")
+        self.now = end
 
     def establish(self) -> SessionDriver:
-        self.do("connected")
-        self.do("received", bgp.encode_open(THEIRS) + bgp.encode_keepalive())
+        self.call("connected")
+        self.call("received", bgp.encode_open(THEIRS) + bgp.encode_keepalive())
         assert self.session.state is State.ESTABLISHED
         return self
 
 
-def test_routes_are_announced_when_the_session_is_established_and_again_after_it_broke() -> None:
-    s = SessionDriver()
-    s.do("set_route", V4)
-    s.establish()
-    assert s.sent[-1] == bgp.Update(announced=(V4,)) and s.changes == [EstablishedChanged(True)]
-    s.do("closed")
-    assert s.changes[-1].established is False
-    s.until(s.now + 1)
-    assert s.connects == 2
-    s.establish()
-    assert s.sent[-1] == bgp.Update(announced=(V4,))
-    s.do("set_route", None)
-    assert s.sent[-1] == bgp.Update(withdrawn=(V4.address,))
-    before = len(s.sent)
-    s.do("set_route", None)
-    assert len(s.sent) == before
-
-
-def test_a_newer_claim_replaces_the_route_with_a_better_rank() -> None:
-    s = SessionDriver().establish()
-    s.do("set_route", V4)
-    s.do("set_route", ranked_route("192.0.2.7", "10.0.0.1", 10, IBGP))
-    old, new = (u.announced[0] for u in s.sent[-2:])  # type: ignore[union-attr]
+def test_the_route_is_announced_whenever_the_session_becomes_established() -> None:
+    driver = SessionDriver()
+    driver.call("set_route", V4)
+    driver.establish()
+    assert driver.sent[-1] == bgp.Update(announced=(V4,)) and driver.changes == [EstablishedChanged(True)]
+    driver.call("closed")
+    assert driver.changes[-1].established is False
+    driver.run_until(driver.now + 1)
+    assert driver.connects == 2
+    driver.establish()
+    assert driver.sent[-1] == bgp.Update(announced=(V4,))
+    driver.call("set_route", None)
+    assert driver.sent[-1] == bgp.Update(withdrawn=(V4.address,))
+    before = len(driver.sent)
+    driver.call("set_route", None)
+    assert len(driver.sent) == before
+
+
+def test_a_newer_round_replaces_the_route_with_a_preferred_one() -> None:
+    driver = SessionDriver().establish()
+    driver.call("set_route", V4)
+    driver.call("set_route", ranked_route("192.0.2.7", "10.0.0.1", 10, IBGP))
+    old, new = (u.announced[0] for u in driver.sent[-2:])  # type: ignore[union-attr]
     assert new.local_pref > old.local_pref
     assert (
         ranked_route("192.0.2.7", "10.0.0.1", 10, EBGP).med
@@ -95,14 +95,14 @@
     )  # type: ignore
 
 
-def test_a_route_server_that_hangs_with_the_connection_open_is_noticed_within_the_hold_time() -> None:
-    s = SessionDriver().establish()
-    began = s.now
-    s.until(began + 2.9)
-    assert s.changes[-1].established and sum(m == bgp.Keepalive() for m in s.sent) >= 3
-    s.until(began + 3.0)
-    assert s.changes[-1] == EstablishedChanged(False, "hold timer expired") and s.closes == 1
-    assert bgp.Notification(bgp.HOLD_TIMER_EXPIRED, 0) in s.sent
+def test_a_route_server_that_hangs_with_the_connection_open_is_detected_within_the_hold_time() -> None:
+    driver = SessionDriver().establish()
+    start = driver.now
+    driver.run_until(start + 2.9)
+    assert driver.changes[-1].established and sum(m == bgp.Keepalive() for m in driver.sent) >= 3
+    driver.run_until(start + 3.0)
+    assert driver.changes[-1] == EstablishedChanged(False, "hold timer expired") and driver.closes == 1
+    assert bgp.Notification(bgp.HOLD_TIMER_EXPIRED, 0) in driver.sent
 
 
 @pytest.mark.parametrize(
@@ -117,47 +117,50 @@
         (bgp.encode_announcement(V4), 5, 0),
     ],
 )
-def test_a_peer_that_errs_is_notified_of_its_error_and_the_session_closed(
+def test_a_protocol_error_of_the_peer_is_answered_by_a_notification_and_closes_the_session(
     data: bytes, code: int, subcode: int
 ) -> None:
-    s = SessionDriver()
-    s.do("connected")
-    s.do("received", data)
-    last = s.sent[-1]
+    driver = SessionDriver()
+    driver.call("connected")
+    driver.call("received", data)
+    last = driver.sent[-1]
     assert isinstance(last, bgp.Notification) and (last.code, last.subcode) == (code, subcode)
-    assert s.closes == 1 and s.session.state is State.IDLE
+    assert driver.closes == 1 and driver.session.state is State.IDLE
 
 
-def test_attempts_back_off_and_a_session_that_was_established_starts_over() -> None:
-    s = SessionDriver()
-    times = []
+def test_the_retry_delay_grows_and_is_reset_by_an_established_session() -> None:
+    driver = SessionDriver()
+    delays = []
     for _ in range(9):
-        s.do("closed", "refused")
-        times.append(s.timer_at - s.now)
-        s.until(s.timer_at)
-    assert times[0] < 0.3 and 5 < times[-1] <= 10
-    s.establish()
-    s.do("received", bgp.encode_notification(6, 2, b"\x05night"))
-    assert s.changes[-1].reason == "peer sent NOTIFICATION 6/2 (night)" and s.timer_at - s.now < 0.3
-
-
-def test_stopping_is_notified_and_nothing_is_retried() -> None:
-    s = SessionDriver().establish()
-    s.do("stop", "planned leave")
-    assert s.sent[-1] == bgp.Notification(6, 2, b"\x0dplanned leave")
-    connects = s.connects
-    s.timer_at = s.now + 100
-    s.do("timer_expired")
-    s.do("connected")
-    assert s.connects == connects and s.session.state is State.STOPPED
-
-
-def test_a_hold_time_that_the_rfc_forbids_is_rejected() -> None:
+        driver.call("closed", "refused")
+        delays.append(driver.timer_at - driver.now)
+        driver.run_until(driver.timer_at)
+    assert delays[0] < 0.3 and 5 < delays[-1] <= 10
+    driver.establish()
+    driver.call("received", bgp.encode_notification(6, 2, b"\x05night"))
+    assert (
+        driver.changes[-1].reason == "peer sent NOTIFICATION 6/2 (night)"
+        and driver.timer_at - driver.now < 0.3
+    )
+
+
+def test_stopping_sends_a_notification_and_disables_retries() -> None:
+    driver = SessionDriver().establish()
+    driver.call("stop", "planned leave")
+    assert driver.sent[-1] == bgp.Notification(6, 2, b"\x0dplanned leave")
+    connects = driver.connects
+    driver.timer_at = driver.now + 100
+    driver.call("timer_expired")
+    driver.call("connected")
+    assert driver.connects == connects and driver.session.state is State.STOPPED
+
+
+def test_a_hold_time_below_the_minimum_of_the_rfc_is_rejected() -> None:
     with pytest.raises(InvalidPeeringError, match="expected at least 3 s, got 2 s"):
         Peering(64512, 64512, "10.0.0.1", 2)
 
 
-def test_the_rank_of_a_route_is_its_round_within_an_as_and_between_two() -> None:
+def test_the_route_preference_is_local_pref_within_an_as_and_med_between_two() -> None:
     internal = ranked_route("192.0.2.7", "10.0.0.1", 9, IBGP)
     external = ranked_route("2001:db8::7", "2001:db8::1", 9, EBGP)
     assert (internal.local_pref, internal.med, internal.as_path) == (9, None, ())
--- a/tests/address_failover/test_election.py
+++ b/tests/address_failover/test_election.py
@@ -1,4 +1,4 @@
-"""The election, one fault a test, on the simulated network; audited by announcements and withdrawals."""
+"""The election on the simulated network, one fault per test; checks announcements and withdrawals."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def settled_election(count: int = 3, witnesses: int = 1) -> SimulatedElection:
-    """Members n0, n1, ... of falling priority, the last ones witnesses, of which n0 holds the lease."""
+    """Return an election of n0, n1, ... by decreasing priority, the last ones witnesses, that n0 has won."""
     election = SimulatedElection(1, voters_of(count, witnesses), Link())
     for voter in election.voters:
         election.start(voter.name, never_promised=True)
@@ -29,24 +29,24 @@
     return election
 
 
-def test_all_started_at_once_settle_on_the_highest_priority_in_one_announcement() -> None:
-    # Five members start at one instant and all could become candidates. The delay between priorities has to
-    # spare them a split vote: the preferred one announces, once.
+def test_members_started_simultaneously_elect_the_highest_priority_in_one_announcement() -> None:
+    # Five members start at the same time. Without the delay between priorities they would all become
+    # candidates and split the vote.
     assert [change.member for change in settled_election(5, 2).announcements] == ["n0"]
 
 
 def test_a_planned_leave_transfers_the_lease_within_a_tenth_of_a_second() -> None:
-    # The holder is shut down on purpose. It withdraws, releases the voters and names a successor, so that
-    # nobody waits for its lease to expire.
+    # The holder is shut down as planned. It withdraws, releases the promises and transfers the lease, so the
+    # successor need not wait for the lease to expire.
     election = settled_election()
     election.notify("n0", ShutdownRequested())
     election.net.run(1.1)
     assert election.holder() == "n1" and election.announcements[-1].time - election.withdrawals[-1].time < 0.1
 
 
-def test_a_holder_that_cannot_announce_transfers_its_lease_and_holds_again_only_once_it_can() -> None:
-    # The holder loses all its route servers while its lease is good. Another member takes over; the first one
-    # is needed again when that one crashes, and by then it can announce.
+def test_a_holder_that_cannot_announce_transfers_its_lease_until_it_can_announce_again() -> None:
+    # The holder loses all its route servers while its lease is valid, and another member takes over. When
+    # that one crashes, the first member, which can announce again by then, becomes the holder.
     election = settled_election()
     election.notify("n0", AnnouncerAvailabilityChanged(False))
     election.net.run(3.0)
@@ -57,39 +57,40 @@
     assert election.holder() == "n0"
 
 
-@pytest.mark.parametrize("ways", [("n0", "others"), ("others", "n0"), ("both", "both")])
-def test_a_holder_that_is_cut_off_withdraws_before_another_announces(ways: tuple[str, str]) -> None:
-    # The network loses what the holder sends, what is sent to it, or both. Its lease expires by its own clock
-    # before the voters' promises do. When the network is mended the new holder stays.
+@pytest.mark.parametrize("cut", ["outgoing", "incoming", "both"])
+def test_a_holder_that_is_cut_off_withdraws_before_another_announces(cut: str) -> None:
+    # The network drops the holder's outgoing messages, its incoming ones, or both. Its lease expires on its
+    # own clock before the voters' promises do. After the network recovers, the new holder keeps the lease.
     election = settled_election()
     for other in ("n1", "n2"):
-        election.net.cuts |= {("n0", other)} if ways[0] != "others" else set()
-        election.net.cuts |= {(other, "n0")} if ways[0] != "n0" else set()
+        election.net.cuts |= {("n0", other)} if cut != "incoming" else set()
+        election.net.cuts |= {(other, "n0")} if cut != "outgoing" else set()
     election.net.run(3.0)
     assert election.holder() == "n1" and election.withdrawals[0].time < election.announcements[-1].time < 3.0
     election.net.heal()
     election.net.run(6.0)
-    assert election.holder() == "n1" and len(election.announcements) == 2  # the healthy holder stays
+    assert election.holder() == "n1" and len(election.announcements) == 2
 
 
-def test_a_holder_that_was_stopped_withdraws_before_anything_else() -> None:
-    # The holder's process is stopped for longer than its lease, as by SIGSTOP, and another member takes
-    # over. The first message that it finds in its socket must not be acted upon before it has withdrawn.
+def test_a_holder_resumed_after_its_lease_expired_withdraws_before_it_does_anything_else() -> None:
+    # The holder's process is stopped, as by SIGSTOP, for longer than its lease, and another member takes
+    # over. After the process resumes, it must withdraw before it acts on messages that are queued in its
+    # socket.
     election = settled_election()
     host = election.net.hosts["n0"]
     election.net.stop(host)
     election.net.run(4.0)
     assert election.holder() == "n1"
-    waiting = [event for event in host.waiting if isinstance(event, MessageReceived)]
-    actions = election.cores["n0"].handle(host.clock(4.0), waiting[0])
-    outward = (AnnounceAddress, ExtendLease, SendMessage, WithdrawAddress)
-    first = next(action for action in actions if isinstance(action, outward))
+    queued = [event for event in host.waiting if isinstance(event, MessageReceived)]
+    actions = election.cores["n0"].handle(host.clock(4.0), queued[0])
+    external_actions = (AnnounceAddress, ExtendLease, SendMessage, WithdrawAddress)
+    first = next(action for action in actions if isinstance(action, external_actions))
     assert isinstance(first, WithdrawAddress)
 
 
-def test_a_lost_witness_changes_nothing_and_without_a_majority_nobody_holds() -> None:
-    # First the witness crashes, then one more member of three: the last one alone is no majority and must
-    # withdraw. With the witness back it holds again.
+def test_the_lease_survives_a_crash_of_the_witness_but_not_the_loss_of_the_majority() -> None:
+    # The witness of three members crashes, then another member: the remaining one has no majority and must
+    # withdraw. After the witness returns, the remaining member holds the lease again.
     election = settled_election()
     election.crash("n2", True)
     election.net.run(5.0)
@@ -102,9 +103,9 @@
     assert election.holder() == "n0"
 
 
-def test_rounds_grow_with_every_announcement_though_members_remember_nothing() -> None:
-    # Each holder in turn crashes and loses its disk. Route servers rank routes by the round, so a member that
-    # has forgotten all its terms must not announce in an old one.
+def test_rounds_increase_with_every_announcement_even_if_members_lose_their_disks() -> None:
+    # Each holder in turn crashes and loses its disk. Route servers prefer routes by the round, so a member
+    # that has lost all its terms must not announce in an old one.
     election = settled_election()
     for _ in range(4):
         holder = election.holder()
@@ -114,11 +115,11 @@
         election.start(holder)
         election.net.run(election.net.now + 2.0)
     rounds = [term_round(change.term) for change in election.announcements]
-    assert len(rounds) == 5 and rounds == sorted(set(rounds))  # ranks are made of rounds
+    assert len(rounds) == 5 and rounds == sorted(set(rounds))
 
 
 @pytest.mark.parametrize(
-    "voters, own_name, named",
+    "voters, own_name, error",
     [
         ((Voter("a"), Voter("a")), "a", "duplicate name in a, a"),
         ((Voter("a"),), "b", "this member, b, is not one of a"),
@@ -127,7 +128,7 @@
     ],
 )
 def test_voters_that_cannot_elect_a_holder_are_rejected(
-    voters: tuple[Voter, ...], own_name: str, named: str
+    voters: tuple[Voter, ...], own_name: str, error: str
 ) -> None:
-    with pytest.raises(InvalidVotersError, match=named):
+    with pytest.raises(InvalidVotersError, match=error):
         Election(ElectionConfig(voters, own_name, ElectionTiming()), 1, 0.0)
--- a/tests/address_failover/test_election_model.py
+++ b/tests/address_failover/test_election_model.py
@@ -1,7 +1,6 @@
-"""Every order of events in a small model of the election: three members and one restart.
+"""Exhaustive exploration of event orders in a small model of the election: three members and one restart.
 
-Messages wait and are delivered in any order, at any time, or never. The checks must find each broken
-election.
+Messages may be delivered in any order, at any time, or never. The checks must detect each broken election.
 """
 
 from __future__ import annotations
@@ -34,15 +33,15 @@
     return ElectionConfig(THREE, name, ElectionTiming())
 
 
-class FixedDraws:
-    """Draws that are always in the middle, so that states are equal that look equal."""
+class FixedRandom:
+    """A random source that always returns 0.5, so that equivalent states compare equal."""
 
     def random(self) -> float:
         return 0.5
 
 
 class Model:
-    """Three members, messages that wait to be delivered in any order or never, one restart."""
+    """State of the model: three members, the messages in flight, and the remaining restarts."""
 
     def __init__(self, core: type[Election]) -> None:
         self.now, self.restarts = 0.0, 1
@@ -54,18 +53,19 @@
         self.in_flight: frozenset[tuple[str, str, Any]] = frozenset()
         self.lease_ends: dict[str, float] = {}
         self.announced_by: dict[int, str] = {}
-        self.received_from: dict[str, frozenset[str]] = {}  # members that sent something since the start
+        self.received_from: dict[str, frozenset[str]] = {}  # members from which each member got a message
         for name, member in self.members.items():
-            member.random = FixedDraws()  # type: ignore[assignment]
+            member.random = FixedRandom()  # type: ignore[assignment]
             self.execute(name, member.start(0.0))
 
     def copy(self) -> Model:
         new = copy.copy(self)
         new.members = {}
         for name, member in self.members.items():
-            new.members[name] = twin = copy.copy(member)
-            twin.grants, twin.last_received_at = copy.deepcopy(member.grants), dict(member.last_received_at)
-            twin.promises = copy.copy(member.promises)
+            new.members[name] = new_member = copy.copy(member)
+            new_member.grants = copy.deepcopy(member.grants)
+            new_member.last_received_at = dict(member.last_received_at)
+            new_member.promises = copy.copy(member.promises)
         new.timers, new.lease_ends, new.announced_by = (
             dict(self.timers),
             dict(self.lease_ends),
@@ -98,23 +98,24 @@
         )
 
     def steps(self) -> list[tuple[str, Any]]:
-        found: list[tuple[str, Any]] = [("expire", n) for n in self.timers]
-        return found + [("deliver", f) for f in self.in_flight] + [("restart", "n2")] * self.restarts
+        timers: list[tuple[str, Any]] = [("expire", name) for name in self.timers]
+        return timers + [("deliver", f) for f in self.in_flight] + [("restart", "n2")] * self.restarts
 
-    def take(self, kind: str, what: Any) -> None:
+    def apply(self, kind: str, target: Any) -> None:
+        """Apply a step. ``target`` is the message to deliver, or the member that the step concerns."""
         if kind == "expire":
-            self.now = max(self.now, self.timers.pop(what))
-            self.execute(what, self.members[what].handle(self.now, TimerExpired()))
+            self.now = max(self.now, self.timers.pop(target))
+            self.execute(target, self.members[target].handle(self.now, TimerExpired()))
         elif kind == "deliver":
-            self.in_flight -= {what}
-            sender, receiver, message = what
+            self.in_flight -= {target}
+            sender, receiver, message = target
             self.received_from[receiver] = self.received_from.get(receiver, frozenset()) | {sender}
             self.execute(receiver, self.members[receiver].handle(self.now, MessageReceived(sender, message)))
         else:
             self.restarts -= 1
-            member = self.members[what] = self.core(_config(what), 0, self.now, RecoveredState())
-            member.random = FixedDraws()  # type: ignore[assignment]
-            self.execute(what, member.start(self.now))
+            member = self.members[target] = self.core(_config(target), 0, self.now, RecoveredState())
+            member.random = FixedRandom()  # type: ignore[assignment]
+            self.execute(target, member.start(self.now))
 
     def execute(self, name: str, actions: list[Any]) -> None:
         for action in actions:
@@ -123,17 +124,17 @@
                     self.in_flight |= {(name, member, message)}
                 case StoreVote(Vote(_, voted, _)) if voted == name and not self.received_from.get(name):
                     raise PropertyViolationError(
-                        f"{name} is a candidate though nobody could have told it that it may"
+                        f"{name} is a candidate without a pre-vote: it has received no messages"
                     )
                 case AnnounceAddress(term):
                     if (
                         self.announced_by.setdefault(term, name) != name
                         or term in list(self.announced_by)[:-1]
                     ):
-                        raise PropertyViolationError(f"a second announcement in term {term}")
+                        raise PropertyViolationError(f"{name} announces in term {term}, which is not new")
                 case ExtendLease(until):
                     if any(ends > self.now for other, ends in self.lease_ends.items() if other != name):
-                        raise PropertyViolationError(f"{name} holds beside another")
+                        raise PropertyViolationError(f"{name} extends its lease while another lease is valid")
                     self.lease_ends[name] = until
                 case WithdrawAddress():
                     self.lease_ends.pop(name, None)
@@ -143,39 +144,39 @@
 
 
 def explore(start: Model, depth: int) -> int:
-    """Every order of so many steps; the number of states met."""
-    seen, edge = {start.key()}, [start]
+    """Explore all orders of ``depth`` steps; return the number of distinct states."""
+    seen, frontier = {start.key()}, [start]
     for _ in range(depth):
-        beyond = []
-        for state in edge:
+        next_frontier = []
+        for state in frontier:
             for step in state.steps():
                 new = state.copy()
-                new.take(*step)
+                new.apply(*step)
                 if (key := new.key()) not in seen:
                     seen.add(key)
-                    beyond.append(new)
-        edge = beyond
+                    next_frontier.append(new)
+        frontier = next_frontier
     return len(seen)
 
 
 def with_holder(core: type[Election]) -> Model:
-    """n0 holds by the witness's promise; n1 has heard nothing of it."""
+    """Return a model in which n0 is the holder by the witness's promise, and n1 has received no messages."""
     model = Model(core)
-    model.take("expire", "n0")
+    model.apply("expire", "n0")
     while not model.lease_ends:
-        found = [f for f in model.in_flight if set(f[:2]) == {"n0", "n2"}]
-        model.take("deliver", max(found, key=lambda f: (f[2].term, f[1])))
+        messages = [f for f in model.in_flight if set(f[:2]) == {"n0", "n2"}]
+        model.apply("deliver", max(messages, key=lambda f: (f[2].term, f[1])))
     model.in_flight = frozenset()
     return model
 
 
-def test_every_order_of_a_small_model_keeps_the_properties() -> None:
+def test_no_event_order_violates_a_property() -> None:
     assert explore(Model(Election), 5) > 1000
     assert explore(with_holder(Election), 6) > 1000
 
 
 @pytest.mark.parametrize("core", BROKEN_ELECTIONS)
-def test_every_order_of_a_small_model_finds_a_broken_core(core: type[Election]) -> None:
+def test_some_event_order_of_a_broken_election_violates_a_property(core: type[Election]) -> None:
     with pytest.raises(PropertyViolationError):
         explore(Model(core), 5)
         explore(with_holder(core), 7)
--- a/tests/address_failover/test_golden_datagrams.py
+++ b/tests/address_failover/test_golden_datagrams.py
@@ -1,6 +1,6 @@
-"""What members of one version send to members of another: the bytes are as they have always been.
+"""Golden datagrams: members of different versions can read each other's datagrams.
 
-The datagrams were written by the program of commit bafdb7c, by a member of the name ``a`` with a fixed key.
+The datagrams were written by commit bafdb7c, by the member ``a`` with a fixed key. They must never change.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 KEY = bytes(range(32))
 SENDER_INCARNATION, RECEIVER_INCARNATION = 1_767_225_600_000_001, 1_767_225_600_000_002
 SENDER_ADDRESS, RECEIVER_ADDRESS = ("127.0.0.1", 7001), ("127.0.0.2", 7001)
-GOLDEN: list[tuple[Message, str]] = [  # in the order in which they were sent
+GOLDEN: list[tuple[Message, str]] = [  # in sending order, which determines the sequence numbers
     (
         Hello(),
         "534301edde09aeea8ca0678eb143843e885d50421d5e02078161b925d0ff2515205cae452a7148"
@@ -71,7 +71,7 @@
 ]
 
 
-def test_datagrams_are_written_as_ever() -> None:
+def test_datagrams_are_encoded_as_in_the_golden_file() -> None:
     sender = DatagramAuthenticator("a", SENDER_INCARNATION, [KEY], {"b": RECEIVER_ADDRESS})
     sender.peers["b"].incarnation = RECEIVER_INCARNATION
     written = [sender.sign("b", message).hex() for message, _ in GOLDEN]
@@ -79,6 +79,6 @@
 
 
 @pytest.mark.parametrize("message, data", GOLDEN)
-def test_datagrams_are_read_as_ever(message: Message, data: str) -> None:
+def test_golden_datagrams_are_decoded(message: Message, data: str) -> None:
     receiver = DatagramAuthenticator("b", RECEIVER_INCARNATION, [KEY], {"a": SENDER_ADDRESS})
     assert receiver.verify(bytes.fromhex(data), SENDER_ADDRESS) == AuthenticatedMessage("a", message)
--- a/tests/address_failover/test_grants.py
+++ b/tests/address_failover/test_grants.py
@@ -1,4 +1,4 @@
-"""The grants of a candidate or holder: the majority, and the end of the lease that it makes."""
+"""The grants of a candidate or holder: the majority, and the end of the resulting lease."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 HOLDER_LEASE = 0.5  # s
 
 
-def test_the_lease_counts_from_the_request_that_the_last_voter_needed_was_sent() -> None:
+def test_the_lease_is_counted_from_the_oldest_request_that_the_majority_needs() -> None:
     grants = Grants(majority=3, holder_lease=HOLDER_LEASE)
     grants.record("a", 1.0)
     assert not grants.has_majority() and "a" in grants and "b" not in grants
@@ -19,19 +19,19 @@
     assert grants.lease_end(9.0) == pytest.approx(1.7)
 
 
-def test_a_late_grant_of_an_older_request_changes_nothing() -> None:
+def test_a_late_grant_of_an_older_request_is_ignored() -> None:
     grants = Grants(majority=2, holder_lease=HOLDER_LEASE)
     grants.record("a", 2.0)
     grants.record("a", 1.0)
     assert grants.lease_end(9.0) == pytest.approx(2.5)
 
 
-def test_a_member_alone_is_its_own_majority() -> None:
+def test_a_single_member_is_a_majority_by_itself() -> None:
     grants = Grants(majority=1, holder_lease=HOLDER_LEASE)
     assert grants.has_majority() and grants.lease_end(9.0) == pytest.approx(9.5)
 
 
-def test_a_new_candidacy_begins_without_grants() -> None:
+def test_clear_discards_the_grants() -> None:
     grants = Grants(majority=2, holder_lease=HOLDER_LEASE)
     grants.record("a", 2.0)
     grants.clear()
--- a/tests/address_failover/test_recorded_elections.py
+++ b/tests/address_failover/test_recorded_elections.py
@@ -1,7 +1,7 @@
-"""The same seeds give the same elections as ever: every action of every member, with its time.
+"""Recorded elections: the same seeds give the same actions of every member at the same times.
 
-The digests were taken from the program of commit bafdb7c. They hold numbers and names of members only, and of
-actions and messages their place among the kinds, so that names in the code can change.
+The digests were taken from commit bafdb7c. They cover values and member names, and the types of actions and
+messages by index, so identifiers in the code can be renamed.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class RecordedElection(emulator.SimulatedElection):
-    """An election that sums up what its members do."""
+    """An election that computes a digest of all actions of its members."""
 
     def __init__(self, *args: Any, **options: Any) -> None:
         self.digest = hashlib.blake2b(digest_size=16)
@@ -57,7 +57,7 @@
         (30112, 823, 366, 426, 2, "7da5f1bdde138395f48bd45f937326c1"),
     ],
 )
-def test_seeds_that_found_faults_give_the_same_election(
+def test_regression_seeds_give_the_recorded_elections(
     seed: int, actions: int, events: int, sent: int, announcements: int, digest: str
 ) -> None:
     world = recorded(seed)
@@ -70,7 +70,7 @@
     assert world.digest.hexdigest() == digest
 
 
-def test_a_hundred_seeds_give_the_same_elections() -> None:
+def test_a_hundred_seeds_give_the_recorded_elections() -> None:
     total = hashlib.blake2b(digest_size=16)
     for seed in range(100):
         total.update(recorded(seed).digest.digest())
--- a/tests/address_failover/test_replay_window.py
+++ b/tests/address_failover/test_replay_window.py
@@ -1,4 +1,4 @@
-"""The replay window: each sequence number is accepted once, and none that is too old to tell."""
+"""The replay window: each sequence number is accepted at most once, and none older than the window."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     assert not any(window.accept(number) for number in range(1, WINDOW_SIZE + 1))
 
 
-def test_a_number_behind_the_window_is_not_accepted() -> None:
+def test_a_number_older_than_the_window_is_not_accepted() -> None:
     window = ReplayWindow()
     assert window.accept(WINDOW_SIZE + 1)
     assert not window.accept(1) and window.accept(2)
--- a/tests/address_failover/test_terms.py
+++ b/tests/address_failover/test_terms.py
@@ -1,4 +1,4 @@
-"""Terms: whose they are, and their rounds."""
+"""Terms: their owners and their rounds."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 @given(TERMS, INDEXES)
-def test_the_next_term_is_the_member_s_own_in_the_next_round(known_term: int, index: int) -> None:
+def test_the_next_term_belongs_to_the_member_and_the_next_round(known_term: int, index: int) -> None:
     term = next_term(known_term, index)
     assert term_owner(term) == index
     assert term_round(term) == term_round(known_term) + 1
--- a/tests/address_failover/test_timing.py
+++ b/tests/address_failover/test_timing.py
@@ -1,4 +1,4 @@
-"""Intervals that an election can run by, and those that it cannot."""
+"""Valid and invalid timing parameters of the election."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from saltcourse.address_failover.timing import ElectionTiming
 
 
-def test_a_holder_relies_on_a_promise_for_less_than_it_lasts_on_any_two_clocks() -> None:
+def test_a_lease_ends_before_the_promise_even_if_the_clocks_drift_in_opposite_directions() -> None:
     timing = ElectionTiming(clock_drift=0.01)
     fast, slow = 1.01, 0.99  # rates of the voter's and the holder's clock
     assert timing.holder_lease / slow < timing.lease_duration / fast
@@ -30,7 +30,9 @@
         ("renewal_interval", 0.3, "under half"),
     ],
 )
-def test_a_field_out_of_range_is_named(field: str, value: float, expected: str) -> None:
-    with pytest.raises(InvalidTimingError, match=expected) as caught:
+def test_the_error_names_the_invalid_field_and_its_range(field: str, value: float, expected: str) -> None:
+    with pytest.raises(
+        InvalidTimingError, match=rf"^{field}: expected .*{expected}.*, got {value}$"
+    ) as caught:
         ElectionTiming(**{field: value})
     assert caught.value.field == field
