--- a/tests/shared_state/simulated_proxies.py
+++ b/tests/shared_state/simulated_proxies.py
@@ -1,4 +1,4 @@
-"""Proxies on the simulated network whose connections change at random, checked from outside."""
+"""Proxies with shared state on the simulated network, for property tests."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from tests.balancing.balancer_host import settings
 
 SETTINGS = SharedStateSettings(share_connection_counts=True)
-SILENCE_SECONDS = SETTINGS.lease_term  # after which a peer is lost
+SILENCE_SECONDS = SETTINGS.lease_term  # time without messages after which a peer is lost
 
 
 @dataclass
-class Held:
+class BackendConnections:
     count: int
 
 
 class SimulatedProxies:
-    """A fleet on the simulated network whose connections change at random; the checks look from outside."""
+    """A fleet whose connections and ejections change at random; the checks compare all proxies."""
 
     def __init__(
         self,
@@ -39,23 +39,25 @@
             for i in range(count)
         ]
         self.net = Network(seed, hosts, link, self._deliver, None)
-        self.held = [self._empty() for _ in range(count)]
-        self.cores = [self._fresh(i) for i in range(count)]
-        self.changing = True
+        self.connections = [self._no_connections() for _ in range(count)]
+        self.cores = [self._new_state(i) for i in range(count)]
+        self.changes_enabled = True
         self.longest_message = 0
-        self.health_checks: list[float] = []  # true times at which any proxy spent one of the server's budget
-        self.shares: list[float] = []  # of all live proxies together, at one moment each
-        self.ejections: dict[str, float] = {}  # server -> true time at which the latest ejection on it ends
-        self.outlived_ejections: list[tuple[float, str]] = []
+        self.health_checks: list[float] = []  # true times of all proxies' health checks of backend s0
+        self.shares: list[float] = []  # samples of the sum of all proxies' shares
+        self.ejections: dict[str, float] = {}  # true time at which the latest ejection of each backend ends
+        self.outlived_ejections: list[
+            tuple[float, str]
+        ] = []  # time and backend of ejections applied too late
         for i in range(count):
             hosts[i].alive = True
             self.net.at(0.1 * self.random.random(), partial(self._step, i))
 
     @staticmethod
-    def _empty() -> dict[str, Held]:
-        return {f"s{i}": Held(0) for i in range(8)}
+    def _no_connections() -> dict[str, BackendConnections]:
+        return {f"s{i}": BackendConnections(0) for i in range(8)}
 
-    def _fresh(self, index: int) -> SharedState:
+    def _new_state(self, index: int) -> SharedState:
         own_settings = settings(
             proxy_count=self.count,
             proxy_index=index,
@@ -63,14 +65,14 @@
             has_groups=True,
             shared_state=self.shared_state,
         )
-        return self.core(own_settings, self.random.getrandbits(12), self.held[index])
+        return self.core(own_settings, self.random.getrandbits(12), self.connections[index])
 
     def restart(self, index: int) -> None:
         host = self.net.hosts[str(index)]
         self.net.crash(host, keeps_disk=False)
         host.alive = True
-        self.held[index] = self._empty()
-        self.cores[index] = self._fresh(index)
+        self.connections[index] = self._no_connections()
+        self.cores[index] = self._new_state(index)
         self.net.at(self.net.now, partial(self._step, index))
 
     def clock(self, index: int) -> float:
@@ -89,15 +91,16 @@
         if core.may_health_check(now, "s0"):
             self.health_checks.append(self.net.now)
         self.shares.append(sum(c.leases.share(self.clock(i)) for i, c in enumerate(self.cores)))
-        if self.changing and draw(10) < 3:
-            server, more = f"s{draw(8)}", draw(5) < 3
-            core.record_group(server, f"g{draw(9)}", more)
-            self.held[index][server].count = max(0, self.held[index][server].count + (1 if more else -1))
-        if self.changing and draw(100) < 2:
-            length = 0.3 + 6 * self.random.random()
-            server = f"s{draw(8)}"
-            core.announce_ejection(server, now + length)
-            self.ejections[server] = max(self.ejections.get(server, 0.0), self.net.now + 1.02 * length)
+        if self.changes_enabled and draw(10) < 3:
+            backend, opened = f"s{draw(8)}", draw(5) < 3
+            core.record_group(backend, f"g{draw(9)}", opened)
+            connections = self.connections[index][backend]
+            connections.count = max(0, connections.count + (1 if opened else -1))
+        if self.changes_enabled and draw(100) < 2:
+            duration = 0.3 + 6 * self.random.random()
+            backend = f"s{draw(8)}"
+            core.announce_ejection(backend, now + duration)
+            self.ejections[backend] = max(self.ejections.get(backend, 0.0), self.net.now + 1.02 * duration)
 
     def _send(self, index: int, sends: list[Outgoing]) -> None:
         for peer, text in sends:
@@ -109,13 +112,13 @@
     def _deliver(self, host: Host, event: Any) -> None:
         sender, text = event
         index = int(host.name)
-        for server in self.cores[index].receive(self.clock(index), sender, text):
-            if self.net.now > self.ejections[server] + self.net.link.delay[1]:
-                self.outlived_ejections.append((self.net.now, server))
+        for backend in self.cores[index].receive(self.clock(index), sender, text):
+            if self.net.now > self.ejections[backend] + self.net.link.delay[1]:
+                self.outlived_ejections.append((self.net.now, backend))
 
     def stale_replicas(self) -> list[tuple[int, int]]:
-        """Pairs of a proxy and a peer whose table it has wrong, in its replica or in its index of holders."""
-        found = []
+        """Return pairs of a proxy and a peer whose table differs from the proxy's replica or index of it."""
+        stale = []
         for i, core in enumerate(self.cores):
             for j, other in enumerate(self.cores):
                 indexed = {key for key, peers in core.peers_by_key.items() if j in peers}
@@ -124,27 +127,30 @@
                     and core.peers[j].replica.entries == other.table.entries
                     and indexed == set(other.table.entries)
                 ):
-                    found.append((i, j))
-        return found
+                    stale.append((i, j))
+        return stale
 
     def overspent(self, rate: float = 20.0) -> bool:
-        """Whether in any span of time more was spent than the budget allows, or shares exceeded the whole."""
+        """Return whether the budget was exceeded over any time span, or the shares added up to more than 1.
+
+        ``rate``: health checks per second of the whole fleet.
+        """
         burst = 2.0 * self.count
-        low = 0.0
-        for n, at in enumerate(sorted(self.health_checks)):
-            level = (
-                n - rate * (1 + self.shared_state.clock_drift) * at
-            )  # spent before, less what the rate allows
-            low = min(low, level)
-            if level + 1 - low > burst + 1e-6:
+        lowest_excess = 0.0
+        for number, at in enumerate(sorted(self.health_checks)):
+            # Health checks sent before this one, minus those that the rate allows until now.
+            excess = number - rate * (1 + self.shared_state.clock_drift) * at
+            lowest_excess = min(lowest_excess, excess)
+            if excess + 1 - lowest_excess > burst + 1e-6:
                 return True
         return max(self.shares) > 1 + 1e-9
 
 
 def run_with_faults(proxies: SimulatedProxies) -> list[tuple[int, int]]:
-    """Cut one proxy off for longer than a lease term, stop another, restart one while others are cut off.
+    """Run a fault scenario and return the stale replicas at its end.
 
-    Then 15 s of quiet, with a tenth of the messages still lost. The stale replicas after it.
+    One proxy is cut off for longer than a lease term, another one is stopped, and one restarts while others
+    are cut off. Then nothing changes for 15 s, while 10% of the messages are lost.
     """
     net, last = proxies.net, proxies.count - 1
     net.run(5.0)
@@ -161,7 +167,7 @@
     net.cut("1", str(last))
     net.run(net.now + 4)
     net.heal()
-    proxies.changing = False
+    proxies.changes_enabled = False
     net.link = Link(delay=(0.002, 0.03), loss=0.1)
     net.run(net.now + 15)
     return proxies.stale_replicas()
--- a/tests/shared_state/test_codec.py
+++ b/tests/shared_state/test_codec.py
@@ -1,4 +1,4 @@
-"""The bytes of messages: any text is a message or an error, and any message comes as it was sent."""
+"""The message codec: it decodes or rejects any text, and decodes each encoded message unchanged."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 @given(st.text(max_size=300) | st.builds(lambda m, cut: encode(m)[:cut], MESSAGES, st.integers(0, 250)))
-def test_any_text_is_a_message_or_is_rejected(text: str) -> None:
+def test_any_text_is_rejected_or_decodes_to_a_message_with_the_same_encoding(text: str) -> None:
     try:
         message = decode(text)
     except MalformedMessageError:
@@ -47,7 +47,7 @@
 
 
 @given(MESSAGES)
-def test_any_message_comes_as_it_was_sent(message: Message) -> None:
+def test_a_message_is_decoded_unchanged_or_rejected_as_too_long(message: Message) -> None:
     text = encode(message)
     if len(text) > MAX_BYTES:
         with pytest.raises(MalformedMessageError):
--- a/tests/shared_state/test_golden_messages.py
+++ b/tests/shared_state/test_golden_messages.py
@@ -1,6 +1,6 @@
-"""What proxies of one version say to proxies of another: bytes and timing are as they have always been.
+"""Golden messages: proxies of different versions can read each other's messages, and send them as before.
 
-The digests and the texts were taken from the program of commit 734bf4d and change only with VERSION.
+The digests and the texts were taken from commit 734bf4d and may only change with VERSION.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 from saltcourse.shared_state.outbox import Outgoing
 from tests.shared_state.simulated_proxies import SimulatedProxies, run_with_faults
 
-GOLDEN = (  # of a site of 8 proxies within 20 s; the last two by hand
+GOLDEN = (  # recorded from a site of 8 proxies within 20 s, except for the last two, which are made by hand
     "277AAEtPS*",
     "277ABTpNMgAAE",
     "2gUAB7t3Q?ACA",
@@ -48,7 +48,7 @@
 
 
 @pytest.mark.parametrize("text", GOLDEN)
-def test_messages_of_other_proxies_are_read_and_written_as_ever(text: str) -> None:
+def test_golden_messages_are_decoded_and_encoded_unchanged(text: str) -> None:
     assert encode(decode(text)) == text
 
 
@@ -81,12 +81,12 @@
         ),
     ],
 )
-def test_records_mean_what_they_always_meant(text: str, message: Message) -> None:
+def test_golden_messages_decode_to_the_expected_records(text: str, message: Message) -> None:
     assert decode(text) == message
 
 
 class RecordedSite(Site):
-    """A site that sums up what each proxy sends, when, and to whom."""
+    """A site that computes a digest of all messages with their times, senders and receivers."""
 
     def __init__(self, size: int, counts: bool) -> None:
         self.digest, self.messages = hashlib.blake2b(digest_size=16), 0
@@ -99,8 +99,8 @@
         super().send(i, sends)
 
 
-def test_a_site_of_eight_proxies_sends_what_it_always_sent() -> None:
-    """One message in twenty lost, numbers of connections sent, 20 s."""
+def test_a_site_of_eight_proxies_sends_the_recorded_messages() -> None:
+    """Runs for 20 s with 5% message loss and with connection counts."""
     site = RecordedSite(8, counts=True)
     site.net.run(20.0)
     assert (site.messages, site.sent, site.bytes) == (1285, 4075, 239863)
@@ -108,7 +108,7 @@
 
 
 class RecordedProxies(SimulatedProxies):
-    """Proxies with scales and health checks besides, that sum up what they send and answer."""
+    """Proxies that also use scales, and compute a digest of their messages and of the balancer's queries."""
 
     def __init__(self, seed: int, link: Link) -> None:
         self.digest = hashlib.blake2b(digest_size=16)
@@ -135,10 +135,10 @@
 
 
 @pytest.mark.parametrize(
-    ("seed", "wanted"), [(1, "7a9f9cf50f3c1d0329fdd606996b56d8"), (2, "cb2c4c3c29b3a4543c377bcb32130dc9")]
+    ("seed", "expected"), [(1, "7a9f9cf50f3c1d0329fdd606996b56d8"), (2, "cb2c4c3c29b3a4543c377bcb32130dc9")]
 )
-def test_proxies_with_faults_send_and_answer_what_they_always_did(seed: int, wanted: str) -> None:
-    """Losses, doubled messages, a cut, a stop and a restart."""
+def test_proxies_with_faults_send_and_answer_as_recorded(seed: int, expected: str) -> None:
+    """Faults: lost and duplicated messages, a network cut, a stopped process and a restart."""
     proxies = RecordedProxies(seed, Link(delay=(0.0017, 0.3), loss=0.2, double=0.2))
     run_with_faults(proxies)
-    assert proxies.digest.hexdigest() == wanted
+    assert proxies.digest.hexdigest() == expected
--- a/tests/shared_state/test_processes.py
+++ b/tests/shared_state/test_processes.py
@@ -1,7 +1,7 @@
-"""Several processes of the program on loopback, and faults between them: audited by what the backends saw.
+"""Proxy processes on loopback with network and process faults, checked by the health checks at the backends.
 
-Each proxy reaches each other one through a relay, which loses, delays and cuts. The proxies are busy with
-clients all the while, so that they want more health checks than the fleet may send.
+The proxies exchange messages through a relay that can drop, delay and cut them. Clients keep the proxies
+busy, so that they need more health checks than the fleet-wide budget allows.
 """
 
 from __future__ import annotations
@@ -22,17 +22,21 @@
 from tests.free_ports import free_addresses
 from tests.proxy.test_process_replacement import admin_answer
 
-COUNT, BACKENDS = 4, 3
-LEASE_TERM = 2.0  # s
-HEALTH_CHECKS = 3.0  # a second that one backend gets of all proxies together
+PROXIES, BACKENDS = 4, 3
+LEASE_TERM = 2.0  # seconds
+HEALTH_CHECK_RATE = 3.0  # health checks per second that one backend may get from all proxies together
 ROOT = Path(__file__).parents[2]
 
 
 class Relay:
-    """A socket for each ordered pair (i, j): where i sends to j; j hears i from that of the pair (j, i)."""
+    """Forwards datagrams between the proxies, with faults.
 
-    def __init__(self, listens: list[tuple[str, int]]) -> None:
-        self.listens, self.random = listens, random.Random(7)
+    It has a socket for each ordered pair (i, j). Proxy i sends to j's socket (i, j), and j receives the
+    datagram from the socket (j, i), to which it also sends its own messages for i.
+    """
+
+    def __init__(self, proxy_addresses: list[tuple[str, int]]) -> None:
+        self.proxy_addresses, self.random = proxy_addresses, random.Random(7)
         self.sockets: dict[tuple[int, int], asyncio.DatagramTransport] = {}
         self.addresses: dict[tuple[int, int], tuple[str, int]] = {}
         self.loss, self.delay = 0.0, (0.0017, 0.028)
@@ -41,9 +45,9 @@
 
     async def open(self) -> None:
         loop = asyncio.get_running_loop()
-        for pair in [(i, j) for i in range(COUNT) for j in range(COUNT)]:
+        for pair in [(i, j) for i in range(PROXIES) for j in range(PROXIES)]:
             transport, _ = await loop.create_datagram_endpoint(
-                lambda pair=pair: _End(self, pair), local_addr=("127.0.0.1", 0)
+                lambda pair=pair: _RelaySocket(self, pair), local_addr=("127.0.0.1", 0)
             )  # type: ignore[misc]
             self.sockets[pair] = transport
             self.addresses[pair] = transport.get_extra_info("sockname")
@@ -54,14 +58,15 @@
             self.forwarded += 1
             i, j = pair
             asyncio.get_running_loop().call_later(
-                self.random.uniform(*self.delay), self.sockets[j, i].sendto, data, self.listens[j]
+                self.random.uniform(*self.delay), self.sockets[j, i].sendto, data, self.proxy_addresses[j]
             )
 
-    def split(self, *parts: set[int]) -> None:
+    def partition(self, *parts: set[int]) -> None:
+        """Cut all links between the parts; without arguments, restore all links."""
         self.cut = {(i, j) for a in parts for b in parts if a is not b for i in a for j in b}
 
 
-class _End(asyncio.DatagramProtocol):
+class _RelaySocket(asyncio.DatagramProtocol):
     def __init__(self, relay: Relay, pair: tuple[int, int]) -> None:
         self.relay, self.pair = relay, pair
 
@@ -70,7 +75,7 @@
 
 
 class Backend:
-    """Answers OPEN and STATS, and keeps the time of each question for its load."""
+    """A backend that answers OPEN and STATS, and records the time of each health check (STATS)."""
 
     def __init__(self) -> None:
         self.health_checks: list[float] = []
@@ -82,25 +87,29 @@
         self.server = await asyncio.start_server(self._serve, *self.address)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        held = False
+        is_open = False
         with contextlib.suppress(ConnectionError):
             while line := await reader.readline():
                 if line == b"STATS\r\n":
                     self.health_checks.append(asyncio.get_running_loop().time())
                     writer.write(b"PONG q=0,x0=0.5\r\n")
                 elif line.startswith(b"OPEN "):
-                    held = True
+                    is_open = True
                     self.open += 1
                     writer.write(b"UP 1\r\n")
-        self.open -= held
+        self.open -= is_open
         writer.close()
 
     def over_budget(self) -> bool:
-        low = 0.0
-        for n, at in enumerate(self.health_checks):
-            level = n - HEALTH_CHECKS * (at - self.health_checks[0]) * 1.02
-            low = min(low, level)
-            if level + 1 - low > 2 * COUNT + 1:  # the burst; one that was on its way from before a stop
+        """Return whether the health checks exceeded rate and burst over any time span."""
+        burst = 2 * PROXIES
+        delayed = 1  # a health check sent before a process was stopped may arrive later
+        lowest_excess = 0.0
+        for number, at in enumerate(self.health_checks):
+            # Health checks before this one, minus those that the rate allows until now.
+            excess = number - HEALTH_CHECK_RATE * (at - self.health_checks[0]) * 1.02
+            lowest_excess = min(lowest_excess, excess)
+            if excess + 1 - lowest_excess > burst + delayed:
                 return True
         return False
 
@@ -109,7 +118,7 @@
     values: dict[str, Any] = json.loads(EXAMPLE.read_text())
     own_settings = values["settings"]
     own_settings.update(
-        balancers=COUNT,
+        balancers=PROXIES,
         self_index=index,
         zone="z",
         failure_domains=["z"],
@@ -123,8 +132,8 @@
         listen=f"127.0.0.1:{free_port()}",
         admin=f"127.0.0.1:{free_port()}",
         discovery=f"127.0.0.1:{free_port()}",
-        peer_listen="{}:{}".format(*relay.listens[index]),
-        peers=["{}:{}".format(*relay.addresses[index, j]) for j in range(COUNT)],
+        peer_listen="{}:{}".format(*relay.proxy_addresses[index]),
+        peers=["{}:{}".format(*relay.addresses[index, j]) for j in range(PROXIES)],
         known={
             "version": 1,
             "full": True,
@@ -141,14 +150,14 @@
 class Fleet:
     def __init__(self, folder: Path, relay: Relay, backends: list[Backend]) -> None:
         self.folder = folder
-        self.values = [write_config(folder, i, relay, backends) for i in range(COUNT)]
+        self.values = [write_config(folder, i, relay, backends) for i in range(PROXIES)]
         (folder / "operator.txtpb").write_text(
-            f"fleet {{ term_s: {LEASE_TERM} counts: true probes_per_s: {HEALTH_CHECKS} }}\n"
+            f"fleet {{ term_s: {LEASE_TERM} counts: true probes_per_s: {HEALTH_CHECK_RATE} }}\n"
         )
-        self.processes: list[subprocess.Popen[bytes]] = [self.run(i) for i in range(COUNT)]
+        self.processes: list[subprocess.Popen[bytes]] = [self.run(i) for i in range(PROXIES)]
 
     def run(self, index: int) -> subprocess.Popen[bytes]:
-        seed = f"{random.SystemRandom().getrandbits(48):x}"  # new with each start, as on the platform
+        seed = f"{random.SystemRandom().getrandbits(48):x}"  # differs with each start, as on the platform
         values = self.values[index] | {"seed": seed}
         (self.folder / f"{index}.json").write_text(json.dumps(values))
         with (self.folder / f"{index}.log").open("ab") as log:
@@ -168,7 +177,7 @@
                 cwd=ROOT,
             )
 
-    async def figures(self, index: int) -> dict[str, int]:
+    async def metrics(self, index: int) -> dict[str, int]:
         port = int(self.values[index]["admin"].rpartition(":")[2])
         status, body = await asyncio.to_thread(admin_answer, port, "/_vars")
         assert status == 200
@@ -177,106 +186,113 @@
             for name, _, rest in (line.partition(":") for line in body.decode().split())
         }
 
-    async def until(self, what: str, indexes: Any, want: Any, patience: float) -> None:
-        """Figures are asked for until each has been as wanted, which the fleet owes within ``patience``."""
-        end = asyncio.get_running_loop().time() + patience
-        left = set(indexes)
-        while left:
-            found = {i: (await self.figures(i)).get(f"svc.fleet.{what}") for i in left}
-            left -= {i for i, figure in found.items() if want(figure)}
-            assert not left or asyncio.get_running_loop().time() < end, f"{what}: {found}"
+    async def wait_for_metric(self, name: str, indexes: Any, condition: Any, timeout: float) -> None:
+        """Poll a metric of some proxies until it has met the condition at each of them.
+
+        Fails if this takes longer than ``timeout`` seconds.
+        """
+        deadline = asyncio.get_running_loop().time() + timeout
+        remaining = set(indexes)
+        while remaining:
+            values = {i: (await self.metrics(i)).get(f"svc.fleet.{name}") for i in remaining}
+            remaining -= {i for i, value in values.items() if condition(value)}
+            assert not remaining or asyncio.get_running_loop().time() < deadline, f"{name}: {values}"
             await asyncio.sleep(0.1)
 
-    async def ready(self, index: int) -> None:
+    async def wait_until_ready(self, index: int) -> None:
         port = int(self.values[index]["admin"].rpartition(":")[2])
         for _ in range(200):
             if (await asyncio.to_thread(admin_answer, port, "/_ready"))[0] == 200:
                 return
             await asyncio.sleep(0.05)
-        raise AssertionError(f"{index} never said it was ready")
+        raise AssertionError(f"proxy {index} did not become ready within 200 attempts")
 
 
 @contextlib.asynccontextmanager
-async def busy(fleet: Fleet) -> AsyncIterator[None]:
-    """Clients come to every proxy and stay a while, each of one of some groups."""
+async def client_load(fleet: Fleet) -> AsyncIterator[None]:
+    """Keep opening client connections of 7 groups at all proxies; 30% of them stay open."""
     draw = random.Random(3)
-    held: list[asyncio.StreamWriter] = []
+    open_connections: list[asyncio.StreamWriter] = []
 
     async def client(index: int, number: int) -> None:
         host, _, port = fleet.values[index]["listen"].rpartition(":")
         with contextlib.suppress(OSError):
             reader, writer = await asyncio.open_connection(host, int(port))
-            held.append(writer)
-            words = f"OPEN r{index}x{number} k{number} c=live-feed,d=1000,g=g{number % 7}"
-            writer.write(f"{words}\r\n".encode())
+            open_connections.append(writer)
+            request = f"OPEN r{index}x{number} k{number} c=live-feed,d=1000,g=g{number % 7}"
+            writer.write(f"{request}\r\n".encode())
             if not (await reader.readline()).startswith(b"UP") or draw.random() < 0.7:
                 writer.close()
 
-    async def come() -> None:
+    async def start_clients() -> None:
         number = 0
         while True:
             number += 1
-            for index in range(COUNT):
+            for index in range(PROXIES):
                 tasks.append(asyncio.create_task(client(index, number)))
             await asyncio.sleep(0.15)
 
     tasks: list[asyncio.Task[None]] = []
-    coming = asyncio.create_task(come())
+    starter = asyncio.create_task(start_clients())
     try:
         yield
     finally:
-        coming.cancel()
+        starter.cancel()
         for task in tasks:
             task.cancel()
-        await asyncio.gather(coming, *tasks, return_exceptions=True)
-        for writer in held:
+        await asyncio.gather(starter, *tasks, return_exceptions=True)
+        for writer in open_connections:
             writer.close()
 
 
-async def play(folder: Path) -> None:
-    relay = Relay(list(free_addresses(COUNT)))
+async def run_scenario(folder: Path) -> None:
+    relay = Relay(list(free_addresses(PROXIES)))
     await relay.open()
     backends = [Backend() for _ in range(BACKENDS)]
     for backend in backends:
         await backend.start()
     fleet = Fleet(folder, relay, backends)
-    everyone = range(COUNT)
+    all_proxies = range(PROXIES)
     try:
-        for i in everyone:
-            await fleet.ready(i)
-        async with busy(fleet):
-            await fleet.until("peers", everyone, lambda n: n == COUNT - 1, 3 * LEASE_TERM)
-            await fleet.until("pace", everyone, lambda n: n == 1000, 3 * LEASE_TERM)
+        for i in all_proxies:
+            await fleet.wait_until_ready(i)
+        async with client_load(fleet):
+            await fleet.wait_for_metric("peers", all_proxies, lambda n: n == PROXIES - 1, 3 * LEASE_TERM)
+            await fleet.wait_for_metric("pace", all_proxies, lambda n: n == 1000, 3 * LEASE_TERM)
             relay.loss = 0.2
-            relay.split({0}, {1, 2, 3})  # one hears nothing: given up, and its tokens inherited
-            await fleet.until("peers", [0], lambda n: n == 0, 4 * LEASE_TERM)
-            await fleet.until("peers", [1, 2, 3], lambda n: n == 2, 4 * LEASE_TERM)
+            relay.partition({0}, {1, 2, 3})  # proxy 0 is isolated: it is lost, and its portions are inherited
+            await fleet.wait_for_metric("peers", [0], lambda n: n == 0, 4 * LEASE_TERM)
+            await fleet.wait_for_metric("peers", [1, 2, 3], lambda n: n == 2, 4 * LEASE_TERM)
             relay.loss = 0.5
-            relay.split({0, 1}, {2, 3})  # and then half
+            relay.partition({0, 1}, {2, 3})  # two halves
             await asyncio.sleep(2 * LEASE_TERM)
-            relay.split()
+            relay.partition()
             relay.loss = 0.1
             fleet.processes[2].send_signal(signal.SIGSTOP)
-            await asyncio.sleep(2 * LEASE_TERM)  # past all that was promised to it
+            await asyncio.sleep(2 * LEASE_TERM)  # until all its leases have expired
             fleet.processes[2].send_signal(signal.SIGCONT)
             fleet.processes[1].kill()
             await asyncio.to_thread(fleet.processes[1].wait)
             fleet.processes[1] = fleet.run(1)
-            # A backend that is gone for a moment: whoever meets it first notifies the others.
+            # One backend stops for a short time. The proxy that detects it first notifies the others.
             server = backends[2].server
             assert server is not None
             server.close()
-            await fleet.until("judged", [0, 2, 3], lambda n: n >= 1, 3 * LEASE_TERM)
+            await fleet.wait_for_metric("judged", [0, 2, 3], lambda n: n >= 1, 3 * LEASE_TERM)
             await backends[2].start()
-            await fleet.ready(1)
+            await fleet.wait_until_ready(1)
         relay.loss = 0.0
-        await fleet.until("judged", everyone, lambda n: n == 0, 12.0)  # the longest rest is 10 s
-        await fleet.until("peers", everyone, lambda n: n == COUNT - 1, 3 * LEASE_TERM)
-        await fleet.until("pace", everyone, lambda n: n == 1000, 3 * LEASE_TERM)
-        standing = sum(p.open for p in backends)
-        await fleet.until("connections", everyone, lambda n: n == standing, 3 * LEASE_TERM)
-        for i in everyone:
-            assert (await fleet.figures(i))["svc.fleet.unreadable"] == 0
+        await fleet.wait_for_metric(
+            "judged", all_proxies, lambda n: n == 0, 12.0
+        )  # an ejection lasts 10 s at most
+        await fleet.wait_for_metric("peers", all_proxies, lambda n: n == PROXIES - 1, 3 * LEASE_TERM)
+        await fleet.wait_for_metric("pace", all_proxies, lambda n: n == 1000, 3 * LEASE_TERM)
+        open_connections = sum(p.open for p in backends)
+        await fleet.wait_for_metric(
+            "connections", all_proxies, lambda n: n == open_connections, 3 * LEASE_TERM
+        )
+        for i in all_proxies:
+            assert (await fleet.metrics(i))["svc.fleet.unreadable"] == 0
     finally:
         for process in fleet.processes:
             process.send_signal(signal.SIGCONT)
@@ -289,11 +305,13 @@
     span = max(p.health_checks[-1] for p in backends) - min(p.health_checks[0] for p in backends)
     for backend in backends:
         assert not backend.over_budget()
-    # The budget was wanted: without one each proxy asks every half a second and more.
-    assert sum(len(p.health_checks) for p in backends) > 0.3 * HEALTH_CHECKS * BACKENDS * span
-    for i in everyone:
+    # The budget was the limit: without it, each proxy would send a health check every 0.5 s or more often.
+    assert sum(len(p.health_checks) for p in backends) > 0.3 * HEALTH_CHECK_RATE * BACKENDS * span
+    for i in all_proxies:
         assert "Traceback" not in (folder / f"{i}.log").read_text()
 
 
-def test_budget_counts_and_ejection_notices_hold_between_processes_with_faults(tmp_path: Path) -> None:
-    asyncio.run(play(tmp_path))
+def test_budgets_connection_counts_and_ejections_are_shared_between_processes_despite_faults(
+    tmp_path: Path,
+) -> None:
+    asyncio.run(run_scenario(tmp_path))
--- a/tests/shared_state/test_quota.py
+++ b/tests/shared_state/test_quota.py
@@ -1,4 +1,4 @@
-"""Quota leases: what a proxy may count on when messages are lost, and what it inherits."""
+"""Quota leases: the share of a proxy when messages are lost, and the portions that it inherits."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
 
 
 def started(index: int) -> QuotaLeases:
-    """One of four proxies, which has just started at 0 s."""
+    """Return the leases of one of four proxies that has just started, at 0 s."""
     leases = QuotaLeases(index, 4, SETTINGS)
     assert leases.share(0.0) == pytest.approx(EQUAL_PART / 2)
     return leases
 
 
-def test_a_proxy_that_receives_nothing_has_half_a_portion_and_inherits_the_others_after_a_term() -> None:
-    # Nobody answers. Its own portions are not leased, and those of its predecessors may be in use by them
-    # until the leases that an earlier incarnation granted have expired on the slowest clock.
+def test_a_proxy_without_responses_has_half_its_part_and_inherits_portions_after_a_term() -> None:
+    # No leases are granted on its own portions. Its predecessors may use theirs until leases that an earlier
+    # process of this proxy granted have expired on the slowest clock.
     leases = started(0)
     longest_grant = SETTINGS.lease_term * (1 + SETTINGS.clock_drift)
     assert leases.share(longest_grant - 0.1) == pytest.approx(EQUAL_PART / 2)
     assert leases.share(longest_grant) == pytest.approx(EQUAL_PART)
 
 
-def test_a_grant_counts_from_its_request() -> None:
-    # The answer comes 5 s late: the successor's clock has run since it granted, perhaps since the request.
+def test_a_lease_is_counted_from_its_request() -> None:
+    # The grant arrives 5 s after the request, and may have been made at any time in between.
     leases = started(0)
     (request,) = leases.request(0.0)
     for successor in leases.successors:
@@ -39,21 +39,21 @@
     assert sum(until > shortest_lease for until in leases.leased_until.values()) == 0
 
 
-def test_a_grant_of_an_unknown_request_is_passed_over() -> None:
+def test_a_grant_of_an_unknown_request_is_ignored() -> None:
     leases = started(0)
     numbers = [leases.request(3.0 * count)[0].number for count in range(MAX_OPEN_REQUESTS + 1)]
     leases.receive_grant(30.0, 1, LeaseGrant(numbers[0]))
     assert leases.leased_until[1] < 0
 
 
-def test_only_predecessors_are_granted_a_lease() -> None:
+def test_leases_are_granted_only_to_predecessors() -> None:
     leases = QuotaLeases(0, 8, SETTINGS)
     assert leases.predecessors == [7, 6, 5]
     assert leases.grant(1.0, 7, LeaseRequest(3)) == [LeaseGrant(3)]
     assert leases.grant(1.0, 1, LeaseRequest(3)) == []
 
 
-def test_all_shares_are_the_whole_while_all_leases_are_renewed() -> None:
+def test_all_shares_add_up_to_the_budget_while_all_leases_are_renewed() -> None:
     fleet = [started(index) for index in range(4)]
     for now in (0.0, 3.0, 6.0, 9.0, 12.0, 15.0):
         for owner, leases in enumerate(fleet):
@@ -64,6 +64,6 @@
     assert [leases.share(16.0) for leases in fleet] == pytest.approx([EQUAL_PART] * 4)
 
 
-def test_a_proxy_alone_has_an_equal_part() -> None:
+def test_an_isolated_proxy_has_an_equal_part() -> None:
     assert QuotaLeases(0, 4, SETTINGS, isolated=True).share(0.0) == EQUAL_PART
     assert QuotaLeases(0, 1, SETTINGS).share(0.0) == 1.0
--- a/tests/shared_state/test_shared_state.py
+++ b/tests/shared_state/test_shared_state.py
@@ -1,4 +1,4 @@
-"""Shared state: replicas that agree after any loss, bounds that hold, and what the balancing makes of it."""
+"""Shared state: convergence of replicas, bounds on budgets and ejections, and the effects on the balancer."""
 
 from __future__ import annotations
 
@@ -29,10 +29,10 @@
 
 
 @pytest.mark.parametrize("seed", range(16))
-def test_replicas_agree_budgets_hold_and_ejections_end_after_faults(seed: int) -> None:
-    # Messages are lost, late and duplicated; a proxy is cut off for longer than a lease, another is
-    # stopped, one restarts. Then the replicas must agree, and at no time may the fleet have spent more than
-    # its budget, or an ejection have outlived its end.
+def test_replicas_converge_and_budgets_and_ejections_keep_their_limits_despite_faults(seed: int) -> None:
+    # Messages are lost, delayed and duplicated; a proxy is cut off for longer than a lease, another one is
+    # stopped, and one restarts. Afterwards the replicas must match. At no time may the fleet exceed its
+    # budget, or an ejection last longer than at its origin.
     link = Link(delay=(0.0017, 0.3), loss=(seed % 6) * 0.1, double=0.2)
     proxies = SimulatedProxies(seed, link, count=3 + seed % 4)
     assert run_with_faults(proxies) == []
@@ -41,8 +41,8 @@
     assert not proxies.outlived_ejections
 
 
-def finds_fault(check: Callable[[SimulatedProxies], object], core: type[SharedState]) -> bool:
-    """Whether a check finds fault with a broken variant on any of some seeds."""
+def detects_violation(check: Callable[[SimulatedProxies], object], core: type[SharedState]) -> bool:
+    """Return whether a check detects a violation by a broken variant with any of 8 seeds."""
     for seed in range(8):
         proxies = SimulatedProxies(seed, Link(delay=(0.0017, 0.3), loss=0.3), core)
         run_with_faults(proxies)
@@ -51,15 +51,15 @@
     return False
 
 
-def test_each_check_finds_a_broken_variant() -> None:
-    class NeverRepairs(SharedState):
-        """Never asks for what it has missed."""
+def test_each_check_detects_a_broken_variant() -> None:
+    class NeverRequestsRepairs(SharedState):
+        """Never requests the records that it has missed."""
 
         def _request_repairs(self, now: float) -> None:
             pass
 
-    class UnsafeLeases(QuotaLeases):
-        """Inherits a portion as soon as it starts; counts its own from the grant, not from the request."""
+    class LeasesCountedFromGrant(QuotaLeases):
+        """Counts a lease from the arrival of the grant instead of from the request."""
 
         def _start(self, now: float) -> None:
             self.granted_until = self.granted_until or dict.fromkeys(self.predecessors, now)
@@ -68,43 +68,43 @@
             self.open_requests = dict.fromkeys(self.open_requests, now)
             super().receive_grant(now, sender, grant)
 
-    class Overspending(SharedState):
-        """Its shares can exceed the whole."""
+    class ExceedsBudget(SharedState):
+        """Uses portions whose leases have expired, so the shares of all proxies can add up to more than 1."""
 
         def __init__(self, *args: Any) -> None:
             super().__init__(*args)
-            self.leases = UnsafeLeases(self.index, self.leases.proxy_count, self.settings)
+            self.leases = LeasesCountedFromGrant(self.index, self.leases.proxy_count, self.settings)
             rate = self.settings.health_checks_per_second
             self.health_checks = HealthCheckBudget(rate, self.leases)
 
-    class AgelessEjections(Ejections):
-        """Counts an ejection's time from its arrival."""
+    class EjectionsWithoutEnd(Ejections):
+        """Ignores the end of an ejection and keeps it for the maximum time after its arrival."""
 
         def _remaining(self, now: float, origin: int, end: int) -> float:
             return 1.0
 
-    class OutlivingEjections(SharedState):
-        """Holds ejections beyond their end."""
+    class ExtendsEjections(SharedState):
+        """Applies ejections of peers beyond their end."""
 
         def __init__(self, *args: Any) -> None:
             super().__init__(*args)
-            self.ejections = AgelessEjections(self.settings.clock_drift)
+            self.ejections = EjectionsWithoutEnd(self.settings.clock_drift)
 
-    assert finds_fault(SimulatedProxies.stale_replicas, NeverRepairs)
-    assert finds_fault(SimulatedProxies.overspent, Overspending)
-    assert finds_fault(lambda proxies: proxies.outlived_ejections, OutlivingEjections)
+    assert detects_violation(SimulatedProxies.stale_replicas, NeverRequestsRepairs)
+    assert detects_violation(SimulatedProxies.overspent, ExceedsBudget)
+    assert detects_violation(lambda proxies: proxies.outlived_ejections, ExtendsEjections)
 
 
-def test_the_share_of_a_lost_peer_is_inherited_and_its_connections_decay_to_a_bound() -> None:
-    # One proxy of four is cut off for good. The others give it up after a lease term and take over what it
-    # leased from them; its connections may still exist, so they decay to the mean of the others and not to
-    # nothing.
+def test_the_portions_of_a_lost_peer_are_inherited_and_its_connections_decay_to_the_mean() -> None:
+    # One proxy of four is permanently cut off. The others consider it lost after a lease term and use its
+    # portions. Its connections may still exist, so the estimate decays to the mean of the other proxies, not
+    # to 0.
     proxies = SimulatedProxies(5, Link(), count=4)
     proxies.net.run(8.0)
-    proxies.changing = False
+    proxies.changes_enabled = False
     proxies.net.run(13.0)
-    key = max(proxies.held[3], key=lambda s: proxies.held[3][s].count)
-    lost, others = proxies.held[3][key].count, sum(h[key].count for h in proxies.held[:3])
+    key = max(proxies.connections[3], key=lambda s: proxies.connections[3][s].count)
+    lost, others = proxies.connections[3][key].count, sum(h[key].count for h in proxies.connections[:3])
     assert lost > 1 and not proxies.stale_replicas()
     assert proxies.cores[0].fleet_connections(proxies.clock(0), key) == lost + others
     assert all(
@@ -114,9 +114,9 @@
         proxies.net.cut("3", other)
     proxies.net.run(13.0 + SILENCE_SECONDS + 6)
     assert all(3 not in core.peers for core in proxies.cores[:3])
-    assert all(3 in pair for pair in proxies.stale_replicas())  # nothing sent for 20 s but heartbeats
+    assert all(3 in pair for pair in proxies.stale_replicas())  # only heartbeats were sent for 20 s
     share = proxies.cores[0].relative_share(proxies.clock(0))
-    assert share == pytest.approx(1.0)  # a lease lost, a portion inherited
+    assert share == pytest.approx(1.0)  # one lease has expired, one portion is inherited
     assert not proxies.overspent()
     proxies.net.run(13.0 + SILENCE_SECONDS + 6 + 600)
     assert proxies.cores[0].fleet_connections(proxies.clock(0), key) == pytest.approx(
@@ -124,7 +124,7 @@
     )
 
 
-def test_nothing_is_sent_where_peers_are_not_allowed_and_the_equal_part_is_kept() -> None:
+def test_without_peers_nothing_is_sent_and_the_share_is_an_equal_part() -> None:
     for changes in ({"peers_allowed": False}, {"proxy_count": 1}):
         core = SharedState(
             settings(**({"proxy_count": 4, "peers_allowed": True, "has_groups": True} | changes)), 1, {}
@@ -136,8 +136,8 @@
         assert 10 * 20 / parts - 1 <= spent <= 10 * 20 / parts + 3
 
 
-def test_a_group_is_placed_where_a_peer_has_it() -> None:
-    # Four proxies, each choosing well by itself, had put a group of eight connections on five backends.
+def test_a_connection_is_placed_on_the_backend_where_a_peer_serves_its_group() -> None:
+    # Without shared state, four proxies placed a group of eight connections on five backends.
     nodes = [
         BalancerHost(
             reports_load=True,
@@ -161,8 +161,9 @@
     assert nodes[1].backend_of(nodes[1].request(group="a")) == "s4"
 
 
-def test_a_backend_that_a_peer_has_ejected_is_tried_by_one_connection_at_a_time() -> None:
-    # Each proxy found a dead backend by itself, by as many connections as it had just sent there.
+def test_a_backend_ejected_by_a_peer_gets_only_one_connection_at_a_time() -> None:
+    # Without shared ejections, each proxy detected a dead backend separately, by the failure of all
+    # connections that it had just sent there.
     nodes = [BalancerHost(peers_allowed=True, proxy_count=2, proxy_index=i, seed=3 + i) for i in (0, 1)]
     for node in nodes:
         node.update_endpoints(members(2))
@@ -176,8 +177,8 @@
     assert [nodes[1].backend_of(r) for r in out if r in nodes[1].in_flight].count("s0") == 1
 
 
-def test_a_group_that_a_peer_has_at_the_backend_too_is_shed_last() -> None:
-    # Migrating one's own connections of it frees nothing: the backend pays for the group all the same.
+def test_a_group_that_a_peer_also_has_at_the_backend_is_shed_last() -> None:
+    # Migrating this proxy's connections of the group saves nothing: the backend still bears its cost.
     node = BalancerHost(
         reports_load=True, health_checks_allowed=True, has_groups=True, peers_allowed=True, proxy_count=2
     )
@@ -194,7 +195,8 @@
 
 
 def test_a_proxy_that_has_just_started_learns_the_capacity_scale_from_its_peers() -> None:
-    # It had no connections, so it took two slots for a backend's whole load and rejected 75 requests in 5 s.
+    # Without the peers' scale, a proxy without connections assumed two slots at a backend's full load and
+    # rejected 75 requests in 5 s.
     node = BalancerHost(
         reports_load=True, health_checks_allowed=True, has_groups=True, peers_allowed=True, proxy_count=2
     )
--- a/tests/shared_state/test_table.py
+++ b/tests/shared_state/test_table.py
@@ -1,4 +1,4 @@
-"""Tables and their replicas: any order of messages gives the same entries and digest, within a bound."""
+"""Tables and replicas: the order of messages does not matter, and the size of a replica is limited."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 @given(st.lists(RECORDS, max_size=12), st.randoms(use_true_random=False))
-def test_messages_in_any_order_give_the_same_replica(records: list[TableRecord], order: object) -> None:
+def test_the_order_of_messages_does_not_change_the_replica(records: list[TableRecord], order: object) -> None:
     numbered = list(enumerate(records))
     shuffled = list(numbered)
     order.shuffle(shuffled)  # type: ignore[attr-defined]
@@ -29,7 +29,7 @@
     assert (in_order.entries, in_order.digest) == (out_of_order.entries, out_of_order.digest)
 
 
-def test_a_replica_of_all_changes_or_of_a_snapshot_has_the_digest_of_the_table() -> None:
+def test_changes_and_snapshots_give_replicas_with_the_digest_of_the_table() -> None:
     table, by_changes, by_snapshot = LocalTable(), Replica(), Replica()
     table.set_pair("srv1grp1", True)
     table.set_connections("srv1", 5)
@@ -44,7 +44,7 @@
     assert by_changes.digest == by_snapshot.digest == table.digest
 
 
-def test_only_changes_that_are_due_are_announced() -> None:
+def test_only_changes_of_the_included_keys_are_announced() -> None:
     table = LocalTable()
     table.set_pair("srv1grp1", True)
     table.set_connections("srv1", 5)
@@ -52,8 +52,8 @@
     assert table.pop_changes(lambda key: True) == [Connections("srv1", 5)]
 
 
-def test_a_full_replica_passes_new_entries_over() -> None:
-    # A peer that sends ever new entries must not make this process grow without bound.
+def test_a_full_replica_ignores_new_entries() -> None:
+    # A peer that keeps sending new entries must not exhaust the memory of this process.
     replica = Replica()
     for number in range(MAX_ENTRIES + 10):
         replica.apply(number, Connections(f"{number:04d}", 1))
