--- a/saltcourse/address_failover/bgp_session.py
+++ b/saltcourse/address_failover/bgp_session.py
@@ -116,7 +116,7 @@
 
     @property
     def is_internal(self) -> bool:
-        """Whether both ends are in the same autonomous system (IBGP)."""
+        """True if both ends are in the same autonomous system (IBGP)."""
         return self.asn == self.peer_asn
 
 
@@ -248,7 +248,7 @@
         self._retry_at = self.now + self._retry_delay()
 
     def _retry_delay(self) -> float:
-        """Return the exponential backoff with +-25% jitter, which keeps members from connecting in step."""
+        """Return the exponential backoff with +-25% jitter against simultaneous attempts of members."""
         doublings = min(self.failures - 1, MAX_DOUBLINGS)
         delay: float = min(RETRY_MAX_SECONDS, RETRY_INITIAL_SECONDS * 2.0**doublings)
         return delay * (0.75 + self.random.random() / 2)
--- a/saltcourse/address_failover/command_announcer.py
+++ b/saltcourse/address_failover/command_announcer.py
@@ -22,7 +22,7 @@
 
 
 class Operation(Enum):
-    """What the program is asked to do; passed as an argument."""
+    """Operations of the program; the value is passed as an argument."""
 
     ANNOUNCE = "announce"
     WITHDRAW = "withdraw"
--- a/saltcourse/address_failover/election.py
+++ b/saltcourse/address_failover/election.py
@@ -15,9 +15,8 @@
 4. A vote and the receiver of a promise are stored before they are sent. After a restart, a member makes
    promises only to the receiver of its last promise until that promise must have expired; without a vote
    store it makes none during that time.
-5. A term belongs to one member and each candidacy uses a new one, so no two announcements share a term. A
-vote
-   is granted only for a newer round, so route preferences derived from rounds increase strictly (``terms``).
+5. A term belongs to one member and each candidacy uses a new one, so no two announcements share a term. Votes
+   are granted only for a newer round, so route preferences derived from rounds increase strictly (``terms``).
 6. A member sends pre-vote requests, which change no state at the voters, before it becomes a candidate. So a
    member that returns, or is cut off in one direction, cannot depose a healthy holder.
 
@@ -78,7 +77,8 @@
 
 NO_DEADLINE = float("inf")  # deadline of events that are not scheduled
 NO_LEASE = -float("inf")  # end of the lease of a member that holds none
-RECENT_LEASE_DURATIONS = 2  # a lease goes only to a member that sent a message within so many durations
+# In lease durations: a lease is transferred only to a member that sent a message within this time.
+RECENT_LEASE_DURATIONS = 2
 
 
 class Election:
--- a/saltcourse/address_failover/host.py
+++ b/saltcourse/address_failover/host.py
@@ -111,7 +111,7 @@
 
     @property
     def is_holder(self) -> bool:
-        """Whether this member currently holds a valid lease."""
+        """True while this member holds a valid lease."""
         return self.clock() < self.announced_until
 
     # ---- events -----------------------------------------------------------------------------------
--- a/saltcourse/address_failover/timing.py
+++ b/saltcourse/address_failover/timing.py
@@ -18,14 +18,12 @@
     lease_duration: float = 0.6  # duration of a voter's promise on its own clock
     renewal_interval: float = 0.12  # time between a holder's renewals
     clock_drift: float = 0.01  # maximum deviation of each clock's rate from true time
-    safety_margin: float = (
-        0.03  # the holder withdraws this long before its lease ends, as withdrawing takes time
-    )
+    safety_margin: float = 0.03  # time reserved for withdrawing the address before the lease ends
     # These are not in the operator's file; they do not depend on the lease.
     retry_interval: float = 0.06  # time between repeats of an unanswered vote request
     candidacy_timeout: float = 0.25  # time after which a round of vote requests is abandoned
-    start_jitter: float = 0.05  # candidates of equal priority start at random within this time
-    priority_delay: float = 0.08  # extra start delay per lower priority; greater than start_jitter
+    start_jitter: float = 0.05  # members of equal priority start their candidacies randomly within this time
+    priority_delay: float = 0.08  # start delay per level below the highest priority; exceeds start_jitter
 
     def __post_init__(self) -> None:
         """Raise InvalidTimingError if a field is out of range."""
--- a/saltcourse/shared_state/ejections.py
+++ b/saltcourse/shared_state/ejections.py
@@ -97,7 +97,7 @@
         return _wrapped_difference(end - (now - offset) / CLOCK_UNIT_SECONDS) * CLOCK_UNIT_SECONDS
 
     def active(self, now: float) -> set[EntryKey]:
-        """Return the backends that are ejected by a peer, and discard expired ejections."""
+        """Discard expired ejections, and return the backends that are still ejected by a peer."""
         self.peer_ejections = {
             key: ejection
             for key, ejection in self.peer_ejections.items()
--- a/saltcourse/shared_state/quota.py
+++ b/saltcourse/shared_state/quota.py
@@ -51,10 +51,10 @@
         self.last_request_at = -math.inf
 
     def _ensure_inheritance_delay(self, now: float) -> None:
-        """On the first call, set how long the predecessors may use their portions.
+        """On the first call, assume that each predecessor was just granted a lease of maximum length.
 
-        An earlier process of this proxy may have granted leases just before it ended. Its successor must not
-        use those portions before the leases expire, or a portion would have two users.
+        An earlier process of this proxy may have granted leases just before it ended. If this process used
+        the portions before those leases expire, a portion would have two users.
         """
         if not self.granted_until:
             self.granted_until = dict.fromkeys(self.predecessors, now + self._longest_grant())
--- a/saltcourse/shared_state/state.py
+++ b/saltcourse/shared_state/state.py
@@ -110,7 +110,7 @@
     def peer_serves_group(self, backend: str, group: str) -> bool:
         """Return whether a peer has connections of the group to the backend."""
         peers_by_key = self.registry.peers_by_key
-        return bool(peers_by_key) and self._pair(backend, group) in peers_by_key
+        return bool(peers_by_key) and self._pair_key(backend, group) in peers_by_key
 
     def record_group(self, backend: str, group: str, held: bool) -> None:
         """Record that this proxy opened its first connection of the group to the backend, or closed its last.
@@ -118,7 +118,7 @@
         ``held``: whether it has any such connection now.
         """
         if self.mesh_size > 1:
-            self.table.set_pair(self._pair(backend, group), held)
+            self.table.set_pair(self._pair_key(backend, group), held)
 
     def set_capacity_scale(self, scale: float) -> None:
         """Set this proxy's estimate of the slots at a backend's full load.
@@ -154,7 +154,7 @@
         key = self.short_names.get(backend)
         return self.registry.connections(now, key, self.table.entries.get(key, 0))
 
-    def _pair(self, backend: str, group: str) -> EntryKey:
+    def _pair_key(self, backend: str, group: str) -> EntryKey:
         return self.short_names.get(backend) + self.short_names.get(group)
 
     def _start_time(self, now: float) -> float:
--- a/tests/shared_state/test_shared_state.py
+++ b/tests/shared_state/test_shared_state.py
@@ -173,8 +173,8 @@
         a for a in nodes[0].handle(ClientDisconnected("nobody")) if isinstance(a, SendPeerMessage)
     ]:
         nodes[1].handle(PeerMessageReceived(0, message.data))
-    out = [nodes[1].request() for _ in range(30)]
-    assert [nodes[1].backend_of(r) for r in out if r in nodes[1].in_flight].count("s0") == 1
+    requests = [nodes[1].request() for _ in range(30)]
+    assert [nodes[1].backend_of(r) for r in requests if r in nodes[1].in_flight].count("s0") == 1
 
 
 def test_a_group_that_a_peer_also_has_at_the_backend_is_shed_last() -> None:
--- a/tests/shared_state/test_table.py
+++ b/tests/shared_state/test_table.py
@@ -17,10 +17,12 @@
 
 
 @given(st.lists(RECORDS, max_size=12), st.randoms(use_true_random=False))
-def test_the_order_of_messages_does_not_change_the_replica(records: list[TableRecord], order: object) -> None:
+def test_the_order_of_messages_does_not_change_the_replica(
+    records: list[TableRecord], random_source: object
+) -> None:
     numbered = list(enumerate(records))
     shuffled = list(numbered)
-    order.shuffle(shuffled)  # type: ignore[attr-defined]
+    random_source.shuffle(shuffled)  # type: ignore[attr-defined]
     in_order, out_of_order = Replica(), Replica()
     for sequence, record in numbered:
         in_order.apply(sequence, record)
