--- a/saltcourse/address_failover/bgp_announcer.py
+++ b/saltcourse/address_failover/bgp_announcer.py
@@ -150,7 +150,9 @@
         self.peering = peering
         self.available = False
         self.connections = [
-            BgpConnection(host, port, BgpSession(peering, seed + index), self._update, source_address)
+            BgpConnection(
+                host, port, BgpSession(peering, seed + index), self._update_availability, source_address
+            )
             for index, (host, port) in enumerate(route_servers)
         ]
         self._on_availability: AvailabilityCallback = lambda available: None
@@ -179,7 +181,7 @@
         for connection in self.connections:
             connection.set_route(route)
 
-    def _update(self) -> None:
+    def _update_availability(self) -> None:
         available = any(connection.established for connection in self.connections)
         if available is not self.available:
             self.available = available
--- a/saltcourse/address_failover/bgp_session.py
+++ b/saltcourse/address_failover/bgp_session.py
@@ -264,14 +264,16 @@
             case bgp.Keepalive() | bgp.Update() if self.state is State.ESTABLISHED:
                 self._restart_hold_timer()  # received routes are ignored
             case _:
-                unexpected = f"{type(message).__name__} in {self.state.value}"
+                unexpected = f"unexpected {type(message).__name__} in state {self.state.value}"
                 raise bgp.BgpError(bgp.FSM_ERROR, 0, unexpected)
 
     def _on_open(self, peer_open: bgp.Open) -> None:
         if peer_open.asn != self.peering.peer_asn:
-            raise bgp.BgpError(bgp.OPEN_ERROR, bgp.BAD_PEER_AS, f"AS {peer_open.asn}")
+            wrong_as = f"peer is in AS {peer_open.asn}, expected AS {self.peering.peer_asn}"
+            raise bgp.BgpError(bgp.OPEN_ERROR, bgp.BAD_PEER_AS, wrong_as)
         if self.peering.is_internal and str(peer_open.identifier) == self.peering.identifier:
-            raise bgp.BgpError(bgp.OPEN_ERROR, bgp.BAD_IDENTIFIER, "this speaker's own identifier")
+            same_identifier = f"peer uses this speaker's identifier {peer_open.identifier}"
+            raise bgp.BgpError(bgp.OPEN_ERROR, bgp.BAD_IDENTIFIER, same_identifier)
         self.state = State.OPEN_CONFIRM
         self._four_octet_asn = peer_open.four_octet_asn
         self._hold_time = float(min(self.peering.hold_time, peer_open.hold_time))
--- a/tests/address_failover/test_golden_datagrams.py
+++ b/tests/address_failover/test_golden_datagrams.py
@@ -71,7 +71,7 @@
 ]
 
 
-def test_datagrams_are_encoded_as_in_the_golden_file() -> None:
+def test_messages_are_encoded_to_the_golden_datagrams() -> None:
     sender = DatagramAuthenticator("a", SENDER_INCARNATION, [KEY], {"b": RECEIVER_ADDRESS})
     sender.peers["b"].incarnation = RECEIVER_INCARNATION
     written = [sender.sign("b", message).hex() for message, _ in GOLDEN]
--- a/tests/address_failover/test_grants.py
+++ b/tests/address_failover/test_grants.py
@@ -6,7 +6,7 @@
 
 from saltcourse.address_failover.grants import Grants
 
-HOLDER_LEASE = 0.5  # s
+HOLDER_LEASE = 0.5  # seconds
 
 
 def test_the_lease_is_counted_from_the_oldest_request_that_the_majority_needs() -> None:
--- a/tests/address_failover/test_promises.py
+++ b/tests/address_failover/test_promises.py
@@ -7,7 +7,7 @@
 from saltcourse.address_failover.promises import VoterPromises
 from saltcourse.address_failover.vote import RecoveredState, Vote
 
-LEASE_DURATION = 0.6  # s
+LEASE_DURATION = 0.6  # seconds
 FIRST, SECOND = 64, 128  # terms of two rounds
 
 
--- a/tests/shared_state/simulated_proxies.py
+++ b/tests/shared_state/simulated_proxies.py
@@ -46,9 +46,8 @@
         self.health_checks: list[float] = []  # true times of all proxies' health checks of backend s0
         self.shares: list[float] = []  # samples of the sum of all proxies' shares
         self.ejections: dict[str, float] = {}  # true time at which the latest ejection of each backend ends
-        self.outlived_ejections: list[
-            tuple[float, str]
-        ] = []  # time and backend of ejections applied too late
+        # True time and backend of ejections that a proxy applied after their end.
+        self.outlived_ejections: list[tuple[float, str]] = []
         for i in range(count):
             hosts[i].alive = True
             self.net.at(0.1 * self.random.random(), partial(self._step, i))
--- a/tests/shared_state/test_processes.py
+++ b/tests/shared_state/test_processes.py
@@ -282,9 +282,8 @@
             await backends[2].start()
             await fleet.wait_until_ready(1)
         relay.loss = 0.0
-        await fleet.wait_for_metric(
-            "judged", all_proxies, lambda n: n == 0, 12.0
-        )  # an ejection lasts 10 s at most
+        # An ejection lasts 10 s at most.
+        await fleet.wait_for_metric("judged", all_proxies, lambda n: n == 0, 12.0)
         await fleet.wait_for_metric("peers", all_proxies, lambda n: n == PROXIES - 1, 3 * LEASE_TERM)
         await fleet.wait_for_metric("pace", all_proxies, lambda n: n == 1000, 3 * LEASE_TERM)
         open_connections = sum(p.open for p in backends)
