--- a/saltcourse/shared_state/codec.py
+++ b/saltcourse/shared_state/codec.py
@@ -23,8 +23,8 @@
     LeaseGrant,
     LeaseRequest,
     Message,
-    PairHeld,
-    PairReleased,
+    PairAdded,
+    PairRemoved,
     Record,
     ResendRequest,
     Reset,
@@ -103,9 +103,9 @@
 
 
 RECORD_FORMATS: dict[type[Record], RecordFormat] = {
-    PairHeld: RecordFormat("+", PAIR_LENGTH, lambda record: record.pair, lambda text: PairHeld(text[1:])),
-    PairReleased: RecordFormat(
-        "-", PAIR_LENGTH, lambda record: record.pair, lambda text: PairReleased(text[1:])
+    PairAdded: RecordFormat("+", PAIR_LENGTH, lambda record: record.pair, lambda text: PairAdded(text[1:])),
+    PairRemoved: RecordFormat(
+        "-", PAIR_LENGTH, lambda record: record.pair, lambda text: PairRemoved(text[1:])
     ),
     Connections: RecordFormat("#", NAME_LENGTH + NUMBER_LENGTH, _encode_connections, _decode_connections),
     Reset: RecordFormat("!", 0, lambda record: "", lambda text: Reset()),
--- a/saltcourse/shared_state/ejections.py
+++ b/saltcourse/shared_state/ejections.py
@@ -19,7 +19,7 @@
     Record,
 )
 
-MAX_HOLD_SECONDS = 10.0  # maximum lifetime of a peer's ejection, from the arrival of its notice
+MAX_EJECTION_SECONDS = 10.0  # maximum lifetime of a peer's ejection, from the arrival of its notice
 MAX_EJECTIONS = 1024  # limit for all peers together; further notices are ignored
 
 
@@ -86,7 +86,7 @@
         Ignored if the sender's clock offset is unknown, because the notice's age cannot be determined then.
         """
         if sender in self.offsets and len(self.peer_ejections) < MAX_EJECTIONS:
-            self.peer_ejections[notice.backend, sender] = PeerEjection(notice.end, now + MAX_HOLD_SECONDS)
+            self.peer_ejections[notice.backend, sender] = PeerEjection(notice.end, now + MAX_EJECTION_SECONDS)
 
     def _remaining(self, now: float, origin: int, end: int) -> float:
         """Return the seconds until an ejection ends.
--- a/saltcourse/shared_state/messages.py
+++ b/saltcourse/shared_state/messages.py
@@ -15,14 +15,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PairHeld:
+class PairAdded:
     """The sender has connections of a group to a backend."""
 
     pair: EntryKey
 
 
 @dataclass(frozen=True, slots=True)
-class PairReleased:
+class PairRemoved:
     """The sender has closed its last connection of a group to a backend."""
 
     pair: EntryKey
@@ -89,13 +89,13 @@
     end: int
 
 
-EntryRecord = PairHeld | PairReleased | Connections
+EntryRecord = PairAdded | PairRemoved | Connections
 TableRecord = EntryRecord | Reset
 OtherRecord = (
     Scale | ResendRequest | SnapshotRequest | LeaseRequest | LeaseGrant | ClockReading | EjectionNotice
 )
 Record = TableRecord | OtherRecord
-TABLE_RECORDS = (PairHeld, Connections, PairReleased, Reset)  # members of TableRecord, most frequent first
+TABLE_RECORDS = (PairAdded, Connections, PairRemoved, Reset)  # members of TableRecord, most frequent first
 
 
 @dataclass(frozen=True, slots=True)
--- a/saltcourse/shared_state/outbox.py
+++ b/saltcourse/shared_state/outbox.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 from saltcourse.shared_state.codec import INCARNATION_MODULUS, SEQUENCE_MODULUS, encode, split_to_fit
-from saltcourse.shared_state.messages import Connections, EntryRecord, Message, PairHeld, PairReleased, Record
+from saltcourse.shared_state.messages import Connections, EntryRecord, Message, PairAdded, PairRemoved, Record
 from saltcourse.shared_state.table import key_of
 
 HISTORY_LENGTH = 256  # broadcast records kept for resending to peers that missed them
@@ -48,7 +48,7 @@
                 [
                     (message.sequence, record)
                     for record in message.records
-                    if isinstance(record, PairHeld | PairReleased | Connections)
+                    if isinstance(record, PairAdded | PairRemoved | Connections)
                 ]
             )
         return messages
--- a/saltcourse/shared_state/peer.py
+++ b/saltcourse/shared_state/peer.py
@@ -87,6 +87,6 @@
 
         The estimate decays exponentially, but not below ``mean``, the average count of the other proxies.
         """
-        held = self.connections.get(backend, 0)
+        last_known = self.connections.get(backend, 0)
         decay: float = 0.5 ** ((now - self.since) / LOST_PEER_HALF_LIFE_SECONDS)
-        return max(min(held, mean), held * decay)
+        return max(min(last_known, mean), last_known * decay)
--- a/saltcourse/shared_state/state.py
+++ b/saltcourse/shared_state/state.py
@@ -112,13 +112,13 @@
         peers_by_key = self.registry.peers_by_key
         return bool(peers_by_key) and self._pair_key(backend, group) in peers_by_key
 
-    def record_group(self, backend: str, group: str, held: bool) -> None:
+    def record_group(self, backend: str, group: str, has_connections: bool) -> None:
         """Record that this proxy opened its first connection of the group to the backend, or closed its last.
 
-        ``held``: whether it has any such connection now.
+        ``has_connections``: whether it has any such connection now.
         """
         if self.mesh_size > 1:
-            self.table.set_pair(self._pair_key(backend, group), held)
+            self.table.set_pair(self._pair_key(backend, group), has_connections)
 
     def set_capacity_scale(self, scale: float) -> None:
         """Set this proxy's estimate of the slots at a backend's full load.
--- a/saltcourse/shared_state/table.py
+++ b/saltcourse/shared_state/table.py
@@ -18,8 +18,8 @@
     Connections,
     EntryKey,
     EntryRecord,
-    PairHeld,
-    PairReleased,
+    PairAdded,
+    PairRemoved,
     Reset,
     TableRecord,
 )
@@ -67,7 +67,7 @@
         if isinstance(record, Connections):
             key, value = record.backend, record.count or None
         else:
-            key, value = record.pair, PAIR_VALUE if isinstance(record, PairHeld) else None
+            key, value = record.pair, PAIR_VALUE if isinstance(record, PairAdded) else None
         return [key] if self._set(key, value, sequence) else []
 
     def _reset(self, sequence: int) -> list[EntryKey]:
@@ -112,9 +112,9 @@
         self.digest = 0  # digest of ``announced``
         self.changed: set[EntryKey] = set()  # keys whose entries may differ from the announced ones
 
-    def set_pair(self, pair: EntryKey, held: bool) -> None:
+    def set_pair(self, pair: EntryKey, has_connections: bool) -> None:
         """Record whether this proxy has connections of a group to a backend."""
-        self._set(pair, PAIR_VALUE if held else None)
+        self._set(pair, PAIR_VALUE if has_connections else None)
 
     def set_connections(self, backend: EntryKey, connections: int) -> None:
         """Record the number of connections that this proxy has to a backend."""
@@ -158,4 +158,4 @@
 def _record(key: EntryKey, value: int | None) -> EntryRecord:
     if not is_pair(key):
         return Connections(key, value or 0)
-    return PairReleased(key) if value is None else PairHeld(key)
+    return PairRemoved(key) if value is None else PairAdded(key)
--- a/tests/shared_state/test_codec.py
+++ b/tests/shared_state/test_codec.py
@@ -15,8 +15,8 @@
     LeaseGrant,
     LeaseRequest,
     Message,
-    PairHeld,
-    PairReleased,
+    PairAdded,
+    PairRemoved,
     ResendRequest,
     Reset,
     Scale,
@@ -25,7 +25,7 @@
 
 NUMBER, TIME = st.integers(0, 262143), st.integers(0, 2**30 - 1)
 RECORDS = st.one_of(
-    st.sampled_from([PairHeld("srv1grp1"), PairReleased("srv1grp1"), Reset(), SnapshotRequest()]),
+    st.sampled_from([PairAdded("srv1grp1"), PairRemoved("srv1grp1"), Reset(), SnapshotRequest()]),
     st.builds(Connections, st.just("srv1"), NUMBER),
     st.builds(ResendRequest, NUMBER),
     st.builds(Scale, NUMBER.map(lambda steps: steps / 100)),
--- a/tests/shared_state/test_ejections.py
+++ b/tests/shared_state/test_ejections.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from saltcourse.shared_state.ejections import MAX_EJECTIONS, MAX_HOLD_SECONDS, Ejections
+from saltcourse.shared_state.ejections import MAX_EJECTION_SECONDS, MAX_EJECTIONS, Ejections
 from saltcourse.shared_state.messages import ClockReading, EjectionNotice
 
 DRIFT = 0.01
@@ -45,8 +45,8 @@
 def test_no_ejection_lasts_longer_than_the_limit() -> None:
     ejections = with_known_clock()
     ejections.receive_notice(1.0, PEER, EjectionNotice("srv1", clock_units(PEER_CLOCK + 1000.0)))
-    assert ejections.active(1.0 + MAX_HOLD_SECONDS - 0.1) == {"srv1"}
-    assert ejections.active(1.0 + MAX_HOLD_SECONDS) == set()
+    assert ejections.active(1.0 + MAX_EJECTION_SECONDS - 0.1) == {"srv1"}
+    assert ejections.active(1.0 + MAX_EJECTION_SECONDS) == set()
 
 
 def test_ejections_of_a_peer_are_limited_in_number_and_discarded_when_it_restarts() -> None:
--- a/tests/shared_state/test_golden_messages.py
+++ b/tests/shared_state/test_golden_messages.py
@@ -19,8 +19,8 @@
     LeaseGrant,
     LeaseRequest,
     Message,
-    PairHeld,
-    PairReleased,
+    PairAdded,
+    PairRemoved,
     ResendRequest,
     Reset,
     Scale,
@@ -76,7 +76,7 @@
         (
             "2tUAB4FWO#0t-DAAC+CVy546-x-eCz85agV",
             Message(
-                2900, 120, 21902, (Connections("0t-D", 2), PairHeld("CVy546-x"), PairReleased("eCz85agV"))
+                2900, 120, 21902, (Connections("0t-D", 2), PairAdded("CVy546-x"), PairRemoved("eCz85agV"))
             ),
         ),
     ],
--- a/tests/shared_state/test_quota.py
+++ b/tests/shared_state/test_quota.py
@@ -12,7 +12,7 @@
 EQUAL_PART = 1 / 4
 
 
-def started(index: int) -> QuotaLeases:
+def started_leases(index: int) -> QuotaLeases:
     """Return the leases of one of four proxies that has just started, at 0 s."""
     leases = QuotaLeases(index, 4, SETTINGS)
     assert leases.share(0.0) == pytest.approx(EQUAL_PART / 2)
@@ -22,7 +22,7 @@
 def test_a_proxy_without_responses_has_half_its_part_and_inherits_portions_after_a_term() -> None:
     # No leases are granted on its own portions. Its predecessors may use theirs until leases that an earlier
     # process of this proxy granted have expired on the slowest clock.
-    leases = started(0)
+    leases = started_leases(0)
     longest_grant = SETTINGS.lease_term * (1 + SETTINGS.clock_drift)
     assert leases.share(longest_grant - 0.1) == pytest.approx(EQUAL_PART / 2)
     assert leases.share(longest_grant) == pytest.approx(EQUAL_PART)
@@ -30,7 +30,7 @@
 
 def test_a_lease_is_counted_from_its_request() -> None:
     # The grant arrives 5 s after the request, and may have been made at any time in between.
-    leases = started(0)
+    leases = started_leases(0)
     (request,) = leases.request(0.0)
     for successor in leases.successors:
         leases.receive_grant(5.0, successor, LeaseGrant(request.number))
@@ -40,7 +40,7 @@
 
 
 def test_a_grant_of_an_unknown_request_is_ignored() -> None:
-    leases = started(0)
+    leases = started_leases(0)
     numbers = [leases.request(3.0 * count)[0].number for count in range(MAX_OPEN_REQUESTS + 1)]
     leases.receive_grant(30.0, 1, LeaseGrant(numbers[0]))
     assert leases.leased_until[1] < 0
@@ -54,7 +54,7 @@
 
 
 def test_all_shares_add_up_to_the_budget_while_all_leases_are_renewed() -> None:
-    fleet = [started(index) for index in range(4)]
+    fleet = [started_leases(index) for index in range(4)]
     for now in (0.0, 3.0, 6.0, 9.0, 12.0, 15.0):
         for owner, leases in enumerate(fleet):
             for request in leases.request(now):
--- a/tests/shared_state/test_table.py
+++ b/tests/shared_state/test_table.py
@@ -5,12 +5,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from saltcourse.shared_state.messages import Connections, PairHeld, PairReleased, Reset, TableRecord
+from saltcourse.shared_state.messages import Connections, PairAdded, PairRemoved, Reset, TableRecord
 from saltcourse.shared_state.table import MAX_ENTRIES, LocalTable, Replica
 
 RECORDS: st.SearchStrategy[TableRecord] = st.one_of(
-    st.builds(PairHeld, st.sampled_from(["srv1grp1", "srv1grp2", "srv2grp1"])),
-    st.builds(PairReleased, st.sampled_from(["srv1grp1", "srv1grp2", "srv2grp1"])),
+    st.builds(PairAdded, st.sampled_from(["srv1grp1", "srv1grp2", "srv2grp1"])),
+    st.builds(PairRemoved, st.sampled_from(["srv1grp1", "srv1grp2", "srv2grp1"])),
     st.builds(Connections, st.sampled_from(["srv1", "srv2"]), st.integers(0, 3)),
     st.just(Reset()),
 )
@@ -50,7 +50,7 @@
     table = LocalTable()
     table.set_pair("srv1grp1", True)
     table.set_connections("srv1", 5)
-    assert table.pop_changes(lambda key: key != "srv1") == [PairHeld("srv1grp1")]
+    assert table.pop_changes(lambda key: key != "srv1") == [PairAdded("srv1grp1")]
     assert table.pop_changes(lambda key: True) == [Connections("srv1", 5)]
 
 
