--- a/saltcourse/balancing/admission.py
+++ b/saltcourse/balancing/admission.py
@@ -22,14 +22,14 @@
 
 from saltcourse.balancing.actions import Action, FailRequest, RejectRequest
 from saltcourse.balancing.events import AttemptStatus
-from saltcourse.balancing.retries import is_harmless_to_repeat
+from saltcourse.balancing.retries import is_safe_to_retry
 from saltcourse.balancing.settings import Settings
 from saltcourse.balancing.state import Request
 
 OUTCOME_MEMORY_SECONDS = 5.0  # each tick forgets tick / this of both counts
-YOUNG_CONNECTION_SECONDS = 3.0  # a connection dropped within this counts as an attempt that failed
+EARLY_RESET_SECONDS = 3.0  # a connection dropped within this counts as an attempt that failed
 OVERLOAD_MARGIN = 4.0  # failures above the successes that are bad luck and no overload
-NO_SIGN_OF_OVERLOAD = (AttemptStatus.CANCELLED, AttemptStatus.NOT_SENT, AttemptStatus.ERROR)
+STATUSES_NOT_COUNTED = (AttemptStatus.CANCELLED, AttemptStatus.NOT_SENT, AttemptStatus.ERROR)
 
 
 class OverloadDetector:
@@ -53,16 +53,16 @@
 
     def attempt_failed(self, status: AttemptStatus) -> None:
         """Count an attempt that ended before its connection was established."""
-        if status not in NO_SIGN_OF_OVERLOAD:
+        if status not in STATUSES_NOT_COUNTED:
             self.failures += 1
 
-    def established(self) -> None:
+    def connection_established(self) -> None:
         """Count an attempt that succeeded."""
         self.successes += 1
 
     def connection_finished(self, now: float, established_at: float, status: AttemptStatus) -> None:
         """Count a connection that was dropped young as a failure after all."""
-        if status is AttemptStatus.RESET and now < established_at + YOUNG_CONNECTION_SECONDS:
+        if status is AttemptStatus.RESET and now < established_at + EARLY_RESET_SECONDS:
             self.successes -= 1
             self.failures += 1
 
@@ -91,7 +91,7 @@
 
     def answer(self, request: Request) -> None:
         """Reject the request, or fail it where a repeat may do harm."""
-        if is_harmless_to_repeat(request) and not request.is_in_flight:
+        if is_safe_to_retry(request) and not request.is_in_flight:
             retry_after = self._longest_retry_after * self._random.uniform(0.5, 1)
             self._actions.append(RejectRequest(request.id, retry_after))
         else:
--- a/saltcourse/balancing/attempts.py
+++ b/saltcourse/balancing/attempts.py
@@ -29,12 +29,12 @@
         request.backend = backend
         request.started_at = now
         request.is_in_flight = True
-        request.tried.append(backend)
+        request.tried_backends.append(backend)
         request.attempts += 1
         self.occupancy.add(backend, request)
         if self.slow_start.is_warming_up(now, backend):
-            usual_slots = self.ceilings.usual_slots(backend)
-            self.slow_start.delay_next_attempt(now, backend, usual_slots, request.load)
+            expected_slots = self.ceilings.expected_slots(backend)
+            self.slow_start.delay_next_attempt(now, backend, expected_slots, request.slots)
         self.ejection.apply(now, backend, HealthEvent.ATTEMPT_STARTED, request)
         timeout = self.retries.attempt_timeout(now, request)
         self.actions.append(StartAttempt(request.id, backend.name, timeout))
--- a/saltcourse/balancing/backend_report.py
+++ b/saltcourse/balancing/backend_report.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from saltcourse.balancing.events import BackendState
-from saltcourse.balancing.outlier_ejection import AVOIDED
+from saltcourse.balancing.outlier_ejection import AVOIDED_STATES
 from saltcourse.balancing.state import Backend, HealthState
 
 
@@ -42,5 +42,5 @@
         occupancy=backend.occupancy,
         ceiling=backend.ceiling,
         reasons=tuple(reason for reason, holds in reasons.items() if holds),
-        is_avoided=not is_ready or health in AVOIDED,
+        is_avoided=not is_ready or health in AVOIDED_STATES,
     )
--- a/saltcourse/balancing/balancer.py
+++ b/saltcourse/balancing/balancer.py
@@ -23,7 +23,7 @@
 from saltcourse.balancing.backend_pool import BackendPool
 from saltcourse.balancing.backend_report import BackendReport, report_backend
 from saltcourse.balancing.capacity_estimate import CapacityEstimate
-from saltcourse.balancing.endpoint_list import DiscoveryCalls, EndpointList
+from saltcourse.balancing.endpoint_list import DiscoveryScheduler, EndpointList
 from saltcourse.balancing.errors import UnknownRequestClassError
 from saltcourse.balancing.events import (
     AttemptFinished,
@@ -115,11 +115,11 @@
             settings, self.slot_ceilings, self._reports, self._migration, self.shared_state
         )
         self._rebalancing = Rebalancing(settings, self.pool, self._migration)
-        self._discovery_calls = DiscoveryCalls(settings, self._actions, self._random)
+        self._discovery_scheduler = DiscoveryScheduler(settings, self._actions, self._random)
         self._endpoint_list = EndpointList(
             settings.zone,
             self.pool,
-            self._discovery_calls,
+            self._discovery_scheduler,
             self._slow_start,
             self.slot_ceilings,
             self._migration,
@@ -181,13 +181,13 @@
     def _start(self) -> None:
         self._is_started = True
         self._actions.append(SetTimer(TICK_SECONDS * (0.5 + self._random.random()), TICK_TOKEN))
-        self._discovery_calls.start()
+        self._discovery_scheduler.start()
 
     def _on_timer_fired(self, now: float, event: TimerFired) -> None:
         if event.token == TICK_TOKEN:
             self._tick(now)
         elif event.token == ENDPOINT_LIST_TOKEN:
-            self._discovery_calls.timer_fired(now)
+            self._discovery_scheduler.timer_fired(now)
         else:
             self._placement.timer_fired(now, self.timers.pop(event.token))
 
@@ -254,10 +254,10 @@
         request.is_established = True
         request.established_at = now
         backend.connections[request.id] = request
-        self.overload.established()
-        self._attribution.established(now, request, backend)
-        self._shedding.setup_timed(now, backend, event.latency)
-        self.slot_ceilings.accepted(now, backend)
+        self.overload.connection_established()
+        self._attribution.connection_established(now, request, backend)
+        self._shedding.setup_latency_measured(now, backend, event.latency)
+        self.slot_ceilings.connection_accepted(now, backend)
         if backend.state is BackendState.DRAINING:  # the attempt was started before this was known
             self._migration.migrate([request])
 
@@ -299,7 +299,7 @@
     def _on_response_latency_measured(self, now: float, event: ResponseLatencyMeasured) -> None:
         request = self.requests.get(event.request)
         if request is not None and request.backend is not None:
-            self._shedding.message_timed(now, request.backend, event.latency)
+            self._shedding.message_latency_measured(now, request.backend, event.latency)
 
     def _on_health_check_finished(self, now: float, event: HealthCheckFinished) -> None:
         backend = self.pool.backends.get(event.backend)
@@ -307,7 +307,7 @@
             return
         self._reports.check_finished(backend)
         if event.status is AttemptStatus.OK:
-            self._attribution.answered(now, backend, None)
+            self._attribution.backend_responded(now, backend, None)
             self._record_load_report(now, backend, event.report)
         else:
             self._attribution.health_check_failed(now, backend, event.status)
--- a/saltcourse/balancing/drain_schedule.py
+++ b/saltcourse/balancing/drain_schedule.py
@@ -20,7 +20,7 @@
     begin: float  # the first migrations
     end: float  # all are migrated by then
 
-    def due(self, now: float, established: int, interval: float) -> int:
+    def connections_to_migrate(self, now: float, established: int, interval: float) -> int:
         """How many of the ``established`` connections to migrate now; the next check is in ``interval`` s."""
         if established <= 0 or now < self.begin:
             return 0
--- a/saltcourse/balancing/endpoint_list.py
+++ b/saltcourse/balancing/endpoint_list.py
@@ -44,7 +44,7 @@
 WATCH_AFTER_FETCH_SECONDS = 0.5  # from a list that was fetched to the next watch; times 0.5 to 1.5
 
 
-class DiscoveryCalls:
+class DiscoveryScheduler:
     """When discovery is called, and for what."""
 
     __slots__ = ("_actions", "_called_at", "_failures", "_is_fetching", "_random", "_settings")
@@ -97,7 +97,7 @@
 
     local_zone: str
     pool: BackendPool
-    calls: DiscoveryCalls
+    discovery: DiscoveryScheduler
     slow_start: SlowStart
     ceilings: SlotCeilings
     migration: Migration
@@ -106,10 +106,10 @@
     def apply(self, now: float, event: EndpointsUpdated) -> bool:
         """Apply an update; returns whether more than weights may have changed."""
         if event.kind is EndpointUpdateKind.UNAVAILABLE:
-            self.calls.call_failed(now)
+            self.discovery.call_failed(now)
             return False
         if event.kind is not EndpointUpdateKind.CACHED:
-            self.calls.list_received()
+            self.discovery.list_received()
         is_complete = event.kind is not EndpointUpdateKind.DELTA
         if is_complete:
             self._remove_missing(event.endpoints)
@@ -154,5 +154,5 @@
     def _delay_first_attempt(self, now: float, backend: Backend) -> None:
         if self.slow_start.is_warming_up(now, backend):
             draw = self.random_source.random()
-            usual_slots = self.ceilings.usual_slots(backend)
-            self.slow_start.delay_first_attempt(now, backend, usual_slots, draw)
+            expected_slots = self.ceilings.expected_slots(backend)
+            self.slow_start.delay_first_attempt(now, backend, expected_slots, draw)
--- a/saltcourse/balancing/failure_attribution.py
+++ b/saltcourse/balancing/failure_attribution.py
@@ -55,7 +55,7 @@
         ):
             self._ejection.apply(now, backend, HealthEvent.FAILURE)
         elif status is AttemptStatus.FULL:
-            self.answered(now, backend, request)
+            self.backend_responded(now, backend, request)
             self._ceilings.cut(now, backend, blocks_overflow=True)
         elif status is AttemptStatus.RESET and request.is_established:
             self._connection_reset(now, backend)
@@ -63,27 +63,27 @@
             is_second = request.suspect is not None
             request.suspect = FailureSuspect(backend, status, request.started_at, is_cleared=is_second)
 
-    def established(self, now: float, request: Request, backend: Backend) -> None:
+    def connection_established(self, now: float, request: Request, backend: Backend) -> None:
         """Record that the request is established there: a suspect before this backend was at fault."""
         backend.health.error_rate *= 1 - ERROR_RATE_GAIN
         if request.suspect is not None:
-            self._blame(now, request, request.suspect)
-        self.answered(now, backend, request)
+            self._attribute_failure(now, request, request.suspect)
+        self.backend_responded(now, backend, request)
 
-    def answered(self, now: float, backend: Backend, request: Request | None) -> None:
+    def backend_responded(self, now: float, backend: Backend, request: Request | None) -> None:
         """Record that the backend is alive: it accepted or rejected ``request``, or a health check (None)."""
         if backend.health.error_rate <= MAX_ERROR_RATE:
             self._ejection.apply(now, backend, HealthEvent.SUCCESS)
         elif backend.health.probe is request:  # it still fails often: one probe after another
             self._ejection.apply(now, backend, HealthEvent.PROBE_INCONCLUSIVE)
-        self._ejection.zone_answered(backend.zone)
+        self._ejection.zone_responded(backend.zone)
 
     def health_check_failed(self, now: float, backend: Backend, status: AttemptStatus) -> None:
         """Record a failed health check; a rejected one, or one that was not sent, says nothing."""
         if status is not AttemptStatus.FULL and status is not AttemptStatus.NOT_SENT:
             self._ejection.apply(now, backend, HealthEvent.FAILURE)
 
-    def _blame(self, now: float, request: Request, suspect: FailureSuspect) -> None:
+    def _attribute_failure(self, now: float, request: Request, suspect: FailureSuspect) -> None:
         health = suspect.backend.health
         is_same_flow = bool(request.flow) and request.flow == health.last_error_flow
         if suspect.is_cleared or suspect.started_at < suspect.backend.restarted_at or is_same_flow:
--- a/saltcourse/balancing/group_affinity.py
+++ b/saltcourse/balancing/group_affinity.py
@@ -29,16 +29,16 @@
 from saltcourse.balancing.state import Backend
 from saltcourse.shared_state.state import SharedState
 
-UNEVENNESS_SLOTS = 5.0  # above the mean, up to which a backend gets more of a group that it holds
-FURTHER_BACKEND_SHARE = 0.36  # of a backend's full load, free, for a group to open there as well
+GROUP_IMBALANCE_SLOTS = 5.0  # above the mean, up to which a backend gets more of a group that it holds
+ADDITIONAL_BACKEND_FREE_SHARE = 0.36  # of a backend's full load, free, for a group to open there as well
 LIGHT_LOAD = 0.45  # mean reported load under which crossing zones costs more than a group's further backend
 DIGEST_BYTES = 6
 
 
-def fullest_allowed(backends: Sequence[Backend]) -> float:
+def group_occupancy_limit(backends: Sequence[Backend]) -> float:
     """Slots that a backend of mean capacity may hold and still get more of a group that it holds."""
     occupancy = sum([b.occupancy for b in backends])
-    return occupancy / max(1.0, sum([b.current_capacity for b in backends])) + UNEVENNESS_SLOTS
+    return occupancy / max(1.0, sum([b.current_capacity for b in backends])) + GROUP_IMBALANCE_SLOTS
 
 
 def rendezvous_choice(group: str, backends: Sequence[Backend], weights: Sequence[float]) -> Backend | None:
@@ -81,7 +81,7 @@
         ]
         if self._uses_load_reports:
             return self._choose_by_reports(group, holding, allowed)
-        most = fullest_allowed(self._pool.candidates)
+        most = group_occupancy_limit(self._pool.candidates)
         return self._choose_below(group, holding, most) or self._choose_below(group, allowed, most)
 
     def _choose_below(self, group: str, backends: list[Backend], most: float) -> Backend | None:
@@ -92,7 +92,7 @@
     def _choose_by_reports(
         self, group: str, holding: list[Backend], allowed: list[Backend]
     ) -> Backend | None:
-        least = FURTHER_BACKEND_SHARE if holding else 0.0
+        least = ADDITIONAL_BACKEND_FREE_SHARE if holding else 0.0
         with_free_slots = [b for b in allowed if b.ceiling - b.occupancy >= least * b.slots_at_full_load]
         if self._capacity.mean_reported_load < LIGHT_LOAD:
             local = self._choose_free(group, [b for b in holding if b.is_local])
--- a/saltcourse/balancing/load_shedding.py
+++ b/saltcourse/balancing/load_shedding.py
@@ -29,12 +29,12 @@
 
 # Latencies over the one from which on a message is slow (``Settings.slow_message_latency``).
 SLOWNESS_TO_SHED = 1.5
-SLOWNESS_OF_OBJECTIVE = 3.0
+SLOWNESS_AT_OBJECTIVE = 3.0
 SLOW_SETUP_FACTOR = 2.5  # of the usual set-up latency
 SETUP_LATENCY_GAIN = 0.05  # weight of the last set-up in the usual latency
 SHED_SHARE = 0.2  # of this proxy's connections there, once a second
 SHED_SHARE_WITH_REPORTS = 0.1  # where loads are reported: a short stall looks like queued work
-LATE_MESSAGES_TO_BELIEVE = 3  # late messages in a row after which reports above 1 are believed
+LATE_MESSAGES_TO_TRUST_REPORTS = 3  # late messages in a row after which reports above 1 are believed
 
 
 class LoadShedding:
@@ -47,7 +47,7 @@
         "_shared_state",
         "_slow_message_latency",
         "_uses_load_reports",
-        "_usual_setup",
+        "_typical_setup_latency",
     )
 
     def __init__(
@@ -64,21 +64,21 @@
         self._shared_state = shared_state
         self._uses_load_reports = settings.uses_load_reports
         self._slow_message_latency = settings.slow_message_latency  # s
-        self._usual_setup = 0.0  # s that a set-up takes, over all backends; 0 until one is timed
+        self._typical_setup_latency = 0.0  # s that a set-up takes, over all backends; 0 until one is timed
 
-    def message_timed(self, now: float, backend: Backend, latency: float) -> None:
+    def message_latency_measured(self, now: float, backend: Backend, latency: float) -> None:
         """React to a message that took ``latency`` seconds on a connection there."""
         slowness = latency / self._slow_message_latency
-        is_late = slowness > SLOWNESS_OF_OBJECTIVE
+        is_late = slowness > SLOWNESS_AT_OBJECTIVE
         backend.late_messages = backend.late_messages + 1 if is_late else 0
         if self._uses_load_reports and is_late:
-            self._late_with_reports(now, backend, latency)
+            self._react_with_reports(now, backend, latency)
         elif slowness > 1 and not self._uses_load_reports:
-            self._slow_without_reports(now, backend, latency, slowness)
+            self._react_without_reports(now, backend, latency, slowness)
         elif slowness <= 1:
             self._ceilings.end_cut(now, backend)
 
-    def _late_with_reports(self, now: float, backend: Backend, latency: float) -> None:
+    def _react_with_reports(self, now: float, backend: Backend, latency: float) -> None:
         # A report shows the load better than a latency does, but not that work is queued.
         self._reports.request_if_older(now, backend, BUSY_REPORT_AGE_SECONDS)
         # So long at once is a stall: work queues up slowly.
@@ -86,29 +86,29 @@
             self._ceilings.cut(now, backend, blocks_overflow=True)
             self._shed(backend, SHED_SHARE_WITH_REPORTS)
 
-    def _slow_without_reports(self, now: float, backend: Backend, latency: float, slowness: float) -> None:
-        is_late = slowness > SLOWNESS_OF_OBJECTIVE
+    def _react_without_reports(self, now: float, backend: Backend, latency: float, slowness: float) -> None:
+        is_late = slowness > SLOWNESS_AT_OBJECTIVE
         self._ceilings.cut(now, backend, blocks_overflow=is_late)
         if latency >= HUNG_AFTER_SECONDS:
             self._migration.migrate_all(backend)
         elif is_late or (slowness > SLOWNESS_TO_SHED and self._ceilings.largest_free_slots > 0):
             self._shed(backend, SHED_SHARE)
 
-    def setup_timed(self, now: float, backend: Backend, latency: float) -> None:
+    def setup_latency_measured(self, now: float, backend: Backend, latency: float) -> None:
         """React to a connection that was established after ``latency`` seconds."""
-        if latency > SLOW_SETUP_FACTOR * self._usual_setup > 0:
+        if latency > SLOW_SETUP_FACTOR * self._typical_setup_latency > 0:
             self._ceilings.cut(now, backend, blocks_overflow=False)
             # In a burst many set-ups are slow by one overload: only the one that cut the ceiling sheds.
             if self._ceilings.largest_free_slots > 0 and backend.ceiling_record.cut_at == now:
                 self._shed(backend, SHED_SHARE_WITH_REPORTS if self._uses_load_reports else SHED_SHARE)
-        usual = self._usual_setup or latency
+        usual = self._typical_setup_latency or latency
         longest = SLOW_SETUP_FACTOR * usual
-        self._usual_setup = usual + SETUP_LATENCY_GAIN * (min(latency, longest) - usual)
+        self._typical_setup_latency = usual + SETUP_LATENCY_GAIN * (min(latency, longest) - usual)
 
     def load_reported(self, backend: Backend) -> None:
         """Migrate all that is over capacity after two reports above 1 in a row behind late messages."""
         load = min(backend.report.load, backend.report.previous_load)
-        if load > 1 and backend.late_messages >= LATE_MESSAGES_TO_BELIEVE:
+        if load > 1 and backend.late_messages >= LATE_MESSAGES_TO_TRUST_REPORTS:
             backend.late_messages = 0
             self._ceilings.limit_to_reported_capacity(backend, load)
             self._shed(backend, 1 - TARGET_LOAD / load)
@@ -133,6 +133,6 @@
                 connection.group,
             )
         )
-        count = self._migration.count_of_share(len(connections), share)
+        count = self._migration.sample_size(len(connections), share)
         groups = {connection.group for connection in connections[:count]}
         self._migration.migrate([c for c in connections if c.group in groups])
--- a/saltcourse/balancing/migration.py
+++ b/saltcourse/balancing/migration.py
@@ -31,9 +31,9 @@
 
     def migrate_share(self, connections: list[Request], share: float) -> None:
         """Migrate a random ``share`` (0 to 1) of these connections."""
-        count = self.count_of_share(len(connections), share)
+        count = self.sample_size(len(connections), share)
         self.migrate(self._random.sample(connections, min(count, len(connections))))
 
-    def count_of_share(self, total: int, share: float) -> int:
+    def sample_size(self, total: int, share: float) -> int:
         """So many of ``total`` as make up the share: rounded at random, so that small shares count too."""
         return int(share * total + self._random.random())
--- a/saltcourse/balancing/occupancy.py
+++ b/saltcourse/balancing/occupancy.py
@@ -41,7 +41,7 @@
 
     def add(self, backend: Backend, request: Request) -> None:
         """Count an attempt that starts there."""
-        backend.occupancy += request.load
+        backend.occupancy += request.slots
         backend.count += 1
         group = request.group
         if not group:
@@ -56,9 +56,9 @@
         if request.group:
             self._remove_from_group(backend, request.group)
         # The last one leaves exactly nothing, whatever rounding has left.
-        backend.occupancy = max(0.0, backend.occupancy - request.load) if backend.count > 1 else 0.0
+        backend.occupancy = max(0.0, backend.occupancy - request.slots) if backend.count > 1 else 0.0
         backend.count -= 1
-        self._ceilings.note_free_slots(backend)
+        self._ceilings.raise_largest_free_slots(backend)
 
     def _remove_from_group(self, backend: Backend, group: str) -> None:
         backend.groups[group] -= 1
@@ -70,6 +70,6 @@
 
     def change_load(self, backend: Backend, request: Request, load: float) -> None:
         """Count a connection there with another load."""
-        before = request.load
-        request.load = self.slots_of(load)
-        backend.occupancy = max(0.0, backend.occupancy + request.load - before)
+        before = request.slots
+        request.slots = self.slots_of(load)
+        backend.occupancy = max(0.0, backend.occupancy + request.slots - before)
--- a/saltcourse/balancing/outlier_ejection.py
+++ b/saltcourse/balancing/outlier_ejection.py
@@ -86,7 +86,7 @@
         HealthState.PROBING,
     ),
 }
-AVOIDED = (HealthState.EJECTED, HealthState.PROBING)  # states in which no attempt is started
+AVOIDED_STATES = (HealthState.EJECTED, HealthState.PROBING)  # states in which no attempt is started
 
 
 class ZoneEjection:
@@ -113,7 +113,7 @@
         self._failures.pop(zone, None)
         self._ejected_until.pop(zone, None)
 
-    def ejected(self, now: float) -> set[str]:
+    def ejected_zones(self, now: float) -> set[str]:
         """The zones that are ejected now."""
         return {zone for zone, until in self._ejected_until.items() if until > now}
 
@@ -146,7 +146,7 @@
         elif health.state is HealthState.EJECTED and before is not HealthState.EJECTED:
             # Failures of attempts from before the ejection do not lengthen it.
             self._eject(now, backend)
-        if health.state in AVOIDED:
+        if health.state in AVOIDED_STATES:
             self._pool.exclude(backend)
 
     def _eject(self, now: float, backend: Backend) -> None:
@@ -160,7 +160,7 @@
         if self._zones.record_failure(now, backend.zone):
             self._pool.exclude_zone(backend.zone)
 
-    def zone_answered(self, zone: str) -> None:
+    def zone_responded(self, zone: str) -> None:
         """Record that a backend of the zone has answered: the zone is not cut off."""
         self._zones.record_success(zone)
 
@@ -171,7 +171,9 @@
             health = backend.health
             if health.state is HealthState.EJECTED and health.ejected_until <= now:
                 self.apply(now, backend, HealthEvent.EJECTION_EXPIRED)
-        zones = self._zones.ejected(now)
+        zones = self._zones.ejected_zones(now)
         self._pool.candidates = [
-            backend for backend in listed if backend.health.state not in AVOIDED and backend.zone not in zones
+            backend
+            for backend in listed
+            if backend.health.state not in AVOIDED_STATES and backend.zone not in zones
         ] or listed
--- a/saltcourse/balancing/placement.py
+++ b/saltcourse/balancing/placement.py
@@ -64,18 +64,18 @@
 
     def health_check_finished(self, now: float, backend: Backend) -> None:
         """Go on with the requests that waited for this backend's check."""
-        waiting, backend.report.waiting = backend.report.waiting, []
+        waiting, backend.report.waiting_requests = backend.report.waiting_requests, []
         for request in waiting:
-            if request.awaited is backend and not request.is_answered:
-                request.awaited = None
+            if request.awaited_backend is backend and not request.is_answered:
+                request.awaited_backend = None
                 self._check_load_or_place(now, request)
 
     def timer_fired(self, now: float, request: Request) -> None:
         """Go on as a timer fires: the load check took too long, or the deadline has come."""
         if request.is_answered or request.is_established:
             return
-        if request.awaited is not None:
-            request.awaited = None
+        if request.awaited_backend is not None:
+            request.awaited_backend = None
             request.load_checks = MAX_LOAD_CHECKS
             self._check_load_or_place(now, request)
         elif now >= request.deadline - self.settings.time_step / 2:
@@ -94,9 +94,9 @@
         self._start_or_answer(now, request, backend)
 
     def _wait_for_report(self, request: Request, backend: Backend) -> None:
-        request.awaited = backend
+        request.awaited_backend = backend
         request.load_checks += 1
-        backend.report.waiting.append(request)
+        backend.report.waiting_requests.append(request)
         longest = request.request_class.latency_objective / LOAD_CHECK_WAIT_DIVISOR
         self.timers.start(request, min(LOAD_CHECK_WAIT_SECONDS, longest))
 
--- a/saltcourse/balancing/rebalancing.py
+++ b/saltcourse/balancing/rebalancing.py
@@ -22,7 +22,7 @@
 
 from saltcourse.balancing.backend_pool import BackendPool
 from saltcourse.balancing.events import BackendState
-from saltcourse.balancing.group_affinity import fullest_allowed
+from saltcourse.balancing.group_affinity import group_occupancy_limit
 from saltcourse.balancing.migration import Migration
 from saltcourse.balancing.occupancy import GROUP_SLOTS
 from saltcourse.balancing.settings import Settings
@@ -30,7 +30,7 @@
 
 FAILBACK_SHARE_PER_SECOND = 0.05  # of the connections in other zones
 MAX_CUT_SHARE = 0.1  # of the local backends; from it on nothing fails back
-STRAGGLERS = 2  # connections of a group, at most, that are migrated to where more of it are
+MAX_STRAGGLERS = 2  # connections of a group, at most, that are migrated to where more of it are
 MIN_CAPACITY = 0.1  # relative; a backend that warms up is not taken for the fullest by a single connection
 
 
@@ -66,20 +66,20 @@
         counts = sorted((count, group) for group, count in fullest.groups.items())
         smallest_count, smallest = counts[0]
         _, largest = counts[-1]
-        excess = self._excess(fullest)
+        excess = self._excess_slots(fullest)
         if excess > 0:
             self._migration.migrate(_connections_of(fullest, largest)[:excess])
-        elif smallest_count <= STRAGGLERS and self._is_held_better(fullest, smallest, smallest_count):
+        elif smallest_count <= MAX_STRAGGLERS and self._has_better_backend(fullest, smallest, smallest_count):
             self._migration.migrate(_connections_of(fullest, smallest))
 
-    def _excess(self, fullest: Backend) -> int:
+    def _excess_slots(self, fullest: Backend) -> int:
         """Slots that the backend holds above the most that it would be sent; 0 while any other is ejected."""
         healthy = [b for b in self._pool.candidates if b.health.state is HealthState.HEALTHY]
         if len(healthy) != sum([b.state is BackendState.READY for b in self._pool.backends.values()]):
             return 0
-        return math.ceil(_fullness(fullest) - fullest_allowed(healthy))
+        return math.ceil(_fullness(fullest) - group_occupancy_limit(healthy))
 
-    def _is_held_better(self, fullest: Backend, group: str, count: int) -> bool:
+    def _has_better_backend(self, fullest: Backend, group: str, count: int) -> bool:
         return any(
             [
                 b.groups.get(group, 0) > count and b.occupancy < fullest.occupancy - GROUP_SLOTS
--- a/saltcourse/balancing/response_latency.py
+++ b/saltcourse/balancing/response_latency.py
@@ -57,7 +57,7 @@
 
     def __init__(self, slow_latency: float) -> None:
         self.slow_latency = slow_latency
-        self.backend_of: dict[str, str] = {}  # by connection
+        self.backend_by_connection: dict[str, str] = {}  # by connection
         self.unanswered_since: dict[str, float] = {}  # connection -> when its oldest unanswered line was sent
         self.round_trips: dict[str, list[float]] = {}  # backend -> since the last reports (s)
         self.latency_lines: dict[str, _LatencyLine] = {}  # by backend
@@ -66,11 +66,11 @@
 
     def connection_established(self, request: str, backend: str) -> None:
         """Count the connection's lines for this backend from now on."""
-        self.backend_of[request] = backend
+        self.backend_by_connection[request] = backend
 
     def connection_ended(self, request: str) -> None:
         """Forget a connection that has ended or is migrated."""
-        self.backend_of.pop(request, None)
+        self.backend_by_connection.pop(request, None)
         self.unanswered_since.pop(request, None)
 
     def line_sent(self, request: str, now: float) -> None:
@@ -80,7 +80,7 @@
     def line_received(self, request: str, now: float) -> None:
         """A line of the backend, other than LOAD, came back; it answers all lines before it."""
         sent = self.unanswered_since.pop(request, None)
-        backend = self.backend_of.get(request)
+        backend = self.backend_by_connection.get(request)
         if sent is not None and backend is not None:
             self.last_answer[backend] = now
             self.round_trips.setdefault(backend, []).append(now - sent)
@@ -91,7 +91,7 @@
         A backlog grows by no more than a second of work per second, so the first latency line of a spell
         is short; only after such a one may a longer latency be meant by a figure that could be a small load.
         """
-        backend = self.backend_of.get(request)
+        backend = self.backend_by_connection.get(request)
         if backend is None or self.slow_latency == float("inf"):
             return None
         last = self.latency_lines.get(backend, NO_LATENCY_LINE)
@@ -107,7 +107,7 @@
         return [
             request
             for request, sent in self.unanswered_since.items()
-            if now - sent >= SILENT_AFTER_SECONDS and request in self.backend_of
+            if now - sent >= SILENT_AFTER_SECONDS and request in self.backend_by_connection
         ]
 
     def hung_backends(self, now: float) -> list[LatencyReport]:
@@ -120,10 +120,10 @@
             return []
         waiting: dict[str, list[tuple[float, str]]] = {}
         for request, sent in self.unanswered_since.items():
-            backend = self.backend_of.get(request)
+            backend = self.backend_by_connection.get(request)
             if backend is not None and self.last_answer.get(backend, 0.0) < sent <= limit:
                 waiting.setdefault(backend, []).append((sent, request))
-        connections = Counter(self.backend_of.values())
+        connections = Counter(self.backend_by_connection.values())
         reports = []
         for backend, lines in waiting.items():
             if len(lines) >= min(HUNG_CONNECTIONS, connections[backend]):
@@ -136,10 +136,10 @@
 
         One for each backend that is slow, and one for each that was reported slow and is not any more.
         """
-        one_request = {backend: request for request, backend in self.backend_of.items()}
-        round_trips = self._take_round_trips(now)
+        connection_by_backend = {backend: request for request, backend in self.backend_by_connection.items()}
+        round_trips = self._collect_round_trips(now)
         reports = []
-        for backend, request in one_request.items():
+        for backend, request in connection_by_backend.items():
             if backend not in round_trips:
                 continue
             latency = _median(round_trips[backend])
@@ -151,13 +151,13 @@
             else:
                 continue
             reports.append(LatencyReport(request, latency))
-        self._forget_backends_except(one_request)
+        self._forget_backends_except(connection_by_backend)
         return reports
 
-    def _take_round_trips(self, now: float) -> dict[str, list[float]]:
+    def _collect_round_trips(self, now: float) -> dict[str, list[float]]:
         """The round trips since the last reports, with the ages of unanswered lines that are slow already."""
         round_trips, self.round_trips = self.round_trips, {}
-        for request, backend in self.backend_of.items():
+        for request, backend in self.backend_by_connection.items():
             age = now - self.unanswered_since.get(request, now)
             if age > self.slow_latency:
                 round_trips.setdefault(backend, []).append(age)
--- a/saltcourse/balancing/retries.py
+++ b/saltcourse/balancing/retries.py
@@ -27,7 +27,7 @@
 MIN_ATTEMPT_SECONDS = 0.1  # of a request's time; with less left an attempt is not worth starting
 
 
-def is_harmless_to_repeat(request: Request) -> bool:
+def is_safe_to_retry(request: Request) -> bool:
     """Whether the client may send the request again to any backend."""
     request_class = request.request_class
     if request_class.idempotency is Idempotency.IDEMPOTENT or request.may_have_run_on is None:
@@ -38,7 +38,7 @@
     )
 
 
-def may_repeat_on(now: float, request: Request, backend: Backend) -> bool:
+def is_safe_to_retry_on(now: float, request: Request, backend: Backend) -> bool:
     """Whether an attempt at this backend cannot run the request a second time with an effect."""
     ran_on, request_class = request.may_have_run_on, request.request_class
     if ran_on is None or request_class.idempotency is Idempotency.IDEMPOTENT:
--- a/saltcourse/balancing/selection.py
+++ b/saltcourse/balancing/selection.py
@@ -20,7 +20,7 @@
 from saltcourse.balancing.backend_pool import BackendPool
 from saltcourse.balancing.events import BackendState
 from saltcourse.balancing.group_affinity import GroupAffinity
-from saltcourse.balancing.retries import may_repeat_on
+from saltcourse.balancing.retries import is_safe_to_retry_on
 from saltcourse.balancing.settings import Settings
 from saltcourse.balancing.slot_ceilings import SlotCeilings, may_overflow
 from saltcourse.balancing.state import Backend, Request
@@ -75,8 +75,8 @@
         return (
             backend.next_attempt_at <= now
             and backend.state is BackendState.READY  # it may have begun to drain while a check was in flight
-            and backend not in request.tried
-            and (request.may_have_run_on is None or may_repeat_on(now, request, backend))
+            and backend not in request.tried_backends
+            and (request.may_have_run_on is None or is_safe_to_retry_on(now, request, backend))
         )
 
     def _draw(self, now: float, request: Request, overflow: float) -> Backend | None:
@@ -104,7 +104,7 @@
         backend = self._choose_weighted(allowed, 0.0)
         if backend is None:
             backend = self._choose_weighted([b for b in allowed if may_overflow(now, b)], OVERFLOW_SLOTS)
-        self._ceilings.correct_largest_free_slots(self._pool.candidates)
+        self._ceilings.recompute_largest_free_slots(self._pool.candidates)
         return backend
 
     def _choose_weighted(self, backends: list[Backend], overflow: float) -> Backend | None:
--- a/saltcourse/balancing/slot_ceilings.py
+++ b/saltcourse/balancing/slot_ceilings.py
@@ -29,7 +29,7 @@
 
 TICK_SECONDS = 1.0  # between refreshes of small fleets; short against a connection's life
 HEADROOM_SLOTS = 2.0  # of the common ceiling above the mean occupancy, for a backend of mean capacity
-USUAL_HEADROOM_SLOTS = 0.5  # above the mean occupancy, that slow start counts on
+EXPECTED_HEADROOM_SLOTS = 0.5  # above the mean occupancy, that slow start counts on
 # In which the common ceiling is forgotten, at one refresh a second: slower with more than 150 candidates,
 # which are refreshed less often, and faster while the list changes. Clients return within a connection's
 # life.
@@ -40,9 +40,9 @@
 CUT_INTERVAL_SECONDS = 1.0  # between cuts: one overload drops many connections at once, and is one cut
 REJECTION_BACKOFF_INITIAL_SECONDS = 2.0  # without new connections after a rejection; doubles
 REJECTION_BACKOFF_MAX_SECONDS = 8.0
-HOLD_WITH_REPORTS_SECONDS = 1.0  # the same where loads are reported: the next report says how full it is
+CUT_WITH_REPORTS_SECONDS = 1.0  # the same where loads are reported: the next report says how full it is
 LIMIT_RECOVERY_FACTOR = 0.05  # of the common ceiling, which the limit regains with each tick
-MIN_USUAL_SLOTS = 0.25  # for slow start, where hardly anything is learned
+MIN_EXPECTED_SLOTS = 0.25  # for slow start, where hardly anything is learned
 
 
 def may_overflow(now: float, backend: Backend) -> bool:
@@ -86,10 +86,10 @@
         """Slots of a backend of mean capacity of which nothing is learned."""
         return self.local_ceiling if backend.is_local else self.remote_ceiling
 
-    def usual_slots(self, backend: Backend) -> float:
+    def expected_slots(self, backend: Backend) -> float:
         """Slots that this proxy usually fills on such a backend once it is warm."""
-        mean_slots = self.common_ceiling(backend) - HEADROOM_SLOTS + USUAL_HEADROOM_SLOTS
-        return max(MIN_USUAL_SLOTS, backend.relative_capacity * mean_slots)
+        mean_slots = self.common_ceiling(backend) - HEADROOM_SLOTS + EXPECTED_HEADROOM_SLOTS
+        return max(MIN_EXPECTED_SLOTS, backend.relative_capacity * mean_slots)
 
     def refresh(self, now: float, candidates: list[Backend]) -> None:
         """Work out capacities, common ceilings and every candidate's ceiling; once a tick and list update."""
@@ -141,7 +141,7 @@
             is_cut = record.cut_until > now
             ceiling = min(ceiling, backend.occupancy if is_cut else record.learned_limit)
         backend.ceiling = 0.0 if record.no_overflow_until > now else ceiling
-        self.note_free_slots(backend)
+        self.raise_largest_free_slots(backend)
 
     def _unlimited_ceiling(self, now: float, backend: Backend) -> float:
         report = backend.report
@@ -164,15 +164,15 @@
         record = backend.ceiling_record
         if now >= record.cut_at + CUT_INTERVAL_SECONDS:
             self._cut_limit(now, backend, blocks_overflow)
-        record.cut_until = max(record.cut_until, now + self._hold(record))
+        record.cut_until = max(record.cut_until, now + self._cut_duration(record))
         if blocks_overflow:
             record.no_overflow_until = record.cut_until
         backend.ceiling = 0.0 if blocks_overflow else min(backend.ceiling, backend.occupancy)
 
-    def _hold(self, record: CeilingRecord) -> float:
+    def _cut_duration(self, record: CeilingRecord) -> float:
         """Seconds for which a cut holds."""
         if self._uses_load_reports:
-            return HOLD_WITH_REPORTS_SECONDS
+            return CUT_WITH_REPORTS_SECONDS
         doublings = max(0, record.consecutive_rejections - 1)
         return exponential_backoff(
             REJECTION_BACKOFF_INITIAL_SECONDS, doublings, REJECTION_BACKOFF_MAX_SECONDS
@@ -196,7 +196,7 @@
         """Limit a backend that reports ``load`` (over 1) to what makes the target load."""
         backend.ceiling_record.learned_limit = backend.occupancy * TARGET_LOAD / load
 
-    def accepted(self, now: float, backend: Backend) -> None:
+    def connection_accepted(self, now: float, backend: Backend) -> None:
         """Record that the backend accepted a connection: into its last free slot, this adds one."""
         record = backend.ceiling_record
         if may_overflow(now, backend):
@@ -209,14 +209,14 @@
             backend.ceiling += 1.0
         else:
             backend.ceiling = max(backend.ceiling, backend.occupancy) + 1.0
-        self.note_free_slots(backend)
+        self.raise_largest_free_slots(backend)
 
-    def note_free_slots(self, backend: Backend) -> None:
+    def raise_largest_free_slots(self, backend: Backend) -> None:
         """Keep the upper bound: the backend may have more free slots than before."""
         free_slots = (backend.ceiling - backend.occupancy) * backend.zone_factor
         self.largest_free_slots = max(self.largest_free_slots, free_slots)
 
-    def correct_largest_free_slots(self, candidates: list[Backend]) -> None:
+    def recompute_largest_free_slots(self, candidates: list[Backend]) -> None:
         """Replace the upper bound by the true value; costs a look at each candidate."""
         self.largest_free_slots = max(
             [(b.ceiling - b.occupancy) * b.zone_factor for b in candidates], default=0.0
--- a/saltcourse/balancing/slow_start.py
+++ b/saltcourse/balancing/slow_start.py
@@ -39,21 +39,21 @@
         """Whether the backend has less than its full capacity yet."""
         return self.capacity_share(now, backend) < 1.0
 
-    def attempt_interval(self, now: float, usual_slots: float) -> float:
+    def attempt_interval(self, now: float, expected_slots: float) -> float:
         """Seconds between this proxy's attempts of one slot each at a backend that warms up.
 
-        ``usual_slots``: what this proxy usually fills on such a backend.
+        ``expected_slots``: what this proxy usually fills on such a backend.
         """
-        slots = usual_slots * self._shared_state.relative_share(now)
+        slots = expected_slots * self._shared_state.relative_share(now)
         return self._warm_up / slots
 
-    def delay_first_attempt(self, now: float, backend: Backend, usual_slots: float, draw: float) -> None:
+    def delay_first_attempt(self, now: float, backend: Backend, expected_slots: float, draw: float) -> None:
         """Set the earliest first attempt at a backend that is new here; ``draw`` is uniform in [0, 1).
 
         All proxies learn of a started backend at once: each sends its first attempt at its own moment.
         """
-        backend.next_attempt_at = now + draw * self.attempt_interval(now, usual_slots)
+        backend.next_attempt_at = now + draw * self.attempt_interval(now, expected_slots)
 
-    def delay_next_attempt(self, now: float, backend: Backend, usual_slots: float, load: float) -> None:
+    def delay_next_attempt(self, now: float, backend: Backend, expected_slots: float, slots: float) -> None:
         """Set the earliest next attempt after one of ``load`` slots."""
-        backend.next_attempt_at = now + load * self.attempt_interval(now, usual_slots)
+        backend.next_attempt_at = now + slots * self.attempt_interval(now, expected_slots)
--- a/saltcourse/balancing/state.py
+++ b/saltcourse/balancing/state.py
@@ -61,7 +61,7 @@
     received_at: float = LONG_AGO
     refresh_at: float = LONG_AGO  # a new report is wanted from then on
     check_in_flight: bool = False
-    waiting: list[Request] = field(default_factory=list)  # requests whose placement waits for the check
+    waiting_requests: list[Request] = field(default_factory=list)  # placements that wait for the health check
 
 
 class Backend:
@@ -156,7 +156,7 @@
     id: str
     request_class: RequestClass
     deadline: float
-    load: float
+    slots: float
     group: str
     flow: str
     is_answered: bool = False  # finally, or nobody waits any more
@@ -170,11 +170,11 @@
     established_at: float = 0.0
 
     # For retries.
-    tried: list[Backend] = field(default_factory=list)
+    tried_backends: list[Backend] = field(default_factory=list)
     may_have_run_on: Backend | None = None  # the first backend that may have run it
     may_have_run_at: float = 0.0
     suspect: FailureSuspect | None = None
 
     # While its placement waits for a load report.
-    awaited: Backend | None = None
+    awaited_backend: Backend | None = None
     load_checks: int = 0
--- a/saltcourse/balancing/timers.py
+++ b/saltcourse/balancing/timers.py
@@ -13,22 +13,22 @@
 class RequestTimers:
     """Timers of requests; their tokens follow those of the balancer's own timers."""
 
-    __slots__ = ("_actions", "_last_token", "waiting")
+    __slots__ = ("_actions", "_last_token", "requests")
 
     def __init__(self, actions: list[Action]) -> None:
         self._actions = actions
         self._last_token = ENDPOINT_LIST_TOKEN
-        self.waiting: dict[int, Request] = {}  # token -> the request that it was set for
+        self.requests: dict[int, Request] = {}  # token -> the request that it was set for
 
     def start(self, request: Request, delay: float) -> None:
         """Set a timer that goes off after ``delay`` seconds."""
         self._last_token += 1
-        self.waiting[self._last_token] = request
+        self.requests[self._last_token] = request
         self._actions.append(SetTimer(max(0.0, delay), self._last_token))
 
     def pop(self, token: int) -> Request:
         """The request of a timer that went off; raises ``UnknownTimerError``."""
         try:
-            return self.waiting.pop(token)
+            return self.requests.pop(token)
         except KeyError:
             raise UnknownTimerError(token) from None
--- a/saltcourse/proxy/connection_monitor.py
+++ b/saltcourse/proxy/connection_monitor.py
@@ -156,6 +156,6 @@
         if self._drain_schedule is None:
             return
         now = asyncio.get_running_loop().time()
-        due = self._drain_schedule.due(now, len(self.established), CHECK_INTERVAL_SECONDS)
+        due = self._drain_schedule.connections_to_migrate(now, len(self.established), CHECK_INTERVAL_SECONDS)
         for request in list(self.established)[:due]:
             self._migrate(request)
--- a/tests/balancing/test_balancer_model.py
+++ b/tests/balancing/test_balancer_model.py
@@ -206,7 +206,7 @@
         for backend in self.host.balancer.pool.backends.values():
             here = [r for r, (_, s) in self.host.in_flight.items() if s == backend.name]
             groups = Counter(self.groups[r] for r in here if self.groups[r])
-            load = sum(self.host.balancer.requests[r].load for r in here) + GROUP_SLOTS * len(groups)
+            load = sum(self.host.balancer.requests[r].slots for r in here) + GROUP_SLOTS * len(groups)
             assert backend.count == held[backend.name] and backend.groups == groups
             assert backend.occupancy == pytest.approx(load, abs=1e-6)
             assert set(backend.connections) <= set(here) & set(self.established)
@@ -234,7 +234,7 @@
         self.wait(2.0)
         self.occupancy_is_exact()
         balancer = self.host.balancer
-        assert not balancer.requests and not balancer.timers.waiting and not self.deadlines
+        assert not balancer.requests and not balancer.timers.requests and not self.deadlines
         assert not any(
             s.count or s.occupancy or s.groups or s.connections for s in balancer.pool.backends.values()
         )
@@ -333,7 +333,7 @@
 
     __slots__ = ()
 
-    def attempt_interval(self, now: float, usual_slots: float) -> float:
+    def attempt_interval(self, now: float, expected_slots: float) -> float:
         return 0.0
 
 
--- a/tests/balancing/test_migration.py
+++ b/tests/balancing/test_migration.py
@@ -34,7 +34,7 @@
 
 def test_a_small_share_is_migrated_at_its_rate_in_the_long_run() -> None:
     migration = Migration([], random.Random(1))
-    counts = [migration.count_of_share(10, 0.03) for _ in range(4000)]
+    counts = [migration.sample_size(10, 0.03) for _ in range(4000)]
     assert set(counts) == {0, 1}
     assert sum(counts) / 4000 == pytest.approx(0.3, abs=0.03)
 
--- a/tests/balancing/test_request_rules.py
+++ b/tests/balancing/test_request_rules.py
@@ -268,7 +268,7 @@
 
 
 @pytest.mark.parametrize(
-    ("module", "rule"), [(selection, "may_repeat_on"), (admission, "is_harmless_to_repeat")]
+    ("module", "rule"), [(selection, "is_safe_to_retry_on"), (admission, "is_safe_to_retry")]
 )
 def test_the_checks_find_a_broken_rule(
     module: ModuleType, rule: str, monkeypatch: pytest.MonkeyPatch
--- a/tests/balancing/test_slow_start.py
+++ b/tests/balancing/test_slow_start.py
@@ -126,7 +126,7 @@
 
 
 def test_the_check_finds_a_slow_start_that_does_not_hold(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(SlowStart, "attempt_interval", lambda self, now, usual_slots: 0.0)
+    monkeypatch.setattr(SlowStart, "attempt_interval", lambda self, now, expected_slots: 0.0)
     assert min(worst_window(proxies, 40.0, 0, False) for proxies in (2, 5, 20, 30)) > 1.0
 
 
