--- a/saltcourse/balancing/__init__.py
+++ b/saltcourse/balancing/__init__.py
@@ -1,1 +1,1 @@
-"""Every decision on requests and backends, free of I/O: events in, actions out."""
+"""The load balancing decisions, without I/O: the balancer receives events and returns actions."""
--- a/saltcourse/balancing/actions.py
+++ b/saltcourse/balancing/actions.py
@@ -1,4 +1,4 @@
-"""Actions that the balancer gives back to its host, which carries them out in their order."""
+"""Actions that the balancer returns to its host, which executes them in order."""
 
 from __future__ import annotations
 
@@ -7,9 +7,10 @@
 
 @dataclass(slots=True)
 class StartAttempt:
-    """Begin an attempt at a backend; those of a request are numbered 0, 1, 2 in the order of their starts.
+    """Start an attempt at a backend.
 
-    ``timeout``: s after which the attempt is given up.
+    The attempts of a request are numbered 0, 1, 2, ... in the order of their starts. ``timeout`` is the time
+    (s) after which the attempt must be abandoned.
     """
 
     request: str
@@ -19,7 +20,7 @@
 
 @dataclass(slots=True)
 class RejectRequest:
-    """Final answer: a retry does no harm, after ``retry_after`` seconds."""
+    """Send the final answer that the client may safely retry after ``retry_after`` seconds."""
 
     request: str
     retry_after: float
@@ -27,21 +28,21 @@
 
 @dataclass(slots=True)
 class FailRequest:
-    """Final answer without any promise."""
+    """Send the final answer that the request failed; the client must not assume that a retry is safe."""
 
     request: str
 
 
 @dataclass(slots=True)
 class MigrateConnection:
-    """End an established connection in good order; its client comes back as a new request."""
+    """Close an established connection gracefully; its client reconnects with a new request."""
 
     request: str
 
 
 @dataclass(slots=True)
 class SetTimer:
-    """Hand back ``TimerFired`` with this token after ``delay`` seconds."""
+    """Send ``TimerFired`` with this token to the balancer after ``delay`` seconds."""
 
     delay: float
     token: int
@@ -49,14 +50,14 @@
 
 @dataclass(slots=True)
 class StartHealthCheck:
-    """Ask a backend whether it is up, and for its load report."""
+    """Start a health check of a backend, which also requests its load report."""
 
     backend: str
 
 
 @dataclass(slots=True)
 class SendPeerMessage:
-    """Send at most 256 bytes to one other proxy, or to each of them."""
+    """Send at most 256 bytes to one other proxy, or to all of them if ``peer`` is None."""
 
     data: str
     peer: int | None = None
@@ -64,12 +65,12 @@
 
 @dataclass(slots=True)
 class WatchEndpoints:
-    """Ask for the endpoint list's changes from now on."""
+    """Subscribe to changes of the endpoint list."""
 
 
 @dataclass(slots=True)
 class FetchEndpoints:
-    """Ask for the complete endpoint list once."""
+    """Request the complete endpoint list once."""
 
 
 Action = (
--- a/saltcourse/balancing/admission.py
+++ b/saltcourse/balancing/admission.py
@@ -1,19 +1,19 @@
-"""Admission: under overload new requests are rejected at once, and how a request that cannot be placed ends.
+"""Admission: detects overload, and gives the final answer to requests that cannot be placed.
 
 The rules:
 
-- The proxy counts its attempts that failed (also connections dropped within seconds) and that succeeded,
-  and forgets a fifth of both each second. More than four failures above the successes, wherever they went,
-  are an overload: new requests are rejected without an attempt, and nothing is retried. As nothing new is
-  tried, the overload ends by that forgetting and by attempts still in flight. Errors, cancelled attempts
-  and attempts that were not sent do not count.
-- A request that cannot be placed is rejected, with a Retry-After of a half to all of the longest one at
-  random, where a repeat does no harm and no attempt is in flight; else it fails, which promises nothing.
+- The proxy counts failed and successful attempts over all backends, and reduces both counts by a fifth each
+  second. A connection that is reset within seconds counts as a failure. Errors, cancelled attempts and
+  attempts that were not sent are not counted. The proxy is overloaded while failures exceed successes by
+  more than four: new requests are rejected without an attempt, and nothing is retried. Without new attempts
+  the overload ends through the decay of the counts and the outcomes of attempts still in flight.
+- A request that cannot be placed is rejected if it is safe to retry and no attempt is in flight. Its
+  Retry-After is a random 50 to 100% of the maximum. Any other request fails, without advice to retry.
 
 Inputs: outcomes of attempts, the request and its class. Output: ``RejectRequest`` or ``FailRequest``.
 
-Why: when clients overload all backends, retries and new attempts make set-ups slower still; rejected
-clients come back spread over time.
+Why: when clients overload all backends, retries and new attempts make set-ups even slower, while rejected
+clients retry at different times.
 """
 
 from __future__ import annotations
@@ -26,29 +26,29 @@
 from saltcourse.balancing.settings import Settings
 from saltcourse.balancing.state import Request
 
-OUTCOME_MEMORY_SECONDS = 5.0  # each tick forgets tick / this of both counts
-EARLY_RESET_SECONDS = 3.0  # a connection dropped within this counts as an attempt that failed
-OVERLOAD_MARGIN = 4.0  # failures above the successes that are bad luck and no overload
+OUTCOME_MEMORY_SECONDS = 5.0  # Each tick of t seconds reduces both counts by the share t / 5.
+EARLY_RESET_SECONDS = 3.0  # A connection that is reset within this time counts as a failed attempt.
+OVERLOAD_MARGIN = 4.0  # Excess of failures over successes that may still be chance.
 STATUSES_NOT_COUNTED = (AttemptStatus.CANCELLED, AttemptStatus.NOT_SENT, AttemptStatus.ERROR)
 
 
 class OverloadDetector:
-    """How the attempts of the last seconds went, over all backends."""
+    """Counts recent failed and successful attempts over all backends, and detects overload."""
 
     __slots__ = ("failures", "successes")
 
     def __init__(self) -> None:
-        self.failures = 0.0  # attempts, decaying
-        self.successes = 0.0  # attempts, decaying
+        self.failures = 0.0  # decaying count of attempts
+        self.successes = 0.0  # decaying count of attempts
 
     @property
     def is_overloaded(self) -> bool:
-        """Whether clearly more attempts fail than succeed."""
+        """Whether failures exceed successes by more than the margin."""
         return self.failures - self.successes > OVERLOAD_MARGIN
 
     @property
     def is_failing(self) -> bool:
-        """Whether more attempts failed than succeeded of late."""
+        """Whether more attempts have failed than succeeded in the last seconds."""
         return self.failures > self.successes
 
     def attempt_failed(self, status: AttemptStatus) -> None:
@@ -61,13 +61,13 @@
         self.successes += 1
 
     def connection_finished(self, now: float, established_at: float, status: AttemptStatus) -> None:
-        """Count a connection that was dropped young as a failure after all."""
+        """Turn the success of a connection into a failure if it was reset soon after its set-up."""
         if status is AttemptStatus.RESET and now < established_at + EARLY_RESET_SECONDS:
             self.successes -= 1
             self.failures += 1
 
     def decay(self, elapsed: float) -> None:
-        """Forget a part after ``elapsed`` seconds."""
+        """Reduce both counts for ``elapsed`` seconds."""
         self.failures *= max(0.0, 1 - elapsed / OUTCOME_MEMORY_SECONDS)
         self.successes = max(0.0, self.successes * (1 - elapsed / OUTCOME_MEMORY_SECONDS))
 
@@ -84,13 +84,13 @@
         actions: list[Action],
         random_source: random.Random,
     ) -> None:
-        self._longest_retry_after = settings.longest_retry_after  # s
+        self._longest_retry_after = settings.longest_retry_after  # seconds
         self._requests = requests
         self._actions = actions
         self._random = random_source
 
     def answer(self, request: Request) -> None:
-        """Reject the request, or fail it where a repeat may do harm."""
+        """Reject the request, or fail it if it is not safe to retry."""
         if is_safe_to_retry(request) and not request.is_in_flight:
             retry_after = self._longest_retry_after * self._random.uniform(0.5, 1)
             self._actions.append(RejectRequest(request.id, retry_after))
--- a/saltcourse/balancing/attempts.py
+++ b/saltcourse/balancing/attempts.py
@@ -1,4 +1,4 @@
-"""Starting an attempt: what is recorded at its request and its backend, and in which order."""
+"""Attempts: records each new attempt at its request and its backend, and emits its action."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True, eq=False)
 class AttemptStarter:
-    """Starts attempts at backends that were chosen."""
+    """Starts attempts at selected backends."""
 
     actions: list[Action]
     occupancy: Occupancy
@@ -25,7 +25,7 @@
     retries: Retries
 
     def start(self, now: float, request: Request, backend: Backend) -> None:
-        """Start the request's next attempt there."""
+        """Start the request's next attempt at the backend."""
         request.backend = backend
         request.started_at = now
         request.is_in_flight = True
--- a/saltcourse/balancing/backend_pool.py
+++ b/saltcourse/balancing/backend_pool.py
@@ -1,4 +1,4 @@
-"""All backends that a list has named, and which of them are candidates for new attempts."""
+"""The pool of known backends, and the candidates among them for new attempts."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class BackendPool:
-    """All backends that a list has named, and the candidates that a new attempt may go to."""
+    """Holds all backends that the endpoint list has ever contained, and the candidates for new attempts."""
 
     __slots__ = ("backends", "candidates")
 
@@ -16,14 +16,14 @@
         self.candidates: list[Backend] = []
 
     def listed(self) -> list[Backend]:
-        """The backends that the endpoint list calls ready."""
+        """Return the backends that are ready according to the endpoint list."""
         return [backend for backend in self.backends.values() if backend.state is BackendState.READY]
 
     def exclude(self, backend: Backend) -> None:
-        """Take a backend out of the candidates, unless it is the only one."""
+        """Remove a backend from the candidates, unless it is the only one."""
         if backend in self.candidates and len(self.candidates) > 1:
             self.candidates.remove(backend)
 
     def exclude_zone(self, zone: str) -> None:
-        """Take a zone out of the candidates, unless none would be left."""
+        """Remove all backends of a zone from the candidates, unless no candidate would be left."""
         self.candidates = [b for b in self.candidates if b.zone != zone] or self.candidates
--- a/saltcourse/balancing/backend_report.py
+++ b/saltcourse/balancing/backend_report.py
@@ -1,4 +1,4 @@
-"""What the balancer believes of one backend, for log lines and metrics; no decision reads it."""
+"""Reports on single backends for log lines and metrics; no decision depends on them."""
 
 from __future__ import annotations
 
@@ -11,10 +11,12 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendReport:
-    """``occupancy`` and ``ceiling`` are in slots; ``reasons`` say why the backend gets nothing new now.
+    """The balancer's present view of a backend.
 
-    The reasons: ``draining``, ``removed`` (by the endpoint list), ``ejected``, ``eligible`` (for the probe
-    that follows an ejection), ``probing``, ``recently_rejected`` (or dropped), ``slow``, ``warming_up``.
+    ``occupancy`` and ``ceiling`` are in slots. ``reasons`` tell why the backend gets few or no new
+    connections: ``draining`` or ``removed`` (in the endpoint list), ``ejected``, ``eligible`` (for the probe
+    that follows an ejection), ``probing``, ``recently_rejected`` (rejected or dropped connections, or missed
+    the message latency objective), ``slow``, ``warming_up``.
     """
 
     backend: str
@@ -22,11 +24,11 @@
     occupancy: float
     ceiling: float
     reasons: tuple[str, ...]
-    is_avoided: bool  # draining, removed, ejected or being probed
+    is_avoided: bool  # True if draining, removed, ejected or being probed.
 
 
 def report_backend(now: float, backend: Backend) -> BackendReport:
-    """What is believed of a backend now."""
+    """Return the report on a backend at the time ``now`` (s)."""
     is_ready = backend.state is BackendState.READY
     health = backend.health.state
     reasons = {
--- a/saltcourse/balancing/balancer.py
+++ b/saltcourse/balancing/balancer.py
@@ -1,16 +1,16 @@
-"""The balancer: takes one event at a time, calls the rules in their order, and returns actions.
+"""The balancer: processes one event at a time and returns the resulting actions.
 
-It does no I/O and reads no clock: the same settings, seed and events give the same actions. Each rule is a
-module of this package, whose docstring states it:
+The balancer does no I/O and reads no clock: the same settings, seed and events give the same actions. The
+rules are implemented by the other modules of this package, and documented in their docstrings:
 
-- the life of a request: ``placement``, ``selection``, ``group_affinity``, ``attempts``, ``retries``,
+- request life cycle: ``placement``, ``selection``, ``group_affinity``, ``attempts``, ``retries``,
   ``admission``;
-- what a backend can take: ``occupancy``, ``slot_ceilings``, ``load_reports``, ``capacity_estimate``,
+- backend capacity: ``occupancy``, ``slot_ceilings``, ``load_reports``, ``capacity_estimate``,
   ``slow_start``;
-- backends at fault or too full: ``failure_attribution``, ``outlier_ejection``, ``load_shedding``;
-- where connections are established: ``endpoint_list``, ``rebalancing``, ``migration``.
+- failing and overloaded backends: ``failure_attribution``, ``outlier_ejection``, ``load_shedding``;
+- distribution of established connections: ``endpoint_list``, ``rebalancing``, ``migration``.
 
-All random draws come from one source, in the order of the calls below.
+All rules draw from one ``random.Random``, so the order of their calls determines the draws.
 """
 
 from __future__ import annotations
@@ -61,11 +61,11 @@
 from saltcourse.balancing.timers import ENDPOINT_LIST_TOKEN, TICK_TOKEN, RequestTimers
 from saltcourse.shared_state.state import SharedState
 
-CANDIDATES_REFRESHED_PER_SECOND = 150  # for which a refresh is cheap; more are refreshed less often
+CANDIDATES_REFRESHED_PER_SECOND = 150  # With more candidates the tick is longer, to bound the CPU time.
 
 
 class Balancer:
-    """All decisions of one proxy."""
+    """Makes all decisions of one proxy."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings = settings
@@ -144,12 +144,13 @@
             ),
         )
 
-    # ---- what hosts call ---------------------------------------------------------------------------
+    # ---- interface for the host --------------------------------------------------------------------
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Take one event at the host's time (s); the actions are to be carried out in their order.
+        """Process one event and return the actions that the host must execute, in order.
 
-        Raises ``UnknownRequestClassError`` or ``UnknownTimerError``, both also ``KeyError``.
+        ``now`` is the time of the host's clock in seconds. Raises ``UnknownRequestClassError`` or
+        ``UnknownTimerError``, both of which are subclasses of ``KeyError``.
         """
         self._actions.clear()
         self.handlers[type(event)](now, event)  # type: ignore[operator]
@@ -158,19 +159,19 @@
         return self._actions.copy()
 
     def backend_names(self) -> list[str]:
-        """Every backend that a list has named."""
+        """Return the names of all backends that the endpoint list has ever contained."""
         return list(self.pool.backends)
 
     def backend_reports(self, now: float) -> list[BackendReport]:
-        """What is believed of each backend now."""
+        """Return the current state of each backend, for logs and metrics."""
         return [report_backend(now, backend) for backend in self.pool.backends.values()]
 
     @property
     def is_failing(self) -> bool:
-        """Whether more attempts failed than succeeded of late."""
+        """Whether more attempts have failed than succeeded in the last seconds."""
         return self.overload.is_failing
 
-    # ---- endpoint list and time --------------------------------------------------------------------
+    # ---- endpoint list and timers ------------------------------------------------------------------
 
     def _on_endpoints_updated(self, now: float, event: EndpointsUpdated) -> None:
         if not self._is_started:
@@ -207,7 +208,7 @@
         self._selection.candidates_changed()
         self.slot_ceilings.refresh(now, self.pool.candidates)
 
-    # ---- the life of a request ---------------------------------------------------------------------
+    # ---- request life cycle ------------------------------------------------------------------------
 
     def _on_request_received(self, now: float, event: RequestReceived) -> None:
         request = self._add_request(event, now + event.time_left, event.flow)
@@ -217,7 +218,8 @@
         request = self._add_request(event, 0.0, "")
         request.attempts = 1
         request.is_in_flight = request.is_established = True
-        # A connection at a backend that no list has named counts there, and nothing is ever sent to it.
+        # A backend that is missing from the endpoint list gets a placeholder, which counts its resumed
+        # connections but is not in the pool, so that no attempt is ever sent to it.
         backend = self.pool.backends.get(event.backend)
         request.backend = backend or Backend(Endpoint(event.backend, BackendState.REMOVED))
         self._occupancy.add(request.backend, request)
@@ -240,7 +242,7 @@
         return request
 
     def _request_of(self, event: ConnectionEstablished | AttemptFinished) -> Request | None:
-        """Find the request, if the event is of its last attempt; those of earlier ones come too late."""
+        """Return the event's request, or None if the event belongs to an earlier attempt or is unknown."""
         request = self.requests.get(event.request)
         if request is None or request.backend is None or event.attempt != request.attempts - 1:
             return None
@@ -258,7 +260,7 @@
         self._attribution.connection_established(now, request, backend)
         self._shedding.setup_latency_measured(now, backend, event.latency)
         self.slot_ceilings.connection_accepted(now, backend)
-        if backend.state is BackendState.DRAINING:  # the attempt was started before this was known
+        if backend.state is BackendState.DRAINING:  # The backend began to drain after the attempt started.
             self._migration.migrate([request])
 
     def _on_attempt_finished(self, now: float, event: AttemptFinished) -> None:
@@ -289,7 +291,7 @@
             if not request.is_in_flight:
                 del self.requests[event.request]
 
-    # ---- reports on connections and backends -------------------------------------------------------
+    # ---- measurements of connections and backends --------------------------------------------------
 
     def _on_connection_load_changed(self, now: float, event: ConnectionLoadChanged) -> None:
         request = self.requests.get(event.request)
--- a/saltcourse/balancing/capacity_estimate.py
+++ b/saltcourse/balancing/capacity_estimate.py
@@ -1,14 +1,15 @@
-"""Capacity from load reports: how many of this proxy's slots make up a backend's full load.
+"""Capacity estimate: derives from load reports how many slots of this proxy make up a backend's full load.
 
-The rule: over all backends with a fresh report, this proxy's own slots divided by the sum of the reported
-loads are its slots at full load on a mean backend. A machine type's relative capacity is the same quotient
-for its backends alone, with a few mean backends mixed in.
+The rule: the slots at full load of a mean backend are this proxy's occupancy divided by the reported load,
+both summed over all backends with a fresh report. The relative capacity of a machine type is the occupancy
+of its backends, in units of a mean backend's full load, divided by their reported load. A few mean backends
+are added to both as a prior.
 
-Inputs: own occupancy (slots) and reported load (load over capacity) of each candidate. Output: slots at full
-load, relative capacity of each candidate, and the mean reported load.
+Inputs: this proxy's occupancy (slots) and the reported load (load over capacity) of each candidate. Output:
+slots at full load, relative capacity of each candidate, and the mean reported load.
 
-Why: a reported load counts the connections of all proxies, so it says how full a backend is but not
-how many more this proxy may send. Pooling by machine type smooths the noise of single reports.
+Why: a reported load includes the connections of all proxies, so it shows how full a backend is but not how
+many more connections this proxy may send. Pooling by machine type smooths the noise of single reports.
 """
 
 from __future__ import annotations
@@ -17,23 +18,23 @@
 from saltcourse.balancing.state import Backend
 from saltcourse.shared_state.state import SharedState
 
-MIN_USEFUL_LOAD = 0.02  # reported load; below it the quotient is noise
-PRIOR_LOAD = 3  # backends' full loads of mean capacity mixed into that of each machine type
-INITIAL_MEAN_LOAD = 0.5  # assumed until reports have come
+MIN_USEFUL_LOAD = 0.02  # Reports at or below this load are ignored, because their quotient is mostly noise.
+PRIOR_LOAD = 3  # Number of fully loaded mean backends that are added to each machine type.
+INITIAL_MEAN_LOAD = 0.5  # Assumed until reports have been received.
 
 
 class CapacityEstimate:
-    """What the load reports show of the capacity of backends."""
+    """Estimates the capacity of backends from their load reports."""
 
     __slots__ = ("_shared_state", "mean_reported_load", "slots_at_full_load")
 
     def __init__(self, shared_state: SharedState) -> None:
         self._shared_state = shared_state
-        self.slots_at_full_load = 0.0  # of this proxy on a mean backend; 0 until known
+        self.slots_at_full_load = 0.0  # This proxy's slots on a mean backend; 0 until estimated.
         self.mean_reported_load = INITIAL_MEAN_LOAD
 
     def update(self, now: float, candidates: list[Backend]) -> None:
-        """Estimate anew from the fresh reports; without any the last estimate stays."""
+        """Update the estimate from the fresh reports; without any it stays unchanged."""
         oldest = now - MAX_REPORT_AGE_SECONDS
         reporting = [
             b for b in candidates if b.report.received_at > oldest and b.report.load > MIN_USEFUL_LOAD
--- a/saltcourse/balancing/drain_schedule.py
+++ b/saltcourse/balancing/drain_schedule.py
@@ -1,10 +1,11 @@
-"""When each established connection of a draining proxy is migrated: no I/O, no clock.
+"""The drain schedule: spreads the migrations of a draining proxy evenly over the duration of the drain.
 
-Migrated clients come back through the front to the other proxies (or to the process that replaces this one),
-and each of those sets their connections up again. All at once, they find slow set-ups and ceilings that grow
-a slot at a time, and many are rejected. So the migrations are spread evenly over the time that the drain
-leaves: at each check, the connections that are still established are migrated in proportion to the time
-left, and whatever is established at the end is migrated then.
+Migrated clients reconnect to the other proxies, or to the process that replaces this one. If all reconnected
+at once, connection set-ups would be slow, ceilings would grow by only one slot at a time, and many clients
+would be rejected. Therefore each check migrates connections in proportion to the check interval over the
+time left, and the last check migrates the rest.
+
+The module does no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -15,13 +16,16 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainSchedule:
-    """Spreads migrations between ``begin`` and ``end`` (s, on the clock that ``due`` is given)."""
+    """Spreads migrations between ``begin`` and ``end`` (s, on the clock of the ``now`` that is passed)."""
 
-    begin: float  # the first migrations
-    end: float  # all are migrated by then
+    begin: float  # Time of the first migrations.
+    end: float  # Time by which all connections have been migrated.
 
     def connections_to_migrate(self, now: float, established: int, interval: float) -> int:
-        """How many of the ``established`` connections to migrate now; the next check is in ``interval`` s."""
+        """Return how many of the ``established`` connections to migrate now.
+
+        ``interval`` is the time (s) until the next check.
+        """
         if established <= 0 or now < self.begin:
             return 0
         time_left = self.end - now
--- a/saltcourse/balancing/endpoint_list.py
+++ b/saltcourse/balancing/endpoint_list.py
@@ -1,24 +1,24 @@
-"""The endpoint list: which backends there are, and when discovery is called for it.
+"""The endpoint list: applies its updates to the pool of backends, and schedules the calls to discovery.
 
 The rules:
 
-- An update names what has changed, or is the complete list: a backend that a complete list omits is
-  removed.
-- A backend with a later start time is a new process: what was learned of the old one is forgotten. It gets
-  its first attempt after a random part of its slow-start interval.
-- The connections of a backend that drains, or that an update removes, are migrated before it closes them. A
-  complete list that omits a backend may be stale, and migrates nothing.
-- Where the list is polled, discovery is called at a random time after the start, so that proxies that start
-  together do not call together. A call that failed is repeated with a backoff that doubles from 1 s to 2 s
-  at most, less the time that the call took, times 0.5 to 1 at random. Every second of these calls fetches
-  the complete list instead of watching it: that may work while a watch does not. After a fetch the list is
+- An update contains either the changed entries or the complete list. A backend that is missing from a
+  complete list is removed.
+- A backend with a later start time is a new process, for which all learned state is reset. Its first attempt
+  is delayed by a random part of its slow-start interval.
+- When a backend drains, or an update removes it explicitly, its connections are migrated before it closes
+  them. When it is only missing from a complete list, nothing is migrated, because the list may be stale.
+- If the list is polled, discovery is first called after a random delay, so that proxies that start together
+  do not call at once. A failed call is retried with a backoff that doubles from 1 s to at most 2 s, less the
+  duration of the call, multiplied by a random factor from 0.5 to 1. Every second retry fetches the complete
+  list instead of watching it, because a fetch may succeed while a watch fails. After a fetch the list is
   watched again.
 
-Inputs: ``EndpointsUpdated`` events, start times and the current time in seconds. Output: the backends of
-the pool, timers, ``WatchEndpoints`` and ``FetchEndpoints``, ``MigrateConnection`` actions.
+Inputs: ``EndpointsUpdated`` events, start times and the current time in seconds. Output: the backends of the
+pool, and the actions ``SetTimer``, ``WatchEndpoints``, ``FetchEndpoints`` and ``MigrateConnection``.
 
-Why: a list that is old by more than a few seconds sends clients to backends that are gone, and a discovery
-service that is called by all proxies at once answers none of them.
+Why: a list that is stale by more than a few seconds sends clients to backends that no longer exist, and a
+discovery service that all proxies call at once answers none of them.
 """
 
 from __future__ import annotations
@@ -38,14 +38,14 @@
 from saltcourse.balancing.state import LONG_AGO, Backend
 from saltcourse.balancing.timers import ENDPOINT_LIST_TOKEN
 
-FIRST_CALL_SECONDS_PER_PROXY = 0.2  # over which proxies that start together spread their first call
-RETRY_BACKOFF_INITIAL_SECONDS = 1.0  # after the first failure; doubles with each further one
-MIN_RETRY_BACKOFF_SECONDS = 0.3  # the least wait before the next call, before the random factor
-WATCH_AFTER_FETCH_SECONDS = 0.5  # from a list that was fetched to the next watch; times 0.5 to 1.5
+FIRST_CALL_SECONDS_PER_PROXY = 0.2  # The first calls of n proxies are spread over n times this interval.
+RETRY_BACKOFF_INITIAL_SECONDS = 1.0
+MIN_RETRY_BACKOFF_SECONDS = 0.3  # Lower bound of the wait, before its random factor.
+WATCH_AFTER_FETCH_SECONDS = 0.5  # Delay from a fetched list to the next watch, before its random factor.
 
 
 class DiscoveryScheduler:
-    """When discovery is called, and for what."""
+    """Decides when to call discovery, and whether to watch or to fetch the endpoint list."""
 
     __slots__ = ("_actions", "_called_at", "_failures", "_is_fetching", "_random", "_settings")
 
@@ -53,12 +53,12 @@
         self._settings = settings
         self._actions = actions
         self._random = random_source
-        self._failures = 0  # in a row
-        self._is_fetching = False  # the last call fetched the list once, and does not watch it
+        self._failures = 0  # consecutive failed calls
+        self._is_fetching = False  # Whether the last call was a fetch and not a watch.
         self._called_at = LONG_AGO
 
     def start(self) -> None:
-        """Set the timer of the first call, where the list is polled."""
+        """Set the timer of the first call, if the list is polled."""
         if self._settings.discovery_mode is DiscoveryMode.POLLED:
             spread = min(
                 self._settings.poll_interval / 2, FIRST_CALL_SECONDS_PER_PROXY * self._settings.proxy_count
@@ -66,13 +66,13 @@
             self._set_timer(spread * self._random.random())
 
     def timer_fired(self, now: float) -> None:
-        """Call discovery."""
+        """Watch the endpoint list, or fetch it after an odd number of failures."""
         self._called_at = now
         self._is_fetching = self._failures % 2 == 1
         self._actions.append(FetchEndpoints() if self._is_fetching else WatchEndpoints())
 
     def call_failed(self, now: float) -> None:
-        """Set the timer of the next call: backoff and call together stay within the poll interval."""
+        """Set the timer of the next call so that backoff and call together fit in the poll interval."""
         self._failures += 1
         longest = min(self._settings.poll_interval, MAX_LIST_RETRY_DELAY_SECONDS)
         backoff = exponential_backoff(RETRY_BACKOFF_INITIAL_SECONDS, self._failures - 1, longest)
@@ -81,7 +81,7 @@
         self._set_timer(wait * (0.5 + self._random.random() / 2))
 
     def list_received(self) -> None:
-        """Record that discovery has answered; after a fetch the list is to be watched again."""
+        """Record that discovery has answered, and schedule a watch after a fetch."""
         self._failures = 0
         if self._is_fetching:
             self._is_fetching = False
@@ -93,7 +93,7 @@
 
 @dataclass(slots=True, eq=False)
 class EndpointList:
-    """Applies updates of the list to the pool of backends."""
+    """Applies updates of the endpoint list to the pool of backends."""
 
     local_zone: str
     pool: BackendPool
@@ -104,7 +104,7 @@
     random_source: random.Random
 
     def apply(self, now: float, event: EndpointsUpdated) -> bool:
-        """Apply an update; returns whether more than weights may have changed."""
+        """Apply an update, and return whether anything other than weights may have changed."""
         if event.kind is EndpointUpdateKind.UNAVAILABLE:
             self.discovery.call_failed(now)
             return False
@@ -117,7 +117,7 @@
         for endpoint in event.endpoints:
             known = self.pool.backends.get(endpoint.backend)
             if known and known.state is endpoint.state and known.started == endpoint.started:
-                known.weight = endpoint.weight  # it is read at the next tick
+                known.weight = endpoint.weight  # The new weight takes effect at the next tick.
                 continue
             has_changed = True
             backend = self._add(now, endpoint) if known is None else self._change(now, known, endpoint)
--- a/saltcourse/balancing/failure_attribution.py
+++ b/saltcourse/balancing/failure_attribution.py
@@ -1,24 +1,24 @@
-"""Failure attribution: whether the way an attempt ended was the backend's fault.
+"""Failure attribution: decides whether a failed attempt was the backend's fault.
 
 The rules:
 
-1. No connection, or no answer in time, is the backend's fault at once.
+1. A failed connect, or no answer before the time-out, is the backend's fault.
 2. A rejection shows that the backend is alive, and that it is full.
-3. Nobody is blamed on one witness: an error, or a reset before the connection is established, makes the
-   backend a suspect only. If the request is then established at another backend, the first one was at
-   fault; if it is broken off there too, the request itself is at fault and the suspect is cleared. A
-   backend that breaks off a single client flow and serves all others is not at fault either. For an error
-   the backend's error rate rises, and above ``MAX_ERROR_RATE`` it is ejected; a reset counts as in rule 4.
-   One that was eligible for a probe is ejected by either.
-4. A reset of an established connection cuts the backend's ceiling, and ejects nobody, when a second one
-   follows within a second: networks and clients break a connection now and then, a backend that drops breaks
-   several.
-5. An attempt that was started before the backend's process started says nothing of the new process.
+3. An error, or a reset before the connection is established, only makes the backend a suspect. If the
+   request is then established at another backend, the suspect was at fault. If the request fails in this way
+   there too, the request itself is at fault, and the suspect is cleared. A backend that fails the requests
+   of a single client flow only is not at fault either. An error by the backend's fault raises its error
+   rate, and the backend is ejected above ``MAX_ERROR_RATE``. A reset is handled as in rule 4. Either one
+   ejects a backend that was eligible for a probe.
+4. A reset of an established connection ejects no backend. If a second one follows within a second, the
+   backend's ceiling is cut: networks and clients reset single connections, while a backend that drops
+   connections resets several.
+5. An attempt that was started before the backend's process started has no effect on the new process.
 
 Inputs: how attempts ended, and the time in seconds. Output: health events and ceiling cuts.
 
-Why: clients whose requests fail everywhere would otherwise eject one backend after another, until the rest
-carried all load.
+Why: otherwise clients whose requests fail everywhere would eject one backend after another, until the
+remaining ones carried all load.
 """
 
 from __future__ import annotations
@@ -28,9 +28,9 @@
 from saltcourse.balancing.slot_ceilings import SlotCeilings
 from saltcourse.balancing.state import Backend, FailureSuspect, HealthState, Request
 
-ERROR_RATE_GAIN = 0.2  # weight of the last attempt in a backend's error rate
-MAX_ERROR_RATE = 0.3  # above it a blamed backend is ejected, and used by one connection at a time
-RESET_PAIR_SECONDS = 1.0  # in which a second reset shows that a backend drops connections
+ERROR_RATE_GAIN = 0.2  # Weight of the last attempt in a backend's error rate.
+MAX_ERROR_RATE = 0.3  # Above it a backend at fault is ejected, and then gets one attempt at a time.
+RESET_PAIR_SECONDS = 1.0  # A second reset within this time shows that the backend drops connections.
 
 
 class FailureAttribution:
@@ -43,10 +43,10 @@
         self._ceilings = ceilings
 
     def attempt_finished(self, now: float, request: Request, backend: Backend, status: AttemptStatus) -> None:
-        """Record what the ending says of the backend; the client's own leaving says nothing."""
+        """Update the backend's health by the status; a cancelled or unsent attempt only ends its probe."""
         if backend.health.probe is request:
-            # Before anything is made of how it ended: a probe that outlives its attempt would keep the
-            # backend out of use for ever.
+            # This must precede all other handling: a probe that is not ended together with its attempt would
+            # exclude the backend permanently.
             self._ejection.apply(now, backend, HealthEvent.PROBE_INCONCLUSIVE)
         if request.started_at < backend.restarted_at:
             return
@@ -64,22 +64,25 @@
             request.suspect = FailureSuspect(backend, status, request.started_at, is_cleared=is_second)
 
     def connection_established(self, now: float, request: Request, backend: Backend) -> None:
-        """Record that the request is established there: a suspect before this backend was at fault."""
+        """Record that the request is established, which shows that its suspect was at fault."""
         backend.health.error_rate *= 1 - ERROR_RATE_GAIN
         if request.suspect is not None:
             self._attribute_failure(now, request, request.suspect)
         self.backend_responded(now, backend, request)
 
     def backend_responded(self, now: float, backend: Backend, request: Request | None) -> None:
-        """Record that the backend is alive: it accepted or rejected ``request``, or a health check (None)."""
+        """Record that the backend is alive, because it accepted or rejected ``request``.
+
+        ``request`` is None for a successful health check.
+        """
         if backend.health.error_rate <= MAX_ERROR_RATE:
             self._ejection.apply(now, backend, HealthEvent.SUCCESS)
-        elif backend.health.probe is request:  # it still fails often: one probe after another
+        elif backend.health.probe is request:  # The error rate is still too high, so another probe follows.
             self._ejection.apply(now, backend, HealthEvent.PROBE_INCONCLUSIVE)
         self._ejection.zone_responded(backend.zone)
 
     def health_check_failed(self, now: float, backend: Backend, status: AttemptStatus) -> None:
-        """Record a failed health check; a rejected one, or one that was not sent, says nothing."""
+        """Record a failed health check; one that was rejected or not sent is no sign of a fault."""
         if status is not AttemptStatus.FULL and status is not AttemptStatus.NOT_SENT:
             self._ejection.apply(now, backend, HealthEvent.FAILURE)
 
--- a/saltcourse/balancing/load_shedding.py
+++ b/saltcourse/balancing/load_shedding.py
@@ -1,20 +1,22 @@
-"""Load shedding: a backend that is slow gets nothing new, and a share of its connections is migrated away.
+"""Load shedding: cuts the ceiling of a slow backend and migrates some of its connections.
 
 The rules:
 
-- A message slower than a third of the shortest message objective is slow: the backend's ceiling is cut.
-  From 1.5 times that on a share of its connections is migrated if another backend has free slots; from 3
-  times on, the objective itself, even if none has. A message that takes 0.7 s migrates all of them.
-- Where loads are reported only a message past its objective counts, and less is migrated; a single very
-  long delay is taken for a short stall. After several late messages two reports above 1 in a row are
-  believed, and all that is over the target load is migrated.
-- A set-up that takes 2.5 times the usual one waited behind queued work: it counts like a slow message.
+- A message is slow if its latency exceeds a third of the shortest message latency objective. The backend's
+  ceiling is cut. Above 1.5 times that latency a share of its connections is migrated if another backend has
+  free slots; above 3 times, which is the objective itself, even if none has. A latency of 0.7 s migrates all
+  connections of the backend.
+- If loads are reported, only a message over its objective has an effect, and fewer connections are migrated.
+  A single very long latency is treated as a short stall. After several late messages, two consecutive
+  reports above 1 are trusted, and the connections in excess of the target load are migrated.
+- A connection set-up that takes 2.5 times the typical set-up latency has waited behind queued work, and is
+  treated like a slow message.
 
 Inputs: message latencies and set-up latencies in seconds, reported loads. Output: cut ceilings and
 ``MigrateConnection`` actions.
 
-Why: a backend with more work than it can do fails its deadlines for all of its connections; a few that are
-served elsewhere are better than all that fail.
+Why: an overloaded backend misses the deadlines of all its connections. Migrating some of them lets the rest
+meet theirs.
 """
 
 from __future__ import annotations
@@ -27,18 +29,18 @@
 from saltcourse.balancing.state import Backend, Request
 from saltcourse.shared_state.state import SharedState
 
-# Latencies over the one from which on a message is slow (``Settings.slow_message_latency``).
+# The slowness of a message is its latency divided by ``Settings.slow_message_latency``.
 SLOWNESS_TO_SHED = 1.5
 SLOWNESS_AT_OBJECTIVE = 3.0
-SLOW_SETUP_FACTOR = 2.5  # of the usual set-up latency
-SETUP_LATENCY_GAIN = 0.05  # weight of the last set-up in the usual latency
-SHED_SHARE = 0.2  # of this proxy's connections there, once a second
-SHED_SHARE_WITH_REPORTS = 0.1  # where loads are reported: a short stall looks like queued work
-LATE_MESSAGES_TO_TRUST_REPORTS = 3  # late messages in a row after which reports above 1 are believed
+SLOW_SETUP_FACTOR = 2.5  # Latency of a slow set-up over the typical set-up latency.
+SETUP_LATENCY_GAIN = 0.05  # Weight of the last set-up in the typical set-up latency.
+SHED_SHARE = 0.2  # Share of this proxy's connections to the backend, migrated once a second.
+SHED_SHARE_WITH_REPORTS = 0.1  # Lower if loads are reported, because a short stall looks like queued work.
+LATE_MESSAGES_TO_TRUST_REPORTS = 3  # Consecutive late messages after which reports above 1 are trusted.
 
 
 class LoadShedding:
-    """Reacts to slow backends."""
+    """Migrates connections away from slow backends and cuts their ceilings."""
 
     __slots__ = (
         "_ceilings",
@@ -63,11 +65,12 @@
         self._migration = migration
         self._shared_state = shared_state
         self._uses_load_reports = settings.uses_load_reports
-        self._slow_message_latency = settings.slow_message_latency  # s
-        self._typical_setup_latency = 0.0  # s that a set-up takes, over all backends; 0 until one is timed
+        self._slow_message_latency = settings.slow_message_latency  # seconds
+        # Moving average (s) over all backends; 0 until the first set-up.
+        self._typical_setup_latency = 0.0
 
     def message_latency_measured(self, now: float, backend: Backend, latency: float) -> None:
-        """React to a message that took ``latency`` seconds on a connection there."""
+        """React to a message that took ``latency`` seconds on a connection to the backend."""
         slowness = latency / self._slow_message_latency
         is_late = slowness > SLOWNESS_AT_OBJECTIVE
         backend.late_messages = backend.late_messages + 1 if is_late else 0
@@ -79,9 +82,9 @@
             self._ceilings.end_cut(now, backend)
 
     def _react_with_reports(self, now: float, backend: Backend, latency: float) -> None:
-        # A report shows the load better than a latency does, but not that work is queued.
+        # A report shows the load better than a latency does, but it does not show queued work.
         self._reports.request_if_older(now, backend, BUSY_REPORT_AGE_SECONDS)
-        # So long at once is a stall: work queues up slowly.
+        # A first late message with so long a latency means a stall: queued work builds up gradually.
         if latency < HUNG_AFTER_SECONDS or backend.late_messages > 1:
             self._ceilings.cut(now, backend, blocks_overflow=True)
             self._shed(backend, SHED_SHARE_WITH_REPORTS)
@@ -95,18 +98,18 @@
             self._shed(backend, SHED_SHARE)
 
     def setup_latency_measured(self, now: float, backend: Backend, latency: float) -> None:
-        """React to a connection that was established after ``latency`` seconds."""
+        """React to a connection whose set-up took ``latency`` seconds."""
         if latency > SLOW_SETUP_FACTOR * self._typical_setup_latency > 0:
             self._ceilings.cut(now, backend, blocks_overflow=False)
-            # In a burst many set-ups are slow by one overload: only the one that cut the ceiling sheds.
+            # One overload can slow down many set-ups in a burst. Only the one that cut the ceiling sheds.
             if self._ceilings.largest_free_slots > 0 and backend.ceiling_record.cut_at == now:
                 self._shed(backend, SHED_SHARE_WITH_REPORTS if self._uses_load_reports else SHED_SHARE)
-        usual = self._typical_setup_latency or latency
-        longest = SLOW_SETUP_FACTOR * usual
-        self._typical_setup_latency = usual + SETUP_LATENCY_GAIN * (min(latency, longest) - usual)
+        typical = self._typical_setup_latency or latency
+        longest = SLOW_SETUP_FACTOR * typical
+        self._typical_setup_latency = typical + SETUP_LATENCY_GAIN * (min(latency, longest) - typical)
 
     def load_reported(self, backend: Backend) -> None:
-        """Migrate all that is over capacity after two reports above 1 in a row behind late messages."""
+        """Migrate the excess connections if late messages are followed by two reports above 1."""
         load = min(backend.report.load, backend.report.previous_load)
         if load > 1 and backend.late_messages >= LATE_MESSAGES_TO_TRUST_REPORTS:
             backend.late_messages = 0
@@ -121,10 +124,10 @@
             self._migration.migrate_share(connections, share)
 
     def _shed_groups(self, backend: Backend, connections: list[Request], share: float) -> None:
-        """Migrate the smallest groups first, and complete.
+        """Migrate complete groups, the smallest first.
 
-        Each frees what it cost, and finds its others elsewhere. A group that a peer has there too goes last,
-        for migrating this proxy's part of it frees nothing.
+        A complete group frees its fixed cost at the backend and stays together elsewhere. Groups that a peer
+        has on the same backend come last, because migrating only this proxy's connections frees no such cost.
         """
         connections.sort(
             key=lambda connection: (
--- a/saltcourse/balancing/outlier_ejection.py
+++ b/saltcourse/balancing/outlier_ejection.py
@@ -1,17 +1,18 @@
-"""Outlier ejection: a backend that fails is left alone for a while, then tried by a single attempt.
+"""Outlier ejection: stops sending to a failing backend for some time, then probes it with a single attempt.
 
 The rules:
 
-1. A backend is healthy, ejected, eligible for a probe, or being probed. ``TRANSITIONS`` gives the state
-   after each event from each state, and ``apply`` is the one place where a state changes.
-2. The ejection time starts at half a second, doubles with each ejection without a success in between, and
-   is at most 8 s (times 0.75 to 1.25 at random). An ejection ends at the first refresh of the candidates
-   after its time, up to one tick later. So every ejection ends.
-3. The probe is a reference to the request that is in flight, not a flag: whatever ends that attempt ends
-   the probe, so that no backend waits for ever for a probe that is gone.
-4. Four ejections in one zone, without an answer from the zone in between, eject that zone as a whole, if it
-   is not the proxy's own.
-5. If that leaves no candidate, every listed backend is one: rejecting everything would be worse.
+1. A backend is healthy, ejected, eligible for a probe, or being probed. ``TRANSITIONS`` gives the next state
+   for each event and state. States change only in ``OutlierEjection.apply``.
+2. The ejection time starts at 0.5 s, doubles with each consecutive ejection, and is at most 8 s. It is
+   multiplied by a random factor from 0.75 to 1.25. An ejection ends at the first refresh of the candidates
+   after its time has passed, up to one tick later, so every ejection ends.
+3. The probe is stored as a reference to the request in flight and not as a flag. It ends however that
+   attempt ends, so that no backend keeps waiting for a probe that no longer exists.
+4. Four ejections in a remote zone without a successful response from the zone eject the whole zone. The
+   local zone is never ejected.
+5. If all listed backends are excluded, all of them become candidates again, because rejecting every request
+   would be worse.
 
 =============  ===============  ==================  =======  =======  ================  ============
 state          attempt started  probe inconclusive  success  failure  ejection expired  peer ejected
@@ -25,9 +26,9 @@
 Inputs: health events of a backend and the time in seconds. Output: ``Backend.health`` and the pool's
 candidates.
 
-Why: attempts at a dead backend cost their clients the attempt's time-out, and a backend that fails quickly
-holds nothing, so that it would draw most new connections. Which events say that a backend is at fault is
-stated in ``failure_attribution``.
+Why: an attempt at a dead backend costs its client the attempt's time-out. A backend that fails quickly holds
+no connections, so it would be chosen for most new ones. The module ``failure_attribution`` decides which
+events are a backend's fault.
 """
 
 from __future__ import annotations
@@ -41,24 +42,24 @@
 from saltcourse.shared_state.state import SharedState
 
 EJECTION_BACKOFF_INITIAL_SECONDS = 0.5
-EJECTION_BACKOFF_MAX_SECONDS = 8.0  # about what the endpoint list needs to notice a dead backend
-ZONE_FAILURES_TO_EJECT = 4  # ejections in one zone without an answer from it in between
-ZONE_EJECTION_SECONDS = 2.0  # times 0.5 to 1.5 at random
+EJECTION_BACKOFF_MAX_SECONDS = 8.0  # About the time until the endpoint list reflects a dead backend.
+ZONE_FAILURES_TO_EJECT = 4  # Ejections in a zone without a successful response from it.
+ZONE_EJECTION_SECONDS = 2.0  # Multiplied by a random factor from 0.5 to 1.5.
 
 
 class HealthEvent(Enum):
-    """What can happen to a backend's health."""
+    """An event that affects a backend's health state."""
 
     ATTEMPT_STARTED = 1
-    PROBE_INCONCLUSIVE = 2  # the probe has ended and shows nothing
-    SUCCESS = 3  # it accepted a connection, or was alive to reject one
-    FAILURE = 4  # it is at fault
+    PROBE_INCONCLUSIVE = 2  # The probe has ended without showing whether the backend is healthy.
+    SUCCESS = 3  # The backend accepted a connection, or rejected one and so showed that it is alive.
+    FAILURE = 4  # An attempt or health check failed by the backend's fault.
     EJECTION_EXPIRED = 5
-    PEER_EJECTED = 6  # another proxy has ejected it
+    PEER_EJECTED = 6  # Another proxy has ejected the backend.
 
 
 TRANSITIONS: dict[HealthEvent, tuple[HealthState, HealthState, HealthState, HealthState]] = {
-    # The states after each event; before it: HEALTHY, EJECTED, ELIGIBLE, PROBING.
+    # The next state for each event; the columns are the states HEALTHY, EJECTED, ELIGIBLE and PROBING.
     HealthEvent.ATTEMPT_STARTED: (
         HealthState.HEALTHY,
         HealthState.EJECTED,
@@ -86,22 +87,22 @@
         HealthState.PROBING,
     ),
 }
-AVOIDED_STATES = (HealthState.EJECTED, HealthState.PROBING)  # states in which no attempt is started
+AVOIDED_STATES = (HealthState.EJECTED, HealthState.PROBING)  # No attempt is started in these states.
 
 
 class ZoneEjection:
-    """Many failures in a row in a zone are a network cut, not deaths: a remote zone is ejected as a whole."""
+    """Ejects a whole remote zone after consecutive failures, which indicate a network partition."""
 
     __slots__ = ("_ejected_until", "_failures", "_local_zone", "_random")
 
     def __init__(self, local_zone: str, random_source: random.Random) -> None:
         self._local_zone = local_zone
         self._random = random_source
-        self._failures: dict[str, int] = {}  # ejections of each zone since its last answer
-        self._ejected_until: dict[str, float] = {}  # s
+        self._failures: dict[str, int] = {}  # zone -> ejections since its last successful response
+        self._ejected_until: dict[str, float] = {}  # zone -> end of its ejection (s)
 
     def record_failure(self, now: float, zone: str) -> bool:
-        """Count an ejection in the zone; returns whether the zone is ejected with it."""
+        """Count an ejection in the zone, and return whether this ejects the whole zone."""
         self._failures[zone] = self._failures.get(zone, 0) + 1
         if self._failures[zone] < ZONE_FAILURES_TO_EJECT or zone == self._local_zone:
             return False
@@ -109,17 +110,17 @@
         return True
 
     def record_success(self, zone: str) -> None:
-        """Record that the zone can be reached."""
+        """Record that the zone is reachable, and end its ejection."""
         self._failures.pop(zone, None)
         self._ejected_until.pop(zone, None)
 
     def ejected_zones(self, now: float) -> set[str]:
-        """The zones that are ejected now."""
+        """Return the zones that are ejected now."""
         return {zone for zone, until in self._ejected_until.items() if until > now}
 
 
 class OutlierEjection:
-    """The health of all backends, and the candidates that follow from it."""
+    """Tracks the health of all backends, and keeps the candidates for new attempts."""
 
     __slots__ = ("_pool", "_random", "_shared_state", "_zones")
 
@@ -132,7 +133,10 @@
         self._zones = ZoneEjection(local_zone, random_source)
 
     def apply(self, now: float, backend: Backend, event: HealthEvent, request: Request | None = None) -> None:
-        """Change a backend's state by an event; ``request``: the one whose attempt has been started."""
+        """Change a backend's health state by an event.
+
+        ``request`` is given with ``ATTEMPT_STARTED`` only; it becomes the probe of an eligible backend.
+        """
         health = backend.health
         before = health.state
         health.state = TRANSITIONS[event][before]
@@ -144,7 +148,7 @@
             health.consecutive_ejections = 0
             health.ejected_until = 0.0
         elif health.state is HealthState.EJECTED and before is not HealthState.EJECTED:
-            # Failures of attempts from before the ejection do not lengthen it.
+            # Further failures of attempts that were started before the ejection do not prolong it.
             self._eject(now, backend)
         if health.state in AVOIDED_STATES:
             self._pool.exclude(backend)
@@ -161,11 +165,11 @@
             self._pool.exclude_zone(backend.zone)
 
     def zone_responded(self, zone: str) -> None:
-        """Record that a backend of the zone has answered: the zone is not cut off."""
+        """Record a response from a backend of the zone, which shows that the zone is reachable."""
         self._zones.record_success(zone)
 
     def refresh_candidates(self, now: float) -> None:
-        """End ejections whose time is over, and choose the candidates anew."""
+        """End the ejections that have expired, and recompute the candidates."""
         listed = self._pool.listed()
         for backend in listed:
             health = backend.health
--- a/saltcourse/balancing/selection.py
+++ b/saltcourse/balancing/selection.py
@@ -1,16 +1,18 @@
-"""Selection: a new attempt goes to a backend with a chance in proportion to its free slots.
+"""Selection: draws the backend of a new attempt with a probability proportional to its free slots.
 
-The rule, from "Insensitive Load Balancing" (Bonald, Jonckheere, Proutière 2004): with the ceiling and the
-occupancy of each candidate, one is drawn in proportion to its free slots (ceiling minus occupancy; in other
-zones they count as a twentieth). When no candidate has a free slot, one that has not recently rejected may
-overflow by one slot; when none may, the request is not placed. A backend that the request has tried, that
-may not repeat it, or that warms up and is not due yet is never drawn. Groups are placed by
-``group_affinity`` first.
+The rule follows "Insensitive Load Balancing" (Bonald, Jonckheere, Proutière 2004):
+
+- The free slots of a candidate are its ceiling minus its occupancy. In another zone each counts as 1/20.
+- If no candidate has a free slot, a backend that has not recently rejected may overflow by one slot. If no
+  backend may overflow, the request is not placed.
+- Three kinds of backend are never drawn: one that the request has already tried, one where a retry could run
+  the request twice, and one in slow start whose next attempt is not yet allowed.
+- Requests with a group are first offered to ``group_affinity``.
 
 Inputs: ceilings and occupancies in slots, the request. Output: one backend or None.
 
-Why: proxies that do not talk to each other and send to the emptiest backend all send to the same one; in
-proportion they fill all backends alike, and a backend's own rejections and latency set its ceiling.
+Why: independent proxies that each pick the least loaded backend all pick the same one. A draw in proportion
+to free slots fills all backends evenly, and each backend's rejections and latency set its ceiling.
 """
 
 from __future__ import annotations
@@ -25,15 +27,15 @@
 from saltcourse.balancing.slot_ceilings import SlotCeilings, may_overflow
 from saltcourse.balancing.state import Backend, Request
 
-MAX_DRAWS = 60  # before the exact scan
-SCAN_INTERVAL_SECONDS = 0.1  # so that a full fleet is not scanned for every request
+MAX_DRAWS = 60  # Rejection-sampling draws before all candidates are scanned.
+SCAN_INTERVAL_SECONDS = 0.1  # Prevents a scan for every request while all backends are full.
 OVERFLOW_SLOTS = 1.0
-REMOTE_ZONE_FACTOR = 0.05  # what a free slot in another zone counts beside one in the proxy's own
+REMOTE_ZONE_FACTOR = 0.05  # Weight of a free slot in another zone, relative to one in the local zone.
 NEVER_SCANNED = -1.0
 
 
 class Selection:
-    """Draws the backend of an attempt."""
+    """Draws the backends of attempts."""
 
     __slots__ = ("_affinity", "_ceilings", "_pool", "_random", "_scanned_at", "_uses_load_reports")
 
@@ -50,14 +52,14 @@
         self._ceilings = ceilings
         self._affinity = affinity
         self._random = random_source
-        self._scanned_at = NEVER_SCANNED  # s; when all candidates were scanned for free slots
+        self._scanned_at = NEVER_SCANNED  # Time (s) of the last scan of all candidates for free slots.
 
     def candidates_changed(self) -> None:
-        """Forget the last scan: candidates and ceilings were worked out anew."""
+        """Invalidate the last scan, because candidates and ceilings have been recomputed."""
         self._scanned_at = NEVER_SCANNED
 
     def choose(self, now: float, request: Request) -> Backend | None:
-        """The backend of the request's next attempt, or None where there is none for it."""
+        """Return the backend for the request's next attempt, or None if no backend can accept it."""
         if request.group:
             allowed = [b for b in self._pool.candidates if self.is_allowed(now, request, b)]
             backend = self._affinity.choose(request.group, allowed)
@@ -71,16 +73,20 @@
         return self._scan(now, request)
 
     def is_allowed(self, now: float, request: Request, backend: Backend) -> bool:
-        """Whether an attempt of the request may go there now, whatever its free slots."""
+        """Return whether the request may be sent to the backend now, without regard to free slots."""
         return (
             backend.next_attempt_at <= now
-            and backend.state is BackendState.READY  # it may have begun to drain while a check was in flight
+            and backend.state is BackendState.READY  # Draining may have begun during a health check.
             and backend not in request.tried_backends
             and (request.may_have_run_on is None or is_safe_to_retry_on(now, request, backend))
         )
 
     def _draw(self, now: float, request: Request, overflow: float) -> Backend | None:
-        """Draw uniformly and accept with free slots over the largest: exactly in proportion to free slots."""
+        """Draw a backend in proportion to free slots by rejection sampling; return None if no draw succeeds.
+
+        A backend is drawn uniformly and accepted with the probability of its free slots over the upper bound
+        of free slots.
+        """
         candidates = self._pool.candidates
         largest = self._ceilings.largest_free_slots + overflow
         if largest <= 0 or not candidates:
@@ -98,7 +104,7 @@
         return None
 
     def _scan(self, now: float, request: Request) -> Backend | None:
-        """Look at every candidate: the draws found none, but they may have missed one."""
+        """Select among all candidates, because the random draws may have missed one with free slots."""
         self._scanned_at = now
         allowed = [b for b in self._pool.candidates if self.is_allowed(now, request, b)]
         backend = self._choose_weighted(allowed, 0.0)
--- a/saltcourse/balancing/slot_ceilings.py
+++ b/saltcourse/balancing/slot_ceilings.py
@@ -1,20 +1,21 @@
-"""Slot ceilings: how many slots this proxy may fill on each backend.
+"""Slot ceilings: limits how many slots this proxy may fill on each backend.
 
 The rules, for each backend:
 
-- Where loads are reported, the ceiling is the occupancy plus the part of its full load that is left up to
-  the target load.
-- Else it is the common ceiling (the mean occupancy of its zone's side, local or remote, plus a few slots;
-  forgotten slowly) in proportion to the backend's capacity.
-- A backend that rejects, drops or is slow is cut: what it holds is taken as the most that it bears (the
-  learned limit). It gets nothing for a while, longer each time if it rejects or drops. The limit recovers a
-  little with each tick, and by one slot when the backend accepts a connection into its last free slot.
+- If backends report their load, the ceiling is the occupancy plus the slots that remain until the target
+  load.
+- Otherwise the ceiling is the common ceiling, scaled by the backend's capacity. The common ceiling is the
+  mean occupancy of the local backends, or of the remote ones, plus a few slots; it decays slowly.
+- If a backend rejects, drops connections or is slow, its ceiling is cut: its learned limit is set near its
+  present occupancy, and it gets no new connections for some time. For rejections and drops that time grows
+  with exponential backoff. The limit recovers a little with each tick, and by one slot when the backend
+  accepts a connection into its last free slot.
 
 Inputs: occupancies and limits in slots, reported loads as load over capacity, times in seconds. Output:
 ``Backend.ceiling`` in slots, and the largest number of free slots of any backend.
 
-Why: the weights of the list and the connection counts of this proxy alone do not say what a backend bears
-when other proxies send to it too. Its own rejections, its latency and its reports do.
+Why: endpoint weights and this proxy's connection counts do not show how much a backend can handle while
+other proxies send to it as well. Its rejections, latency and load reports do.
 """
 
 from __future__ import annotations
@@ -27,26 +28,30 @@
 from saltcourse.balancing.state import Backend, CeilingRecord
 from saltcourse.shared_state.state import SharedState
 
-TICK_SECONDS = 1.0  # between refreshes of small fleets; short against a connection's life
-HEADROOM_SLOTS = 2.0  # of the common ceiling above the mean occupancy, for a backend of mean capacity
-EXPECTED_HEADROOM_SLOTS = 0.5  # above the mean occupancy, that slow start counts on
-# In which the common ceiling is forgotten, at one refresh a second: slower with more than 150 candidates,
-# which are refreshed less often, and faster while the list changes. Clients return within a connection's
-# life.
+TICK_SECONDS = 1.0  # Interval between refreshes of a small fleet; short compared to a connection's life.
+HEADROOM_SLOTS = 2.0  # Common ceiling minus mean occupancy, for a backend of mean capacity.
+EXPECTED_HEADROOM_SLOTS = 0.5  # The same for the occupancy that slow start expects.
+# Decay time of the common ceiling, long enough for clients to return within a connection's life. It holds for
+# one refresh a second: the decay is slower with more than 150 candidates, which are refreshed less often, and
+# faster while the endpoint list changes.
 COMMON_CEILING_MEMORY_SECONDS = 60.0
-CUT_FACTOR = 0.9  # of its occupancy, to which a rejecting or dropping backend's limit is cut
-MIN_LIMIT_FACTOR = 0.5  # of the common ceiling, which a cut leaves: a backend that holds little shows little
+CUT_FACTOR = 0.9  # Learned limit over occupancy, after a rejection or drop.
+MIN_LIMIT_FACTOR = 0.5  # Minimum limit over common ceiling: a low occupancy says little about capacity.
 MIN_LIMIT_SLOTS = 0.5
-CUT_INTERVAL_SECONDS = 1.0  # between cuts: one overload drops many connections at once, and is one cut
-REJECTION_BACKOFF_INITIAL_SECONDS = 2.0  # without new connections after a rejection; doubles
+CUT_INTERVAL_SECONDS = 1.0  # One overload drops many connections at once and must cut the limit only once.
+REJECTION_BACKOFF_INITIAL_SECONDS = 2.0  # Time without new connections after the first rejection; doubles.
 REJECTION_BACKOFF_MAX_SECONDS = 8.0
-CUT_WITH_REPORTS_SECONDS = 1.0  # the same where loads are reported: the next report says how full it is
-LIMIT_RECOVERY_FACTOR = 0.05  # of the common ceiling, which the limit regains with each tick
-MIN_EXPECTED_SLOTS = 0.25  # for slow start, where hardly anything is learned
+CUT_WITH_REPORTS_SECONDS = 1.0  # Replaces the backoff if loads are reported: the next report shows the load.
+LIMIT_RECOVERY_FACTOR = 0.05  # Recovery of the learned limit per tick, over the common ceiling.
+MIN_EXPECTED_SLOTS = 0.25  # Lower bound for slow start while little has been learned.
 
 
 def may_overflow(now: float, backend: Backend) -> bool:
-    """Whether a full backend may get one more: it has not recently rejected, nor reports a full load."""
+    """Return whether a full backend may get one more connection.
+
+    It may unless it has recently rejected or dropped connections, or its fresh load report is at or above the
+    target load.
+    """
     if backend.ceiling_record.no_overflow_until > now:
         return False
     report = backend.report
@@ -54,7 +59,7 @@
 
 
 class SlotCeilings:
-    """The ceilings of all backends, and what they are worked out from."""
+    """Computes and cuts the slot ceilings of all backends."""
 
     __slots__ = (
         "_capacity",
@@ -74,25 +79,28 @@
         self._capacity = capacity
         self._shared_state = shared_state
         self._uses_load_reports = settings.uses_load_reports
-        # What this proxy's tenants may hold fits on the local backends, before anything is learned.
+        # This proxy's part of all tenant quotas: the initial ceilings let the local backends hold it.
         self._initial_slots = (
             sum(tenant.connection_quota for tenant in settings.tenants) / settings.proxy_count
         )
-        self.local_ceiling = 0.0  # the common ceiling of the proxy's own zone (slots)
-        self.remote_ceiling = 0.0  # that of other zones: this proxy sends there less
-        self.largest_free_slots = 0.0  # an upper bound for any candidate, weighted by its zone factor
+        self.local_ceiling = 0.0  # Common ceiling (slots) of the backends in the local zone.
+        self.remote_ceiling = 0.0  # Common ceiling (slots) of remote backends, which get fewer connections.
+        self.largest_free_slots = 0.0  # Upper bound for all candidates, weighted by their zone factors.
 
     def common_ceiling(self, backend: Backend) -> float:
-        """Slots of a backend of mean capacity of which nothing is learned."""
+        """Return the ceiling (slots) of a backend of mean capacity without a learned limit."""
         return self.local_ceiling if backend.is_local else self.remote_ceiling
 
     def expected_slots(self, backend: Backend) -> float:
-        """Slots that this proxy usually fills on such a backend once it is warm."""
+        """Return the slots that this proxy is expected to fill on the backend after its warm-up."""
         mean_slots = self.common_ceiling(backend) - HEADROOM_SLOTS + EXPECTED_HEADROOM_SLOTS
         return max(MIN_EXPECTED_SLOTS, backend.relative_capacity * mean_slots)
 
     def refresh(self, now: float, candidates: list[Backend]) -> None:
-        """Work out capacities, common ceilings and every candidate's ceiling; once a tick and list update."""
+        """Recompute capacities, common ceilings and the ceilings of all candidates.
+
+        Called on each tick and after each change of the endpoint list.
+        """
         self.largest_free_slots = 0.0
         if not candidates:
             return
@@ -133,11 +141,12 @@
             record.learned_limit += recovery
 
     def update(self, now: float, backend: Backend) -> None:
-        """Work out one backend's ceiling."""
+        """Recompute the ceiling of one backend."""
         record = backend.ceiling_record
         ceiling = self._unlimited_ceiling(now, backend)
         if record.learned_limit > 0:
-            # Set-up work can overload a backend whose reported load is low: so its limit counts there too.
+            # The limit applies with load reports too: connection set-up can overload a backend that reports
+            # a low load.
             is_cut = record.cut_until > now
             ceiling = min(ceiling, backend.occupancy if is_cut else record.learned_limit)
         backend.ceiling = 0.0 if record.no_overflow_until > now else ceiling
@@ -146,7 +155,8 @@
     def _unlimited_ceiling(self, now: float, backend: Backend) -> float:
         report = backend.report
         if report.load < 0:
-            # Without a learned limit nothing says that it is full: what it holds is no reason to reject.
+            # Without a learned limit there is no sign that the backend is full, so the connections that it
+            # already holds must not make it appear full.
             held = 0.0 if backend.ceiling_record.learned_limit > 0 else backend.occupancy
             return max(self.common_ceiling(backend) * backend.current_capacity, held)
         is_fresh = report.received_at > now - MAX_REPORT_AGE_SECONDS
@@ -156,10 +166,11 @@
         return backend.occupancy + backend.slots_at_full_load * max(0.0, TARGET_LOAD - load)
 
     def cut(self, now: float, backend: Backend, blocks_overflow: bool) -> None:
-        """Cut a backend's ceiling.
+        """Cut the backend's ceiling for some time.
 
-        ``blocks_overflow``: it rejected, dropped connections or missed the message objective, and gets
-        nothing until the backoff ends; else it is only slow and may still overflow by one slot.
+        With ``blocks_overflow`` (the backend rejected, dropped connections or missed the message latency
+        objective) it gets no new connection until the cut ends. Otherwise it is only slow and may still
+        overflow by one slot.
         """
         record = backend.ceiling_record
         if now >= record.cut_at + CUT_INTERVAL_SECONDS:
@@ -170,7 +181,7 @@
         backend.ceiling = 0.0 if blocks_overflow else min(backend.ceiling, backend.occupancy)
 
     def _cut_duration(self, record: CeilingRecord) -> float:
-        """Seconds for which a cut holds."""
+        """Return the duration of a cut in seconds."""
         if self._uses_load_reports:
             return CUT_WITH_REPORTS_SECONDS
         doublings = max(0, record.consecutive_rejections - 1)
@@ -188,16 +199,16 @@
             record.consecutive_rejections += 1
 
     def end_cut(self, now: float, backend: Backend) -> None:
-        """End the cut of a backend that is not slow any more, unless it may not overflow."""
+        """End the cut of a backend whose latency is back to normal, unless its overflow is blocked."""
         if backend.ceiling_record.no_overflow_until <= now:
             backend.ceiling_record.cut_until = now
 
     def limit_to_reported_capacity(self, backend: Backend, load: float) -> None:
-        """Limit a backend that reports ``load`` (over 1) to what makes the target load."""
+        """Limit a backend that reports a ``load`` over 1 to the occupancy that gives the target load."""
         backend.ceiling_record.learned_limit = backend.occupancy * TARGET_LOAD / load
 
     def connection_accepted(self, now: float, backend: Backend) -> None:
-        """Record that the backend accepted a connection: into its last free slot, this adds one."""
+        """Record that the backend accepted a connection, and add a slot if it filled the last free one."""
         record = backend.ceiling_record
         if may_overflow(now, backend):
             record.consecutive_rejections = 0
@@ -212,12 +223,12 @@
         self.raise_largest_free_slots(backend)
 
     def raise_largest_free_slots(self, backend: Backend) -> None:
-        """Keep the upper bound: the backend may have more free slots than before."""
+        """Raise the upper bound if the backend has more free slots than it allows."""
         free_slots = (backend.ceiling - backend.occupancy) * backend.zone_factor
         self.largest_free_slots = max(self.largest_free_slots, free_slots)
 
     def recompute_largest_free_slots(self, candidates: list[Backend]) -> None:
-        """Replace the upper bound by the true value; costs a look at each candidate."""
+        """Set the upper bound to the exact maximum, in time linear in the number of candidates."""
         self.largest_free_slots = max(
             [(b.ceiling - b.occupancy) * b.zone_factor for b in candidates], default=0.0
         )
--- a/saltcourse/balancing/slow_start.py
+++ b/saltcourse/balancing/slow_start.py
@@ -1,14 +1,16 @@
-"""Slow start: a backend that has just started gets its connections evenly over its warm-up.
+"""Slow start: spreads the first connections of a started backend evenly over its warm-up.
 
 The rule: a backend that started ``age`` seconds ago has the share ``initial + (1 - initial) * age /
-warm_up`` of its capacity, at most all of it. While that is below 1, this proxy starts attempts there no
-closer together than an interval, chosen so that all proxies together fill the backend over its warm-up.
+warm_up`` of its capacity, and at most 1. While the share is below 1, this proxy keeps a minimum interval
+between its attempts at the backend. The interval is chosen so that all proxies together fill the backend
+over its warm-up.
 
 Inputs: the backend's start time from the endpoint list, the settings ``warm_up`` (s) and
-``initial_capacity_share``, the slots that this proxy usually fills on such a backend, and this proxy's
+``initial_capacity_share``, the slots that this proxy is expected to fill on the backend, and this proxy's
 share of the fleet. Output: a capacity share from 0 to 1, and the earliest time of the next attempt (s).
 
-Why: a new backend is empty, so that every proxy would send to it at once, before its caches are filled.
+Why: a new backend is empty, so without a limit all proxies would send to it at once, before its caches are
+filled.
 """
 
 from __future__ import annotations
@@ -19,7 +21,7 @@
 
 
 class SlowStart:
-    """The warm-up of backends, as this proxy paces it."""
+    """Limits this proxy's attempts at backends that are warming up."""
 
     __slots__ = ("_initial_share", "_shared_state", "_warm_up")
 
@@ -29,31 +31,31 @@
         self._shared_state = shared_state
 
     def capacity_share(self, now: float, backend: Backend) -> float:
-        """The share of its capacity that a backend surely has by now."""
+        """Return the share of its full capacity that the backend has now."""
         if backend.started <= 0 or self._warm_up <= 0:
             return 1.0
         age = max(0.0, now - backend.started)
         return min(1.0, self._initial_share + (1 - self._initial_share) * age / self._warm_up)
 
     def is_warming_up(self, now: float, backend: Backend) -> bool:
-        """Whether the backend has less than its full capacity yet."""
+        """Return whether the backend has not reached its full capacity yet."""
         return self.capacity_share(now, backend) < 1.0
 
     def attempt_interval(self, now: float, expected_slots: float) -> float:
-        """Seconds between this proxy's attempts of one slot each at a backend that warms up.
+        """Return the interval (s) between this proxy's attempts of one slot each at a warming backend.
 
-        ``expected_slots``: what this proxy usually fills on such a backend.
+        ``expected_slots`` is the number of slots that this proxy fills on the backend after its warm-up.
         """
         slots = expected_slots * self._shared_state.relative_share(now)
         return self._warm_up / slots
 
     def delay_first_attempt(self, now: float, backend: Backend, expected_slots: float, draw: float) -> None:
-        """Set the earliest first attempt at a backend that is new here; ``draw`` is uniform in [0, 1).
+        """Set the earliest time of the first attempt at a backend; ``draw`` is uniform in [0, 1).
 
-        All proxies learn of a started backend at once: each sends its first attempt at its own moment.
+        The random delay spreads the first attempts of all proxies, which learn of a new backend at once.
         """
         backend.next_attempt_at = now + draw * self.attempt_interval(now, expected_slots)
 
     def delay_next_attempt(self, now: float, backend: Backend, expected_slots: float, slots: float) -> None:
-        """Set the earliest next attempt after one of ``load`` slots."""
+        """Set the earliest time of the next attempt, after one that takes ``slots`` slots."""
         backend.next_attempt_at = now + slots * self.attempt_interval(now, expected_slots)
