--- a/saltcourse/balancing/events.py
+++ b/saltcourse/balancing/events.py
@@ -1,7 +1,7 @@
-"""Events that a host hands to the balancer, and the types they carry.
+"""Events that a host sends to the balancer, and the types of their fields.
 
-The host (the proxy, the simulator's adapter or a test) turns what it sees into events and hands each one to
-``Balancer.handle`` with the current time. Times are seconds, loads seconds of backend work per second.
+The host (the proxy, the simulator's adapter or a test) passes each event to ``Balancer.handle`` together with
+the current time. Times are in seconds. Loads of connections are in seconds of backend work per second.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class BackendState(Enum):
-    """What the endpoint list says of a backend."""
+    """The state of a backend in the endpoint list."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -19,16 +19,16 @@
 
 
 class EndpointUpdateKind(Enum):
-    """What an update of the endpoint list brings."""
+    """The kind of an update of the endpoint list."""
 
-    DELTA = "delta"  # changed entries only
-    SNAPSHOT = "snapshot"  # the complete list
-    CACHED = "cached"  # a complete list from before this start, which may be stale
-    UNAVAILABLE = "unavailable"  # nothing: discovery could not be reached
+    DELTA = "delta"  # The update contains changed entries only.
+    SNAPSHOT = "snapshot"  # The update contains the complete list.
+    CACHED = "cached"  # The update contains a complete list saved before this start, which may be stale.
+    UNAVAILABLE = "unavailable"  # Discovery could not be reached; the update has no entries.
 
 
 class AttemptStatus(Enum):
-    """How an attempt or a health check ended."""
+    """The outcome of an attempt or a health check."""
 
     OK = "ok"
     ERROR = "error"
@@ -41,15 +41,15 @@
 
 
 NEVER_RAN = frozenset({AttemptStatus.FULL, AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_SENT})
-"""Endings that prove that the request never ran."""
+"""Statuses that prove that the request was not run by the backend."""
 
 
 @dataclass(slots=True)
 class Endpoint:
     """One entry of the endpoint list.
 
-    ``kind`` is the machine type, ``cell`` a group of backends within a zone; ``started`` is 0 when it
-    started a long time back, else the time of its start (s).
+    ``kind`` is the machine type, and ``cell`` a group of backends within a zone. ``started`` is the time (s)
+    at which the backend's process started, or 0 if it started long before.
     """
 
     backend: str
@@ -63,7 +63,7 @@
 
 @dataclass(slots=True)
 class EndpointsUpdated:
-    """The endpoint list has changed, or could not be had."""
+    """The endpoint list was received or has changed, or discovery could not be reached."""
 
     kind: EndpointUpdateKind
     endpoints: tuple[Endpoint, ...] = ()
@@ -71,11 +71,11 @@
 
 @dataclass(slots=True)
 class RequestReceived:
-    """A client asks for a connection.
+    """A client requests a connection.
 
-    ``time_left``: s until the client gives up. ``load_hint``: the usual load of such a connection, 0 if not
-    known. ``flow``: the client's key, the same with each of its retries. ``group``: connections that share
-    work at a backend.
+    ``time_left`` is the time (s) until the client gives up. ``load_hint`` is the typical load of such a
+    connection, or 0 if unknown. ``flow`` identifies the client and is the same for all its retries. ``group``
+    names the connections that share work at a backend.
     """
 
     request: str
@@ -88,7 +88,7 @@
 
 @dataclass(slots=True)
 class ConnectionResumed:
-    """A connection from before this proxy's start; its attempt 0 is established at ``backend``."""
+    """A connection that was established at ``backend`` before this proxy started; it has attempt number 0."""
 
     request: str
     request_class: str
@@ -99,9 +99,9 @@
 
 @dataclass(slots=True)
 class ConnectionEstablished:
-    """The attempt's connection is up: it has no deadline any more and ends with ``AttemptFinished``.
+    """The attempt's connection is established; it has no deadline from now on.
 
-    ``latency``: s from the attempt's start.
+    The connection ends with ``AttemptFinished``. ``latency`` is the time (s) since the attempt's start.
     """
 
     request: str
@@ -111,9 +111,9 @@
 
 @dataclass(slots=True)
 class LoadReport:
-    """What a backend reports of itself; None where it reports nothing.
+    """A backend's report on itself; a field is None if it is not reported.
 
-    ``load`` is load over capacity; no rule reads the other fields.
+    ``load`` is load over capacity. The other fields are not used by any rule.
     """
 
     inflight: float | None = None
@@ -125,7 +125,7 @@
 
 @dataclass(slots=True)
 class AttemptFinished:
-    """How an attempt ended; ``final`` when the request ended with it or before."""
+    """An attempt, or its connection, has ended; ``final`` is True if the request has ended as well."""
 
     request: str
     attempt: int
@@ -137,14 +137,14 @@
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client has ended or reset its connection, or its time is up: nobody waits for an answer."""
+    """The client has closed or reset its connection, or has given up: no answer is needed."""
 
     request: str
 
 
 @dataclass(slots=True)
 class ConnectionLoadChanged:
-    """The load of an established connection is another now."""
+    """The load of an established connection has changed."""
 
     request: str
     load: float
@@ -152,7 +152,7 @@
 
 @dataclass(slots=True)
 class ResponseLatencyMeasured:
-    """What a message on this connection takes at its backend now (s)."""
+    """The latency (s) of messages on this connection at its backend was measured."""
 
     request: str
     latency: float
@@ -160,14 +160,14 @@
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer that ``SetTimer`` has set has expired."""
+    """A timer set by ``SetTimer`` has expired."""
 
     token: int
 
 
 @dataclass(slots=True)
 class HealthCheckFinished:
-    """How a health check ended; no rule reads its ``latency``."""
+    """A health check has ended; its ``latency`` is not used by any rule."""
 
     backend: str
     status: AttemptStatus
@@ -177,7 +177,7 @@
 
 @dataclass(slots=True)
 class PeerMessageReceived:
-    """Another proxy of the tier has sent a message; ``sender`` is its index."""
+    """Another proxy of the fleet has sent a message; ``sender`` is its index."""
 
     sender: int
     data: str
--- a/saltcourse/balancing/migration.py
+++ b/saltcourse/balancing/migration.py
@@ -1,4 +1,4 @@
-"""Migration: established connections are ended in good order, and their clients come back as new requests."""
+"""Migration: closes established connections gracefully, so that their clients reconnect with new requests."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Migration:
-    """Asks the host to migrate connections, each once: it leaves its backend's ``connections``."""
+    """Emits the migration of connections, and removes each from its backend so that it migrates only once."""
 
     __slots__ = ("_actions", "_random")
 
@@ -19,7 +19,7 @@
         self._random = random_source
 
     def migrate(self, connections: Iterable[Request]) -> None:
-        """Migrate these connections."""
+        """Migrate the given connections."""
         for connection in connections:
             if connection.backend is not None:
                 connection.backend.connections.pop(connection.id, None)
@@ -30,10 +30,10 @@
         self.migrate(list(backend.connections.values()))
 
     def migrate_share(self, connections: list[Request], share: float) -> None:
-        """Migrate a random ``share`` (0 to 1) of these connections."""
+        """Migrate a random ``share`` (0 to 1) of the given connections."""
         count = self.sample_size(len(connections), share)
         self.migrate(self._random.sample(connections, min(count, len(connections))))
 
     def sample_size(self, total: int, share: float) -> int:
-        """So many of ``total`` as make up the share: rounded at random, so that small shares count too."""
+        """Return ``share`` times ``total``, rounded up or down at random so that the mean is exact."""
         return int(share * total + self._random.random())
--- a/saltcourse/balancing/occupancy.py
+++ b/saltcourse/balancing/occupancy.py
@@ -1,12 +1,12 @@
-"""Occupancy: the load that this proxy puts on each backend, counted in slots.
+"""Occupancy: counts in slots the load that this proxy puts on each backend.
 
-The rule: each attempt in flight and each connection counts with its load; a load of one slot is the mean of
-all loads that were reported. Each group with at least one of them at a backend adds ``GROUP_SLOTS`` to it.
+The rule: each attempt in flight and each connection counts with its load. One slot is the mean of the loads
+that were reported. Each group with at least one attempt or connection at a backend adds ``GROUP_SLOTS``.
 
-Inputs: loads in seconds of work per second, 0 where none is known. Output: ``Backend.occupancy`` in slots.
+Inputs: loads in seconds of work per second, 0 if unknown. Output: ``Backend.occupancy`` in slots.
 
-Why: the slot makes ceilings comparable whatever the deployment's loads are. The cost of a group is the work
-that a backend does once for all of its connections.
+Why: slots make ceilings independent of the absolute loads of a deployment. The slots of a group stand for
+work that a backend does once for all connections of the group.
 """
 
 from __future__ import annotations
@@ -15,32 +15,32 @@
 from saltcourse.balancing.state import Backend, Request
 from saltcourse.shared_state.state import SharedState
 
-GROUP_SLOTS = 3.0  # that a group costs at each backend that holds any of it
-MAX_LOADS_IN_MEAN = 100  # loads over which the load of one slot is a mean
+GROUP_SLOTS = 3.0  # Cost of a group at each backend that serves any of its connections.
+MAX_LOADS_IN_MEAN = 100  # After this number of loads, the mean becomes an exponential moving average.
 
 
 class Occupancy:
-    """Counts what is in flight and established at each backend."""
+    """Counts the attempts and connections of each backend, and their slots."""
 
     __slots__ = ("_ceilings", "_loads_in_mean", "_mean_load", "_shared_state")
 
     def __init__(self, ceilings: SlotCeilings, shared_state: SharedState) -> None:
         self._ceilings = ceilings
         self._shared_state = shared_state
-        self._mean_load = 0.0  # load of one slot; 0 until a load was reported
+        self._mean_load = 0.0  # Load of one slot (seconds of work per second); 0 until a load was reported.
         self._loads_in_mean = 0
 
     def slots_of(self, load: float) -> float:
-        """Convert a load to slots; it also counts towards the mean load."""
+        """Include a load in the mean load, and return it in slots; 1 if the load is unknown."""
         if load <= 0:
             return 1.0
-        # A plain mean at first: one odd connection must not set the measure for long.
+        # The first loads form an arithmetic mean, so that one atypical load does not distort it for long.
         self._loads_in_mean += 1
         self._mean_load += (load - self._mean_load) / min(self._loads_in_mean, MAX_LOADS_IN_MEAN)
         return load / self._mean_load
 
     def add(self, backend: Backend, request: Request) -> None:
-        """Count an attempt that starts there."""
+        """Add an attempt that starts at the backend."""
         backend.occupancy += request.slots
         backend.count += 1
         group = request.group
@@ -52,10 +52,10 @@
         backend.groups[group] = backend.groups.get(group, 0) + 1
 
     def remove(self, backend: Backend, request: Request) -> None:
-        """Stop counting an attempt, or its connection, that has ended."""
+        """Remove an attempt, or its connection, that has ended."""
         if request.group:
             self._remove_from_group(backend, request.group)
-        # The last one leaves exactly nothing, whatever rounding has left.
+        # Without any attempt or connection the occupancy is exactly 0; this drops rounding errors.
         backend.occupancy = max(0.0, backend.occupancy - request.slots) if backend.count > 1 else 0.0
         backend.count -= 1
         self._ceilings.raise_largest_free_slots(backend)
@@ -69,7 +69,7 @@
         backend.occupancy -= GROUP_SLOTS
 
     def change_load(self, backend: Backend, request: Request, load: float) -> None:
-        """Count a connection there with another load."""
+        """Change the load (seconds of work per second) of a connection at the backend."""
         before = request.slots
         request.slots = self.slots_of(load)
         backend.occupancy = max(0.0, backend.occupancy + request.slots - before)
--- a/saltcourse/balancing/placement.py
+++ b/saltcourse/balancing/placement.py
@@ -1,17 +1,17 @@
-"""Placement: the way of a request from its arrival, over its attempts, to its connection or final answer.
+"""Placement: leads each request from its arrival through its attempts to a connection or a final answer.
 
 The rules:
 
-1. A request is placed as it arrives, unless the proxy is overloaded. Where loads are reported, up to three
-   backends are drawn and health-checked first, one after another; a full one is not drawn again. The
-   placement waits a short time for each answer, and then goes by what is known.
-2. An attempt that fails is followed by another while ``retries`` allows it and the proxy is not overloaded.
-3. Whatever became of the attempt, the client is answered by its deadline.
+1. A request is placed on arrival, unless the proxy is overloaded. If loads are reported, up to three backends
+   are first drawn and health-checked, one after another; a backend found to be full is not drawn again. The
+   placement waits a short time for each check, and then continues with the loads known so far.
+2. A failed attempt is followed by another one if ``retries`` permits it and the proxy is not overloaded.
+3. The client gets its answer by its deadline, even if an attempt is still in flight.
 
 Inputs: requests, and the time in seconds. Output: ``StartAttempt``, ``StartHealthCheck``, timers and final
 answers.
 
-Why: the client waits until its deadline and no longer, and an answer that comes late is as bad as none.
+Why: the client gives up at its deadline, so a late answer is worthless.
 """
 
 from __future__ import annotations
@@ -27,14 +27,14 @@
 from saltcourse.balancing.state import Backend, Request
 from saltcourse.balancing.timers import RequestTimers
 
-MAX_LOAD_CHECKS = 3  # backends health-checked before a placement
-LOAD_CHECK_WAIT_SECONDS = 0.05  # for each answer, at most
-LOAD_CHECK_WAIT_DIVISOR = 5  # of the class's latency objective, which bounds the wait too
+MAX_LOAD_CHECKS = 3  # Maximum number of backends that are health-checked before a placement.
+LOAD_CHECK_WAIT_SECONDS = 0.05  # Maximum wait for each health check.
+LOAD_CHECK_WAIT_DIVISOR = 5  # The wait is also limited to the class's latency objective divided by this.
 
 
 @dataclass(slots=True, eq=False)
 class Placement:
-    """Decides on each request's next step; everything that it needs is given to it."""
+    """Decides the next step of each request."""
 
     settings: Settings
     timers: RequestTimers
@@ -46,7 +46,7 @@
     attempts: AttemptStarter
 
     def request_received(self, now: float, request: Request, time_left: float) -> None:
-        """Place a new request, or reject it under overload; its client gives up in ``time_left`` seconds."""
+        """Place a new request, or reject it under overload; the client gives up in ``time_left`` seconds."""
         self.retries.request_received()
         self.timers.start(request, time_left)
         if self.overload.is_overloaded:
@@ -55,7 +55,7 @@
             self._check_load_or_place(now, request)
 
     def retry(self, now: float, request: Request) -> None:
-        """Start another attempt after one has failed, or give the final answer."""
+        """Start another attempt after a failed one, or give the final answer."""
         backend = None
         if self.retries.may_retry(now, request) and not self.overload.is_overloaded:
             self.retries.spend()
@@ -63,7 +63,7 @@
         self._start_or_answer(now, request, backend)
 
     def health_check_finished(self, now: float, backend: Backend) -> None:
-        """Go on with the requests that waited for this backend's check."""
+        """Continue the placement of the requests that waited for this backend's health check."""
         waiting, backend.report.waiting_requests = backend.report.waiting_requests, []
         for request in waiting:
             if request.awaited_backend is backend and not request.is_answered:
@@ -71,7 +71,7 @@
                 self._check_load_or_place(now, request)
 
     def timer_fired(self, now: float, request: Request) -> None:
-        """Go on as a timer fires: the load check took too long, or the deadline has come."""
+        """Continue after a time-out of a health check, or give the final answer at the deadline."""
         if request.is_answered or request.is_established:
             return
         if request.awaited_backend is not None:
@@ -82,7 +82,7 @@
             self.answers.answer(request)
 
     def _check_load_or_place(self, now: float, request: Request) -> None:
-        """Health-check a drawn backend first where its report is too old, else place the request."""
+        """Health-check a drawn backend if its load report is too old, otherwise place the request."""
         backend = None
         if self.settings.uses_load_reports and request.load_checks < MAX_LOAD_CHECKS:
             backend = self.selection.choose(now, request)
--- a/saltcourse/balancing/rebalancing.py
+++ b/saltcourse/balancing/rebalancing.py
@@ -1,19 +1,20 @@
-"""Rebalancing: established connections are migrated, a few each tick, to where new ones would be placed.
+"""Rebalancing: migrates a few established connections on each tick to where new ones would be placed.
 
-The rules, both only where loads are not reported:
+Both rules apply only if loads are not reported:
 
-- Zone failback: while less than a tenth of the local backends have a cut ceiling, 5% of the connections in
-  other zones are migrated each second. Not where groups count: a connection of a group would lose its
-  others.
-- Group consolidation: the fullest backend gives up what it holds above the most that it would be sent, of
-  its largest group; else a group of at most two connections there, if another backend holds more of it and
-  less in all. While any listed backend is ejected or probed nothing is given up for fullness: the others
-  are fuller then, and what is migrated would come back.
+- Zone failback: 5% of the connections in other zones are migrated each second, while less than a tenth of the
+  local backends have a cut ceiling. The rule does not apply if the deployment has groups, because it would
+  separate connections of a group.
+- Group consolidation: if the fullest backend exceeds the limit for new connections of its groups, the excess
+  is migrated from its largest group. Otherwise a group with at most two connections on it is migrated if
+  another backend has more connections of that group and a lower occupancy. No excess is migrated unless all
+  listed backends are healthy: an ejected backend makes the others fuller, and the clients would return.
 
 Inputs: occupancies in slots, the tick in seconds. Output: ``MigrateConnection`` actions.
 
-Why: crossing zones costs, and each backend that holds any of a group pays for it. Connections resumed after
-a restart, or placed while the local zone was down, are often not where they would be placed now.
+Why: crossing zones is costly, and a group has a cost at each backend that serves any of its connections.
+Connections that were resumed after a restart, or placed while the local zone was down, are often on backends
+where they would not be placed now.
 """
 
 from __future__ import annotations
@@ -28,14 +29,14 @@
 from saltcourse.balancing.settings import Settings
 from saltcourse.balancing.state import Backend, HealthState, Request
 
-FAILBACK_SHARE_PER_SECOND = 0.05  # of the connections in other zones
-MAX_CUT_SHARE = 0.1  # of the local backends; from it on nothing fails back
-MAX_STRAGGLERS = 2  # connections of a group, at most, that are migrated to where more of it are
-MIN_CAPACITY = 0.1  # relative; a backend that warms up is not taken for the fullest by a single connection
+FAILBACK_SHARE_PER_SECOND = 0.05  # Share of the connections in other zones.
+MAX_CUT_SHARE = 0.1  # No failback at or above this share of local backends with a cut ceiling.
+MAX_STRAGGLERS = 2  # Maximum size of a backend's part of a group that is migrated to join a larger part.
+MIN_CAPACITY = 0.1  # Lower bound, so that one connection does not make a warming backend the fullest one.
 
 
 class Rebalancing:
-    """Migrates connections to better places."""
+    """Migrates connections to preferred backends."""
 
     __slots__ = ("_has_groups", "_migration", "_pool")
 
@@ -45,7 +46,7 @@
         self._migration = migration
 
     def fail_back(self, now: float, elapsed: float) -> None:
-        """Migrate a share of the connections in other zones, for a tick of ``elapsed`` seconds."""
+        """Migrate a share of the connections in other zones; ``elapsed`` is the length of the tick (s)."""
         local = [b for b in self._pool.candidates if b.is_local]
         cut = sum([b.ceiling_record.cut_until > now for b in local])
         if self._has_groups or cut >= MAX_CUT_SHARE * len(local):
@@ -59,7 +60,7 @@
         self._migration.migrate_share(remote, FAILBACK_SHARE_PER_SECOND * elapsed)
 
     def consolidate_groups(self) -> None:
-        """Let the fullest backend give up connections of one group."""
+        """Migrate connections of one group away from the fullest backend."""
         fullest = max(self._pool.candidates, key=_fullness, default=None)
         if fullest is None or not fullest.groups:
             return
@@ -73,7 +74,7 @@
             self._migration.migrate(_connections_of(fullest, smallest))
 
     def _excess_slots(self, fullest: Backend) -> int:
-        """Slots that the backend holds above the most that it would be sent; 0 while any other is ejected."""
+        """Return the backend's slots above the limit, or 0 unless all listed backends are healthy."""
         healthy = [b for b in self._pool.candidates if b.health.state is HealthState.HEALTHY]
         if len(healthy) != sum([b.state is BackendState.READY for b in self._pool.backends.values()]):
             return 0
--- a/saltcourse/balancing/response_latency.py
+++ b/saltcourse/balancing/response_latency.py
@@ -1,17 +1,20 @@
-"""Response latency of each backend, measured from the lines that pass: no I/O, no clock.
+"""Response latency: measures the latency of each backend from the lines of its connections.
 
-The balancer learns of a slow backend by latency reports: one a second for each backend while a message takes
-over a third of the shortest latency objective on one of its connections, and one more when it is back under.
+The balancer detects slow backends by latency reports. A backend is reported once a second while a message on
+one of its connections takes longer than a third of the shortest message latency objective, and once more when
+its latency is back below that.
 
-Two sources are read:
+Latency has two sources:
 
-1. Real backends send their latency, where they send any, as a ``LOAD X`` line like that of a load, and only
-   the size of the figure shows which it is. Read as a load it makes a crowded backend look empty.
-2. The time from a client's line to the backend's next line. A line that has not been answered yet has taken
-   at least its age. A backend whose echo does not queue behind its work shows nothing by that while it is
-   merely crowded; one that hangs leaves lines unanswered, and their age shows it.
+1. ``LOAD X`` lines. A backend that reports its latency sends it as a ``LOAD`` line, exactly as it sends a
+   load; only the size of the value shows which one it is. A latency that is mistaken for a load makes an
+   overloaded backend look empty.
+2. The time from a client's line to the next line of the backend. The age of an unanswered line is a lower
+   bound for it. If a backend's echo does not queue behind its work, this does not show an overload. It does
+   show a hung backend, which leaves lines unanswered.
 
-Costs: ``silent_connections``, ``hung_backends`` and ``latency_reports`` walk over all connections.
+The module does no I/O and reads no clock. ``silent_connections``, ``hung_backends`` and ``latency_reports``
+take time linear in the number of connections.
 """
 
 from __future__ import annotations
@@ -19,19 +22,20 @@
 from collections import Counter
 from dataclasses import dataclass
 
-REPORT_INTERVAL_SECONDS = 1.0  # between the latency reports on one backend
-# Without any line back on several connections; healthy backends answer in ms. ``load_shedding`` migrates all
-# connections of a backend whose message took as long: with a longer time there, a hung backend that is
-# reported here would keep its connections.
+REPORT_INTERVAL_SECONDS = 1.0  # Interval between the latency reports on one backend.
+# A backend is hung if lines on several connections stay unanswered for this time; healthy backends answer
+# within milliseconds. ``load_shedding`` uses the same time to migrate all connections of a backend: with a
+# longer one there, a hung backend that is reported here would keep its connections.
 HUNG_AFTER_SECONDS = 0.7
-HUNG_CONNECTIONS = 2  # whose unanswered lines make a backend look hung; fewer if it has fewer
-MAX_LATENCY_MILLISECONDS = 1000.0  # of a LOAD line: loads are in us of work per second, 1,900 and more
-SILENT_AFTER_SECONDS = 4.0  # without a line back; clients speak every 2 s and 7 s are allowed
+HUNG_CONNECTIONS = 2  # Connections with unanswered lines on a hung backend, or all if it has fewer.
+# A smaller value in a LOAD line is a latency: loads are in microseconds of work per second, 1,900 and more.
+MAX_LATENCY_MILLISECONDS = 1000.0
+SILENT_AFTER_SECONDS = 4.0  # Clients send a line every 2 s, and an answer may take at most 7 s.
 
 
 @dataclass(frozen=True, slots=True)
 class LatencyReport:
-    """The latency (s) of a backend, reported on one of its connections."""
+    """The latency (s) of a backend, with one of its connections."""
 
     request: str
     latency: float
@@ -39,9 +43,9 @@
 
 @dataclass(frozen=True, slots=True)
 class _LatencyLine:
-    """The last ``LOAD`` line of a backend that carried a latency."""
+    """The last ``LOAD`` line of a backend that contained a latency."""
 
-    received: float = 0.0
+    received: float = 0.0  # seconds
     milliseconds: float = 0.0
 
 
@@ -49,61 +53,62 @@
 
 
 class ResponseLatencyMeter:
-    """Round trips of the established connections, by backend.
+    """Measures the round trips on established connections, by backend.
 
-    ``slow_latency`` is the latency (s) over which a backend is reported; infinity when backends never send
-    theirs.
+    ``slow_latency`` is the latency (s) above which a backend is reported. It is infinite if no request class
+    has a message latency objective; then every ``LOAD`` line is a load.
     """
 
     def __init__(self, slow_latency: float) -> None:
         self.slow_latency = slow_latency
-        self.backend_by_connection: dict[str, str] = {}  # by connection
-        self.unanswered_since: dict[str, float] = {}  # connection -> when its oldest unanswered line was sent
-        self.round_trips: dict[str, list[float]] = {}  # backend -> since the last reports (s)
-        self.latency_lines: dict[str, _LatencyLine] = {}  # by backend
-        self.reported_slow: set[str] = set()  # backends whose last report was over ``slow_latency``
-        self.last_answer: dict[str, float] = {}  # backend -> when it last answered a line
+        self.backend_by_connection: dict[str, str] = {}
+        self.unanswered_since: dict[str, float] = {}  # connection -> time (s) of its oldest unanswered line
+        self.round_trips: dict[str, list[float]] = {}  # backend -> round trips (s) since the last reports
+        self.latency_lines: dict[str, _LatencyLine] = {}  # backend -> its last latency line
+        self.reported_slow: set[str] = set()  # Backends whose last report was above ``slow_latency``.
+        self.last_answer: dict[str, float] = {}  # backend -> time (s) of its last answer to a line
 
     def connection_established(self, request: str, backend: str) -> None:
-        """Count the connection's lines for this backend from now on."""
+        """Start measuring the connection's lines for the backend."""
         self.backend_by_connection[request] = backend
 
     def connection_ended(self, request: str) -> None:
-        """Forget a connection that has ended or is migrated."""
+        """Stop measuring a connection that has ended or is being migrated."""
         self.backend_by_connection.pop(request, None)
         self.unanswered_since.pop(request, None)
 
     def line_sent(self, request: str, now: float) -> None:
-        """A line of the client went to its backend."""
+        """Record that a line of the client was sent to its backend."""
         self.unanswered_since.setdefault(request, now)
 
     def line_received(self, request: str, now: float) -> None:
-        """A line of the backend, other than LOAD, came back; it answers all lines before it."""
+        """Record a line from the backend, other than LOAD; it answers all earlier lines of the client."""
         sent = self.unanswered_since.pop(request, None)
         backend = self.backend_by_connection.get(request)
         if sent is not None and backend is not None:
             self.last_answer[backend] = now
             self.round_trips.setdefault(backend, []).append(now - sent)
 
-    def latency_of_load_line(self, request: str, figure: float, now: float) -> float | None:
-        """The latency (s) in a ``LOAD`` line, by its figure; None when the figure is a load.
+    def latency_of_load_line(self, request: str, value: float, now: float) -> float | None:
+        """Return the latency (s) in a ``LOAD`` line, or None if its value is a load.
 
-        A backlog grows by no more than a second of work per second, so the first latency line of a spell
-        is short; only after such a one may a longer latency be meant by a figure that could be a small load.
+        A backlog grows by at most one second of work per second, so the first latency line of a slow period
+        contains a short latency. Only after such a line may a value that could be a small load be a longer
+        latency.
         """
         backend = self.backend_by_connection.get(request)
         if backend is None or self.slow_latency == float("inf"):
             return None
         last = self.latency_lines.get(backend, NO_LATENCY_LINE)
-        in_spell = now - last.received < 2 * REPORT_INTERVAL_SECONDS
-        growth = min(last.milliseconds, MAX_LATENCY_MILLISECONDS) if in_spell else 0.0
-        if figure >= MAX_LATENCY_MILLISECONDS + growth:
+        is_slow_period = now - last.received < 2 * REPORT_INTERVAL_SECONDS
+        growth = min(last.milliseconds, MAX_LATENCY_MILLISECONDS) if is_slow_period else 0.0
+        if value >= MAX_LATENCY_MILLISECONDS + growth:
             return None
-        self.latency_lines[backend] = _LatencyLine(now, figure)
-        return figure / 1000
+        self.latency_lines[backend] = _LatencyLine(now, value)
+        return value / 1000
 
     def silent_connections(self, now: float) -> list[str]:
-        """The connections on which a line has not been answered for ``SILENT_AFTER_SECONDS``."""
+        """Return the connections with a line that has been unanswered for ``SILENT_AFTER_SECONDS``."""
         return [
             request
             for request, sent in self.unanswered_since.items()
@@ -111,9 +116,9 @@
         ]
 
     def hung_backends(self, now: float) -> list[LatencyReport]:
-        """One report for each backend that has stopped answering on several connections at once.
+        """Return a report for each backend that has stopped answering on several connections at once.
 
-        None while no backend answers: then this proxy, or its network, stands still.
+        The list is empty while no backend answers at all, because then this proxy or its network has stalled.
         """
         limit = now - HUNG_AFTER_SECONDS
         if not any(answered > limit for answered in self.last_answer.values()):
@@ -132,9 +137,9 @@
         return reports
 
     def latency_reports(self, now: float) -> list[LatencyReport]:
-        """The reports that are due, to be asked for every ``REPORT_INTERVAL_SECONDS``.
+        """Return a report for each slow backend, and for each one that has recovered since its last report.
 
-        One for each backend that is slow, and one for each that was reported slow and is not any more.
+        The host calls this every ``REPORT_INTERVAL_SECONDS``.
         """
         connection_by_backend = {backend: request for request, backend in self.backend_by_connection.items()}
         round_trips = self._collect_round_trips(now)
@@ -155,7 +160,7 @@
         return reports
 
     def _collect_round_trips(self, now: float) -> dict[str, list[float]]:
-        """The round trips since the last reports, with the ages of unanswered lines that are slow already."""
+        """Return the round trips since the last reports, and the ages of unanswered lines that are slow."""
         round_trips, self.round_trips = self.round_trips, {}
         for request, backend in self.backend_by_connection.items():
             age = now - self.unanswered_since.get(request, now)
@@ -170,7 +175,7 @@
 
 
 def _median(values: list[float]) -> float:
-    """The middle value, or the mean of the two in the middle; the statistics module costs idle memory."""
+    """Return the median; importing the statistics module would increase the memory of an idle proxy."""
     ordered = sorted(values)
     middle = len(ordered) // 2
     if len(ordered) % 2:
--- a/saltcourse/balancing/state.py
+++ b/saltcourse/balancing/state.py
@@ -1,8 +1,8 @@
-"""What this proxy knows of each backend and each request. Data only: the rules are in the other modules.
+"""State of backends and requests. The rules that use it are in the other modules.
 
-Loads are in slots: one slot is the mean load of a connection. Times are seconds on the host's clock. Each
-record of a backend belongs to the rules that its docstring names, which alone write it; a restart of the
-backend resets all of them.
+Occupancies are in slots, where one slot is the mean load of a connection. Times are in seconds on the host's
+clock. Each record of a backend is written only by the modules that its docstring names. A restart of the
+backend resets all its records.
 """
 
 from __future__ import annotations
@@ -13,59 +13,63 @@
 from saltcourse.balancing.events import AttemptStatus, Endpoint
 from saltcourse.balancing.settings import RequestClass
 
-LONG_AGO = -1e9  # s
+LONG_AGO = -1e9  # A time (s) before any time of the host's clock, for events that have not happened yet.
 
 
 class HealthState(IntEnum):
-    """What a backend's own failures have made of it; ``outlier_ejection`` has the transitions."""
+    """The health of a backend, with the transitions in ``outlier_ejection``."""
 
     HEALTHY = 0
-    EJECTED = 1  # it gets nothing until ``ejected_until``
-    ELIGIBLE = 2  # its ejection is over: the next attempt there is the probe
-    PROBING = 3  # the probe is in flight, and no other attempt is started there
+    EJECTED = 1  # No attempt is started at the backend until ``ejected_until``.
+    ELIGIBLE = 2  # The ejection has ended, and the next attempt at the backend becomes the probe.
+    PROBING = 3  # The probe is in flight, and no other attempt is started at the backend.
 
 
 @dataclass(slots=True, eq=False)
 class HealthRecord:
-    """Written by ``outlier_ejection``; errors and resets by ``failure_attribution``."""
+    """Health of a backend, written by ``outlier_ejection``; errors and resets by ``failure_attribution``."""
 
     state: HealthState = HealthState.HEALTHY
-    probe: Request | None = None  # the request whose attempt is the probe; only while PROBING
-    ejected_until: float = 0.0
-    consecutive_ejections: int = 0  # without a success in between
-    error_rate: float = 0.0  # moving share of attempts that failed by the backend's fault
-    last_error_flow: str = ""  # the client flow of the last of these
-    last_reset_at: float = LONG_AGO
+    probe: Request | None = None  # The request whose attempt is the probe; None unless PROBING.
+    ejected_until: float = 0.0  # seconds
+    consecutive_ejections: int = 0  # Ejections since the last success.
+    error_rate: float = 0.0  # Moving average share of attempts that failed by the backend's fault.
+    last_error_flow: str = ""  # Client flow of the last failure by the backend's fault.
+    last_reset_at: float = LONG_AGO  # seconds
 
 
 @dataclass(slots=True, eq=False)
 class CeilingRecord:
-    """Written by ``slot_ceilings``."""
+    """Limits and cuts of a backend's ceiling, written by ``slot_ceilings``."""
 
-    learned_limit: float = 0.0  # slots that it was seen to bear; 0 while nothing is learned
-    no_overflow_until: float = 0.0  # until then it gets nothing: it rejected, dropped or was late
-    cut_until: float = 0.0  # until then it gets overflow at most, and its limit does not recover
-    cut_at: float = LONG_AGO
-    consecutive_rejections: int = 0  # or drops, until it may overflow and accepts again
+    learned_limit: float = 0.0  # Slots that the backend could handle when its ceiling was cut; 0 until a cut.
+    # Until this time (s) the backend gets no attempt, because it rejected, dropped connections or was late.
+    no_overflow_until: float = 0.0
+    # Until this time (s) the backend gets at most overflow attempts, and its limit does not recover.
+    cut_until: float = 0.0
+    cut_at: float = LONG_AGO  # Time (s) of the last cut of the learned limit.
+    # Rejections and drops since the backend last accepted a connection while it was allowed to overflow.
+    consecutive_rejections: int = 0
 
 
 @dataclass(slots=True, eq=False)
 class LoadReportRecord:
-    """Written by ``load_reports``; ``waiting`` by ``placement``.
+    """Load reports of a backend, written by ``load_reports``; ``waiting_requests`` by ``placement``.
 
-    Reported loads are load over capacity; -1 while none was received.
+    Reported loads are load over capacity, or -1 if none has been received.
     """
 
     load: float = -1.0
-    previous_load: float = -1.0  # the last one that differed from ``load``
-    received_at: float = LONG_AGO
-    refresh_at: float = LONG_AGO  # a new report is wanted from then on
+    previous_load: float = -1.0  # The last reported load that differed from ``load``.
+    received_at: float = LONG_AGO  # seconds
+    refresh_at: float = LONG_AGO  # Time (s) from which the report should be renewed.
     check_in_flight: bool = False
-    waiting_requests: list[Request] = field(default_factory=list)  # placements that wait for the health check
+    # Requests whose placement waits for the health check.
+    waiting_requests: list[Request] = field(default_factory=list)
 
 
 class Backend:
-    """One backend: its entry in the endpoint list, what this proxy holds there, and the rules' records."""
+    """A backend: its entry in the endpoint list, this proxy's connections to it, and the rules' records."""
 
     __slots__ = (
         "ceiling",
@@ -96,22 +100,22 @@
     def __init__(self, endpoint: Endpoint) -> None:
         self.name = endpoint.backend
         self.update(endpoint)
-        # Of the zone: whether it is the proxy's own, and what a free slot there counts in the draw.
-        self.is_local = True
-        self.zone_factor = 1.0
-        # What this proxy holds there; ``occupancy`` writes it.
+        # Written by ``endpoint_list``.
+        self.is_local = True  # Whether the backend is in this proxy's zone.
+        self.zone_factor = 1.0  # Weight of the backend's free slots in the draw.
+        # This proxy's attempts and connections, written by ``occupancy``; ``connections`` by ``balancer``.
         self.occupancy = 0.0  # slots
-        self.count = 0  # attempts in flight and connections
-        self.connections: dict[str, Request] = {}  # established, and not asked to migrate
-        self.groups: dict[str, int] = {}  # attempts and connections of each group
-        # Capacity over the mean backend's: once warm, and now.
-        self.relative_capacity = 1.0
-        self.current_capacity = 1.0
-        self.slots_at_full_load = 1.0  # of this proxy, where loads are reported
+        self.count = 0  # Attempts in flight and connections.
+        self.connections: dict[str, Request] = {}  # Established connections that are not being migrated.
+        self.groups: dict[str, int] = {}  # group -> attempts in flight and connections
+        # Capacity in units of the mean backend's.
+        self.relative_capacity = 1.0  # after the warm-up
+        self.current_capacity = 1.0  # at present
+        self.slots_at_full_load = 1.0  # This proxy's slots; only used if loads are reported.
         self.reset(LONG_AGO)
 
     def update(self, endpoint: Endpoint) -> None:
-        """Take over the entry of the endpoint list."""
+        """Copy the fields of the backend's entry in the endpoint list."""
         self.zone = endpoint.zone
         self.kind = endpoint.kind
         self.cell = endpoint.cell
@@ -120,23 +124,24 @@
         self.state = endpoint.state
 
     def reset(self, now: float) -> None:
-        """Forget what was learned: the backend is a new process since ``now``."""
-        self.restarted_at = now  # what was sent before says nothing of the new process
+        """Reset all learned state, because the backend has been restarted."""
+        self.restarted_at = now  # Attempts that were started earlier do not count for the new process.
         self.ceiling = 0.0  # slots
-        self.next_attempt_at = 0.0  # slow start: no attempt is started before
+        self.next_attempt_at = 0.0  # Earliest time (s) of the next attempt, during slow start.
         self.health = HealthRecord()
         self.ceiling_record = CeilingRecord()
         self.report = LoadReportRecord()
-        # Messages in a row that missed their latency objective; ``load_shedding`` writes it.
+        # Consecutive messages that missed their latency objective, written by ``load_shedding``.
         self.late_messages = 0
 
 
 @dataclass(frozen=True, slots=True)
 class FailureSuspect:
-    """A backend that broke off an attempt, until the request is established elsewhere or fails again.
+    """A backend that may be at fault for a failed attempt of a request.
 
-    ``started_at``: when that attempt was started (s). ``is_cleared``: another backend broke the same
-    request off as well, so that the request itself is at fault.
+    The suspicion is decided when the request is established at another backend or fails again.
+    ``started_at`` is the start time (s) of the failed attempt. ``is_cleared`` is True if another backend
+    failed the same request as well, so that the request itself is at fault.
     """
 
     backend: Backend
@@ -147,10 +152,10 @@
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """A request from its arrival to its final answer, or its connection to the connection's end.
+    """A request, from its arrival to its final answer or to the end of its connection.
 
-    ``deadline``: when the client gives up (s). ``load``: in slots. ``group``: "" where groups do not count.
-    ``flow``: the client's key, the same with each of its retries.
+    ``deadline`` is the time (s) at which the client gives up. ``slots`` is the request's load. ``group`` is
+    empty if the deployment has no groups. ``flow`` identifies the client and is the same for all its retries.
     """
 
     id: str
@@ -159,22 +164,22 @@
     slots: float
     group: str
     flow: str
-    is_answered: bool = False  # finally, or nobody waits any more
+    is_answered: bool = False  # Whether a final answer was given, or none is needed any more.
 
-    # The last attempt.
+    # Attempts; all fields but the number refer to the last attempt. Times are in seconds.
     attempts: int = 0
     backend: Backend | None = None
     started_at: float = 0.0
-    is_in_flight: bool = False  # the attempt, or its connection, counts at its backend
+    is_in_flight: bool = False  # Whether the attempt, or its connection, is counted at its backend.
     is_established: bool = False
     established_at: float = 0.0
 
-    # For retries.
+    # Constraints on retries.
     tried_backends: list[Backend] = field(default_factory=list)
-    may_have_run_on: Backend | None = None  # the first backend that may have run it
-    may_have_run_at: float = 0.0
+    may_have_run_on: Backend | None = None  # The first backend that may have run the request.
+    may_have_run_at: float = 0.0  # Start time (s) of the attempt at ``may_have_run_on``.
     suspect: FailureSuspect | None = None
 
-    # While its placement waits for a load report.
-    awaited_backend: Backend | None = None
-    load_checks: int = 0
+    # Health checks before the placement.
+    awaited_backend: Backend | None = None  # The backend whose health check the placement waits for.
+    load_checks: int = 0  # Number of health checks waited for.
--- a/saltcourse/balancing/timers.py
+++ b/saltcourse/balancing/timers.py
@@ -1,4 +1,4 @@
-"""Timers: the tokens that tell the balancer's timers apart, and the timers of requests."""
+"""Timers: the tokens that identify the balancer's timers, and the timers of requests."""
 
 from __future__ import annotations
 
@@ -6,28 +6,31 @@
 from saltcourse.balancing.errors import UnknownTimerError
 from saltcourse.balancing.state import Request
 
-TICK_TOKEN = 1  # of the timer that refreshes candidates and ceilings
-ENDPOINT_LIST_TOKEN = 2  # of the timer that calls discovery; those of requests follow
+TICK_TOKEN = 1  # Timer that refreshes candidates and ceilings.
+ENDPOINT_LIST_TOKEN = 2  # Timer that calls discovery.
 
 
 class RequestTimers:
-    """Timers of requests; their tokens follow those of the balancer's own timers."""
+    """Sets the timers of requests; their tokens are the integers after ``ENDPOINT_LIST_TOKEN``."""
 
     __slots__ = ("_actions", "_last_token", "requests")
 
     def __init__(self, actions: list[Action]) -> None:
         self._actions = actions
         self._last_token = ENDPOINT_LIST_TOKEN
-        self.requests: dict[int, Request] = {}  # token -> the request that it was set for
+        self.requests: dict[int, Request] = {}  # token -> request
 
     def start(self, request: Request, delay: float) -> None:
-        """Set a timer that goes off after ``delay`` seconds."""
+        """Set a timer for the request that fires after ``delay`` seconds."""
         self._last_token += 1
         self.requests[self._last_token] = request
         self._actions.append(SetTimer(max(0.0, delay), self._last_token))
 
     def pop(self, token: int) -> Request:
-        """The request of a timer that went off; raises ``UnknownTimerError``."""
+        """Remove a timer that has fired and return its request.
+
+        Raises ``UnknownTimerError`` if no timer with this token is set.
+        """
         try:
             return self.requests.pop(token)
         except KeyError:
