--- a/saltcourse/__init__.py
+++ b/saltcourse/__init__.py
@@ -1,4 +1,4 @@
-"""saltcourse: the decisions of a load balancer for long-lived connections, and the proxy around them."""
+"""saltcourse: a load balancer for long-lived connections, and the proxy that executes its decisions."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def __getattr__(name: str) -> Any:
-    """Import ``Balancer`` on first use: the program holds its signals before its long imports."""
+    """Import ``Balancer`` on first access, so that the program can hold its signals before slow imports."""
     if name != "Balancer":
         raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
     from saltcourse.balancing.balancer import Balancer
--- a/saltcourse/__main__.py
+++ b/saltcourse/__main__.py
@@ -1,10 +1,10 @@
-"""``python -m saltcourse`` and the command ``saltcourse``; without a sub-command it serves, see ``cli``."""
+"""Entry point of ``python -m saltcourse`` and of the command ``saltcourse`` (see ``saltcourse.cli``)."""
 
 from saltcourse import signals
 
 
 def main() -> None:
-    """Hold the signals, then import and run the command line: the imports take a while on a slow machine."""
+    """Hold signals, then import and run the command line, because the imports are slow on a small machine."""
     signals.hold()
     from saltcourse.cli.main import main as command_line
 
--- a/saltcourse/simulator_adapter.py
+++ b/saltcourse/simulator_adapter.py
@@ -1,12 +1,14 @@
-"""Carries the simulator's wire to the balancer and back. It decides nothing.
+"""Adapter between the simulator's wire protocol and the balancer. It makes no decisions.
 
-One JSON object a line on standard input, one reply a line on standard output. Each instance is one proxy
-with a ``Balancer`` of its own, and instances share nothing. Malformed input ends the program: a message on
-standard error and exit code 2. A fault inside a ``Balancer`` becomes that instance's ``internal_error``.
+The adapter reads one JSON object per line from standard input, and writes one reply per line to standard
+output. Each instance is one proxy with its own ``Balancer``; instances share no state. On malformed input the
+program prints a message to standard error and exits with code 2. An exception in a ``Balancer`` is reported
+as the ``internal_error`` of its instance.
 
-The wire's words are mapped to the code's terms here and nowhere else: message names in ``EVENT_READERS`` and
-``ACTION_WRITERS``, values in the tables below, field names in the functions, one for each message. Only
-the fields of load reports are mapped in ``codec.lines`` (``REPORT_FIELDS``), which the sockets share.
+This module alone maps the names of the wire protocol to those of the code: message names in
+``EVENT_READERS`` and ``ACTION_WRITERS``, values in the tables below, and field names in the function for each
+message. The exception are the fields of load reports: ``REPORT_FIELDS`` in ``codec.lines`` maps them for the
+socket protocol as well.
 """
 
 from __future__ import annotations
@@ -54,7 +56,7 @@
 from saltcourse.codec.lines import MICROSECONDS, REPORT_FIELDS
 from saltcourse.config.deployment_settings import read_settings
 
-Message = dict[str, Any]  # one event or action as the wire has it
+Message = dict[str, Any]  # One event or action in the simulator's wire format.
 
 STATUSES = {  # "result"
     0: AttemptStatus.OK,
@@ -77,19 +79,19 @@
     "restored": EndpointUpdateKind.CACHED,
     "unavailable": EndpointUpdateKind.UNAVAILABLE,
 }
-TOPIC_LOAD = 1  # "topic" of a change: its value is in microseconds of work per second
-TOPIC_LATENCY = 2  # its value is in milliseconds
-MILLISECONDS = 1e-3  # s
+TOPIC_LOAD = 1  # "topic" of a ``change`` whose value is in microseconds of work per second.
+TOPIC_LATENCY = 2  # "topic" of a ``change`` whose value is in milliseconds.
+MILLISECONDS = 1e-3  # seconds
 EXIT_MALFORMED = 2
 
 
 class Instance:
-    """One proxy's balancer, and the order of the fields in its load reports."""
+    """The balancer of one proxy, and the order of the fields in its load reports."""
 
     __slots__ = ("_report_fields", "balancer")
 
     def __init__(self, seed: int, env: Message) -> None:
-        """Raise ``InvalidObjectError`` for settings that are not right."""
+        """Create the balancer; raises ``InvalidObjectError`` if the settings in ``env`` are invalid."""
         try:
             settings = read_settings(env)
         except InvalidObjectError as error:
@@ -99,21 +101,25 @@
         self.balancer = Balancer(settings, seed)
 
     def read_report(self, message: Message) -> LoadReport | None:
-        """Read a row of numbers, one for each field that the settings name; unknown fields are skipped."""
+        """Return the load report of a message, or None if it has none.
+
+        The report has one number for each field that the settings name; unknown fields are skipped. Raises
+        ``InvalidObjectError`` if it is not a list of numbers.
+        """
         row = message.get("server_stats")
         if row is None:
             return None
         if not isinstance(row, list) or not all(isinstance(value, (int, float)) for value in row):
-            raise InvalidObjectError(f"{message['msg']}: 'server_stats' is not a row of numbers")
-        named = zip(self._report_fields, row, strict=False)
-        return LoadReport(**{name: value for name, value in named if name})
+            raise InvalidObjectError(f"{message['msg']}: 'server_stats' is not a list of numbers")
+        values = zip(self._report_fields, row, strict=False)
+        return LoadReport(**{name: value for name, value in values if name})
 
 
 # ---- events ------------------------------------------------------------------------------------------
 
 
 def read_endpoints_updated(message: Message, _: Instance) -> Event:
-    """``backends_changed``: the endpoint list."""
+    """Read ``backends_changed``, an update of the endpoint list."""
     kind = lookup(message, "mode", UPDATE_KINDS)
     return EndpointsUpdated(
         kind, tuple(_read_endpoint(entry) for entry in field(message, "members", list, []))
@@ -121,9 +127,14 @@
 
 
 def _read_endpoint(entry: Any) -> Endpoint:
-    """One entry of a list; the hot path of a large fleet, so one test covers all the common types."""
+    """Read one entry of the endpoint list.
+
+    This is a hot path for a large fleet, so a single condition checks the types of the common fields.
+    """
     if not isinstance(entry, dict):
-        raise InvalidObjectError("backends_changed: a member that is not an object")
+        raise InvalidObjectError(
+            f"backends_changed: an entry of 'members' is not an object: {type(entry).__name__}"
+        )
     get = entry.get
     host, state = get("host"), BACKEND_STATES.get(str(get("lifecycle")))
     weight, started = get("nominal", 1), get("launched", 0)
@@ -131,11 +142,11 @@
         return Endpoint(host, state, get("az", ""), get("sku", ""), get("block", 0), weight, started)
     field(entry, "host", str)
     lookup(entry, "lifecycle", BACKEND_STATES)
-    raise InvalidObjectError(f"backends_changed: a member with a wrong value: {entry!r}")
+    raise InvalidObjectError(f"backends_changed: 'nominal' or 'launched' is not a number in member {entry!r}")
 
 
 def read_request_received(message: Message, _: Instance) -> Event:
-    """``accept``: a client wants a connection."""
+    """Read ``accept``: a client requests a connection."""
     get = message.get
     return RequestReceived(
         request=field(message, "job", str),
@@ -148,7 +159,7 @@
 
 
 def read_connection_resumed(message: Message, _: Instance) -> Event:
-    """``resumed``: a connection from before the proxy's start."""
+    """Read ``resumed``: a connection was established before the proxy started."""
     get = message.get
     return ConnectionResumed(
         request=field(message, "job", str),
@@ -160,7 +171,7 @@
 
 
 def read_connection_established(message: Message, _: Instance) -> Event:
-    """``first``: the first answer, the connection is up."""
+    """Read ``first``: the backend has sent its first answer, so the connection is established."""
     return ConnectionEstablished(
         request=field(message, "job", str),
         attempt=field(message, "seq_no", int),
@@ -169,7 +180,7 @@
 
 
 def read_attempt_finished(message: Message, instance: Instance) -> Event:
-    """``answer``: the end of an attempt or of its connection."""
+    """Read ``answer``: an attempt or its connection has ended."""
     return AttemptFinished(
         request=field(message, "job", str),
         attempt=field(message, "seq_no", int),
@@ -181,12 +192,12 @@
 
 
 def read_client_disconnected(message: Message, _: Instance) -> Event:
-    """``aborted``: nobody waits for an answer."""
+    """Read ``aborted``: the client no longer waits for an answer."""
     return ClientDisconnected(field(message, "job", str))
 
 
 def read_change(message: Message, _: Instance) -> Event | None:
-    """``change``: another load, or a message's latency; None for a topic that is not known."""
+    """Read ``change``, a new load or message latency of a connection; return None for an unknown topic."""
     topic, request, value = message.get("topic"), field(message, "job", str), number(message, "value")
     if topic == TOPIC_LOAD:
         return ConnectionLoadChanged(request, value * MICROSECONDS)
@@ -196,12 +207,12 @@
 
 
 def read_timer_fired(message: Message, _: Instance) -> Event:
-    """``ring``: a timer has fired."""
+    """Read ``ring``: a timer has fired."""
     return TimerFired(field(message, "handle", int))
 
 
 def read_health_check_finished(message: Message, instance: Instance) -> Event:
-    """``probe_done``: the end of a health check."""
+    """Read ``probe_done``: a health check has ended."""
     return HealthCheckFinished(
         backend=field(message, "host", str),
         status=lookup(message, "result", STATUSES),
@@ -211,7 +222,7 @@
 
 
 def read_peer_message(message: Message, _: Instance) -> Event:
-    """``from_peer``: a message of another proxy."""
+    """Read ``from_peer``, a message from another proxy."""
     return PeerMessageReceived(field(message, "src_peer", int), field(message, "data", str))
 
 
@@ -233,7 +244,7 @@
 
 
 def write_start_attempt(action: StartAttempt, node: int) -> Message:
-    """``place``: start an attempt."""
+    """Write ``place``: start an attempt."""
     return {
         "msg": "place",
         "node": node,
@@ -244,7 +255,7 @@
 
 
 def write_reject_request(action: RejectRequest, node: int) -> Message:
-    """``decline``: final answer, a retry does no harm."""
+    """Write ``decline``: send the final answer that a retry is safe."""
     return {
         "msg": "decline",
         "node": node,
@@ -254,27 +265,27 @@
 
 
 def write_fail_request(action: FailRequest, node: int) -> Message:
-    """``report_failure``: final answer without any promise."""
+    """Write ``report_failure``: send the final answer that the request failed."""
     return {"msg": "report_failure", "node": node, "job": action.request}
 
 
 def write_migrate_connection(action: MigrateConnection, node: int) -> Message:
-    """``move``: end a connection in good order."""
+    """Write ``move``: close a connection gracefully."""
     return {"msg": "move", "node": node, "job": action.request}
 
 
 def write_set_timer(action: SetTimer, node: int) -> Message:
-    """``wake_me``: set a timer."""
+    """Write ``wake_me``: set a timer."""
     return {"msg": "wake_me", "node": node, "after": action.delay, "handle": action.token}
 
 
 def write_start_health_check(action: StartHealthCheck, node: int) -> Message:
-    """``check``: start a health check."""
+    """Write ``check``: start a health check."""
     return {"msg": "check", "node": node, "host": action.backend}
 
 
 def write_send_peer_message(action: SendPeerMessage, node: int) -> Message:
-    """``say``: send to one other proxy, or to all."""
+    """Write ``say``: send a message to one other proxy, or to all."""
     return {
         "msg": "say",
         "node": node,
@@ -284,12 +295,12 @@
 
 
 def write_watch_endpoints(_: WatchEndpoints, node: int) -> Message:
-    """``subscribe``: watch the endpoint list."""
+    """Write ``subscribe``: watch the endpoint list."""
     return {"msg": "subscribe", "node": node, "want": True}
 
 
 def write_fetch_endpoints(_: FetchEndpoints, node: int) -> Message:
-    """``get_list``: fetch the endpoint list once."""
+    """Write ``get_list``: fetch the endpoint list once."""
     return {
         "msg": "get_list",
         "node": node,
@@ -313,19 +324,19 @@
 
 
 class Adapter:
-    """All instances of this process by their numbers; ``hello`` starts one, ``detach`` ends it."""
+    """Holds all instances by their numbers; ``hello`` creates an instance, ``detach`` removes it."""
 
     def __init__(self) -> None:
         self._instances: dict[int, Instance] = {}
 
     def reply(self, line: bytes) -> bytes:
-        """The reply to one batch; raises ``InvalidObjectError`` on what the wire does not allow."""
+        """Return the reply to one batch; raises ``InvalidObjectError`` if the batch is malformed."""
         try:
             batch = orjson.loads(line)
         except orjson.JSONDecodeError as error:
-            raise InvalidObjectError(f"a line that is not JSON: {error}") from None
+            raise InvalidObjectError(f"the line is not JSON: {error}") from None
         if not isinstance(batch, dict):
-            raise InvalidObjectError("a batch that is not an object")
+            raise InvalidObjectError(f"the batch is not an object: {type(batch).__name__}")
         now = number(batch, "at_time")
         actions: list[Message] = []
         for message in field(batch, "events", list):
@@ -334,33 +345,33 @@
 
     def _handle(self, now: float, message: Any, actions: list[Message]) -> None:
         if not isinstance(message, dict):
-            raise InvalidObjectError("an event that is not an object")
+            raise InvalidObjectError(f"the event is not an object: {type(message).__name__}")
         name, node = message.get("msg"), field(message, "node", int)
         if name == "hello":
             self._instances[node] = Instance(field(message, "init_seed", int), field(message, "env", dict))
             return
         instance = self._instances.get(node)
         if instance is None:
-            raise InvalidObjectError(f"{name!r} for instance {node}, which has not been started")
+            raise InvalidObjectError(f"message {name!r} for instance {node}, which 'hello' has not started")
         if name == "detach":
             del self._instances[node]
             return
         reader = EVENT_READERS.get(name) if isinstance(name, str) else None
         if reader is None:
-            raise InvalidObjectError(f"an unknown message {name!r}")
+            raise InvalidObjectError(f"unknown message {name!r} for instance {node}")
         event = reader(message, instance)
         if event is None:
             return
         try:
             for action in instance.balancer.handle(now, event):
                 actions.append(ACTION_WRITERS[type(action)](action, node))
-        except Exception as fault:  # the wire's way to say that the decision code has failed
-            text = f"{type(fault).__name__}: {fault}"
+        except Exception as error:  # The wire protocol reports failures of the balancer as a message.
+            text = f"{type(error).__name__}: {error}"
             actions.append({"msg": "internal_error", "node": node, "text": text})
 
 
 def serve(source: Iterable[bytes], sink: BinaryIO) -> int:
-    """Answer each line until the input ends; returns the exit code."""
+    """Reply to each line until the input ends, and return the exit code."""
     adapter = Adapter()
     for line in source:
         try:
@@ -374,7 +385,7 @@
 
 
 def main() -> int:
-    """Serve standard input and output; returns the exit code."""
+    """Serve standard input and output, and return the exit code."""
     return serve(sys.stdin.buffer, sys.stdout.buffer)
 
 
