--- a/tests/balancing/balancer_host.py
+++ b/tests/balancing/balancer_host.py
@@ -1,4 +1,4 @@
-"""A small host for a Balancer: keeps the clock, fires timers and records what was done. Not a simulator."""
+"""A minimal test host for a Balancer: keeps the clock, fires timers and records the actions."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
 from saltcourse.balancing.settings import RequestClass, Settings
 from saltcourse.balancing.state import Backend
 
-ANSWER_SLACK_SECONDS = 0.01  # by which a final answer may come after the deadline
+ANSWER_SLACK_SECONDS = 0.01  # Maximum time of a final answer after the deadline.
 QUICK = RequestClass("quick", latency_objective=0.3, deadline=1.2, message_latency_objective=0.06)
 
 
 def settings(**changes: Any) -> Settings:
-    """Settings for tests, with changes."""
+    """Return default settings for tests, with the given changes."""
     base: dict[str, Any] = {
         "classes": (QUICK,),
         "warm_up": 10.0,
@@ -43,12 +43,12 @@
 
 
 def members(count: int, **changes: Any) -> tuple[Endpoint, ...]:
-    """The endpoints s0, s1, ... in zone z0."""
+    """Return the endpoints s0, s1, ... in zone z0."""
     return tuple(Endpoint(f"s{i}", **({"zone": "z0"} | changes)) for i in range(count))
 
 
 class BalancerHost:
-    """Hands events to a Balancer; an attempt stays in flight until the test says how it ended."""
+    """Passes events to a Balancer; an attempt stays in flight until the test ends it."""
 
     def __init__(self, seed: int = 1, now: float = 100.0, **changes: Any) -> None:
         self.settings = settings(**changes)
@@ -56,14 +56,15 @@
         self.now = now
         self.timers: list[tuple[float, int]] = []
         self.log: list[tuple[float, Action]] = []
-        self.in_flight: dict[str, tuple[int, str]] = {}  # request -> attempt and backend; connections too
-        self.attempts: dict[str, int] = {}  # request -> attempts started
+        # request -> number and backend of its attempt, or of its connection
+        self.in_flight: dict[str, tuple[int, str]] = {}
+        self.attempts: dict[str, int] = {}  # request -> number of attempts started
         self.request_count = 0
 
     # ---- events ------------------------------------------------------------------------------------
 
     def handle(self, event: Event) -> list[Action]:
-        """Hand one event over and record the actions."""
+        """Pass one event to the balancer and record the actions."""
         actions = self.balancer.handle(self.now, event)
         for action in actions:
             self.log.append((self.now, action))
@@ -77,7 +78,7 @@
         return actions
 
     def run(self, seconds: float) -> None:
-        """Let time pass and fire the timers that expire."""
+        """Advance the clock and fire the timers that expire."""
         end = self.now + seconds
         while self.timers and self.timers[0][0] <= end:
             self.now, token = heapq.heappop(self.timers)
@@ -87,57 +88,60 @@
     def update_endpoints(
         self, endpoints: tuple[Endpoint, ...], kind: EndpointUpdateKind = EndpointUpdateKind.SNAPSHOT
     ) -> None:
-        """Bring an update of the endpoint list."""
+        """Send an update of the endpoint list."""
         self.handle(EndpointsUpdated(kind, endpoints))
 
     def request(self, time_left: float = 1.2, request_class: str = "quick", **fields: Any) -> str:
-        """Let a client ask for a connection; returns the request's name: r1, r2, ..."""
+        """Send a client's request, and return its name: r1, r2, ..."""
         self.request_count += 1
         name = f"r{self.request_count}"
         self.handle(RequestReceived(name, request_class, time_left, **fields))
         return name
 
     def establish(self, request: str, latency: float = 0.01) -> None:
-        """Let the request's attempt succeed."""
+        """Establish the connection of the request's attempt."""
         self.handle(ConnectionEstablished(request, self.in_flight[request][0], latency))
 
     def connect(self) -> str:
-        """Let a client ask for a connection, and get it."""
+        """Send a request and establish its connection."""
         request = self.request()
         self.establish(request)
         return request
 
     def finish(self, request: str, status: AttemptStatus, final: bool = False, **fields: Any) -> None:
-        """Let the request's attempt or connection end."""
+        """End the request's attempt or connection."""
         attempt, _ = self.in_flight.pop(request)
         self.handle(AttemptFinished(request, attempt, status, final=final, **fields))
 
     def report_loads(self, **loads: float) -> None:
-        """Let health checks bring load reports: ``s0=0.5``."""
+        """Finish health checks with load reports, such as ``s0=0.5``."""
         for name, load in loads.items():
             self.handle(HealthCheckFinished(name, AttemptStatus.OK, report=LoadReport(load=load)))
 
     def fail(self, name: str) -> None:
-        """Eject a backend, as a failure by its fault does."""
+        """Eject a backend by a failure event."""
         self.balancer.ejection.apply(self.now, self.backend(name), HealthEvent.FAILURE)
 
-    # ---- what is seen ------------------------------------------------------------------------------
+    # ---- observations ------------------------------------------------------------------------------
 
     def actions(self, kind: type) -> list[Any]:
-        """All actions of a kind so far."""
+        """Return all actions of a type so far."""
         return [action for _, action in self.log if isinstance(action, kind)]
 
     def backend_of(self, request: str) -> str:
-        """Where the request's attempt or connection is."""
+        """Return the backend of the request's attempt or connection."""
         return self.in_flight[request][1]
 
     def backend(self, name: str) -> Backend:
-        """What the balancer knows of a backend."""
+        """Return the balancer's state of a backend."""
         return self.balancer.pool.backends[name]
 
 
 def host_with_reports(count: int, **connections: str) -> BalancerHost:
-    """A host whose backends report loads; ``s0="aab"``: two connections of group a and one of b are on s0."""
+    """Return a host whose backends report loads.
+
+    ``s0="aab"`` puts two connections of group a and one of group b on s0.
+    """
     host = BalancerHost(reports_load=True, health_checks_allowed=True, has_groups=True)
     host.update_endpoints(members(count))
     for backend, groups in connections.items():
@@ -149,5 +153,5 @@
 
 
 def endpoints_in_zones(count: int) -> tuple[Endpoint, ...]:
-    """The endpoints s0, s1, ... in the zones z0, z1 and z2 in turn."""
+    """Return the endpoints s0, s1, ... in the zones z0, z1 and z2 in turn."""
     return tuple(Endpoint(f"s{i}", zone=f"z{i % 3}") for i in range(count))
--- a/tests/balancing/test_admission.py
+++ b/tests/balancing/test_admission.py
@@ -1,4 +1,4 @@
-"""Overload: what counts as one, and what it rejects."""
+"""Tests of overload detection and of rejection under overload."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 from tests.balancing.balancer_host import BalancerHost, members
 
 
-def test_requests_are_rejected_at_once_under_overload() -> None:
-    # All set-ups time out, wherever they go, and more attempts would make it worse. Requests are rejected at
-    # once, until the failures are forgotten.
+def test_requests_are_rejected_without_an_attempt_under_overload() -> None:
+    # All set-ups time out at all backends, and further attempts would increase the overload. Requests are
+    # rejected immediately until the failure count has decayed.
     host = BalancerHost()
     host.update_endpoints(members(50))
     for _ in range(200):
@@ -17,15 +17,15 @@
         while request in host.in_flight:
             host.finish(request, AttemptStatus.TIMEOUT)
     assert len(host.actions(StartAttempt)) <= 6
-    host.run(60.0)  # forgotten: the next one is admitted
+    host.run(60.0)  # The failure count has decayed, so the next request is admitted.
     assert host.request() in host.in_flight
 
 
-def test_a_connection_dropped_young_counts_as_a_failure_and_an_old_one_does_not() -> None:
+def test_a_connection_reset_soon_after_its_set_up_counts_as_a_failure_but_a_later_reset_does_not() -> None:
     host = BalancerHost()
     host.update_endpoints(members(3))
-    young, old = host.connect(), host.connect()
-    host.finish(young, AttemptStatus.RESET, final=True)
+    new, old = host.connect(), host.connect()
+    host.finish(new, AttemptStatus.RESET, final=True)
     assert host.balancer.overload.failures == 1 and host.balancer.overload.successes == 1
     host.now += 10.0
     host.finish(old, AttemptStatus.RESET, final=True)
--- a/tests/balancing/test_backend_pool.py
+++ b/tests/balancing/test_backend_pool.py
@@ -1,4 +1,4 @@
-"""Candidates for new attempts: some are excluded, the last ones never."""
+"""Tests of the candidates for new attempts and of their exclusion."""
 
 from __future__ import annotations
 
--- a/tests/balancing/test_backend_report.py
+++ b/tests/balancing/test_backend_report.py
@@ -1,4 +1,4 @@
-"""What is reported of a backend: the reasons why it gets nothing new."""
+"""Tests of the reasons in backend reports."""
 
 from __future__ import annotations
 
@@ -32,14 +32,14 @@
         (HealthState.PROBING, "probing", True),
     ],
 )
-def test_its_health_is_a_reason(state: HealthState, reason: str, is_avoided: bool) -> None:
+def test_an_unhealthy_state_is_a_reason(state: HealthState, reason: str, is_avoided: bool) -> None:
     backend = Backend(Endpoint("s0"))
     backend.health.state = state
     report = report_backend(NOW, backend)
     assert report.reasons == (reason,) and report.is_avoided is is_avoided
 
 
-def test_the_reasons_of_ceilings_and_slow_start_end_with_their_time() -> None:
+def test_reasons_from_ceilings_and_slow_start_expire() -> None:
     backend = Backend(Endpoint("s0"))
     backend.ceiling_record.no_overflow_until = backend.ceiling_record.cut_until = backend.next_attempt_at = (
         NOW + 1
--- a/tests/balancing/test_balancer.py
+++ b/tests/balancing/test_balancer.py
@@ -1,4 +1,4 @@
-"""The balancer as a whole: the same events give the same actions, late events are ignored."""
+"""Tests of the balancer as a whole: determinism, late events and returned actions."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from tests.balancing.balancer_host import BalancerHost, members, settings
 
 
-def test_same_events_same_actions() -> None:
+def test_equal_settings_seed_and_events_give_equal_actions() -> None:
     logs = []
     for _ in range(2):
         host = BalancerHost(seed=7)
@@ -34,7 +34,7 @@
     assert logs[0] == logs[1]
 
 
-def test_events_for_what_has_ended_are_ignored() -> None:
+def test_events_for_unknown_requests_and_backends_are_ignored() -> None:
     balancer = Balancer(settings(), 1)
     for event in (
         ClientDisconnected("x"),
@@ -47,18 +47,18 @@
         assert balancer.handle(1.0, event) == []
 
 
-def test_an_event_that_raises_leaves_no_actions_behind(monkeypatch: pytest.MonkeyPatch) -> None:
-    # A fault ends an event after it has decided on an attempt. That attempt must not be started with the
-    # actions of the next event.
+def test_the_actions_of_an_event_that_raises_are_discarded(monkeypatch: pytest.MonkeyPatch) -> None:
+    # An exception is raised after the balancer has decided to start an attempt. The action must not be
+    # returned with those of the next event.
     host = BalancerHost()
     host.update_endpoints(members(1))
-    with monkeypatch.context() as fault, pytest.raises(ZeroDivisionError):
-        fault.setattr(SharedState, "outgoing_messages", lambda *_: 1 / 0)
+    with monkeypatch.context() as patch, pytest.raises(ZeroDivisionError):
+        patch.setattr(SharedState, "outgoing_messages", lambda *_: 1 / 0)
         host.balancer.handle(host.now, RequestReceived("x", "quick", 1.0))
     assert host.balancer.handle(host.now, ClientDisconnected("nobody")) == []
 
 
-def test_the_actions_of_an_event_are_not_changed_by_the_next_one() -> None:
+def test_returned_actions_are_not_changed_by_the_next_event() -> None:
     host = BalancerHost()
     host.update_endpoints(members(1))
     actions = host.balancer.handle(host.now, RequestReceived("x", "quick", 1.0))
--- a/tests/balancing/test_balancer_model.py
+++ b/tests/balancing/test_balancer_model.py
@@ -1,7 +1,7 @@
-"""A model check of the whole balancer, over any order of requests, endings, lists, restarts and late events.
+"""A model-based test of the whole balancer with generated sequences of events.
 
-The machine keeps books of its own (what is in flight and established, and what was answered) and checks
-the balancer by them. Broken variants of single rules, at the end, must each be found.
+The state machine keeps its own record of attempts in flight, established connections and final answers, and
+compares the balancer with it. The balancers at the end each break one rule, which the test must detect.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 import pytest
 from hypothesis import HealthCheck, Phase
-from hypothesis import settings as effort
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule, run_state_machine_as_test
 
@@ -38,11 +38,12 @@
 from tests.balancing.balancer_host import ANSWER_SLACK_SECONDS, BalancerHost
 
 FAILURES = [status for status in AttemptStatus if status is not AttemptStatus.OK]
-RECOVERY_SECONDS = 60.0  # the longest ejection, backoff and warm-up one after another, with time to be drawn
+# Covers the longest ejection, backoff and warm-up in sequence, and the time until each backend is drawn.
+RECOVERY_SECONDS = 60.0
 
 
-class Machine(RuleBasedStateMachine):
-    """Keeps books beside the balancer's own. ``balancer_class`` is the one under test, or a broken one."""
+class BalancerMachine(RuleBasedStateMachine):
+    """Compares ``balancer_class``, which is the balancer or a broken variant, with an independent model."""
 
     balancer_class: type[Balancer] = Balancer
 
@@ -51,27 +52,28 @@
         self.host = BalancerHost(max_attempts=3, has_groups=True)
         self.host.balancer = self.balancer_class(self.host.settings, 7)
         self.states: dict[str, BackendState] = {}
-        self.started: Counter[str] = Counter()
-        self.warm_up_attempts: Counter[str] = Counter()  # at each backend since it started, while it warms up
+        self.started: Counter[str] = Counter()  # backend -> start time (s)
+        self.warm_up_attempts: Counter[str] = Counter()  # backend -> attempts during its present warm-up
         self.peak_occupancy = 0.0  # slots
         self.established: dict[str, str] = {}  # request -> backend
         self.groups: dict[str, str] = {}  # request -> group
-        self.deadlines: dict[str, float] = {}  # of requests without a final answer
-        self.finished: list[tuple[str, int]] = []  # request and attempt
-        self.audited = 0  # entries of the host's log
-        self.list_all(4)
+        self.deadlines: dict[str, float] = {}  # request without a final answer -> its deadline (s)
+        self.finished: list[tuple[str, int]] = []  # request and attempt number
+        self.checked = 0  # Number of entries of the host's log that have been checked.
+        self.receive_complete_list(4)
 
-    def audit(self) -> None:
-        """Check the answers and attempts since the last audit.
+    def check_log(self) -> None:
+        """Check the answers and attempts since the last check.
 
-        One final answer for each request, in time; no attempt at a backend that is not ready, and at one that
-        warms up no more than fills it over its warm-up, were it to hold all that was ever held at once.
+        Each request gets one final answer by its deadline. No attempt is started at a backend that is not
+        ready. The attempts at a warming backend are limited to the number that would fill it evenly over its
+        warm-up if it held the highest total occupancy so far.
         """
         groups = {
             (self.groups[r], backend) for r, (_, backend) in self.host.in_flight.items() if self.groups[r]
         }
         self.peak_occupancy = max(self.peak_occupancy, len(self.host.in_flight) + GROUP_SLOTS * len(groups))
-        for at, action in self.host.log[self.audited :]:
+        for at, action in self.host.log[self.checked :]:
             if isinstance(action, RejectRequest | FailRequest):
                 assert at <= self.deadlines.pop(action.request) + ANSWER_SLACK_SECONDS
             elif isinstance(action, StartAttempt):
@@ -82,13 +84,12 @@
                     self.warm_up_attempts[action.backend] += 1
                     assert (
                         self.warm_up_attempts[action.backend] <= 1 + (self.peak_occupancy + 1) * age / warm_up
-                    ), "too many"
-        self.audited = len(self.host.log)
+                    ), "too many attempts during the warm-up"
+        self.checked = len(self.host.log)
         assert all(at + 0.01 >= self.host.now for at in self.deadlines.values()), "no answer in time"
 
     @rule(count=st.integers(2, 5))
-    def list_all(self, count: int) -> None:
-        """Bring a complete list."""
+    def receive_complete_list(self, count: int) -> None:
         self.states = {f"s{i}": BackendState.READY if i < count else BackendState.REMOVED for i in range(5)}
         self.host.update_endpoints(tuple(self.endpoint(f"s{i}") for i in range(count)))
 
@@ -96,15 +97,14 @@
         return Endpoint(name, self.states[name], "z0", started=float(self.started[name]))
 
     @rule(which=st.integers(0, 4), state=st.sampled_from(BackendState))
-    def list_one(self, which: int, state: BackendState) -> None:
-        """Bring an update of one backend."""
+    def receive_update(self, which: int, state: BackendState) -> None:
         self.states[f"s{which}"] = state
         self.host.update_endpoints((self.endpoint(f"s{which}"),), EndpointUpdateKind.DELTA)
 
     @rule(which=st.integers(0, 4))
     def restart(self, which: int) -> None:
         self.started[f"s{which}"], self.warm_up_attempts[f"s{which}"] = int(self.host.now), 0
-        self.list_one(which, BackendState.READY)
+        self.receive_update(which, BackendState.READY)
 
     @rule()
     def discovery_fails(self) -> None:
@@ -112,13 +112,13 @@
 
     @rule(seconds=st.sampled_from([0.1, 0.4, 2.0, 2.0, 10.0]))
     def wait(self, seconds: float) -> None:
-        """Let time pass; the host ends attempts in flight at their deadline."""
+        """Advance the clock, and end attempts in flight with a time-out at their deadline, as a host does."""
         for _ in range(int(seconds / 0.1)):
             self.host.run(0.1)
-            for request in self.waiting():
+            for request in self.unestablished():
                 if self.deadlines[request] < self.host.now + 0.1:
                     self.finish(request, AttemptStatus.TIMEOUT)
-            self.audit()
+            self.check_log()
 
     @rule(count=st.integers(1, 6), group=st.sampled_from(["", "g", "h"]), flow=st.integers(0, 2))
     def requests_arrive(self, count: int, group: str, flow: int) -> None:
@@ -126,10 +126,10 @@
             name = f"r{self.host.request_count + 1}"
             self.deadlines[name], self.groups[name] = self.host.now + 1.2, group
             assert self.host.request(group=group, flow=f"f{flow}") == name
-            self.audit()
+            self.check_log()
 
-    def waiting(self, pick: int | None = None) -> list[str]:
-        """Requests with an attempt in flight that is not established yet: all, or one of them."""
+    def unestablished(self, pick: int | None = None) -> list[str]:
+        """Return all requests, or one of them, with an attempt in flight that is not established yet."""
         found = [r for r in self.host.in_flight if r in self.deadlines]
         return found if pick is None or not found else [found[pick % len(found)]]
 
@@ -137,29 +137,29 @@
         attempt, _ = self.host.in_flight[request]
         self.established.pop(request, None)
         self.finished.append((request, attempt))
-        # As hosts do: an ending is final where the client was answered or had its connection.
+        # As in a real host, the end is final if the client was answered or its connection was established.
         self.host.finish(request, status, final=request not in self.deadlines)
 
     @rule(pick=st.integers(0, 99), status=st.sampled_from(FAILURES), every=st.booleans())
     def attempts_fail(self, pick: int, status: AttemptStatus, every: bool) -> None:
-        for request in self.waiting(None if every else pick):
+        for request in self.unestablished(None if every else pick):
             self.finish(request, status)
 
     @rule(which=st.integers(0, 4), status=st.sampled_from(FAILURES), count=st.integers(1, 20))
     def one_backend_fails(self, which: int, status: AttemptStatus, count: int) -> None:
-        """As an outage goes: the others work, and what fails at this one is established elsewhere."""
+        """Simulate the failure of one backend, while retries at the others succeed."""
         for flow in range(count):
             self.wait(0.2)
             self.requests_arrive(1, "", flow)
-            for request in self.waiting():
+            for request in self.unestablished():
                 while request in self.host.in_flight and self.host.backend_of(request) == f"s{which}":
                     self.finish(request, status)
             self.establish()
 
     @rule(pick=st.none() | st.integers(0, 99))
     def establish(self, pick: int | None = None) -> None:
-        self.audit()
-        for request in self.waiting(pick):
+        self.check_log()
+        for request in self.unestablished(pick):
             del self.deadlines[request]
             self.established[request] = self.host.backend_of(request)
             self.host.establish(request, latency=0.01 * (1 + (pick or 0) % 5))
@@ -174,7 +174,7 @@
 
     @rule(pick=st.integers(0, 99))
     def client_disconnects(self, pick: int) -> None:
-        self.audit()
+        self.check_log()
         if self.deadlines:
             request = sorted(self.deadlines)[pick % len(self.deadlines)]
             del self.deadlines[request]
@@ -184,7 +184,7 @@
 
     @rule(pick=st.integers(0, 99), status=st.sampled_from(AttemptStatus))
     def late_event(self, pick: int, status: AttemptStatus) -> None:
-        """An ending comes again, perhaps of an attempt before the last."""
+        """Repeat the events of an attempt that has ended; it may not be the request's last attempt."""
         if self.finished:
             request, attempt = self.finished[pick % len(self.finished)]
             self.host.handle(AttemptFinished(request, attempt, status, final=True))
@@ -201,20 +201,20 @@
 
     @invariant()
     def occupancy_is_exact(self) -> None:
-        self.audit()
-        held = Counter(backend for _, backend in self.host.in_flight.values())
+        self.check_log()
+        counts = Counter(backend for _, backend in self.host.in_flight.values())
         for backend in self.host.balancer.pool.backends.values():
-            here = [r for r, (_, s) in self.host.in_flight.items() if s == backend.name]
-            groups = Counter(self.groups[r] for r in here if self.groups[r])
-            load = sum(self.host.balancer.requests[r].slots for r in here) + GROUP_SLOTS * len(groups)
-            assert backend.count == held[backend.name] and backend.groups == groups
-            assert backend.occupancy == pytest.approx(load, abs=1e-6)
-            assert set(backend.connections) <= set(here) & set(self.established)
+            requests = [r for r, (_, s) in self.host.in_flight.items() if s == backend.name]
+            groups = Counter(self.groups[r] for r in requests if self.groups[r])
+            slots = sum(self.host.balancer.requests[r].slots for r in requests) + GROUP_SLOTS * len(groups)
+            assert backend.count == counts[backend.name] and backend.groups == groups
+            assert backend.occupancy == pytest.approx(slots, abs=1e-6)
+            assert set(backend.connections) <= set(requests) & set(self.established)
             assert (backend.health.probe is not None) == (backend.health.state is HealthState.PROBING)
-            assert backend.health.probe is None or backend.health.probe.id in here
+            assert backend.health.probe is None or backend.health.probe.id in requests
 
     def teardown(self) -> None:
-        """All backends answer from now on: each that is listed gets work again, and nothing is left over."""
+        """Check the recovery after all faults: each listed backend is used again, and no state remains."""
         for request in list(self.host.in_flight):
             if request in self.host.in_flight:
                 self.finish(request, AttemptStatus.CANCELLED)
@@ -227,7 +227,7 @@
             if len(self.established) > 4:
                 self.finish(next(iter(self.established)), AttemptStatus.OK)
         assert all(used[n] for n, state in self.states.items() if state is BackendState.READY), (
-            "a listed backend gets no work"
+            "a listed backend gets no connections"
         )
         for request in list(self.established):
             self.finish(request, AttemptStatus.OK)
@@ -240,12 +240,12 @@
         )
 
 
-# Hypothesis draws constants of the modules that happen to be imported: the examples of one seed change with
-# the tests that run beside these. The search for the rarest broken rule (LostProbe) is in vain in about a
-# sixth of all runs of 200 examples, and practically never in 2,000.
+# Hypothesis draws constants from all imported modules, so the examples depend on the tests that run in the
+# same process. The rarest broken rule (ErrorsDoNotEndProbe) is missed by about a sixth of all runs with 200
+# examples, and practically never with 2,000.
 CHECK_EXAMPLES = 200
 SEARCH_EXAMPLES = 2_000
-EFFORT: dict[str, Any] = {
+HYPOTHESIS_OPTIONS: dict[str, Any] = {
     "derandomize": True,
     "database": None,
     "deadline": None,
@@ -257,12 +257,14 @@
 }
 
 
-def test_the_balancer_keeps_its_books_its_rules_and_every_backend() -> None:
-    run_state_machine_as_test(Machine, settings=effort(max_examples=CHECK_EXAMPLES, **EFFORT))
+def test_the_balancer_agrees_with_the_model_and_recovers_every_backend() -> None:
+    run_state_machine_as_test(
+        BalancerMachine, settings=hypothesis_settings(max_examples=CHECK_EXAMPLES, **HYPOTHESIS_OPTIONS)
+    )
 
 
-class ProbeOutlivesErrors(FailureAttribution):
-    """As it was once: an error or a reset did not end the probe."""
+class AttributionThatKeepsProbe(FailureAttribution):
+    """An error or a reset does not end the probe (a former fault)."""
 
     __slots__ = ()
 
@@ -273,14 +275,14 @@
             backend.health.probe, backend.health.state = probe, HealthState.PROBING
 
 
-class LostProbe(Balancer):
+class ErrorsDoNotEndProbe(Balancer):
     def _create_fault_rules(self) -> None:
         super()._create_fault_rules()
-        self._attribution = ProbeOutlivesErrors(self.ejection, self.slot_ceilings)
+        self._attribution = AttributionThatKeepsProbe(self.ejection, self.slot_ceilings)
 
 
-class OccupancyOfAnswered(Occupancy):
-    """An attempt that ends after its request was answered is counted for ever."""
+class OccupancyThatKeepsAnswered(Occupancy):
+    """An attempt that ends after its request was answered is never removed from the occupancy."""
 
     __slots__ = ()
 
@@ -289,14 +291,14 @@
             super().remove(backend, request)
 
 
-class LostLateEnding(Balancer):
+class AnsweredRequestsStayInOccupancy(Balancer):
     def _create_capacity_rules(self) -> None:
         super()._create_capacity_rules()
-        self._occupancy = OccupancyOfAnswered(self.slot_ceilings, self.shared_state)
+        self._occupancy = OccupancyThatKeepsAnswered(self.slot_ceilings, self.shared_state)
 
 
-class EndsTwice(Balancer):
-    """A late ending of an earlier attempt is taken for one of the last."""
+class EarlierAttemptEndsLastAttempt(Balancer):
+    """A late event of an earlier attempt is applied to the last attempt."""
 
     def _on_attempt_finished(self, now: float, event: AttemptFinished) -> None:
         request = self.requests.get(event.request)
@@ -305,8 +307,8 @@
         super()._on_attempt_finished(now, event)
 
 
-class SelectionOfDraining(Selection):
-    """Attempts go to draining backends too."""
+class SelectionThatAllowsDraining(Selection):
+    """Draining backends may be chosen."""
 
     __slots__ = ()
 
@@ -314,11 +316,11 @@
         return super().is_allowed(now, request, backend) or backend.state is BackendState.DRAINING
 
 
-class SendsToDraining(Balancer):
+class DrainingBackendsGetAttempts(Balancer):
     def _create_request_rules(self) -> None:
         super()._create_request_rules()
         affinity = GroupAffinity(self.settings, self.pool, self.capacity, self.shared_state)
-        self._selection = SelectionOfDraining(
+        self._selection = SelectionThatAllowsDraining(
             self.settings, self.pool, self.slot_ceilings, affinity, self._random
         )
         self._placement.selection = self._selection
@@ -328,8 +330,8 @@
         self.pool.candidates = [b for b in self.pool.backends.values() if b.state is not BackendState.REMOVED]
 
 
-class NoSlowStart(SlowStart):
-    """Attempts at a backend that warms up follow each other at once."""
+class SlowStartWithoutInterval(SlowStart):
+    """Attempts at a warming backend have no minimum interval."""
 
     __slots__ = ()
 
@@ -337,14 +339,24 @@
         return 0.0
 
 
-class FloodsWarmingUp(Balancer):
+class WarmingBackendsAreNotLimited(Balancer):
     def _create_capacity_rules(self) -> None:
         super()._create_capacity_rules()
-        self._slow_start = NoSlowStart(self.settings, self.shared_state)
-
-
-@pytest.mark.parametrize("broken", [FloodsWarmingUp, LostProbe, LostLateEnding, EndsTwice, SendsToDraining])
-def test_the_model_check_finds_a_broken_rule(broken: type[Balancer]) -> None:
-    machine = type("Broken", (Machine,), {"balancer_class": broken})
+        self._slow_start = SlowStartWithoutInterval(self.settings, self.shared_state)
+
+
+@pytest.mark.parametrize(
+    "broken",
+    [
+        WarmingBackendsAreNotLimited,
+        ErrorsDoNotEndProbe,
+        AnsweredRequestsStayInOccupancy,
+        EarlierAttemptEndsLastAttempt,
+        DrainingBackendsGetAttempts,
+    ],
+)
+def test_the_model_check_detects_a_broken_rule(broken: type[Balancer]) -> None:
+    machine = type("Broken", (BalancerMachine,), {"balancer_class": broken})
+    options = hypothesis_settings(max_examples=SEARCH_EXAMPLES, **HYPOTHESIS_OPTIONS)
     with pytest.raises((AssertionError, KeyError)):
-        run_state_machine_as_test(machine, settings=effort(max_examples=SEARCH_EXAMPLES, **EFFORT))
+        run_state_machine_as_test(machine, settings=options)
--- a/tests/balancing/test_failure_attribution.py
+++ b/tests/balancing/test_failure_attribution.py
@@ -1,4 +1,4 @@
-"""Which endings of attempts are a backend's fault."""
+"""Tests of which failed attempts count as a backend's fault."""
 
 from __future__ import annotations
 
@@ -14,8 +14,9 @@
 from tests.balancing.balancer_host import BalancerHost, members
 
 
-def test_a_backend_that_answers_errors_is_used_by_one_connection_at_a_time() -> None:
-    # One that failed half of all set-ups kept drawing most of them, for what it fails it does not hold.
+def test_a_backend_that_answers_errors_gets_one_attempt_at_a_time() -> None:
+    # A backend that fails set-ups keeps no connections, so without ejection it has the most free slots and is
+    # drawn for most attempts.
     host = BalancerHost()
     host.update_endpoints(members(4))
     for _ in range(40):
@@ -24,32 +25,32 @@
             host.finish(request, AttemptStatus.ERROR)
         host.establish(request)
     assert Counter(s for a in host.actions(StartAttempt) for s in [a.backend])["s0"] <= 3
-    assert not host.actions(RejectRequest)  # and its errors are no sign of an overload of the whole fleet
+    assert not host.actions(RejectRequest)  # Errors do not count as an overload.
     host.run(EJECTION_BACKOFF_MAX_SECONDS * 2)
     probes = [r for r in [host.request() for _ in range(9)] if r in host.in_flight]
     assert [host.backend_of(r) for r in probes].count("s0") <= 1 < len(probes)
 
 
-def test_one_reset_is_no_fault_and_a_cut_on_an_idle_backend_leaves_free_slots() -> None:
-    # On a day of chance resets each excluded a backend for seconds, and an idle one was held at half a slot.
+def test_a_single_reset_is_no_fault_and_a_cut_leaves_an_idle_backend_free_slots() -> None:
+    # Guards against two faults: each chance reset excluded a backend for seconds, and a cut limited an idle
+    # backend to half a slot.
     host = BalancerHost(tenants=(Tenant("t", 1.0, 90.0),))
     host.update_endpoints(members(3))
-    held = [host.connect() for _ in range(9)]
-    backend = host.backend(host.backend_of(held[0]))
-    on = [r for r in held if host.backend_of(r) == backend.name]
-    host.finish(on[0], AttemptStatus.RESET, final=True)
+    connections = [host.connect() for _ in range(9)]
+    backend = host.backend(host.backend_of(connections[0]))
+    on_backend = [r for r in connections if host.backend_of(r) == backend.name]
+    host.finish(on_backend[0], AttemptStatus.RESET, final=True)
     assert backend.ceiling_record.no_overflow_until <= host.now and backend.ceiling > backend.occupancy
     host.run(2.0)
-    host.finish(on[1], AttemptStatus.RESET, final=True)
+    host.finish(on_backend[1], AttemptStatus.RESET, final=True)
     assert backend.ceiling_record.no_overflow_until <= host.now
-    host.finish(on[2], AttemptStatus.RESET, final=True)
+    host.finish(on_backend[2], AttemptStatus.RESET, final=True)
     assert backend.ceiling_record.no_overflow_until > host.now and backend.ceiling_record.learned_limit > 10
 
 
 @pytest.mark.parametrize("status", [AttemptStatus.ERROR, AttemptStatus.RESET])
-def test_a_request_that_is_broken_off_everywhere_is_at_fault_itself(status: AttemptStatus) -> None:
-    # Some clients send what no backend takes. Their requests fail at every backend, and none of these may be
-    # blamed for it.
+def test_a_request_that_fails_at_every_backend_is_not_the_backends_fault(status: AttemptStatus) -> None:
+    # Some clients send requests that every backend fails. No backend may be ejected or cut for them.
     host = BalancerHost()
     host.update_endpoints(members(4))
     for i in range(60):
@@ -68,11 +69,11 @@
 
 
 @pytest.mark.parametrize("flows, health", [(40, HealthState.EJECTED), (1, HealthState.HEALTHY)])
-def test_a_backend_that_fails_where_others_succeed_is_ejected_unless_for_one_flow(
+def test_a_backend_that_fails_where_others_succeed_is_ejected_unless_all_errors_are_of_one_flow(
     flows: int, health: HealthState
 ) -> None:
-    # A backend answers errors, and the retries succeed elsewhere: it is ejected. If all errors are those of
-    # one client, it is not.
+    # A backend answers errors while the retries succeed at other backends. It is ejected, unless all errors
+    # are those of a single client.
     host = BalancerHost()
     host.update_endpoints(members(3))
     backend = host.backend("s0")
@@ -87,9 +88,9 @@
     assert backend.health.state is health
 
 
-def test_attempts_at_an_old_process_do_not_count_for_the_next_one() -> None:
-    # A backend is restarted. The endings of what was in flight to its old process arrive after the list has
-    # told of the new one, which is not to blame.
+def test_attempts_at_the_process_before_a_restart_do_not_count_for_the_new_one() -> None:
+    # A backend is restarted. The attempts and connections of its old process end after the endpoint list has
+    # announced the new one, which is not at fault.
     host = BalancerHost()
     host.update_endpoints(members(1))
     old = [host.connect() for _ in range(4)] + [host.request()]
--- a/tests/balancing/test_load_reports.py
+++ b/tests/balancing/test_load_reports.py
@@ -1,4 +1,4 @@
-"""Load reports: what they steer, and when they are renewed."""
+"""Tests of the effect of load reports on selection, and of their renewal."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from tests.balancing.balancer_host import BalancerHost, host_with_reports, members
 
 
-def test_reported_load_steers_the_draws() -> None:
+def test_a_backend_with_a_low_reported_load_is_drawn_more_often() -> None:
     host = BalancerHost(reports_load=True, health_checks_allowed=True)
     host.update_endpoints(members(2))
     counts: Counter[str] = Counter()
@@ -24,13 +24,13 @@
     assert counts["s1"] > 3 * counts["s0"]
 
 
-def test_a_full_backend_has_its_report_renewed_until_it_is_back_in_the_draw() -> None:
-    # Once its last report had said "full", no placement health-checked it again: two of twelve backends
-    # stood empty for 35 s.
+def test_the_report_of_a_full_backend_is_renewed_so_that_it_is_drawn_again() -> None:
+    # Placements do not health-check a backend whose last report was "full". Without the renewal, two of
+    # twelve backends stayed empty for 35 s.
     host = host_with_reports(3, s1="bb", s2="cc")
     host.report_loads(s0=1.2, s1=0.5, s2=0.5)
-    asked = len(host.actions(StartHealthCheck))
+    before = len(host.actions(StartHealthCheck))
     host.run(4.0)
-    assert "s0" in [p.backend for p in host.actions(StartHealthCheck)[asked:]]
+    assert "s0" in [check.backend for check in host.actions(StartHealthCheck)[before:]]
     host.report_loads(s0=0.1)
     assert host.backend_of(host.request(group="new")) == "s0"
--- a/tests/balancing/test_migration.py
+++ b/tests/balancing/test_migration.py
@@ -1,4 +1,4 @@
-"""Migration of connections: each once, and shares rounded at random."""
+"""Tests of migration: each connection is migrated once, and shares are rounded at random."""
 
 from __future__ import annotations
 
@@ -32,14 +32,14 @@
     assert not backend.connections
 
 
-def test_a_small_share_is_migrated_at_its_rate_in_the_long_run() -> None:
+def test_a_small_share_is_migrated_exactly_on_average() -> None:
     migration = Migration([], random.Random(1))
     counts = [migration.sample_size(10, 0.03) for _ in range(4000)]
     assert set(counts) == {0, 1}
     assert sum(counts) / 4000 == pytest.approx(0.3, abs=0.03)
 
 
-def test_a_share_of_connections_is_drawn_without_repeats() -> None:
+def test_a_share_of_connections_is_sampled_without_replacement() -> None:
     actions: list[Action] = []
     backend = backend_with(20)
     Migration(actions, random.Random(1)).migrate_share(list(backend.connections.values()), 0.5)
--- a/tests/balancing/test_outlier_ejection.py
+++ b/tests/balancing/test_outlier_ejection.py
@@ -1,4 +1,4 @@
-"""Ejection and probing of backends, and of whole zones."""
+"""Tests of the ejection and probing of backends, and of the ejection of zones."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 from tests.balancing.balancer_host import BalancerHost, members
 
 
-def test_a_backend_that_cannot_be_reached_is_ejected_and_returns_by_one_probe() -> None:
-    # A backend stops, and comes back seconds later. Meanwhile nothing goes there; then a single request
-    # tries it, and only its success lets others follow.
+def test_an_unreachable_backend_is_ejected_and_used_again_after_a_successful_probe() -> None:
+    # A backend stops, and starts again seconds later. While it is ejected it gets no attempts. Then a single
+    # request probes it, and others follow only after the probe has succeeded.
     host = BalancerHost()
     host.update_endpoints(members(2))
     while True:
@@ -32,16 +32,16 @@
         after[host.backend_of(request)] += 1
         if host.backend_of(request) != "s0":
             host.establish(request)
-    assert after["s0"] == 1  # the probe; no other attempt until it has ended
+    assert after["s0"] == 1  # Only the probe, until it has ended.
     probe = next(r for r, (_, s) in host.in_flight.items() if s == "s0")
     host.establish(probe)
     host.run(1.0)
     assert Counter(host.backend_of(host.connect()) for _ in range(20))["s0"] > 1
 
 
-def test_all_backends_failing_leaves_all_in_use() -> None:
-    # The proxy's own network is cut: every attempt fails. All backends stay in use, for rejecting everything
-    # would last longer than the cut.
+def test_candidates_remain_when_all_backends_fail() -> None:
+    # The proxy loses its network, and every attempt fails. If no backend were used any more, the proxy would
+    # reject all requests beyond the end of the outage.
     host = BalancerHost()
     host.update_endpoints(members(2))
     for _ in range(3):
@@ -51,9 +51,9 @@
     assert host.balancer.pool.candidates
 
 
-def test_a_remote_zone_with_failures_in_a_row_is_ejected_as_a_whole() -> None:
-    # The link to another zone is cut. After four failures in a row the other sixteen backends there are not
-    # tried one by one.
+def test_a_remote_zone_is_ejected_as_a_whole_after_consecutive_failures() -> None:
+    # The link to another zone fails. After four consecutive failures, the other sixteen backends of the zone
+    # are not tried one after another.
     host = BalancerHost(zone="home")
     far = tuple(Endpoint(f"f{i}", zone="far") for i in range(20))
     host.update_endpoints((Endpoint("h", zone="home"), *far))
@@ -62,12 +62,13 @@
     assert [s.name for s in host.balancer.pool.candidates] == ["h"]
 
 
-def test_failures_of_attempts_from_before_an_ejection_do_not_lengthen_it() -> None:
-    # Eight errors in one burst after a restart left a backend alone for eight seconds at once.
+def test_failures_of_attempts_started_before_an_ejection_do_not_prolong_it() -> None:
+    # Guards against doubling the ejection time for each failure of a burst: eight failures after a restart
+    # ejected a backend for eight seconds.
     host = BalancerHost(tenants=(Tenant("t", 1.0, 90.0),))
     host.update_endpoints(members(2))
-    out = [r for r in [host.request() for _ in range(30)] if host.backend_of(r) == "s0"]
-    for request in out[:8]:
+    requests = [r for r in [host.request() for _ in range(30)] if host.backend_of(r) == "s0"]
+    for request in requests[:8]:
         host.finish(request, AttemptStatus.CONNECT_FAILED)
     backend = host.backend("s0")
     assert (
@@ -75,7 +76,7 @@
     )
 
 
-def test_each_state_has_a_transition_for_each_event_and_only_an_attempt_begins_a_probe() -> None:
+def test_each_state_has_a_transition_for_each_event_and_only_an_attempt_starts_a_probe() -> None:
     assert set(TRANSITIONS) == set(HealthEvent) and all(
         len(row) == len(HealthState) for row in TRANSITIONS.values()
     )
@@ -92,25 +93,26 @@
 @pytest.mark.parametrize(
     "status", [AttemptStatus.ERROR, AttemptStatus.RESET, AttemptStatus.CANCELLED, AttemptStatus.NOT_SENT]
 )
-def test_a_probe_ends_with_its_attempt_however_that_ends(status: AttemptStatus) -> None:
-    # ERROR and RESET once held the probe for ever: a proxy lost a backend for each bad client that met one.
+def test_a_probe_ends_with_its_attempt_for_every_status(status: AttemptStatus) -> None:
+    # Guards against a probe that ERROR or RESET does not end: each faulty client whose request became a probe
+    # excluded a backend permanently.
     host = BalancerHost()
     host.update_endpoints(members(3))
     host.fail("s0")
     host.run(2.0)
     while host.backend("s0").health.state is not HealthState.PROBING:
-        tried = host.request()
-    assert host.backend_of(tried) == "s0"
-    host.finish(tried, status)
+        probe = host.request()
+    assert host.backend_of(probe) == "s0"
+    host.finish(probe, status)
     for _ in range(100):
         host.run(0.2)
         host.establish(host.request())
     assert Counter(backend for _, backend in host.in_flight.values())["s0"] > 20
 
 
-def test_a_backend_that_stays_dead_for_hours_is_probed_all_the_same() -> None:
-    # A listed backend is dead for hours, and every probe fails. The backoff's power of two outgrew a float at
-    # the 1025th ejection, and the balancer raised OverflowError.
+def test_a_backend_is_still_probed_after_hours_of_failures() -> None:
+    # Guards against an OverflowError in the balancer: without a bound, the backoff's power of two exceeds the
+    # range of a float at the 1025th ejection.
     host = BalancerHost()
     host.update_endpoints(members(2))
     for _ in range(1100):
--- a/tests/balancing/test_placement.py
+++ b/tests/balancing/test_placement.py
@@ -1,4 +1,4 @@
-"""The way of a request to its attempt or final answer."""
+"""Tests of the placement of requests: attempts, health checks and final answers."""
 
 from __future__ import annotations
 
@@ -7,24 +7,24 @@
 from tests.balancing.balancer_host import BalancerHost, members
 
 
-def test_a_request_is_answered_at_its_deadline() -> None:
-    # The attempt does not answer. The client is answered at its deadline all the same, and once only, though
-    # the time-out of the attempt arrives after it.
+def test_a_request_gets_one_final_answer_at_its_deadline() -> None:
+    # The attempt does not end before the deadline. The client gets a final answer at the deadline, and no
+    # second one when the time-out of the attempt arrives later.
     host = BalancerHost()
     host.update_endpoints(members(4))
     request = host.request(time_left=0.2)
     host.run(0.2)
     answers = host.actions(RejectRequest) + host.actions(FailRequest)
     assert [a.request for a in answers] == [request]
-    host.finish(request, AttemptStatus.TIMEOUT)  # crossed: no further answer and no attempt
+    host.finish(request, AttemptStatus.TIMEOUT)  # Too late for another answer or attempt.
     assert (
         len(host.actions(StartAttempt)) == 1
         and len(host.actions(RejectRequest) + host.actions(FailRequest)) == 1
     )
 
 
-def test_placement_does_not_wait_for_a_health_check_that_never_returns() -> None:
-    # A backend hangs as its load is asked for. The request is placed by what is known, after a short wait.
+def test_placement_continues_when_a_health_check_does_not_end() -> None:
+    # A backend hangs during its health check. After a short wait the request is placed without its report.
     host = BalancerHost(reports_load=True, health_checks_allowed=True)
     host.update_endpoints(members(5))
     request = host.request()
@@ -33,8 +33,8 @@
     assert request in host.in_flight
 
 
-def test_a_backend_that_drains_while_its_health_check_is_in_flight_is_not_chosen() -> None:
-    # Two events cross: the list says that a backend drains while a placement waits for its load report.
+def test_a_backend_that_begins_to_drain_during_its_health_check_is_not_chosen() -> None:
+    # The endpoint list announces the drain of a backend while a placement waits for its load report.
     host = BalancerHost(reports_load=True, health_checks_allowed=True)
     host.update_endpoints(members(1))
     host.request()
--- a/tests/balancing/test_rebalancing.py
+++ b/tests/balancing/test_rebalancing.py
@@ -1,4 +1,4 @@
-"""Zone failback and group consolidation."""
+"""Tests of zone failback and group consolidation."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
     home = host.backend("h")
     home.ceiling_record.cut_until = host.now + 3.0
     host.run(2.5)
-    assert not host.actions(MigrateConnection)  # the local backend is slow
+    assert not host.actions(MigrateConnection)  # The local backend is slow.
     home.ceiling_record.cut_until = 0.0
     host.run(3.0)
-    moved = {m.request for m in host.actions(MigrateConnection)}
-    assert 1 <= len(moved) <= 20 and len(moved) == len(host.actions(MigrateConnection))
+    migrated = {m.request for m in host.actions(MigrateConnection)}
+    assert 1 <= len(migrated) <= 20 and len(migrated) == len(host.actions(MigrateConnection))
 
 
-def test_the_fullest_backend_gives_up_the_stragglers_of_a_group() -> None:
-    # Connections from before the start were spread so that each backend paid for every group.
+def test_a_few_connections_of_a_group_on_the_fullest_backend_join_the_others() -> None:
+    # Connections resumed after a restart can be spread so that each backend bears the cost of every group.
     host = BalancerHost(has_groups=True)
     host.update_endpoints(members(2))
     for i, (backend, group) in enumerate([("s0", "a")] * 9 + [("s0", "b")] + [("s1", "b")] * 3):
@@ -36,8 +36,8 @@
     assert {m.request for m in host.actions(MigrateConnection)} == {"old9"}
 
 
-def test_the_fullest_backend_gives_up_the_excess_of_its_largest_group() -> None:
-    # A day began with a third of its connections on one of five backends, which then dropped all of them.
+def test_the_excess_of_the_fullest_backend_is_migrated_from_its_largest_group() -> None:
+    # Initially one of five backends can have a third of all connections. It used to drop all of them.
     host = BalancerHost(has_groups=True)
     host.update_endpoints(members(5))
     for i in range(15):
@@ -45,14 +45,14 @@
     for i in range(3):
         host.handle(ConnectionResumed(f"b{i}", "quick", "s0", group="b"))
     host.run(1.6)
-    moved = [a.request for a in host.actions(MigrateConnection)]
+    migrated = [a.request for a in host.actions(MigrateConnection)]
     mean = (15 + 3 + 2 * GROUP_SLOTS) / 5
-    assert len(moved) == 24 - int(mean + 5) and all(name.startswith("a") for name in moved)
+    assert len(migrated) == 24 - int(mean + 5) and all(name.startswith("a") for name in migrated)
 
 
-def test_the_excess_is_not_migrated_towards_a_backend_that_waits_for_its_probe() -> None:
-    # An empty backend whose ejection was over lowered the mean: connections were migrated each second,
-    # to nowhere.
+def test_no_excess_is_migrated_while_a_backend_waits_for_its_probe() -> None:
+    # An empty backend whose ejection has ended lowers the mean. Connections used to be migrated each second,
+    # although no other backend could accept them.
     host = BalancerHost(has_groups=True)
     host.update_endpoints(members(4))
     for name in ("s0", "s1", "s2"):
@@ -63,17 +63,18 @@
     assert host.backend("s3").health.state.name == "ELIGIBLE" and not host.actions(MigrateConnection)
 
 
-def test_a_group_is_not_taken_apart_by_zone_failback(monkeypatch: pytest.MonkeyPatch) -> None:
-    # On a day of 200 proxies in six zones this migrated 5% of all crossing connections a second, and each
-    # found its group no more: the pairs of group and backend grew from 570 to 840 in ten seconds.
+def test_zone_failback_does_not_separate_the_connections_of_a_group(monkeypatch: pytest.MonkeyPatch) -> None:
+    # With 200 proxies in six zones, failback migrated 5% of the connections in other zones each second and
+    # separated them from their groups: the pairs of group and backend grew from 570 to 840 in ten seconds.
     host = BalancerHost(has_groups=True)
     host.update_endpoints(endpoints_in_zones(9))
     for number in range(40):
         request = host.request(group=f"g{number % 10}")
         host.establish(request)
-    away = [r for r in host.in_flight if host.backend(host.backend_of(r)).zone != "z0"]
-    assert away
+    remote = [r for r in host.in_flight if host.backend(host.backend_of(r)).zone != "z0"]
+    assert remote
     host.log.clear()
-    monkeypatch.setattr(Rebalancing, "consolidate_groups", lambda self: None)  # what else moves on a tick
+    # Disables the other rule that migrates connections on a tick.
+    monkeypatch.setattr(Rebalancing, "consolidate_groups", lambda self: None)
     host.run(20.0)
     assert not host.actions(MigrateConnection)
--- a/tests/balancing/test_request_rules.py
+++ b/tests/balancing/test_request_rules.py
@@ -1,7 +1,8 @@
-"""The rules that every request must meet, over generated sequences of events.
+"""Property-based test of the rules for every request, with generated sequences of events.
 
-One final answer, in time; no attempt after it, at a backend that is not ready, or beyond the maximum; no
-retry that may run a request twice with an effect; no rejection that promises what a repeat cannot keep.
+Each request gets one final answer by its deadline. No attempt is started after it, at a backend that is not
+ready, or beyond the maximum number of attempts. No retry may make a request take effect twice. A request is
+rejected, which tells the client that a retry is safe, only if that is true.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 
 import pytest
 from hypothesis import Phase, given
-from hypothesis import settings as run
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
 from saltcourse.balancing import admission, selection
@@ -45,10 +46,10 @@
         "not_idempotent", latency_objective=0.3, deadline=1.2, idempotency=Idempotency.NOT_IDEMPOTENT
     ),
 )
-ENDINGS = st.sampled_from([status for status in AttemptStatus if status is not AttemptStatus.OK])
+FAILURES = st.sampled_from([status for status in AttemptStatus if status is not AttemptStatus.OK])
 
 
-# What may happen next. ``pick`` chooses one of the attempts in flight, ``number`` is that of a backend.
+# Steps of a generated sequence. ``pick`` selects an attempt in flight, ``number`` is a backend's number.
 
 
 @dataclass(frozen=True, slots=True)
@@ -106,7 +107,7 @@
 NUMBER = st.integers(0, 5)
 STEPS = st.one_of(
     st.builds(Arrive, st.sampled_from([c.name for c in CLASSES]), st.floats(0.01, 1.2)),
-    st.builds(EndAttempt, PICK, ENDINGS),
+    st.builds(EndAttempt, PICK, FAILURES),
     st.builds(Establish, PICK),
     st.builds(Disconnect, PICK),
     st.builds(ChangeState, NUMBER, st.sampled_from(list(BackendState))),
@@ -117,21 +118,22 @@
 )
 
 
-class JudgingHost(BalancerHost):
-    """Plays the host's side exactly: time-outs fire, deadlines end, and each action is checked."""
+class CheckingHost(BalancerHost):
+    """A host that enforces time-outs and deadlines, and checks each action."""
 
     def __init__(self, load_reports: bool) -> None:
         super().__init__(
             classes=CLASSES, reports_load=load_reports, health_checks_allowed=load_reports, warm_up=5.0
         )
         self.deadlines: dict[str, float] = {}
-        self.timeouts: dict[str, float] = {}  # when the attempt in flight times out
+        self.timeouts: dict[str, float] = {}  # request -> time (s) at which its attempt times out
         self.established: set[str] = set()
-        self.answers: dict[str, int] = {}  # request -> final answers, or ends of its connection
+        self.answers: dict[str, int] = {}  # request -> number of final answers and ends of its connection
         self.classes: dict[str, RequestClass] = {}
-        self.may_have_run: dict[str, tuple[Endpoint, float]] = {}  # where first, and since when
+        # request -> the first backend that may have run it, and the start time (s) of the attempt there
+        self.may_have_run: dict[str, tuple[Endpoint, float]] = {}
         self.endpoints: dict[str, Endpoint] = {}
-        self.started_at: dict[str, float] = {}  # of the last attempt
+        self.started_at: dict[str, float] = {}  # request -> start time (s) of its last attempt
 
     def handle(self, event: Event) -> list[Action]:
         actions = super().handle(event)
@@ -163,10 +165,10 @@
         assert request not in self.established, "an answer to an established connection"
         self.answers[request] = self.answers.get(request, 0) + 1
         assert self.answers[request] == 1, "two final answers"
-        assert self.now <= self.deadlines[request] + ANSWER_SLACK_SECONDS, "too late"
+        assert self.now <= self.deadlines[request] + ANSWER_SLACK_SECONDS, "an answer after the deadline"
         if isinstance(action, RejectRequest) and (request in self.may_have_run or request in self.in_flight):
             assert self.classes[request].idempotency is Idempotency.IDEMPOTENT, (
-                "a rejection that promises too much"
+                "a rejection although a retry is not safe"
             )
 
     def end_attempt(self, request: str, status: AttemptStatus) -> None:
@@ -201,7 +203,7 @@
         self.now = end
 
     def play(self, step: Step) -> None:
-        """Let one step happen; one that needs an attempt in flight, or one not answered, may be left out."""
+        """Execute one step; a step that needs an attempt in flight is skipped if there is none."""
         match step:
             case Arrive(request_class, time_left):
                 self.arrive(request_class, time_left)
@@ -241,8 +243,8 @@
         self.update_endpoints((endpoint,), EndpointUpdateKind.DELTA)
 
 
-def play_and_judge(steps: list[Step], load_reports: bool) -> None:
-    host = JudgingHost(load_reports)
+def play_and_check(steps: list[Step], load_reports: bool) -> None:
+    host = CheckingHost(load_reports)
     endpoints = tuple(Endpoint(f"s{i}", zone=f"z{i % 2}", cell=i // 2, started=1.0) for i in range(6))
     host.endpoints = {endpoint.backend: endpoint for endpoint in endpoints}
     host.update_endpoints(endpoints, EndpointUpdateKind.CACHED)
@@ -255,25 +257,27 @@
     expected: dict[str, int] = {}
     for _, backend in host.in_flight.values():
         expected[backend] = expected.get(backend, 0) + 1
-    assert counted == expected, "occupancy is exact"
+    assert counted == expected, "the balancer's counts differ from the attempts and connections in flight"
 
 
 ANY_STEPS = st.lists(STEPS, min_size=20, max_size=80)
 
 
-@run(derandomize=True, deadline=None, max_examples=300)
+@hypothesis_settings(derandomize=True, deadline=None, max_examples=300)
 @given(ANY_STEPS, st.booleans())
-def test_rules_hold_whatever_comes(steps: list[Step], load_reports: bool) -> None:
-    play_and_judge(steps, load_reports)
+def test_the_rules_hold_for_any_sequence_of_events(steps: list[Step], load_reports: bool) -> None:
+    play_and_check(steps, load_reports)
 
 
 @pytest.mark.parametrize(
     ("module", "rule"), [(selection, "is_safe_to_retry_on"), (admission, "is_safe_to_retry")]
 )
-def test_the_checks_find_a_broken_rule(
+def test_the_checks_detect_a_broken_rule(
     module: ModuleType, rule: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(module, rule, lambda *_: True)
-    effort = run(derandomize=True, database=None, deadline=None, max_examples=300, phases=[Phase.generate])
+    options = hypothesis_settings(
+        derandomize=True, database=None, deadline=None, max_examples=300, phases=[Phase.generate]
+    )
     with pytest.raises(AssertionError):
-        effort(given(ANY_STEPS, st.booleans())(play_and_judge))()
+        options(given(ANY_STEPS, st.booleans())(play_and_check))()
--- a/tests/balancing/test_retries.py
+++ b/tests/balancing/test_retries.py
@@ -1,4 +1,4 @@
-"""Which requests are retried, where, how often and how long."""
+"""Tests of retries: which requests are retried, on which backends, how often and with which time-outs."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
 )
 
 
-def test_a_failed_attempt_is_retried_at_another_backend_up_to_the_maximum() -> None:
-    # No backend can be reached. Each attempt goes to another one, and the last failure rejects the request.
+def test_a_failed_attempt_is_retried_at_other_backends_up_to_the_maximum_of_attempts() -> None:
+    # No backend is reachable. Each attempt goes to another backend, and the last failure rejects the request.
     host = BalancerHost()
     host.update_endpoints(members(6))
     request = host.request()
-    seen = []
+    tried = []
     while request in host.in_flight:
-        seen.append(host.backend_of(request))
+        tried.append(host.backend_of(request))
         host.finish(request, AttemptStatus.CONNECT_FAILED)
-    assert len(seen) == len(set(seen)) == host.settings.max_attempts
+    assert len(tried) == len(set(tried)) == host.settings.max_attempts
     assert [a.request for a in host.actions(RejectRequest)] == [request]
 
 
@@ -41,36 +41,37 @@
 
 
 def test_a_request_that_is_not_idempotent_and_may_have_run_fails() -> None:
-    # A payment is rejected by a full backend, which proves that it never ran, and then broken off by another
-    # one, which may have run it: no third attempt, and no promise that a repeat is harmless.
+    # A payment is rejected by a full backend, so it has not run there. Then another backend resets it and may
+    # have run it. There must be no third attempt, and no answer that a retry is safe.
     host = BalancerHost(classes=(NOT_IDEMPOTENT,))
     host.update_endpoints(members(4))
     request = host.request(request_class="pay")
-    host.finish(request, AttemptStatus.FULL)  # proves that it never ran
+    host.finish(request, AttemptStatus.FULL)  # The request has not run.
     assert len(host.actions(StartAttempt)) == 2
     host.finish(request, AttemptStatus.RESET)
     assert len(host.actions(StartAttempt)) == 2 and not host.actions(RejectRequest)
     assert [a.request for a in host.actions(FailRequest)] == [request]
 
 
-def test_a_keyed_request_is_retried_within_its_deduplication_scope_only() -> None:
-    fleet = tuple(Endpoint(f"s{i}", zone="z0" if i < 2 else "z1") for i in range(4))
+def test_a_keyed_request_is_retried_only_within_its_deduplication_scope() -> None:
+    endpoints = tuple(Endpoint(f"s{i}", zone="z0" if i < 2 else "z1") for i in range(4))
     for seed in range(20):
         host = BalancerHost(seed=seed, classes=(KEYED,))
-        host.update_endpoints(fleet)
+        host.update_endpoints(endpoints)
         request = host.request(request_class="book")
-        zone = host.backend_of(request) in ("s0", "s1")
+        is_first_zone = host.backend_of(request) in ("s0", "s1")
+        host.finish(request, AttemptStatus.ERROR)
+        assert (host.backend_of(request) in ("s0", "s1")) is is_first_zone
+        # No backend is left in the scope. A rejection would tell the client that a retry is safe.
         host.finish(request, AttemptStatus.ERROR)
-        assert (host.backend_of(request) in ("s0", "s1")) is zone
-        host.finish(request, AttemptStatus.ERROR)  # none left in its scope; a rejection promises too much
         assert [a.request for a in host.actions(FailRequest)] == [request]
 
 
-def test_retries_are_bounded_by_a_share_of_the_requests() -> None:
+def test_retries_are_limited_to_a_share_of_the_requests() -> None:
     host = BalancerHost()
     host.update_endpoints(members(50))
     for _ in range(100):
-        host.balancer.overload.failures = 0.0  # no overload
+        host.balancer.overload.failures = 0.0  # Prevents an overload.
         request = host.request()
         while request in host.in_flight:
             host.finish(request, AttemptStatus.FULL)
--- a/tests/balancing/test_selection.py
+++ b/tests/balancing/test_selection.py
@@ -1,4 +1,4 @@
-"""The draw in proportion to free slots, and overflow."""
+"""Tests of the draw in proportion to free slots, and of overflow."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from tests.balancing.balancer_host import BalancerHost, members
 
 
-def test_draws_follow_free_slots() -> None:
+def test_backends_are_drawn_in_proportion_to_their_free_slots() -> None:
     host = BalancerHost(seed=3)
     host.update_endpoints(members(2))
     first, second = host.backend("s0"), host.backend("s1")
     counts: Counter[str] = Counter()
     for _ in range(4000):
-        first.ceiling, second.ceiling = 4.0, 2.0  # 3 and 1 free slots
+        first.ceiling, second.ceiling = 4.0, 2.0  # 3 free slots and 1
         first.occupancy, second.occupancy, first.count, second.count = 1.0, 1.0, 1, 1
         host.balancer.slot_ceilings.largest_free_slots = 3.0
         request = host.request()
@@ -26,7 +26,7 @@
     assert counts["s0"] / 4000 == pytest.approx(0.75, abs=0.03)
 
 
-def test_full_backends_overflow_by_one_slot_if_they_have_not_recently_rejected() -> None:
+def test_full_backends_overflow_by_one_slot_unless_they_have_recently_rejected() -> None:
     host = BalancerHost()
     host.update_endpoints(members(2))
     for backend in host.balancer.pool.backends.values():
@@ -45,9 +45,9 @@
     assert rejection.request == "r2" and 0 < rejection.retry_after <= host.settings.max_retry_after
 
 
-def test_only_listed_backends_are_used_and_with_none_the_request_is_rejected() -> None:
+def test_a_backend_that_is_not_listed_gets_no_attempts_and_the_request_is_rejected() -> None:
     host = BalancerHost()
-    host.handle(ConnectionResumed("old", "quick", "unnamed"))
+    host.handle(ConnectionResumed("old", "quick", "unlisted"))
     host.update_endpoints(())
     host.request()
     assert host.actions(RejectRequest) and not host.actions(StartAttempt)
--- a/tests/balancing/test_settings.py
+++ b/tests/balancing/test_settings.py
@@ -1,4 +1,4 @@
-"""Ranges of the settings."""
+"""Tests of the valid ranges of settings."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
         ("warm_up", "warm_up", "long"),
     ],
 )
-def test_invalid_settings_are_named(field: str, wire_name: str, value: object) -> None:
+def test_an_invalid_setting_raises_an_error_with_its_name(field: str, wire_name: str, value: object) -> None:
     with pytest.raises(InvalidSettingError, match=wire_name) as raised:
         settings(**{field: value})
     assert raised.value.setting == wire_name
 
 
-def test_invalid_class_is_named() -> None:
+def test_an_invalid_request_class_raises_an_error_with_its_name() -> None:
     with pytest.raises(InvalidSettingError, match="classes.x.deadline"):
         RequestClass("x", latency_objective=1.0, deadline=0.0)
--- a/tests/balancing/test_slot_ceilings.py
+++ b/tests/balancing/test_slot_ceilings.py
@@ -1,4 +1,4 @@
-"""Ceilings: how they are learned, cut and regained."""
+"""Tests of slot ceilings: learned limits, cuts and recovery."""
 
 from __future__ import annotations
 
@@ -31,14 +31,14 @@
     backend = host.backend("s0")
     host.handle(ResponseLatencyMeasured(request, QUICK.message_latency_objective))
     assert backend.ceiling <= backend.occupancy
-    host.run(1.0)  # a refresh does not give it free slots while its messages are slow
+    host.run(1.0)  # A refresh adds no free slots while messages are slow.
     assert backend.ceiling <= backend.occupancy
     host.handle(ResponseLatencyMeasured(request, 0.001))
     host.run(2.0)
     assert backend.ceiling > backend.occupancy
 
 
-def test_queued_work_stops_new_connections_even_under_a_low_reported_load() -> None:
+def test_late_messages_stop_new_connections_even_with_a_low_reported_load() -> None:
     host = BalancerHost(reports_load=True, health_checks_allowed=True)
     host.update_endpoints(members(2))
     backend = host.backend("s0")
@@ -51,7 +51,7 @@
     assert backend.ceiling > backend.occupancy and may_overflow(host.now, backend)
 
 
-def test_a_backend_that_accepts_after_its_backoff_starts_with_a_short_backoff_again() -> None:
+def test_a_connection_accepted_after_the_backoff_resets_the_backoff() -> None:
     host = BalancerHost()
     host.update_endpoints(members(1))
     backend = host.backend("s0")
@@ -65,15 +65,16 @@
     assert backend.ceiling_record.no_overflow_until - host.now == 2.0
 
 
-def test_a_proxy_that_has_just_started_takes_the_clients_of_another_that_left() -> None:
-    # With ceilings that begin at a few slots it rejected 700 times in four seconds after a restart.
+def test_a_started_proxy_can_accept_all_clients_of_a_stopped_one() -> None:
+    # Guards against initial ceilings of only a few slots: a proxy rejected 700 requests in four seconds after
+    # a restart.
     host = BalancerHost(tenants=(Tenant("t", 1.0, 120.0),), proxy_count=2)
     host.update_endpoints(members(6))
     for _ in range(58):
         host.request()
     assert not host.actions(RejectRequest)
-    without = BalancerHost()
-    without.update_endpoints(members(6))
+    without_quota = BalancerHost()
+    without_quota.update_endpoints(members(6))
     for _ in range(58):
-        without.request()
-    assert without.actions(RejectRequest)  # no quota, nothing learned: a few slots
+        without_quota.request()
+    assert without_quota.actions(RejectRequest)  # Without a quota, the initial ceilings are a few slots.
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter: the wire in and out, and what malformed input does."""
+"""Tests of the simulator adapter: the wire protocol in both directions, and malformed input."""
 
 from __future__ import annotations
 
@@ -54,23 +54,24 @@
     return json.loads(answer)["actions"]  # type: ignore[no-any-return]
 
 
-def test_empty_batch() -> None:
+def test_an_empty_batch_gives_no_actions() -> None:
     assert Adapter().reply(batch()) == b'{"actions":[]}'
 
 
-def test_settings_are_read_and_unknown_keys_skipped() -> None:
-    got = read_settings(ENV)
-    assert got.reports_load and got.max_attempts == 3 and got.initial_capacity_share == 0.3
-    assert got.classes[0].message_latency_objective == 0.06 and got.classes[0].priority_weight == 2.0
+def test_settings_are_read_and_unknown_keys_are_skipped() -> None:
+    settings = read_settings(ENV)
+    assert settings.reports_load and settings.max_attempts == 3 and settings.initial_capacity_share == 0.3
+    [request_class] = settings.classes
+    assert request_class.message_latency_objective == 0.06 and request_class.priority_weight == 2.0
 
 
-def test_a_request_is_placed_and_its_life_followed() -> None:
+def test_a_request_is_placed_and_the_events_of_its_connection_are_read() -> None:
     adapter = started(report={"how": "silent", "fields": []})
     sent = [a for a in actions(adapter.reply(batch(ACCEPT))) if a["msg"] == "place"]
     assert [(a["node"], a["job"], a["host"]) for a in sent] == [(3, "rq_1", "h:1")]
     first = {"msg": "first", "node": 3, "job": "rq_1", "seq_no": 0, "host": "h:1", "lag": 0.01}
-    note = {"msg": "change", "node": 3, "job": "rq_1", "seq_no": 0, "host": "h:1", "topic": 1, "value": 5000}
-    other = note | {"topic": 9}
+    load = {"msg": "change", "node": 3, "job": "rq_1", "seq_no": 0, "host": "h:1", "topic": 1, "value": 5000}
+    unknown_topic = load | {"topic": 9}
     answer = {
         "msg": "answer",
         "node": 3,
@@ -81,13 +82,13 @@
         "lag": 3.0,
         "finished": True,
     }
-    assert actions(adapter.reply(batch(first, note, other, answer))) == []
+    assert actions(adapter.reply(batch(first, load, unknown_topic, answer))) == []
 
 
-def test_a_probe_report_is_read() -> None:
+def test_the_load_report_of_a_health_check_is_read() -> None:
     adapter = started()
-    probes = [a for a in actions(adapter.reply(batch(ACCEPT))) if a["msg"] == "check"]
-    assert probes == [{"msg": "check", "node": 3, "host": "h:1"}]
+    checks = [a for a in actions(adapter.reply(batch(ACCEPT))) if a["msg"] == "check"]
+    assert checks == [{"msg": "check", "node": 3, "host": "h:1"}]
     done = {
         "msg": "probe_done",
         "node": 3,
@@ -99,7 +100,7 @@
     assert [a["msg"] for a in actions(adapter.reply(batch(done)))] == ["place"]
 
 
-def test_detach_forgets_and_hello_starts_anew() -> None:
+def test_detach_removes_an_instance_and_hello_creates_it_again() -> None:
     adapter = started()
     adapter.reply(batch({"msg": "detach", "node": 3}))
     with pytest.raises(InvalidObjectError, match="instance 3"):
@@ -132,7 +133,7 @@
         (batch(HELLO | {"env": 3}), "env"),
     ],
 )
-def test_malformed_input_is_named_and_ends_the_program(
+def test_malformed_input_prints_an_error_and_ends_the_program(
     line: bytes,
     error: str,
     capsys: pytest.CaptureFixture[str],
@@ -141,14 +142,14 @@
     code = serve([batch(HELLO, MEMBERS), line, batch()], sink)
     assert code == simulator_adapter.EXIT_MALFORMED
     assert error in capsys.readouterr().err
-    assert len(sink.getvalue().splitlines()) == 1  # nothing is answered to the bad line or after it
+    assert len(sink.getvalue().splitlines()) == 1  # No reply to the malformed line or to later ones.
 
 
-def test_a_fault_in_the_decisions_is_reported_for_its_instance() -> None:
+def test_an_exception_in_the_balancer_is_reported_for_its_instance() -> None:
     adapter = started()
-    got = actions(adapter.reply(batch(ACCEPT | {"profile": "no such class"})))
-    assert got[-1]["msg"] == "internal_error" and "no such class" in got[-1]["text"] and got[-1]["node"] == 3
+    error = actions(adapter.reply(batch(ACCEPT | {"profile": "no such class"})))[-1]
+    assert error["msg"] == "internal_error" and "no such class" in error["text"] and error["node"] == 3
 
 
-def test_end_of_input_is_a_clean_end() -> None:
+def test_the_end_of_input_ends_the_program_successfully() -> None:
     assert serve([], io.BytesIO()) == 0
