--- a/saltcourse/balancing/capacity_estimate.py
+++ b/saltcourse/balancing/capacity_estimate.py
@@ -47,13 +47,13 @@
         self._shared_state.set_capacity_scale(self.slots_at_full_load)
         self.mean_reported_load = reported / len(reporting)
         capacities = {
-            kind: self._relative_capacity([b for b in reporting if b.kind == kind])
-            for kind in {b.kind for b in candidates}
+            machine_type: self._relative_capacity([b for b in reporting if b.machine_type == machine_type])
+            for machine_type in {b.machine_type for b in candidates}
         }
         for backend in candidates:
-            backend.relative_capacity = capacities[backend.kind]
+            backend.relative_capacity = capacities[backend.machine_type]
 
-    def _relative_capacity(self, same_kind: list[Backend]) -> float:
-        expected = sum([b.occupancy for b in same_kind]) / self.slots_at_full_load
-        reported = sum([b.report.load for b in same_kind])
+    def _relative_capacity(self, same_type: list[Backend]) -> float:
+        expected = sum([b.occupancy for b in same_type]) / self.slots_at_full_load
+        reported = sum([b.report.load for b in same_type])
         return (expected + PRIOR_LOAD) / (reported + PRIOR_LOAD)
--- a/saltcourse/balancing/events.py
+++ b/saltcourse/balancing/events.py
@@ -48,14 +48,14 @@
 class Endpoint:
     """One entry of the endpoint list.
 
-    ``kind`` is the machine type, and ``cell`` a group of backends within a zone. ``started`` is the time (s)
-    at which the backend's process started, or 0 if it started long before.
+    ``cell`` is a group of backends within a zone. ``started`` is the time (s) at which the backend's process
+    started, or 0 if it started long before.
     """
 
     backend: str
     state: BackendState = BackendState.READY
     zone: str = ""
-    kind: str = ""
+    machine_type: str = ""
     cell: int = 0
     weight: float = 1.0
     started: float = 0.0
--- a/saltcourse/balancing/load_shedding.py
+++ b/saltcourse/balancing/load_shedding.py
@@ -48,8 +48,8 @@
         "_reports",
         "_shared_state",
         "_slow_message_latency",
-        "_uses_load_reports",
         "_typical_setup_latency",
+        "_uses_load_reports",
     )
 
     def __init__(
--- a/saltcourse/balancing/response_latency.py
+++ b/saltcourse/balancing/response_latency.py
@@ -30,7 +30,9 @@
 HUNG_CONNECTIONS = 2  # Connections with unanswered lines on a hung backend, or all if it has fewer.
 # A smaller value in a LOAD line is a latency: loads are in microseconds of work per second, 1,900 and more.
 MAX_LATENCY_MILLISECONDS = 1000.0
-SILENT_AFTER_SECONDS = 4.0  # Clients send a line every 2 s, and an answer may take at most 7 s.
+# A connection is silent if a line stays unanswered for this time. Clients send a line every 2 s, and may wait
+# up to 7 s for an answer.
+SILENT_AFTER_SECONDS = 4.0
 
 
 @dataclass(frozen=True, slots=True)
--- a/saltcourse/balancing/slot_ceilings.py
+++ b/saltcourse/balancing/slot_ceilings.py
@@ -79,7 +79,8 @@
         self._capacity = capacity
         self._shared_state = shared_state
         self._uses_load_reports = settings.uses_load_reports
-        # This proxy's part of all tenant quotas: the initial ceilings let the local backends hold it.
+        # Until anything is learned, the ceilings of the local backends sum up to this proxy's part of all
+        # tenant quotas.
         self._initial_slots = (
             sum(tenant.connection_quota for tenant in settings.tenants) / settings.proxy_count
         )
--- a/saltcourse/balancing/state.py
+++ b/saltcourse/balancing/state.py
@@ -81,8 +81,8 @@
         "groups",
         "health",
         "is_local",
-        "kind",
         "late_messages",
+        "machine_type",
         "name",
         "next_attempt_at",
         "occupancy",
@@ -117,7 +117,7 @@
     def update(self, endpoint: Endpoint) -> None:
         """Copy the fields of the backend's entry in the endpoint list."""
         self.zone = endpoint.zone
-        self.kind = endpoint.kind
+        self.machine_type = endpoint.machine_type
         self.cell = endpoint.cell
         self.weight = endpoint.weight
         self.started = endpoint.started
--- a/saltcourse/codec/endpoint_list.py
+++ b/saltcourse/codec/endpoint_list.py
@@ -80,7 +80,7 @@
         backend=backend,
         state=state,
         zone=_field(entry, "zone", str, ""),
-        kind=_field(entry, "kind", str, ""),
+        machine_type=_field(entry, "kind", str, ""),
         cell=_field(entry, "cell", int, 0),
         weight=float(_field(entry, "weight", (int, float), 1.0)),
         started=_field(entry, "started_ms", (int, float), 0) / 1000,
--- a/tests/balancing/test_capacity_estimate.py
+++ b/tests/balancing/test_capacity_estimate.py
@@ -19,8 +19,8 @@
 NOW = 100.0
 
 
-def backend(kind: str, occupancy: float, load: float, received_at: float = NOW) -> Backend:
-    result = Backend(Endpoint(f"{kind}-{occupancy}", kind=kind))
+def backend(machine_type: str, occupancy: float, load: float, received_at: float = NOW) -> Backend:
+    result = Backend(Endpoint(f"{machine_type}-{occupancy}", machine_type=machine_type))
     result.occupancy = occupancy
     result.report.load = load
     result.report.received_at = received_at
--- a/tests/balancing/test_rebalancing.py
+++ b/tests/balancing/test_rebalancing.py
@@ -16,11 +16,11 @@
     host.update_endpoints((Endpoint("h", zone="home"), Endpoint("f", zone="far")))
     for i in range(40):
         host.handle(ConnectionResumed(f"old{i}", "quick", "f"))
-    home = host.backend("h")
-    home.ceiling_record.cut_until = host.now + 3.0
+    local = host.backend("h")
+    local.ceiling_record.cut_until = host.now + 3.0
     host.run(2.5)
     assert not host.actions(MigrateConnection)  # The local backend is slow.
-    home.ceiling_record.cut_until = 0.0
+    local.ceiling_record.cut_until = 0.0
     host.run(3.0)
     migrated = {m.request for m in host.actions(MigrateConnection)}
     assert 1 <= len(migrated) <= 20 and len(migrated) == len(host.actions(MigrateConnection))
