--- a/saltcourse/balancing/outlier_ejection.py
+++ b/saltcourse/balancing/outlier_ejection.py
@@ -9,7 +9,7 @@
    after its time has passed, up to one tick later, so every ejection ends.
 3. The probe is stored as a reference to the request in flight and not as a flag. It ends however that
    attempt ends, so that no backend keeps waiting for a probe that no longer exists.
-4. Four ejections in a remote zone without a successful response from the zone eject the whole zone. The
+4. Four ejections in a remote zone without a response from the zone in between eject the whole zone. The
    local zone is never ejected.
 5. If all listed backends are excluded, all of them become candidates again, because rejecting every request
    would be worse.
@@ -43,7 +43,7 @@
 
 EJECTION_BACKOFF_INITIAL_SECONDS = 0.5
 EJECTION_BACKOFF_MAX_SECONDS = 8.0  # About the time until the endpoint list reflects a dead backend.
-ZONE_FAILURES_TO_EJECT = 4  # Ejections in a zone without a successful response from it.
+ZONE_FAILURES_TO_EJECT = 4  # Ejections in a zone without a response from it in between.
 ZONE_EJECTION_SECONDS = 2.0  # Multiplied by a random factor from 0.5 to 1.5.
 
 
@@ -98,7 +98,7 @@
     def __init__(self, local_zone: str, random_source: random.Random) -> None:
         self._local_zone = local_zone
         self._random = random_source
-        self._failures: dict[str, int] = {}  # zone -> ejections since its last successful response
+        self._failures: dict[str, int] = {}  # zone -> ejections since its last response
         self._ejected_until: dict[str, float] = {}  # zone -> end of its ejection (s)
 
     def record_failure(self, now: float, zone: str) -> bool:
