--- a/saltcourse/gossip/node.py
+++ b/saltcourse/gossip/node.py
@@ -148,7 +148,7 @@
         self._carry_out(now, self.quorum.handle(now, source, header, message))
 
     def _pass_on_sums(self, now: float) -> None:
-        for update in self.membership.take_received():
+        for update in self.membership.take_zone_sums():
             if self.aggregation.receive(now, update):
                 self.membership.broadcast(update)
 
@@ -201,7 +201,7 @@
         self._actions.extend(actions)
         if self.quorum is not None and any(isinstance(action, Applied) for action in actions):
             part = self.dissemination
-            self._carry_out(now, self.quorum.applied(now, part.position, part.configuration))
+            self._carry_out(now, self.quorum.on_applied(now, part.position, part.configuration))
 
     # ---- what goes out ----------------------------------------------------------------------------
 
