--- a/tests/balancing/balancer_host.py
+++ b/tests/balancing/balancer_host.py
@@ -42,7 +42,7 @@
     return Settings(**(base | changes))
 
 
-def members(count: int, **changes: Any) -> tuple[Endpoint, ...]:
+def make_endpoints(count: int, **changes: Any) -> tuple[Endpoint, ...]:
     """Return the endpoints s0, s1, ... in zone z0."""
     return tuple(Endpoint(f"s{i}", **({"zone": "z0"} | changes)) for i in range(count))
 
@@ -143,7 +143,7 @@
     ``s0="aab"`` puts two connections of group a and one of group b on s0.
     """
     host = BalancerHost(reports_load=True, health_checks_allowed=True, has_groups=True)
-    host.update_endpoints(members(count))
+    host.update_endpoints(make_endpoints(count))
     for backend, groups in connections.items():
         for i, group in enumerate(groups):
             request = f"{backend}-{group}{i}"
--- a/tests/balancing/test_admission.py
+++ b/tests/balancing/test_admission.py
@@ -4,14 +4,14 @@
 
 from saltcourse.balancing.actions import StartAttempt
 from saltcourse.balancing.events import AttemptStatus
-from tests.balancing.balancer_host import BalancerHost, members
+from tests.balancing.balancer_host import BalancerHost, make_endpoints
 
 
 def test_requests_are_rejected_without_an_attempt_under_overload() -> None:
     # All set-ups time out at all backends, and further attempts would increase the overload. Requests are
     # rejected immediately until the failure count has decayed.
     host = BalancerHost()
-    host.update_endpoints(members(50))
+    host.update_endpoints(make_endpoints(50))
     for _ in range(200):
         request = host.request()
         while request in host.in_flight:
@@ -23,7 +23,7 @@
 
 def test_a_connection_reset_soon_after_its_set_up_counts_as_a_failure_but_a_later_reset_does_not() -> None:
     host = BalancerHost()
-    host.update_endpoints(members(3))
+    host.update_endpoints(make_endpoints(3))
     new, old = host.connect(), host.connect()
     host.finish(new, AttemptStatus.RESET, final=True)
     assert host.balancer.overload.failures == 1 and host.balancer.overload.successes == 1
--- a/tests/balancing/test_balancer.py
+++ b/tests/balancing/test_balancer.py
@@ -16,14 +16,14 @@
     ResponseLatencyMeasured,
 )
 from saltcourse.shared_state.state import SharedState
-from tests.balancing.balancer_host import BalancerHost, members, settings
+from tests.balancing.balancer_host import BalancerHost, make_endpoints, settings
 
 
 def test_equal_settings_seed_and_events_give_equal_actions() -> None:
     logs = []
     for _ in range(2):
         host = BalancerHost(seed=7)
-        host.update_endpoints(members(9))
+        host.update_endpoints(make_endpoints(9))
         for i in range(50):
             request = host.request()
             if i % 5:
@@ -51,7 +51,7 @@
     # An exception is raised after the balancer has decided to start an attempt. The action must not be
     # returned with those of the next event.
     host = BalancerHost()
-    host.update_endpoints(members(1))
+    host.update_endpoints(make_endpoints(1))
     with monkeypatch.context() as patch, pytest.raises(ZeroDivisionError):
         patch.setattr(SharedState, "outgoing_messages", lambda *_: 1 / 0)
         host.balancer.handle(host.now, RequestReceived("x", "quick", 1.0))
@@ -60,7 +60,7 @@
 
 def test_returned_actions_are_not_changed_by_the_next_event() -> None:
     host = BalancerHost()
-    host.update_endpoints(members(1))
+    host.update_endpoints(make_endpoints(1))
     actions = host.balancer.handle(host.now, RequestReceived("x", "quick", 1.0))
     before = list(actions)
     host.balancer.handle(host.now, RequestReceived("y", "quick", 1.0))
--- a/tests/balancing/test_failure_attribution.py
+++ b/tests/balancing/test_failure_attribution.py
@@ -11,14 +11,14 @@
 from saltcourse.balancing.outlier_ejection import EJECTION_BACKOFF_MAX_SECONDS
 from saltcourse.balancing.settings import Tenant
 from saltcourse.balancing.state import HealthState
-from tests.balancing.balancer_host import BalancerHost, members
+from tests.balancing.balancer_host import BalancerHost, make_endpoints
 
 
 def test_a_backend_that_answers_errors_gets_one_attempt_at_a_time() -> None:
     # A backend that fails set-ups keeps no connections, so without ejection it has the most free slots and is
     # drawn for most attempts.
     host = BalancerHost()
-    host.update_endpoints(members(4))
+    host.update_endpoints(make_endpoints(4))
     for _ in range(40):
         request = host.request()
         if host.backend_of(request) == "s0":
@@ -35,7 +35,7 @@
     # Guards against two faults: each chance reset excluded a backend for seconds, and a cut limited an idle
     # backend to half a slot.
     host = BalancerHost(tenants=(Tenant("t", 1.0, 90.0),))
-    host.update_endpoints(members(3))
+    host.update_endpoints(make_endpoints(3))
     connections = [host.connect() for _ in range(9)]
     backend = host.backend(host.backend_of(connections[0]))
     on_backend = [r for r in connections if host.backend_of(r) == backend.name]
@@ -52,7 +52,7 @@
 def test_a_request_that_fails_at_every_backend_is_not_the_backends_fault(status: AttemptStatus) -> None:
     # Some clients send requests that every backend fails. No backend may be ejected or cut for them.
     host = BalancerHost()
-    host.update_endpoints(members(4))
+    host.update_endpoints(make_endpoints(4))
     for i in range(60):
         host.run(0.05)
         request = host.request(flow=f"f{i}")
@@ -75,7 +75,7 @@
     # A backend answers errors while the retries succeed at other backends. It is ejected, unless all errors
     # are those of a single client.
     host = BalancerHost()
-    host.update_endpoints(members(3))
+    host.update_endpoints(make_endpoints(3))
     backend = host.backend("s0")
     for i in range(40):
         request = host.request(flow=f"f{i % flows}")
@@ -92,10 +92,10 @@
     # A backend is restarted. The attempts and connections of its old process end after the endpoint list has
     # announced the new one, which is not at fault.
     host = BalancerHost()
-    host.update_endpoints(members(1))
+    host.update_endpoints(make_endpoints(1))
     old = [host.connect() for _ in range(4)] + [host.request()]
     host.run(1.0)
-    host.update_endpoints(members(1, started=host.now))
+    host.update_endpoints(make_endpoints(1, started=host.now))
     for request in old:
         host.finish(request, AttemptStatus.RESET if request != old[-1] else AttemptStatus.TIMEOUT, final=True)
     backend = host.backend("s0")
--- a/tests/balancing/test_group_affinity.py
+++ b/tests/balancing/test_group_affinity.py
@@ -10,7 +10,7 @@
 from saltcourse.balancing.events import AttemptStatus
 from saltcourse.balancing.occupancy import GROUP_SLOTS
 from saltcourse.balancing.settings import Tenant
-from tests.balancing.balancer_host import BalancerHost, endpoints_in_zones, host_with_reports, members
+from tests.balancing.balancer_host import BalancerHost, endpoints_in_zones, host_with_reports, make_endpoints
 
 
 def test_a_group_stays_on_one_backend_with_free_slots_and_its_cost_is_counted_there() -> None:
@@ -18,7 +18,7 @@
     hosts = [BalancerHost(seed=seed, has_groups=True, tenants=(Tenant("t", 1.0, 90.0),)) for seed in (1, 2)]
     chosen = []
     for host in hosts:
-        host.update_endpoints(members(6))
+        host.update_endpoints(make_endpoints(6))
         first = host.request(group="a")
         requests = [first, *[host.request(group="a") for _ in range(2)]]
         chosen.append({host.backend_of(r) for r in requests})
--- a/tests/balancing/test_load_reports.py
+++ b/tests/balancing/test_load_reports.py
@@ -5,12 +5,12 @@
 from collections import Counter
 
 from saltcourse.balancing.actions import StartHealthCheck
-from tests.balancing.balancer_host import BalancerHost, host_with_reports, members
+from tests.balancing.balancer_host import BalancerHost, host_with_reports, make_endpoints
 
 
 def test_a_backend_with_a_low_reported_load_is_drawn_more_often() -> None:
     host = BalancerHost(reports_load=True, health_checks_allowed=True)
-    host.update_endpoints(members(2))
+    host.update_endpoints(make_endpoints(2))
     counts: Counter[str] = Counter()
     for _ in range(30):
         request = host.request()
--- a/tests/balancing/test_load_shedding.py
+++ b/tests/balancing/test_load_shedding.py
@@ -9,12 +9,12 @@
 from saltcourse.balancing.actions import MigrateConnection
 from saltcourse.balancing.events import ResponseLatencyMeasured
 from saltcourse.balancing.settings import Tenant
-from tests.balancing.balancer_host import QUICK, BalancerHost, host_with_reports, members
+from tests.balancing.balancer_host import QUICK, BalancerHost, host_with_reports, make_endpoints
 
 
 def test_slow_messages_migrate_a_share_while_another_backend_has_free_slots() -> None:
     host = BalancerHost()
-    host.update_endpoints(members(2))
+    host.update_endpoints(make_endpoints(2))
     connections = [host.connect() for _ in range(40)]
     slow = host.backend_of(connections[0])
     host.handle(ResponseLatencyMeasured(connections[0], QUICK.message_latency_objective))
@@ -30,7 +30,7 @@
 def test_a_slow_set_up_cuts_the_ceiling_and_sheds() -> None:
     # On sockets, an echo does not queue behind a backend's work, so message latencies show no overload.
     host = BalancerHost()
-    host.update_endpoints(members(2))
+    host.update_endpoints(make_endpoints(2))
     connections = [host.connect() for _ in range(40)]
     request = host.request()
     host.establish(request, 0.02)  # Twice the typical latency may be chance.
@@ -47,7 +47,7 @@
     # A backend hangs with its connections open. If each connection were left to fail, every client would miss
     # its deadline.
     host = BalancerHost()
-    host.update_endpoints(members(3))
+    host.update_endpoints(make_endpoints(3))
     connections = [host.connect() for _ in range(30)]
     backend = host.backend_of(connections[0])
     host.handle(ResponseLatencyMeasured(connections[0], 1.2))
@@ -63,7 +63,7 @@
     # Guards against shedding for each set-up of a burst: after a restart, connections of one backend were
     # migrated 55 times in a second, and their clients reconnected to it.
     host = BalancerHost(tenants=(Tenant("t", 1.0, 200.0),))
-    host.update_endpoints(members(2))
+    host.update_endpoints(make_endpoints(2))
     connections = [host.connect() for _ in range(60)]
     burst = [host.request() for _ in range(20)]
     for request in burst:
--- a/tests/balancing/test_occupancy.py
+++ b/tests/balancing/test_occupancy.py
@@ -7,12 +7,12 @@
 import pytest
 
 from saltcourse.balancing.events import AttemptStatus, ConnectionLoadChanged, ConnectionResumed
-from tests.balancing.balancer_host import BalancerHost, members
+from tests.balancing.balancer_host import BalancerHost, make_endpoints
 
 
 def test_occupancy_counts_attempts_and_resumed_connections_until_they_end() -> None:
     host = BalancerHost()
-    host.update_endpoints(members(3))
+    host.update_endpoints(make_endpoints(3))
     host.handle(ConnectionResumed("old", "quick", "s1"))
     host.in_flight["old"] = (0, "s1")
     connections = [host.connect() for _ in range(9)]
@@ -27,7 +27,7 @@
 
 def test_a_changed_load_changes_the_occupancy() -> None:
     host = BalancerHost()
-    host.update_endpoints(members(1))
+    host.update_endpoints(make_endpoints(1))
     request = host.request(load_hint=0.01)
     host.establish(request)
     backend = host.backend("s0")
@@ -42,7 +42,7 @@
     # Guards against a mean that gives the first load too much weight: after a small first load, ten
     # connections counted as forty slots.
     host = BalancerHost()
-    host.update_endpoints(members(1))
+    host.update_endpoints(make_endpoints(1))
     connections = [host.connect() for _ in range(10)]
     for request in connections:
         host.handle(ConnectionLoadChanged(request, 0.01 if request == connections[0] else 0.04))
--- a/tests/balancing/test_outlier_ejection.py
+++ b/tests/balancing/test_outlier_ejection.py
@@ -10,14 +10,14 @@
 from saltcourse.balancing.outlier_ejection import EJECTION_BACKOFF_MAX_SECONDS, TRANSITIONS, HealthEvent
 from saltcourse.balancing.settings import Tenant
 from saltcourse.balancing.state import HealthState
-from tests.balancing.balancer_host import BalancerHost, members
+from tests.balancing.balancer_host import BalancerHost, make_endpoints
 
 
 def test_an_unreachable_backend_is_ejected_and_used_again_after_a_successful_probe() -> None:
     # A backend stops, and starts again seconds later. While it is ejected it gets no attempts. Then a single
     # request probes it, and others follow only after the probe has succeeded.
     host = BalancerHost()
-    host.update_endpoints(members(2))
+    host.update_endpoints(make_endpoints(2))
     while True:
         request = host.request()
         if host.backend_of(request) == "s0":
@@ -43,7 +43,7 @@
     # The proxy loses its network, and every attempt fails. If no backend were used any more, the proxy would
     # reject all requests beyond the end of the outage.
     host = BalancerHost()
-    host.update_endpoints(members(2))
+    host.update_endpoints(make_endpoints(2))
     for _ in range(3):
         request = host.request()
         while request in host.in_flight:
@@ -66,7 +66,7 @@
     # Guards against doubling the ejection time for each failure of a burst: eight failures after a restart
     # ejected a backend for eight seconds.
     host = BalancerHost(tenants=(Tenant("t", 1.0, 90.0),))
-    host.update_endpoints(members(2))
+    host.update_endpoints(make_endpoints(2))
     requests = [r for r in [host.request() for _ in range(30)] if host.backend_of(r) == "s0"]
     for request in requests[:8]:
         host.finish(request, AttemptStatus.CONNECT_FAILED)
@@ -97,7 +97,7 @@
     # Guards against a probe that ERROR or RESET does not end: each faulty client whose request became a probe
     # excluded a backend permanently.
     host = BalancerHost()
-    host.update_endpoints(members(3))
+    host.update_endpoints(make_endpoints(3))
     host.fail("s0")
     host.run(2.0)
     while host.backend("s0").health.state is not HealthState.PROBING:
@@ -114,7 +114,7 @@
     # Guards against an OverflowError in the balancer: without a bound, the backoff's power of two exceeds the
     # range of a float at the 1025th ejection.
     host = BalancerHost()
-    host.update_endpoints(members(2))
+    host.update_endpoints(make_endpoints(2))
     for _ in range(1100):
         host.fail("s0")
         host.run(2 * EJECTION_BACKOFF_MAX_SECONDS)
--- a/tests/balancing/test_placement.py
+++ b/tests/balancing/test_placement.py
@@ -4,14 +4,14 @@
 
 from saltcourse.balancing.actions import FailRequest, RejectRequest, StartAttempt, StartHealthCheck
 from saltcourse.balancing.events import AttemptStatus, BackendState, Endpoint, EndpointUpdateKind
-from tests.balancing.balancer_host import BalancerHost, members
+from tests.balancing.balancer_host import BalancerHost, make_endpoints
 
 
 def test_a_request_gets_one_final_answer_at_its_deadline() -> None:
     # The attempt does not end before the deadline. The client gets a final answer at the deadline, and no
     # second one when the time-out of the attempt arrives later.
     host = BalancerHost()
-    host.update_endpoints(members(4))
+    host.update_endpoints(make_endpoints(4))
     request = host.request(time_left=0.2)
     host.run(0.2)
     answers = host.actions(RejectRequest) + host.actions(FailRequest)
@@ -26,7 +26,7 @@
 def test_placement_continues_when_a_health_check_does_not_end() -> None:
     # A backend hangs during its health check. After a short wait the request is placed without its report.
     host = BalancerHost(reports_load=True, health_checks_allowed=True)
-    host.update_endpoints(members(5))
+    host.update_endpoints(make_endpoints(5))
     request = host.request()
     assert request not in host.in_flight and host.actions(StartHealthCheck)
     host.run(0.1)
@@ -36,7 +36,7 @@
 def test_a_backend_that_begins_to_drain_during_its_health_check_is_not_chosen() -> None:
     # The endpoint list announces the drain of a backend while a placement waits for its load report.
     host = BalancerHost(reports_load=True, health_checks_allowed=True)
-    host.update_endpoints(members(1))
+    host.update_endpoints(make_endpoints(1))
     host.request()
     host.update_endpoints((Endpoint("s0", BackendState.DRAINING, "z0"),), EndpointUpdateKind.DELTA)
     host.run(0.2)
@@ -45,7 +45,7 @@
 
 def test_a_request_is_rejected_when_all_health_checked_backends_are_full() -> None:
     host = BalancerHost(reports_load=True, health_checks_allowed=True)
-    host.update_endpoints(members(3))
+    host.update_endpoints(make_endpoints(3))
     host.request()
     for _ in range(3):
         for check in [a for t, a in host.log if isinstance(a, StartHealthCheck)]:
--- a/tests/balancing/test_rebalancing.py
+++ b/tests/balancing/test_rebalancing.py
@@ -8,7 +8,7 @@
 from saltcourse.balancing.events import ConnectionResumed, Endpoint
 from saltcourse.balancing.occupancy import GROUP_SLOTS
 from saltcourse.balancing.rebalancing import Rebalancing
-from tests.balancing.balancer_host import BalancerHost, endpoints_in_zones, members
+from tests.balancing.balancer_host import BalancerHost, endpoints_in_zones, make_endpoints
 
 
 def test_connections_in_other_zones_fail_back_while_local_backends_are_not_slow() -> None:
@@ -29,7 +29,7 @@
 def test_a_few_connections_of_a_group_on_the_fullest_backend_join_the_others() -> None:
     # Connections resumed after a restart can be spread so that each backend bears the cost of every group.
     host = BalancerHost(has_groups=True)
-    host.update_endpoints(members(2))
+    host.update_endpoints(make_endpoints(2))
     for i, (backend, group) in enumerate([("s0", "a")] * 9 + [("s0", "b")] + [("s1", "b")] * 3):
         host.handle(ConnectionResumed(f"old{i}", "quick", backend, group=group))
     host.run(2.0)
@@ -39,7 +39,7 @@
 def test_the_excess_of_the_fullest_backend_is_migrated_from_its_largest_group() -> None:
     # Initially one of five backends can have a third of all connections. It used to drop all of them.
     host = BalancerHost(has_groups=True)
-    host.update_endpoints(members(5))
+    host.update_endpoints(make_endpoints(5))
     for i in range(15):
         host.handle(ConnectionResumed(f"a{i}", "quick", "s0", group="a"))
     for i in range(3):
@@ -54,7 +54,7 @@
     # An empty backend whose ejection has ended lowers the mean. Connections used to be migrated each second,
     # although no other backend could accept them.
     host = BalancerHost(has_groups=True)
-    host.update_endpoints(members(4))
+    host.update_endpoints(make_endpoints(4))
     for name in ("s0", "s1", "s2"):
         for i in range(14):
             host.handle(ConnectionResumed(f"{name}{i}", "quick", name, group=name))
--- a/tests/balancing/test_retries.py
+++ b/tests/balancing/test_retries.py
@@ -5,7 +5,7 @@
 from saltcourse.balancing.actions import FailRequest, RejectRequest, StartAttempt
 from saltcourse.balancing.events import AttemptStatus, Endpoint
 from saltcourse.balancing.settings import DeduplicationScope, Idempotency, RequestClass
-from tests.balancing.balancer_host import BalancerHost, members
+from tests.balancing.balancer_host import BalancerHost, make_endpoints
 
 NOT_IDEMPOTENT = RequestClass(
     "pay", latency_objective=0.3, deadline=1.2, idempotency=Idempotency.NOT_IDEMPOTENT
@@ -23,7 +23,7 @@
 def test_a_failed_attempt_is_retried_at_other_backends_up_to_the_maximum_of_attempts() -> None:
     # No backend is reachable. Each attempt goes to another backend, and the last failure rejects the request.
     host = BalancerHost()
-    host.update_endpoints(members(6))
+    host.update_endpoints(make_endpoints(6))
     request = host.request()
     tried = []
     while request in host.in_flight:
@@ -35,7 +35,7 @@
 
 def test_attempt_timeouts_leave_time_for_a_retry() -> None:
     host = BalancerHost()
-    host.update_endpoints(members(4))
+    host.update_endpoints(make_endpoints(4))
     host.request()
     assert host.actions(StartAttempt)[0].timeout < 0.6
 
@@ -44,7 +44,7 @@
     # A payment is rejected by a full backend, so it has not run there. Then another backend resets it and may
     # have run it. There must be no third attempt, and no answer that a retry is safe.
     host = BalancerHost(classes=(NOT_IDEMPOTENT,))
-    host.update_endpoints(members(4))
+    host.update_endpoints(make_endpoints(4))
     request = host.request(request_class="pay")
     host.finish(request, AttemptStatus.FULL)  # The request has not run.
     assert len(host.actions(StartAttempt)) == 2
@@ -69,7 +69,7 @@
 
 def test_retries_are_limited_to_a_share_of_the_requests() -> None:
     host = BalancerHost()
-    host.update_endpoints(members(50))
+    host.update_endpoints(make_endpoints(50))
     for _ in range(100):
         host.balancer.overload.failures = 0.0  # Prevents an overload.
         request = host.request()
--- a/tests/balancing/test_selection.py
+++ b/tests/balancing/test_selection.py
@@ -8,12 +8,12 @@
 
 from saltcourse.balancing.actions import RejectRequest, StartAttempt
 from saltcourse.balancing.events import AttemptStatus, ConnectionResumed
-from tests.balancing.balancer_host import BalancerHost, members
+from tests.balancing.balancer_host import BalancerHost, make_endpoints
 
 
 def test_backends_are_drawn_in_proportion_to_their_free_slots() -> None:
     host = BalancerHost(seed=3)
-    host.update_endpoints(members(2))
+    host.update_endpoints(make_endpoints(2))
     first, second = host.backend("s0"), host.backend("s1")
     counts: Counter[str] = Counter()
     for _ in range(4000):
@@ -28,7 +28,7 @@
 
 def test_full_backends_overflow_by_one_slot_unless_they_have_recently_rejected() -> None:
     host = BalancerHost()
-    host.update_endpoints(members(2))
+    host.update_endpoints(make_endpoints(2))
     for backend in host.balancer.pool.backends.values():
         backend.occupancy, backend.count, backend.ceiling, backend.ceiling_record.learned_limit = (
             3.0,
--- a/tests/balancing/test_slot_ceilings.py
+++ b/tests/balancing/test_slot_ceilings.py
@@ -8,12 +8,12 @@
 from saltcourse.balancing.events import AttemptStatus, ConnectionResumed, ResponseLatencyMeasured
 from saltcourse.balancing.settings import Tenant
 from saltcourse.balancing.slot_ceilings import may_overflow
-from tests.balancing.balancer_host import QUICK, BalancerHost, members
+from tests.balancing.balancer_host import QUICK, BalancerHost, make_endpoints
 
 
 def test_filling_the_last_slot_raises_a_learned_limit_and_a_rejection_cuts_it() -> None:
     host = BalancerHost()
-    host.update_endpoints(members(1))
+    host.update_endpoints(make_endpoints(1))
     backend = host.backend("s0")
     backend.occupancy, backend.count, backend.ceiling, backend.ceiling_record.learned_limit = 3.0, 3, 3.5, 3.5
     request = host.request()
@@ -26,7 +26,7 @@
 
 def test_slow_messages_cut_the_ceiling() -> None:
     host = BalancerHost()
-    host.update_endpoints(members(1))
+    host.update_endpoints(make_endpoints(1))
     request = host.connect()
     backend = host.backend("s0")
     host.handle(ResponseLatencyMeasured(request, QUICK.message_latency_objective))
@@ -40,7 +40,7 @@
 
 def test_late_messages_stop_new_connections_even_with_a_low_reported_load() -> None:
     host = BalancerHost(reports_load=True, health_checks_allowed=True)
-    host.update_endpoints(members(2))
+    host.update_endpoints(make_endpoints(2))
     backend = host.backend("s0")
     host.handle(ConnectionResumed("old", "quick", "s0"))
     host.handle(ResponseLatencyMeasured("old", 2 * QUICK.message_latency_objective))
@@ -53,7 +53,7 @@
 
 def test_a_connection_accepted_after_the_backoff_resets_the_backoff() -> None:
     host = BalancerHost()
-    host.update_endpoints(members(1))
+    host.update_endpoints(make_endpoints(1))
     backend = host.backend("s0")
     for _ in range(3):
         host.now += 20.0
@@ -69,12 +69,12 @@
     # Guards against initial ceilings of only a few slots: a proxy rejected 700 requests in four seconds after
     # a restart.
     host = BalancerHost(tenants=(Tenant("t", 1.0, 120.0),), proxy_count=2)
-    host.update_endpoints(members(6))
+    host.update_endpoints(make_endpoints(6))
     for _ in range(58):
         host.request()
     assert not host.actions(RejectRequest)
     without_quota = BalancerHost()
-    without_quota.update_endpoints(members(6))
+    without_quota.update_endpoints(make_endpoints(6))
     for _ in range(58):
         without_quota.request()
     assert without_quota.actions(RejectRequest)  # Without a quota, the initial ceilings are a few slots.
--- a/tests/balancing/test_slow_start.py
+++ b/tests/balancing/test_slow_start.py
@@ -17,7 +17,7 @@
 from saltcourse.balancing.slow_start import SlowStart
 from saltcourse.balancing.state import Backend
 from saltcourse.shared_state.state import SharedState
-from tests.balancing.balancer_host import BalancerHost, members, settings
+from tests.balancing.balancer_host import BalancerHost, make_endpoints, settings
 
 BACKENDS = 8
 DRAINED = 5  # Backends that begin to drain when the new one starts.
@@ -51,13 +51,16 @@
             warm_up=WARM_UP_SECONDS,
             initial_capacity_share=INITIAL_CAPACITY_SHARE,
         )
-        host.update_endpoints(members(BACKENDS), EndpointUpdateKind.CACHED)
+        host.update_endpoints(make_endpoints(BACKENDS), EndpointUpdateKind.CACHED)
         return host
 
     def release(self, host: BalancerHost, started: float) -> None:
         """Start one backend and drain six in ten of the others, whose clients reconnect at once."""
         host.update_endpoints(
-            (Endpoint("new", zone="z0", started=started), *members(DRAINED, state=BackendState.DRAINING)),
+            (
+                Endpoint("new", zone="z0", started=started),
+                *make_endpoints(DRAINED, state=BackendState.DRAINING),
+            ),
             EndpointUpdateKind.DELTA,
         )
         migrated = {
@@ -136,7 +139,7 @@
 
 def test_a_warming_backend_gets_its_connections_evenly_over_its_warm_up() -> None:
     host = BalancerHost(now=100.0, proxy_count=4)
-    host.update_endpoints(members(4))
+    host.update_endpoints(make_endpoints(4))
     for _ in range(40):
         host.connect()
     host.run(2.0)  # A tick computes the mean occupancy.
--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -16,7 +16,7 @@
 from saltcourse.proxy import discovery_client
 from saltcourse.proxy.discovery_client import DiscoveryClient
 from saltcourse.proxy.messages import EndpointsReceived
-from tests.balancing.balancer_host import BalancerHost, members
+from tests.balancing.balancer_host import BalancerHost, make_endpoints
 from tests.proxy.exchange_player import RemoteConnection, listen
 from tests.proxy.running_proxy import run_loop_turns, wait_until
 
@@ -147,7 +147,7 @@
     to be known.
     """
     node = BalancerHost(seed, discovery_mode=DiscoveryMode.POLLED, poll_interval=10.0)
-    node.update_endpoints(members(2), EndpointUpdateKind.CACHED)
+    node.update_endpoints(make_endpoints(2), EndpointUpdateKind.CACHED)
     calls: Callable[[], int] = lambda: len(node.actions(WatchEndpoints)) + len(node.actions(FetchEndpoints))  # noqa: E731
     while not calls():
         node.run(0.05)
--- a/tests/shared_state/test_shared_state.py
+++ b/tests/shared_state/test_shared_state.py
@@ -24,7 +24,7 @@
 from saltcourse.shared_state.messages import LeaseGrant
 from saltcourse.shared_state.quota import QuotaLeases
 from saltcourse.shared_state.state import SharedState
-from tests.balancing.balancer_host import BalancerHost, members, settings
+from tests.balancing.balancer_host import BalancerHost, make_endpoints, settings
 from tests.shared_state.simulated_proxies import SILENCE_SECONDS, SimulatedProxies, run_with_faults
 
 
@@ -151,7 +151,7 @@
         for i in (0, 1)
     ]
     for node in nodes:
-        node.update_endpoints(members(6))
+        node.update_endpoints(make_endpoints(6))
         for i in range(6):
             node.handle(HealthCheckFinished(f"s{i}", AttemptStatus.OK, report=LoadReport(load=0.5)))
     nodes[0].handle(ConnectionResumed("old", "quick", "s4", group="a"))
@@ -165,7 +165,7 @@
     # Each proxy found a dead backend by itself, by as many connections as it had just sent there.
     nodes = [BalancerHost(peers_allowed=True, proxy_count=2, proxy_index=i, seed=3 + i) for i in (0, 1)]
     for node in nodes:
-        node.update_endpoints(members(2))
+        node.update_endpoints(make_endpoints(2))
         node.run(1.0)
     nodes[0].fail("s0")
     for message in [
@@ -181,7 +181,7 @@
     node = BalancerHost(
         reports_load=True, health_checks_allowed=True, has_groups=True, peers_allowed=True, proxy_count=2
     )
-    node.update_endpoints(members(2))
+    node.update_endpoints(make_endpoints(2))
     for i, group in enumerate("abbb"):
         node.handle(ConnectionResumed(f"c{i}", "quick", "s0", group=group))
     peer = SharedState(settings(proxy_count=2, proxy_index=1, peers_allowed=True, has_groups=True), 3, {})
@@ -198,7 +198,7 @@
     node = BalancerHost(
         reports_load=True, health_checks_allowed=True, has_groups=True, peers_allowed=True, proxy_count=2
     )
-    node.update_endpoints(members(2))
+    node.update_endpoints(make_endpoints(2))
     node.handle(HealthCheckFinished("s0", AttemptStatus.OK, report=LoadReport(load=0.1)))
     peer = SharedState(settings(proxy_count=2, proxy_index=1, peers_allowed=True, has_groups=True), 3, {})
     peer.set_capacity_scale(20.0)
