--- a/benchmarks/slopes_mesh.py
+++ b/benchmarks/slopes_mesh.py
@@ -127,7 +127,7 @@
         "mesh_messages": site.received_messages / observed_seconds,
         "mesh_take": receive_ms_per_s,
         "mesh_send": 1e3 * site.send_cpu / observed_seconds,
-        "mesh_memory": deep_bytes([observer.peers, observer.holders], set()) / 1e3,
+        "mesh_memory": deep_bytes([observer.peers, observer.peers_by_key], set()) / 1e3,
     }
     site.reset_counters()
     site.restart_first()
--- a/saltcourse/proxy/connection_monitor.py
+++ b/saltcourse/proxy/connection_monitor.py
@@ -161,6 +161,8 @@
         if self._drain_schedule is None:
             return
         now = asyncio.get_running_loop().time()
-        count = self._drain_schedule.due(now, len(self.established), CHECK_INTERVAL_SECONDS)
+        count = self._drain_schedule.connections_to_migrate(
+            now, len(self.established), CHECK_INTERVAL_SECONDS
+        )
         for request in list(self.established)[:count]:
             self._migrate(request)
