--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -1,9 +1,9 @@
-"""What control costs as the fleet grows: ``python benchmarks/scale.py [--quick] [--json] [--sizes 30,120]``.
+"""Benchmark of control traffic by fleet size: ``python benchmarks/scale.py [--quick] [--sizes 30,120]``.
 
-The program's own cores, many to a worker process, exchange real UDP datagrams on loopback, through the
-delays, losses and failures of a scenario file; the run is evaluated by what the receivers recorded.
-docs/measurements/scale.md says how each figure comes about. The last line is one JSON object with flat keys;
-keys of the mesh begin with ``mesh_``.
+The gossip (or mesh) code of a whole fleet runs with many members per worker process and exchanges real UDP
+datagrams on loopback, under the delays, losses and failures of a scenario file. Some real proxies take part.
+The results are computed from what the members recorded; docs/measurements/scale.md defines each of them. The
+last line is one JSON object with flat keys; keys of the mesh begin with ``mesh_``.
 """
 
 from __future__ import annotations
@@ -35,15 +35,16 @@
 from saltcourse.emulator.scale.scenario_file import read_scenario  # noqa: E402
 
 SCENARIOS = ROOT / "benchmarks" / "scenarios"
-WORKERS = 7  # processes in all
-REAL, REAL_QUICK = 8, 2  # real proxies
-PROGRESS_INTERVAL = 5.0  # s between lines where there is no terminal
+WORKERS = 7  # processes in total; runs at the same time share them
+REAL_PROXIES, REAL_PROXIES_QUICK = 8, 2
+PROGRESS_INTERVAL = 5.0  # seconds between progress lines if stderr is not a terminal
+TERMINAL_PROGRESS_INTERVAL = 0.2  # seconds
 EXIT_FAILED, EXIT_USAGE, EXIT_INTERRUPTED = 1, 2, 130
 
 
 @dataclass(frozen=True, slots=True)
 class Options:
-    """The command line."""
+    """The command-line options."""
 
     quick: bool
     only_json: bool
@@ -63,38 +64,43 @@
     def real_proxies(self) -> int:
         if self.real is not None:
             return self.real
-        return REAL_QUICK if self.quick else REAL
+        return REAL_PROXIES_QUICK if self.quick else REAL_PROXIES
 
 
 class Progress:
-    """One line for each run: drawn anew on a terminal, now and then elsewhere."""
+    """Shows the progress of all runs on stderr: one line, which is redrawn if stderr is a terminal."""
 
     def __init__(self, quiet: bool) -> None:
         self._quiet = quiet
         self._shares: dict[str, float] = {}
-        self._shown = 0.0
+        self._shown_at = 0.0
         self._lock = threading.Lock()
 
-    def of(self, name: str) -> Callable[[float], None]:
-        def show(share: float) -> None:
+    def reporter(self, name: str) -> Callable[[float], None]:
+        """Return a function that reports the completed share (0 to 1) of the run ``name``."""
+
+        def report(share: float) -> None:
             with self._lock:
                 self._shares[name] = share
                 self._show()
 
-        return show
+        return report
 
     def _show(self) -> None:
         terminal = sys.stderr.isatty()
         now = time.monotonic()
-        if self._quiet or now < self._shown + (0.2 if terminal else PROGRESS_INTERVAL):
+        if self._quiet or now < self._shown_at + (
+            TERMINAL_PROGRESS_INTERVAL if terminal else PROGRESS_INTERVAL
+        ):
             return
-        self._shown = now
+        self._shown_at = now
         text = "   ".join(f"{name} {share:4.0%}" for name, share in self._shares.items() if share < 1.0)
         print(
             f"\r\x1b[K{text}" if terminal else text, end="" if terminal else "\n", file=sys.stderr, flush=True
         )
 
-    def end(self) -> None:
+    def clear(self) -> None:
+        """Clear the line if stderr is a terminal."""
         if not self._quiet and sys.stderr.isatty():
             print("\r\x1b[K", end="", file=sys.stderr, flush=True)
 
@@ -115,13 +121,15 @@
     return RealFleet()
 
 
-def run_all(plans: Sequence[RunPlan], at_once: int, progress: Progress, folder: Path) -> list[RunMetrics]:
-    """Metrics in the order of the plans; a failed run is reported on stderr and left out."""
+def run_in_parallel(
+    plans: Sequence[RunPlan], parallel_runs: int, progress: Progress, folder: Path
+) -> list[RunMetrics]:
+    """Return the metrics in the order of ``plans``; a failed run is reported on stderr and omitted."""
     stop = threading.Event()
-    found: list[RunMetrics] = []
-    with ThreadPoolExecutor(at_once) as pool:
+    metrics: list[RunMetrics] = []
+    with ThreadPoolExecutor(parallel_runs) as pool:
         futures: list[Future[RunMetrics]] = [
-            pool.submit(run_one, plan, folder, stop, progress.of(f"{plan.mechanism} {plan.size}"))
+            pool.submit(run_one, plan, folder, stop, progress.reporter(f"{plan.mechanism} {plan.size}"))
             for plan in plans
         ]
         try:
@@ -130,20 +138,23 @@
             stop.set()
             pool.shutdown(cancel_futures=True)
             raise
-    progress.end()
+    progress.clear()
     for plan, future in zip(plans, futures, strict=True):
         error = future.exception()
         if error is None:
-            found.append(future.result())
+            metrics.append(future.result())
         elif isinstance(error, RunError):
             print(f"{plan.mechanism} {plan.size}: {error}", file=sys.stderr)
         else:
             raise error
-    return found
+    return metrics
 
 
 def build_plans(scenario: Scenario, mechanisms: Sequence[str], seed: int, real: int) -> list[RunPlan]:
-    """Where sizes run at once, each has its part of the workers, and only the largest has real proxies."""
+    """Return one plan per mechanism and fleet size.
+
+    If the sizes run in parallel, they share the workers, and only the largest one includes real proxies.
+    """
     with_real = scenario.sizes[-1:] if scenario.sizes_at_once else scenario.sizes
     workers = max(1, WORKERS // len(scenario.sizes)) if scenario.sizes_at_once else WORKERS
     return [
@@ -168,34 +179,50 @@
     try:
         sizes = tuple(int(part) for part in text.split(","))
     except ValueError:
-        raise click.BadParameter("numbers with commas between them, such as 30,60,120") from None
+        raise click.BadParameter(
+            f"{text!r} is not a comma-separated list of integers such as 30,60,120"
+        ) from None
     if not sizes or min(sizes) < 2 or max(sizes) > 2_000:
-        raise click.BadParameter("each from 2 to 2000")
+        raise click.BadParameter(f"{text!r}: each size must be from 2 to 2000")
     return sizes
 
 
 @click.command()
-@click.option("--quick", is_flag=True, help="30, 60 and 120 proxies and short phases, under 40 s in all.")
+@click.option("--quick", is_flag=True, help="30, 60 and 120 proxies and short phases; takes under 40 s.")
 @click.option("--json", "only_json", is_flag=True, help="Print the JSON object only.")
 @click.option("--seed", type=click.IntRange(0, 2**31), default=1, show_default=True)
-@click.option("--sizes", callback=parse_sizes, help="Proxies of each run, in place of the scenario's.")
 @click.option(
-    "--scenario", "path", type=click.Path(path_type=Path), help="A file of saltcourse/schema/scenario.proto."
+    "--sizes",
+    callback=parse_sizes,
+    help="Fleet sizes, which replace those of the scenario, such as 30,60,120.",
+)
+@click.option(
+    "--scenario",
+    "path",
+    type=click.Path(path_type=Path),
+    help="Scenario file in the format of saltcourse/schema/scenario.proto.",
 )
 @click.option("--mechanism", type=click.Choice([GOSSIP, MESH, "both"]), default=GOSSIP, show_default=True)
 @click.option(
-    "--chart", "chart_path", type=click.Path(path_type=Path, dir_okay=False), help="Draw one to this file."
+    "--chart",
+    "chart_path",
+    type=click.Path(path_type=Path, dir_okay=False),
+    help="Write a chart to this file.",
 )
 @click.option(
-    "--real", type=click.IntRange(0, 32), help="Real proxies beside them; default 8, with --quick 2."
+    "--real",
+    type=click.IntRange(0, 32),
+    help="Number of real proxies in a gossip run; default 8, with --quick 2.",
 )
 @click.option(
-    "--keep", type=click.Path(path_type=Path, file_okay=False), help="Keep the records in this folder."
+    "--keep",
+    type=click.Path(path_type=Path, file_okay=False),
+    help="Keep the recorded events in this folder.",
 )
 def main(**values: Any) -> None:
-    """Measure what control costs a proxy, and how fast news gets around, over the size of the fleet."""
+    """Measure the cost of control traffic per proxy and the speed of dissemination by fleet size."""
     options = Options(**values)
-    scenario = chosen_scenario(options)
+    scenario = load_scenario(options)
     plans = build_plans(scenario, options.mechanisms, options.seed, options.real_proxies)
     began = time.monotonic()
     try:
@@ -205,15 +232,15 @@
     if not options.only_json and runs:
         print(table(runs))
     if options.chart_path is not None and runs:
-        draw(runs, options.chart_path)
-    took = {"seed": options.seed, "took_s": round(time.monotonic() - began, 1)}
-    print(json.dumps(flat_metrics(runs) | took))
+        write_chart(runs, options.chart_path)
+    run_info = {"seed": options.seed, "took_s": round(time.monotonic() - began, 1)}
+    print(json.dumps(flat_metrics(runs) | run_info))
     if len(runs) < len(plans):
         sys.exit(EXIT_FAILED)
 
 
-def chosen_scenario(options: Options) -> Scenario:
-    """Ends the program where the file or a mechanism cannot be used."""
+def load_scenario(options: Options) -> Scenario:
+    """Return the scenario with its fleet sizes; exit with code 2 if it or a mechanism cannot be used."""
     path = options.path or SCENARIOS / ("quick.txtpb" if options.quick else "ordinary.txtpb")
     try:
         scenario = read_scenario(path)
@@ -223,29 +250,29 @@
         print(error, file=sys.stderr)
         sys.exit(EXIT_USAGE)
     except ImportError as error:
-        print(f"--mechanism {options.mechanism}: not in this version ({error})", file=sys.stderr)
+        print(f"--mechanism {options.mechanism}: not available in this version ({error})", file=sys.stderr)
         sys.exit(EXIT_USAGE)
     return replace(scenario, sizes=options.sizes) if options.sizes else scenario
 
 
 def run_plans(plans: Sequence[RunPlan], scenario: Scenario, options: Options) -> list[RunMetrics]:
-    """The mechanisms run one after another, never beside each other."""
+    """Run the mechanisms one after another, so that they do not compete for cores."""
     runs: list[RunMetrics] = []
     with tempfile.TemporaryDirectory() as temporary:
         folder = options.keep or Path(temporary)
         folder.mkdir(parents=True, exist_ok=True)
-        at_once = len(scenario.sizes) if scenario.sizes_at_once else 1
+        parallel_runs = len(scenario.sizes) if scenario.sizes_at_once else 1
         for name in options.mechanisms:
-            chosen = [plan for plan in plans if plan.mechanism == name]
-            runs += run_all(chosen, at_once, Progress(options.only_json), folder)
+            mechanism_plans = [plan for plan in plans if plan.mechanism == name]
+            runs += run_in_parallel(mechanism_plans, parallel_runs, Progress(options.only_json), folder)
     return runs
 
 
-def draw(runs: Sequence[RunMetrics], path: Path) -> None:
+def write_chart(runs: Sequence[RunMetrics], path: Path) -> None:
     try:
         chart(runs, path)
     except ImportError:
-        print("no chart: pip install -r requirements-bench.txt", file=sys.stderr)
+        print("--chart needs matplotlib: pip install -r requirements-bench.txt", file=sys.stderr)
 
 
 if __name__ == "__main__":
--- a/benchmarks/scale_real.py
+++ b/benchmarks/scale_real.py
@@ -1,7 +1,7 @@
 """Real ``saltcourse serve`` processes that take part in a scale run, with push servers and clients.
 
-One more process runs without the feature, as the control for its cost. All are observed from outside: by
-their admin addresses and by ``/proc``.
+One additional process runs without gossip, as the control for the cost of gossip. All of them are observed
+from outside, through their admin addresses and ``/proc``.
 """
 
 from __future__ import annotations
@@ -39,26 +39,28 @@
 from saltcourse.emulator.scale.topology import Place, Topology  # noqa: E402
 from saltcourse.gossip.messages import Address, Role  # noqa: E402
 
-CLIENTS = 4  # connections through each process
-POLL_INTERVAL = 0.5  # s between polls of each admin address
-LOAD_INTERVAL = 1.0  # s between records of bytes, CPU and memory
-CALL_TIMEOUT = 1.0  # s
-END_TIMEOUT = 5.0  # s for a process to end by itself
+CLIENTS_PER_PROXY = 4
+CLIENT_CHECK_INTERVAL = 0.5  # seconds between checks for ended client connections
+POLL_INTERVAL = 0.5  # seconds between polls of each admin address
+LOAD_INTERVAL = 1.0  # seconds between records of bytes, CPU time and memory
+ADMIN_TIMEOUT = 1.0  # seconds
+STOP_TIMEOUT = 5.0  # seconds; a process that has not exited by then is killed
+START_TIMEOUT = 5.0  # seconds until the push servers and discovery listen
 CLOCK_TICKS = os.sysconf("SC_CLK_TCK")
 
 
 @dataclass(slots=True)
 class RunningProxy:
-    """``place`` is None for the one without gossip."""
+    """A proxy process and the values last read from it; ``place`` is None for the control without gossip."""
 
     place: Place | None
     admin: int
     listen: int
     process: subprocess.Popen[bytes]
-    version: int = 0
-    alive: int = 0
-    sent: int = 0
-    received: int = 0
+    version: int = 0  # of the configuration
+    alive: int = 0  # members that it considers alive
+    sent: int = 0  # bytes
+    received: int = 0  # bytes
 
     @property
     def member(self) -> int:
@@ -66,9 +68,11 @@
 
 
 class RealFleet(RealProcesses):
+    """Starts, observes and stops the real proxies of one run."""
+
     def __init__(self) -> None:
         self._topology: Topology | None = None
-        self._own: dict[int, Address] = {}
+        self._gossip_addresses: dict[int, Address] = {}
         self._folder = tempfile.TemporaryDirectory()
         self._proxies: list[RunningProxy] = []
         self._stop = threading.Event()
@@ -77,8 +81,10 @@
     def bind(self, topology: Topology) -> dict[int, Address]:
         self._topology = topology
         ports = free_ports(socket.SOCK_DGRAM, len(topology.real))
-        self._own = {place.index: (LOOPBACK, port) for place, port in zip(topology.real, ports, strict=True)}
-        return self._own
+        self._gossip_addresses = {
+            place.index: (LOOPBACK, port) for place, port in zip(topology.real, ports, strict=True)
+        }
+        return self._gossip_addresses
 
     def start(self, addresses: tuple[Address, ...], key: bytes, begin: float, records: Path) -> None:
         assert self._topology is not None
@@ -106,15 +112,15 @@
             proxy.process.terminate()
         for proxy in self._proxies:
             try:
-                proxy.process.wait(END_TIMEOUT)
+                proxy.process.wait(STOP_TIMEOUT)
             except subprocess.TimeoutExpired:
                 proxy.process.kill()
                 proxy.process.wait()
         for thread in self._threads:
-            thread.join(END_TIMEOUT)
+            thread.join(STOP_TIMEOUT)
         self._folder.cleanup()
 
-    # ---- what is started -----------------------------------------------------------------------------
+    # ---- starting ------------------------------------------------------------------------------------
 
     def _start_proxy(
         self,
@@ -150,99 +156,104 @@
         assert self._topology is not None
         lines = [
             f'me: "{place.name}"',
-            f'listen: "{text(self._own[place.index])}"',
+            f'listen: "{address_text(self._gossip_addresses[place.index])}"',
             f'region: "{place.region}"',
             f'zone: "{place.zone}"',
             'key_file: "key"',
         ]
         control = [other for other in self._topology.places if other.role is Role.CONTROL]
-        lines += [f'seed: "{text(addresses[other.index])}"' for other in control]
+        lines += [f'seed: "{address_text(addresses[other.index])}"' for other in control]
         lines += [
-            f'voter {{ name: "{voter.name}" address: "{text(addresses[voter.index])}" }}'
+            f'voter {{ name: "{voter.name}" address: "{address_text(addresses[voter.index])}" }}'
             for voter in self._topology.voters
         ]
         return "gossip {\n  " + "\n  ".join(lines) + "\n}\n"
 
     def _start_platform(self) -> int:
-        """Push servers, discovery and clients have an event loop of their own; returns discovery's port."""
-        started: list[int] = []
+        """Run push servers, discovery and clients in a thread; return the port of discovery."""
+        discovery_ports: list[int] = []
         ready = threading.Event()
 
         async def run() -> None:
-            started.append(await Platform({"toy-1": 0, "toy-2": 0}).start(0))
+            discovery_ports.append(await Platform({"toy-1": 0, "toy-2": 0}).start(0))
             ready.set()
             await self._hold_clients()
 
         self._start_thread(run_to_end, run())
-        if not ready.wait(END_TIMEOUT):
-            raise RuntimeError("the toy platform did not start")
-        return started[0]
+        if not ready.wait(START_TIMEOUT):
+            raise RuntimeError(f"the toy platform did not start within {START_TIMEOUT:g} s")
+        return discovery_ports[0]
 
     async def _hold_clients(self) -> None:
         tasks: dict[tuple[int, int], asyncio.Task[None]] = {}
         while not self._stop.is_set():
             for proxy in self._proxies:
-                for number in range(CLIENTS):
+                for number in range(CLIENTS_PER_PROXY):
                     task = tasks.get((proxy.listen, number))
                     if task is None or task.done():
-                        tasks[proxy.listen, number] = asyncio.create_task(client(proxy.listen))
-            await asyncio.sleep(0.5)
+                        tasks[proxy.listen, number] = asyncio.create_task(hold_connection(proxy.listen))
+            await asyncio.sleep(CLIENT_CHECK_INTERVAL)
         for task in tasks.values():
             task.cancel()
         await asyncio.gather(*tasks.values(), return_exceptions=True)
 
-    # ---- what is seen of them ------------------------------------------------------------------------
+    # ---- observing -----------------------------------------------------------------------------------
 
     def _poll(self, begin: float, path: Path) -> None:
         records = RecordWriter(path)
         next_load = begin + LOAD_INTERVAL
         while not self._stop.wait(POLL_INTERVAL):
-            loads = time.monotonic() >= next_load
+            record_load = time.monotonic() >= next_load
             for proxy in self._proxies:
-                self._look(proxy, begin, loads, records)
-            if loads:
+                self._observe(proxy, begin, record_load, records)
+            if record_load:
                 next_load += LOAD_INTERVAL
                 records.flush()
         records.close()
 
-    def _look(self, proxy: RunningProxy, begin: float, loads: bool, records: RecordWriter) -> None:
+    def _observe(self, proxy: RunningProxy, begin: float, record_load: bool, records: RecordWriter) -> None:
         with contextlib.suppress(OSError, ValueError, http.client.HTTPException):
-            found = admin_figures(proxy.admin)
+            metrics = admin_metrics(proxy.admin)
             at = time.monotonic() - begin
             if proxy.place is not None:
-                self._record_figures(proxy, at, found, loads, records)
-            if loads:
+                self._record_metrics(proxy, at, metrics, record_load, records)
+            if record_load:
                 cpu, memory = process_usage(proxy.process.pid)
                 records.write(ProcessSample(at, proxy.member, cpu, memory))
 
-    def _record_figures(
-        self, proxy: RunningProxy, at: float, found: dict[str, int], loads: bool, records: RecordWriter
+    def _record_metrics(
+        self,
+        proxy: RunningProxy,
+        at: float,
+        metrics: dict[str, int],
+        record_load: bool,
+        records: RecordWriter,
     ) -> None:
-        epoch = found.get("gossip.position.epoch", 0)
-        version = found.get("gossip.position.version", 0)
+        epoch = metrics.get("gossip.position.epoch", 0)
+        version = metrics.get("gossip.position.version", 0)
         if version != proxy.version:
             proxy.version = version
             records.write(ConfigurationSeen(at, proxy.member, epoch, version, 0, [], []))
-        alive = found.get("gossip.members.alive", 0)
+        alive = metrics.get("gossip.members.alive", 0)
         if alive != proxy.alive:
             proxy.alive = alive
             records.write(View(at, proxy.member, alive, 0))
-        if loads:
-            sent = found.get("gossip.bytes.sent", 0)
-            received = found.get("gossip.bytes.received", 0)
+        if record_load:
+            sent = metrics.get("gossip.bytes.sent", 0)
+            received = metrics.get("gossip.bytes.received", 0)
             records.write(Load(at, proxy.member, sent - proxy.sent, received - proxy.received, 0.0))
             proxy.sent, proxy.received = sent, received
 
 
 def run_to_end(main: Coroutine[object, object, None]) -> None:
-    """As ``asyncio.run``, but what the toy still has to do is left undone and not reported task by task."""
+    """Run a coroutine in a new event loop, and neither cancel nor report the tasks that it leaves."""
     loop = asyncio.new_event_loop()
     loop.set_exception_handler(lambda loop, context: None)
     loop.run_until_complete(main)
 
 
-async def client(port: int) -> None:
-    """One connection through a proxy, held until it ends."""
+async def hold_connection(port: int) -> None:
+    """Open one connection through a proxy and read from it until it is closed."""
     with contextlib.suppress(OSError):
         reader, writer = await asyncio.open_connection(LOOPBACK, port)
         writer.write(open_line())
@@ -252,37 +263,37 @@
 
 
 def free_ports(kind: socket.SocketKind, count: int) -> list[int]:
-    """All are held at once while they are sought, so that they differ."""
-    held = [socket.socket(socket.AF_INET, kind) for _ in range(count)]
-    for one in held:
-        one.bind((LOOPBACK, 0))
-    ports = [int(one.getsockname()[1]) for one in held]
-    for one in held:
-        one.close()
+    """Return different free ports: all sockets are bound before the first one is closed."""
+    sockets = [socket.socket(socket.AF_INET, kind) for _ in range(count)]
+    for bound in sockets:
+        bound.bind((LOOPBACK, 0))
+    ports = [int(bound.getsockname()[1]) for bound in sockets]
+    for bound in sockets:
+        bound.close()
     return ports
 
 
-def text(address: Address) -> str:
+def address_text(address: Address) -> str:
     return f"{address[0]}:{address[1]}"
 
 
-def admin_figures(port: int) -> dict[str, int]:
-    """The program's figures without the name's first part, which all of them share."""
-    connection = http.client.HTTPConnection(LOOPBACK, port, timeout=CALL_TIMEOUT)
+def admin_metrics(port: int) -> dict[str, int]:
+    """Return the metrics of ``/_vars`` by name, without the first component, which all names share."""
+    connection = http.client.HTTPConnection(LOOPBACK, port, timeout=ADMIN_TIMEOUT)
     try:
         connection.request("GET", "/_vars")
         lines = connection.getresponse().read().decode().split()
     finally:
         connection.close()
-    found = {}
+    metrics = {}
     for line in lines:
         name, _, rest = line.partition(":")
-        found[name.partition(".")[2]] = int(rest.partition("|")[0])
-    return found
+        metrics[name.partition(".")[2]] = int(rest.partition("|")[0])
+    return metrics
 
 
 def process_usage(pid: int) -> tuple[float, int]:
-    """Seconds of CPU since its start, and bytes of resident memory."""
+    """Return the CPU seconds of a process since its start, and its resident memory in bytes."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     cpu = (int(fields[11]) + int(fields[12])) / CLOCK_TICKS
     resident = int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE")
