--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -30,7 +30,7 @@
 from saltcourse.emulator.scale.mechanisms import GOSSIP, MESH, member_class  # noqa: E402
 from saltcourse.emulator.scale.records import read_records  # noqa: E402
 from saltcourse.emulator.scale.report import chart, flat_metrics, table  # noqa: E402
-from saltcourse.emulator.scale.runner import RealProcesses, RunError, RunPlan, play  # noqa: E402
+from saltcourse.emulator.scale.runner import RealProcesses, RunError, RunPlan, execute_run  # noqa: E402
 from saltcourse.emulator.scale.scenario import Scenario  # noqa: E402
 from saltcourse.emulator.scale.scenario_file import read_scenario  # noqa: E402
 
@@ -103,7 +103,7 @@
     plan: RunPlan, folder: Path, stop: threading.Event, progress: Callable[[float], None]
 ) -> RunMetrics:
     real = start_real() if plan.real else None
-    records = play(plan, folder, stop, progress, real)
+    records = execute_run(plan, folder, stop, progress, real)
     return evaluate(
         plan.mechanism, plan.seed, records.topology, records.timeline, read_records(records.paths)
     )
--- a/benchmarks/scale_real.py
+++ b/benchmarks/scale_real.py
@@ -27,7 +27,7 @@
 from toy import Platform, open_line  # noqa: E402
 
 from saltcourse.emulator.scale.records import (  # noqa: E402
-    CONTROL_PROCESS,
+    BASELINE_PROCESS,
     ConfigurationSeen,
     Load,
     ProcessSample,
@@ -36,7 +36,7 @@
 )
 from saltcourse.emulator.scale.runner import RealProcesses  # noqa: E402
 from saltcourse.emulator.scale.sockets import LOOPBACK  # noqa: E402
-from saltcourse.emulator.scale.topology import Place, Topology  # noqa: E402
+from saltcourse.emulator.scale.topology import MemberSpec, Topology  # noqa: E402
 from saltcourse.gossip.messages import Address, Role  # noqa: E402
 
 CLIENTS = 4  # connections through each process
@@ -51,7 +51,7 @@
 class RunningProxy:
     """``place`` is None for the one without gossip."""
 
-    place: Place | None
+    place: MemberSpec | None
     admin: int
     listen: int
     process: subprocess.Popen[bytes]
@@ -62,7 +62,7 @@
 
     @property
     def member(self) -> int:
-        return CONTROL_PROCESS if self.place is None else self.place.index
+        return BASELINE_PROCESS if self.place is None else self.place.index
 
 
 class RealFleet(RealProcesses):
@@ -88,7 +88,7 @@
         key_file.chmod(0o600)
         ports = free_ports(socket.SOCK_STREAM, 2 * (len(self._topology.real) + 1))
         discovery = self._start_platform()
-        places: list[Place | None] = [*self._topology.real, None]
+        places: list[MemberSpec | None] = [*self._topology.real, None]
         for place in places:
             self._proxies.append(
                 self._start_proxy(folder, place, addresses, ports.pop(), ports.pop(), discovery)
@@ -119,7 +119,7 @@
     def _start_proxy(
         self,
         folder: Path,
-        place: Place | None,
+        place: MemberSpec | None,
         addresses: tuple[Address, ...],
         listen: int,
         admin: int,
@@ -146,7 +146,7 @@
             process = subprocess.Popen(command, env=environment, cwd=folder, stderr=log)
         return RunningProxy(place, admin, listen, process)
 
-    def _operator_file(self, place: Place, addresses: tuple[Address, ...]) -> str:
+    def _operator_file(self, place: MemberSpec, addresses: tuple[Address, ...]) -> str:
         assert self._topology is not None
         lines = [
             f'me: "{place.name}"',
@@ -155,7 +155,7 @@
             f'zone: "{place.zone}"',
             'key_file: "key"',
         ]
-        control = [other for other in self._topology.places if other.role is Role.CONTROL]
+        control = [other for other in self._topology.members if other.role is Role.CONTROL]
         lines += [f'seed: "{text(addresses[other.index])}"' for other in control]
         lines += [
             f'voter {{ name: "{voter.name}" address: "{text(addresses[voter.index])}" }}'
--- a/saltcourse/emulator/scale/evaluation/changes.py
+++ b/saltcourse/emulator/scale/evaluation/changes.py
@@ -5,7 +5,7 @@
 from saltcourse.emulator.scale.evaluation.metrics import Propagation
 from saltcourse.emulator.scale.evaluation.record_index import CHANGE_DEADLINE, RecordIndex
 from saltcourse.emulator.scale.records import ChangeSubmitted, ConfigurationSeen, Confirmed
-from saltcourse.emulator.scale.summary import spread
+from saltcourse.emulator.scale.summary import summarize
 from saltcourse.emulator.scale.timeline import PublicationKind
 
 TIMED_KINDS = (PublicationKind.CHANGE.value, PublicationKind.LOSE_PUBLISHER.value)
@@ -17,11 +17,11 @@
     def __init__(self, index: RecordIndex) -> None:
         self._index = index
         self._submitted: dict[int, ChangeSubmitted] = {}
-        for record in index.of(ChangeSubmitted):
+        for record in index.records_of(ChangeSubmitted):
             self._submitted.setdefault(record.change, record)
         self._timed = [change for change, record in self._submitted.items() if record.kind in TIMED_KINDS]
         self._applied = _first_applied(index)
-        self._confirmed = {record.change for record in index.of(Confirmed)}
+        self._confirmed = {record.change for record in index.records_of(Confirmed)}
 
     @property
     def confirmed_count(self) -> int:
@@ -52,22 +52,22 @@
         in_force = [change for change in changes if change in self._applied]
         for change in in_force:
             submitted_at = self._submitted[change].at
-            for place in self._index.topology.places:
-                applied_at = self._applied[change].get(place.index)
+            for spec in self._index.topology.members:
+                applied_at = self._applied[change].get(spec.index)
                 until = submitted_at + CHANGE_DEADLINE if applied_at is None else applied_at
-                if until > self._index.end or not self._index.reachable(place.index, submitted_at, until):
+                if until > self._index.end or not self._index.reachable(spec.index, submitted_at, until):
                     continue
                 if applied_at is None:
                     missing += 1
                 else:
                     seconds.append(applied_at - submitted_at)
-        return Propagation(spread(seconds), missing, len(in_force))
+        return Propagation(summarize(seconds), missing, len(in_force))
 
 
 def _first_applied(index: RecordIndex) -> dict[int, dict[int, float]]:
     """Change -> member -> when it first had the change in force."""
     applied: dict[int, dict[int, float]] = {}
-    for record in index.of(ConfigurationSeen):
+    for record in index.records_of(ConfigurationSeen):
         for change in record.changes:
             applied.setdefault(change, {}).setdefault(record.member, record.at)
     _add_real_processes(index, applied)
@@ -81,21 +81,21 @@
     version at which other members got that change.
     """
     versions = _lowest_versions(index)
-    for place in index.topology.real:
+    for spec in index.topology.real:
         polled = sorted(
             (record.version, record.at)
-            for record in index.of(ConfigurationSeen)
-            if record.member == place.index
+            for record in index.records_of(ConfigurationSeen)
+            if record.member == spec.index
         )
         for change, version in versions.items():
             at = next((at for reached, at in polled if reached >= version), None)
             if at is not None:
-                applied[change][place.index] = at
+                applied[change][spec.index] = at
 
 
 def _lowest_versions(index: RecordIndex) -> dict[int, int]:
     versions: dict[int, int] = {}
-    for record in index.of(ConfigurationSeen):
+    for record in index.records_of(ConfigurationSeen):
         for change in record.changes:
             versions[change] = min(versions.get(change, record.version), record.version)
     return versions
--- a/saltcourse/emulator/scale/evaluation/costs.py
+++ b/saltcourse/emulator/scale/evaluation/costs.py
@@ -4,19 +4,19 @@
 
 from collections.abc import Iterable
 
-from saltcourse.emulator.scale.evaluation.metrics import CostSpread, PhaseCost, RealCost
+from saltcourse.emulator.scale.evaluation.metrics import CostSummary, PhaseCost, RealCost
 from saltcourse.emulator.scale.evaluation.record_index import RecordIndex
-from saltcourse.emulator.scale.records import CONTROL_PROCESS, Load, ProcessSample, WorkerUsage
-from saltcourse.emulator.scale.summary import spread, window_means
+from saltcourse.emulator.scale.records import BASELINE_PROCESS, Load, ProcessSample, WorkerUsage
+from saltcourse.emulator.scale.summary import summarize, window_means
 from saltcourse.emulator.scale.timeline import PhaseSpan
-from saltcourse.emulator.scale.topology import Place
+from saltcourse.emulator.scale.topology import MemberSpec
 
 WINDOW = 10  # s over which bytes and CPU are averaged; members record their load once a second
 
 
-def ordinary_cost(index: RecordIndex, places: Iterable[Place]) -> CostSpread | None:
+def ordinary_cost(index: RecordIndex, specs: Iterable[MemberSpec]) -> CostSummary | None:
     """Cost of these members in the phases without faults; None without a record."""
-    members = {place.index for place in places}
+    members = {spec.index for spec in specs}
     byte_rates: list[float] = []
     cpu_shares: list[float] = []
     for span in index.timeline.spans:
@@ -25,15 +25,15 @@
         for loads in _loads_by_member(index, span, members):
             byte_rates += _byte_rates(loads)
             cpu_shares += _cpu_shares(loads)
-    bytes_per_s, cpu_share = spread(byte_rates), spread(cpu_shares)
+    bytes_per_s, cpu_share = summarize(byte_rates), summarize(cpu_shares)
     if bytes_per_s is None or cpu_share is None:
         return None
-    return CostSpread(bytes_per_s, cpu_share)
+    return CostSummary(bytes_per_s, cpu_share)
 
 
-def phase_costs(index: RecordIndex, places: Iterable[Place]) -> tuple[PhaseCost, ...]:
+def phase_costs(index: RecordIndex, specs: Iterable[MemberSpec]) -> tuple[PhaseCost, ...]:
     """The worst window of any of these members, for each phase."""
-    members = {place.index for place in places}
+    members = {spec.index for spec in specs}
     costs = []
     for span in index.timeline.spans:
         of_members = _loads_by_member(index, span, members)
@@ -46,7 +46,7 @@
 def real_cost(index: RecordIndex) -> RealCost | None:
     """Cost of the real processes; None if none took part."""
     samples = _samples_by_process(index)
-    without = samples.pop(CONTROL_PROCESS, [])
+    without = samples.pop(BASELINE_PROCESS, [])
     if not samples:
         return None
     cost = ordinary_cost(index, index.topology.real)
@@ -54,9 +54,9 @@
         processes=len(samples),
         bytes_per_s=cost.bytes_per_s.max if cost is not None else 0.0,
         cpu_share=max(cpu_share_of(of_process) for of_process in samples.values()),
-        cpu_share_without=cpu_share_of(without),
+        cpu_share_without_gossip=cpu_share_of(without),
         memory_mb=max(of_process[-1].memory for of_process in samples.values()) / 1e6,
-        memory_mb_without=without[-1].memory / 1e6 if without else 0.0,
+        memory_mb_without_gossip=without[-1].memory / 1e6 if without else 0.0,
     )
 
 
@@ -74,7 +74,7 @@
 
 def _loads_by_member(index: RecordIndex, span: PhaseSpan, members: set[int]) -> list[list[Load]]:
     found: dict[int, list[Load]] = {}
-    for load in index.of(Load):
+    for load in index.records_of(Load):
         if load.member in members and span.begin < load.at <= span.end:
             found.setdefault(load.member, []).append(load)
     return list(found.values())
@@ -93,7 +93,7 @@
     spans = index.timeline.spans
     span = next((span for span in spans if span.ordinary), spans[0])
     samples: dict[int, list[ProcessSample]] = {}
-    for sample in index.of(ProcessSample):
+    for sample in index.records_of(ProcessSample):
         if span.begin <= sample.at <= span.end:
             samples.setdefault(sample.member, []).append(sample)
     return samples
--- a/saltcourse/emulator/scale/evaluation/evaluate.py
+++ b/saltcourse/emulator/scale/evaluation/evaluate.py
@@ -21,11 +21,11 @@
 ) -> RunMetrics:
     """The metrics of a run; ``records`` may come in any order."""
     index = RecordIndex(topology, timeline, records)
-    usage = index.of(WorkerUsage)
+    usage = index.records_of(WorkerUsage)
     changes = ChangePropagation(index)
     failures = failure_detection(index)
     alarms = false_alarms(index)
-    control = [place for place in topology.places if place.role is Role.CONTROL]
+    control = [spec for spec in topology.members if spec.role is Role.CONTROL]
     return RunMetrics(
         mechanism=mechanism,
         size=len(topology.proxies),
--- a/saltcourse/emulator/scale/evaluation/failures.py
+++ b/saltcourse/emulator/scale/evaluation/failures.py
@@ -9,7 +9,7 @@
 from saltcourse.emulator.scale.evaluation.record_index import RecordIndex
 from saltcourse.emulator.scale.history import Outage
 from saltcourse.emulator.scale.records import DEAD_OR_LEFT, StatusSeen
-from saltcourse.emulator.scale.summary import Spread, spread
+from saltcourse.emulator.scale.summary import Summary, summarize
 from saltcourse.gossip.messages import Status
 
 DETECTION_DEADLINE = 60.0  # s that a member may take to consider a killed one dead
@@ -24,7 +24,7 @@
     """Detection of members that were killed one by one, or with their machine or rack."""
 
     by_observer: Propagation
-    everywhere: Spread | None  # s until the last member knew, over the failures that all came to know
+    everywhere: Summary | None  # s until the last member knew, over the failures that all came to know
 
 
 @dataclass(frozen=True, slots=True)
@@ -61,13 +61,13 @@
     every = [seconds for detection in detections for seconds in detection.seconds]
     last = [max(found.seconds) for found in detections if found.seconds and not found.missing]
     missing = sum(detection.missing for detection in detections)
-    return FailureDetection(Propagation(spread(every), missing, len(detections)), spread(last))
+    return FailureDetection(Propagation(summarize(every), missing, len(detections)), summarize(last))
 
 
 def false_alarms(index: RecordIndex) -> FalseAlarms:
     """Counts suspicions and deaths that were reported without a cause."""
     suspicions = deaths = 0
-    for record in index.of(StatusSeen):
+    for record in index.records_of(StatusSeen):
         begin = record.at - GRACE
         if not index.history.undisturbed(record.other, begin, record.at):
             continue
@@ -81,7 +81,7 @@
 def _death_times(index: RecordIndex) -> dict[int, dict[int, list[float]]]:
     """Member -> observer -> when the observer considered the member dead."""
     deaths: dict[int, dict[int, list[float]]] = {}
-    for record in index.of(StatusSeen):
+    for record in index.records_of(StatusSeen):
         if record.status in DEAD_OR_LEFT:
             deaths.setdefault(record.other, {}).setdefault(record.member, []).append(record.at)
     return deaths
@@ -91,15 +91,15 @@
     killed_at = outage.interval.begin
     seconds: list[float] = []
     missing = 0
-    for place in index.topology.places:
-        if place.index == outage.member or place in index.topology.real:
+    for spec in index.topology.members:
+        if spec.index == outage.member or spec in index.topology.real:
             continue
-        times = [at for at in deaths.get(place.index, []) if killed_at <= at <= until]
+        times = [at for at in deaths.get(spec.index, []) if killed_at <= at <= until]
         known_at = min(times, default=None)
         end = until if known_at is None else known_at
-        if not index.history.present(place.index, killed_at, end):
+        if not index.history.ran_throughout(spec.index, killed_at, end):
             continue
-        if index.history.partitioned_between(place.index, outage.member, killed_at, end):
+        if index.history.partitioned_between(spec.index, outage.member, killed_at, end):
             continue
         if known_at is None:
             missing += 1
--- a/saltcourse/emulator/scale/evaluation/metrics.py
+++ b/saltcourse/emulator/scale/evaluation/metrics.py
@@ -6,17 +6,17 @@
 from dataclasses import dataclass
 
 from saltcourse.emulator.scale.safety import Breach
-from saltcourse.emulator.scale.summary import Spread
+from saltcourse.emulator.scale.summary import Summary
 
 OVERLOAD_LAG = 0.1  # s; where events are handled later than this, the machine was too small for the run
 
 
 @dataclass(frozen=True, slots=True)
-class CostSpread:
+class CostSummary:
     """Cost over members and time, averaged over windows of ``costs.WINDOW`` seconds."""
 
-    bytes_per_s: Spread  # sent plus received
-    cpu_share: Spread  # of a core
+    bytes_per_s: Summary  # sent plus received
+    cpu_share: Summary  # of a core
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,7 +32,7 @@
 class Propagation:
     """How long it took until the members knew of events, such as changes or failures."""
 
-    seconds: Spread | None  # over each pair of an event and a member that had to learn of it
+    seconds: Summary | None  # over each pair of an event and a member that had to learn of it
     missing: int  # pairs in which the member never did
     events: int
 
@@ -66,9 +66,9 @@
     processes: int
     bytes_per_s: float  # the worst window of the ordinary phases
     cpu_share: float  # of a core
-    cpu_share_without: float
+    cpu_share_without_gossip: float
     memory_mb: float
-    memory_mb_without: float
+    memory_mb_without_gossip: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -78,8 +78,8 @@
     mechanism: str
     size: int  # hollow proxies
     seed: int
-    proxies: CostSpread | None
-    control: CostSpread | None  # of the control members
+    proxies: CostSummary | None
+    control: CostSummary | None  # of the control members
     phases: tuple[PhaseCost, ...]
     memory_mb: float  # of one member: the mean of the worker where it is highest
     change: Propagation
@@ -87,7 +87,9 @@
     changes_confirmed: int
     changes_lost: int  # submitted, in force nowhere and not confirmed
     failure: Propagation
-    failure_everywhere: Spread | None  # s until the last member knew, over the failures that all came to know
+    failure_everywhere: (
+        Summary | None
+    )  # s until the last member knew, over the failures that all came to know
     joining: Propagation  # from a restart to what was the newest version then
     staleness: Propagation  # from the begin of a partition until the minority side reports that it is stale
     false_suspicions: int
--- a/saltcourse/emulator/scale/evaluation/record_index.py
+++ b/saltcourse/emulator/scale/evaluation/record_index.py
@@ -23,9 +23,9 @@
         self.records = list(records)
         self.end = timeline.end  # s
         self._by_kind = _group_by_kind(self.records)
-        self.history = History(topology, self.of(Lifecycle))
+        self.history = History(topology, self.records_of(Lifecycle))
 
-    def of(self, kind: type[Kind]) -> list[Kind]:
+    def records_of(self, kind: type[Kind]) -> list[Kind]:
         """All records of one kind, in the order of their time where they have one."""
         return cast(list[Kind], self._by_kind.get(cast(type[Record], kind), []))
 
@@ -34,7 +34,7 @@
 
         A partition counts in the first ``CHANGE_DEADLINE`` seconds.
         """
-        return self.history.present(member, begin, end) and not self.history.in_minority(
+        return self.history.ran_throughout(member, begin, end) and not self.history.in_minority(
             member, begin, min(end, begin + CHANGE_DEADLINE)
         )
 
--- a/saltcourse/emulator/scale/evaluation/recovery.py
+++ b/saltcourse/emulator/scale/evaluation/recovery.py
@@ -9,8 +9,8 @@
 from saltcourse.emulator.scale.evaluation.record_index import RecordIndex
 from saltcourse.emulator.scale.history import Interval, ValueHistory
 from saltcourse.emulator.scale.records import ConfigurationSeen, FreshnessSeen, View
-from saltcourse.emulator.scale.summary import spread
-from saltcourse.emulator.scale.topology import Place
+from saltcourse.emulator.scale.summary import summarize
+from saltcourse.emulator.scale.topology import MemberSpec
 
 JOIN_DEADLINE = 20.0  # s that a new process may take to the newest configuration
 JUST_AFTER = 0.001  # s after a start
@@ -38,7 +38,7 @@
             missing += 1
         else:
             seconds.append(joined_at - started)
-    return Propagation(spread(seconds), missing, len(seconds) + missing)
+    return Propagation(summarize(seconds), missing, len(seconds) + missing)
 
 
 def staleness(index: RecordIndex) -> Propagation:
@@ -50,13 +50,13 @@
         if partition.end < until:
             continue
         events += 1
-        for place in _minority(index, partition.begin, until):
-            reported_at = _first_stale_report(index, place, partition.begin, until)
+        for spec in _minority(index, partition.begin, until):
+            reported_at = _first_stale_report(index, spec, partition.begin, until)
             if reported_at is None:
                 missing += 1
             else:
                 seconds.append(reported_at - partition.begin)
-    return Propagation(spread(seconds), missing, events)
+    return Propagation(summarize(seconds), missing, events)
 
 
 def partition_recoveries(index: RecordIndex) -> tuple[PartitionRecovery, ...]:
@@ -64,18 +64,18 @@
     return tuple(_recovery(index, cut) for cut in index.history.partitions if cut.end < math.inf)
 
 
-def true_view(live: Iterable[Place]) -> tuple[int, int]:
+def true_view(live: Iterable[MemberSpec]) -> tuple[int, int]:
     """Count and XOR of the ids of these members, as a ``View`` that is right records them."""
     count = digest = 0
-    for place in live:
+    for spec in live:
         count += 1
-        digest ^= place.id
+        digest ^= spec.id
     return count, digest
 
 
 def _configurations_by_member(index: RecordIndex) -> dict[int, list[ConfigurationSeen]]:
     by_member: dict[int, list[ConfigurationSeen]] = {}
-    for record in index.of(ConfigurationSeen):
+    for record in index.records_of(ConfigurationSeen):
         by_member.setdefault(record.member, []).append(record)
     return by_member
 
@@ -84,29 +84,29 @@
     """Epoch and version of the newest configuration anywhere, over time."""
     newest = ValueHistory()
     highest = 0
-    for record in index.of(ConfigurationSeen):
+    for record in index.records_of(ConfigurationSeen):
         if record.version > highest:
             highest = record.version
             newest.add(record.at, (record.epoch, highest))
     return newest
 
 
-def _minority(index: RecordIndex, begin: float, end: float) -> list[Place]:
+def _minority(index: RecordIndex, begin: float, end: float) -> list[MemberSpec]:
     """Hollow members that ran all the time and could not reach a majority of the voters."""
     return [
-        place
-        for place in index.topology.places
-        if index.history.in_minority(place.index, begin, end)
-        and place not in index.topology.real
-        and index.history.present(place.index, begin, end)
+        spec
+        for spec in index.topology.members
+        if index.history.in_minority(spec.index, begin, end)
+        and spec not in index.topology.real
+        and index.history.ran_throughout(spec.index, begin, end)
     ]
 
 
-def _first_stale_report(index: RecordIndex, place: Place, begin: float, end: float) -> float | None:
+def _first_stale_report(index: RecordIndex, spec: MemberSpec, begin: float, end: float) -> float | None:
     reports = (
         record.at
-        for record in index.of(FreshnessSeen)
-        if record.member == place.index and record.stale and begin <= record.at <= end
+        for record in index.records_of(FreshnessSeen)
+        if record.member == spec.index and record.stale and begin <= record.at <= end
     )
     return next(reports, None)
 
@@ -125,31 +125,31 @@
 def _seconds_to_equal_views(index: RecordIndex, healed: float, until: float) -> float | None:
     """Until the views of all live members are right at the same moment."""
     views: dict[int, ValueHistory] = {}
-    for view in index.of(View):
+    for view in index.records_of(View):
         views.setdefault(view.member, ValueHistory()).add(view.at, (view.count, view.digest))
     at = healed
     while at <= until:
         live = index.history.live(at)
         truth = true_view(live)
-        if all(_view_is_right(index, place, views.get(place.index), at, truth) for place in live):
+        if all(_view_is_right(index, spec, views.get(spec.index), at, truth) for spec in live):
             return at - healed
         at += AGREEMENT_STEP
     return None
 
 
 def _view_is_right(
-    index: RecordIndex, place: Place, views: ValueHistory | None, at: float, truth: tuple[int, int]
+    index: RecordIndex, spec: MemberSpec, views: ValueHistory | None, at: float, truth: tuple[int, int]
 ) -> bool:
     """A real process reports only how many members it considers alive."""
     view = views.at(at) if views is not None else None
     if view is None:
         return False
-    return view[0] == truth[0] if place in index.topology.real else view == truth
+    return view[0] == truth[0] if spec in index.topology.real else view == truth
 
 
 def _seconds_to_newest_configuration(index: RecordIndex, healed: float, until: float) -> float | None:
     """Until each live member has what was the newest version anywhere when the partition ended."""
-    seen = index.of(ConfigurationSeen)
+    seen = index.records_of(ConfigurationSeen)
     newest = max((record.version for record in seen if record.at <= healed), default=0)
     if newest == 0:
         return 0.0
@@ -157,7 +157,9 @@
     for record in seen:
         if record.version >= newest:
             reached.setdefault(record.member, record.at)
-    live = [place for place in index.history.live(until) if index.history.present(place.index, healed, until)]
-    if not all(place.index in reached and reached[place.index] <= until for place in live):
+    live = [
+        spec for spec in index.history.live(until) if index.history.ran_throughout(spec.index, healed, until)
+    ]
+    if not all(spec.index in reached and reached[spec.index] <= until for spec in live):
         return None
-    return max([max(reached[place.index] - healed, 0.0) for place in live], default=0.0)
+    return max([max(reached[spec.index] - healed, 0.0) for spec in live], default=0.0)
--- a/saltcourse/emulator/scale/fault_injection.py
+++ b/saltcourse/emulator/scale/fault_injection.py
@@ -6,11 +6,11 @@
 from collections.abc import Callable, Mapping
 from random import Random
 
-from saltcourse.emulator.scale.hollow import HollowMember, MemberContext
 from saltcourse.emulator.scale.hosted_member import HostedMember
 from saltcourse.emulator.scale.member_host import MemberHost
 from saltcourse.emulator.scale.recorder import Recorder
-from saltcourse.emulator.scale.timeline import Act, Command
+from saltcourse.emulator.scale.simulated_member import MemberContext, SimulatedMember
+from saltcourse.emulator.scale.timeline import Command, FaultAction
 from saltcourse.emulator.scale.worker_messages import WorkerTask
 from saltcourse.gossip.messages import Address
 
@@ -20,7 +20,7 @@
 
     def __init__(
         self,
-        member_class: type[HollowMember],
+        member_class: type[SimulatedMember],
         task: WorkerTask,
         addresses: tuple[Address, ...],
         random: Random,
@@ -30,18 +30,18 @@
         self._addresses = addresses
         self._random = random
 
-    def create(self, hosted: HostedMember) -> HollowMember:
+    def create(self, hosted: HostedMember) -> SimulatedMember:
         """A process with a new incarnation, and with what the member has stored."""
         task = self._task
         return self._member_class(
             MemberContext(
-                place=hosted.place,
+                spec=hosted.spec,
                 topology=task.topology,
                 addresses=self._addresses,
                 arrivals=task.scenario.arrivals,
                 key=task.key,
-                process=self._random.getrandbits(32),
-                random=Random(f"member {task.seed} {hosted.place.index} {self._random.random()}"),
+                process_id=self._random.getrandbits(32),
+                random=Random(f"member {task.seed} {hosted.spec.index} {self._random.random()}"),
                 stored=hosted.stored,
             )
         )
@@ -69,45 +69,45 @@
 
     def execute(self, command: Command) -> None:
         """Applies the command to those of its members that this worker hosts."""
-        if command.act in (Act.PARTITION, Act.HEAL):
-            self._host.set_partition(command.act is Act.PARTITION)
-            self._recorder.lifecycle(command.act)
+        if command.action in (FaultAction.PARTITION, FaultAction.HEAL):
+            self._host.set_partition(command.action is FaultAction.PARTITION)
+            self._recorder.lifecycle(command.action)
             return
         for index in command.members:
             if index in self._members:
-                self.apply(self._members[index], command.act)
+                self.apply(self._members[index], command.action)
 
-    def apply(self, hosted: HostedMember, act: Act) -> None:
+    def apply(self, hosted: HostedMember, action: FaultAction) -> None:
         """Does nothing where an earlier fault has left no room for this one."""
-        match act:
-            case Act.START if hosted.core is None:
+        match action:
+            case FaultAction.START if hosted.process is None:
                 self._start(hosted)
-            case Act.KILL if hosted.core is not None:
-                self._kill(hosted, hosted.core)
-            case Act.STOP if hosted.core is not None and not hosted.stopped:
-                self._recorder.lifecycle(act, hosted.place.index)
+            case FaultAction.KILL if hosted.process is not None:
+                self._kill(hosted, hosted.process)
+            case FaultAction.STOP if hosted.process is not None and not hosted.stopped:
+                self._recorder.lifecycle(action, hosted.spec.index)
                 self._host.pause(hosted)
-            case Act.RESUME if hosted.stopped:
-                self._recorder.lifecycle(act, hosted.place.index)
+            case FaultAction.RESUME if hosted.stopped:
+                self._recorder.lifecycle(action, hosted.spec.index)
                 self._host.unpause(hosted)
                 self._host.deliver_waiting(hosted)
             case _:
                 pass
 
     def _start(self, hosted: HostedMember) -> None:
-        self._recorder.lifecycle(Act.START, hosted.place.index)
+        self._recorder.lifecycle(FaultAction.START, hosted.spec.index)
         hosted.view = None
         hosted.not_alive = {}
-        core = self._factory.create(hosted)
-        hosted.core = core
-        self._host.execute(hosted, core.start(time.monotonic()))
+        process = self._factory.create(hosted)
+        hosted.process = process
+        self._host.execute(hosted, process.start(time.monotonic()))
 
-    def _kill(self, hosted: HostedMember, core: HollowMember) -> None:
-        self._recorder.lifecycle(Act.KILL, hosted.place.index)
+    def _kill(self, hosted: HostedMember, process: SimulatedMember) -> None:
+        self._recorder.lifecycle(FaultAction.KILL, hosted.spec.index)
         if hosted.stopped:
             self._host.unpause(hosted)
-        hosted.cpu += core.cpu
-        hosted.stored = core.stored()
-        hosted.core = None
+        hosted.cpu += process.cpu
+        hosted.stored = process.stored()
+        hosted.process = None
         hosted.waiting = []
         self._on_killed(hosted)
--- a/saltcourse/emulator/scale/gossip.py
+++ b/saltcourse/emulator/scale/gossip.py
@@ -10,19 +10,19 @@
 from collections.abc import Iterable, Mapping
 
 from saltcourse.emulator.scale.connections import ConnectionChurn
-from saltcourse.emulator.scale.hollow import (
+from saltcourse.emulator.scale.simulated_member import (
     ConfigurationObserved,
     FreshnessObserved,
-    HollowMember,
     MemberContext,
     MembersView,
     Output,
     PublicationConfirmed,
     PublicationFailed,
+    SimulatedMember,
     StatusObserved,
     view_of,
 )
-from saltcourse.emulator.scale.topology import Place
+from saltcourse.emulator.scale.topology import MemberSpec
 from saltcourse.gossip.messages import (
     Action,
     Address,
@@ -57,21 +57,21 @@
 DIGEST_BYTES = 7  # of a configuration: it stays a whole number in JSON
 
 
-class GossipMember(HollowMember):
+class GossipMember(SimulatedMember):
     """One process of a member that runs gossip and, on voters, the quorum."""
 
     def __init__(self, context: MemberContext) -> None:
         super().__init__(context)
-        self._connections = ConnectionChurn(context.arrivals, context.random)
-        self._count_at = 0.0
+        self._churn = ConnectionChurn(context.arrivals, context.random)
+        self._next_count_at = 0.0
         stored = context.stored if isinstance(context.stored, ReplicaState) else None
         self._state = stored
         self._node = self._measured(Node, node_settings(context), context.random, stored)
 
     def start(self, now: float) -> Output:
         """Starts the node and its connections."""
-        self._connections.start(now)
-        self._count_at = now + COUNT_INTERVAL
+        self._churn.start(now)
+        self._next_count_at = now + COUNT_INTERVAL
         return self._output(self._measured(self._start, now))
 
     def receive(self, now: float, source: Address, datagram: bytes) -> Output:
@@ -80,11 +80,11 @@
 
     def tick(self, now: float) -> Output:
         """Publishes the connection count of a proxy, or lets the node's timers expire."""
-        if self.context.place.role is Role.PROXY and now >= self._count_at:
-            self._connections.begun(now)
-            self._connections.ended(now)
-            self._count_at = now + COUNT_INTERVAL
-            return self._handle(now, ConnectionCount(len(self._connections)))
+        if self.context.spec.role is Role.PROXY and now >= self._next_count_at:
+            self._churn.begun(now)
+            self._churn.ended(now)
+            self._next_count_at = now + COUNT_INTERVAL
+            return self._handle(now, ConnectionCount(len(self._churn)))
         return self._handle(now, Tick())
 
     def publish(self, now: float, change: int, padding: int) -> Output:
@@ -97,7 +97,7 @@
 
     def view(self) -> MembersView:
         """The members whose status is alive here."""
-        own = self.context.place.id
+        own = self.context.spec.id
         alive = [
             member
             for member, known in self._node.membership.members.items()
@@ -142,26 +142,26 @@
                 case PublishFailed(token, error):
                     output.observations.append(PublicationFailed(token, error.name))
         output.observations += observe_applied(applied, self._node.dissemination.configuration)
-        if self.context.place.role is Role.PROXY:
-            self.next_deadline = min(self.next_deadline, self._count_at)
+        if self.context.spec.role is Role.PROXY:
+            self.next_deadline = min(self.next_deadline, self._next_count_at)
         return output
 
 
 def node_settings(context: MemberContext) -> NodeSettings:
     """Every member joins by the control members, and knows the voters."""
-    control = [place for place in context.topology.places if place.role is Role.CONTROL]
+    control = [spec for spec in context.topology.members if spec.role is Role.CONTROL]
     return NodeSettings(
-        own_record=member_record(context.place, context.address, context.process),
-        seeds=tuple(context.addresses[place.index] for place in control if place != context.place),
-        voters=tuple(Voter(place.name, context.addresses[place.index]) for place in context.topology.voters),
+        own_record=member_record(context.spec, context.address, context.process_id),
+        seeds=tuple(context.addresses[spec.index] for spec in control if spec != context.spec),
+        voters=tuple(Voter(spec.name, context.addresses[spec.index]) for spec in context.topology.voters),
         key=context.key,
-        bytes_per_s=default_bytes_per_s(context.place.role),
+        bytes_per_s=default_bytes_per_s(context.spec.role),
     )
 
 
-def member_record(place: Place, address: Address, process: int) -> MemberRecord:
+def member_record(spec: MemberSpec, address: Address, process_id: int) -> MemberRecord:
     """The record under which a member joins."""
-    return MemberRecord(place.name, address, place.region, place.zone, place.role, 0, process)
+    return MemberRecord(spec.name, address, spec.region, spec.zone, spec.role, 0, process_id)
 
 
 def change_writes(change: int, padding: int = 0) -> tuple[Write, ...]:
--- a/saltcourse/emulator/scale/history.py
+++ b/saltcourse/emulator/scale/history.py
@@ -1,6 +1,6 @@
 """Which members ran when, and which could reach each other.
 
-Worked out from the acts that the workers carried out, not from the plan.
+Worked out from the actions that the workers carried out, not from the plan.
 """
 
 from __future__ import annotations
@@ -11,8 +11,8 @@
 from dataclasses import dataclass
 
 from saltcourse.emulator.scale.records import Lifecycle
-from saltcourse.emulator.scale.timeline import Act
-from saltcourse.emulator.scale.topology import Place, Topology
+from saltcourse.emulator.scale.timeline import FaultAction
+from saltcourse.emulator.scale.topology import MemberSpec, Topology
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,28 +40,28 @@
 
 
 class _Outages:
-    """Builds the spans in which members were down or stopped, from acts in the order of time."""
+    """Builds the spans in which members were down or stopped, from actions in the order of time."""
 
     def __init__(self, topology: Topology) -> None:
         self.outages: list[Outage] = []
-        self.running_from: dict[int, float] = {place.index: 0.0 for place in topology.real}
-        self.away: dict[int, list[Interval]] = {place.index: [] for place in topology.places}
+        self.running_from: dict[int, float] = {spec.index: 0.0 for spec in topology.real}
+        self.unavailable: dict[int, list[Interval]] = {spec.index: [] for spec in topology.members}
         self._killed: dict[int, float] = {}
         self._stopped: dict[int, float] = {}
 
     def add(self, record: Lifecycle) -> None:
         member = record.member
-        match Act(record.act):
-            case Act.START if member in self._killed:
+        match FaultAction(record.action):
+            case FaultAction.START if member in self._killed:
                 self._add_outage(member, Interval(self._killed.pop(member), record.at))
-            case Act.START:
+            case FaultAction.START:
                 self.running_from.setdefault(member, record.at)
-            case Act.KILL:
+            case FaultAction.KILL:
                 self._end_stop(member, record.at)
                 self._killed[member] = record.at
-            case Act.STOP:
+            case FaultAction.STOP:
                 self._stopped[member] = record.at
-            case Act.RESUME:
+            case FaultAction.RESUME:
                 self._end_stop(member, record.at)
 
     def finish(self) -> None:
@@ -69,15 +69,15 @@
         for member, at in self._killed.items():
             self._add_outage(member, Interval(at, math.inf))
         for member, at in self._stopped.items():
-            self.away[member].append(Interval(at, math.inf))
+            self.unavailable[member].append(Interval(at, math.inf))
 
     def _end_stop(self, member: int, at: float) -> None:
         if member in self._stopped:
-            self.away[member].append(Interval(self._stopped.pop(member), at))
+            self.unavailable[member].append(Interval(self._stopped.pop(member), at))
 
     def _add_outage(self, member: int, interval: Interval) -> None:
         self.outages.append(Outage(member, interval))
-        self.away[member].append(interval)
+        self.unavailable[member].append(interval)
 
 
 class _Partitions:
@@ -88,13 +88,13 @@
         self._begin = math.inf
 
     def add(self, record: Lifecycle) -> None:
-        match Act(record.act):
-            case Act.PARTITION:
+        match FaultAction(record.action):
+            case FaultAction.PARTITION:
                 self._begin = min(self._begin, record.at)
-            case Act.HEAL if self._begin < math.inf:
+            case FaultAction.HEAL if self._begin < math.inf:
                 self.intervals.append(Interval(self._begin, record.at))
                 self._begin = math.inf
-            case Act.HEAL if self.intervals:  # another worker's: all have healed with the last one
+            case FaultAction.HEAL if self.intervals:  # another worker's: all have healed with the last one
                 self.intervals[-1] = Interval(self.intervals[-1].begin, record.at)
 
     def finish(self) -> None:
@@ -108,7 +108,7 @@
 
     def __init__(self, topology: Topology, records: Iterable[Lifecycle]) -> None:
         self._topology = topology
-        self._first_region = topology.places[0].region
+        self._first_region = topology.members[0].region
         outages = _Outages(topology)
         partitions = _Partitions()
         for record in sorted(records, key=lambda record: record.at):
@@ -119,26 +119,30 @@
         self.outages = outages.outages
         self.partitions = partitions.intervals
         self._running_from = outages.running_from
-        self._away = outages.away
+        self._unavailable = outages.unavailable
 
-    def live(self, at: float) -> list[Place]:
+    def live(self, at: float) -> list[MemberSpec]:
         """Members that run and are not stopped."""
         return [
-            place
-            for place in self._topology.places
-            if self._running_from.get(place.index, math.inf) <= at
-            and not any(away.contains(at) for away in self._away[place.index])
+            spec
+            for spec in self._topology.members
+            if self._running_from.get(spec.index, math.inf) <= at
+            and not any(interval.contains(at) for interval in self._unavailable[spec.index])
         ]
 
-    def present(self, member: int, begin: float, end: float) -> bool:
+    def ran_throughout(self, member: int, begin: float, end: float) -> bool:
         """Whether one process of the member ran through all of this time, and was never stopped."""
         started = self._running_from.get(member, math.inf)
-        return started <= begin and not any(away.overlaps(begin, end) for away in self._away[member])
+        return started <= begin and not any(
+            interval.overlaps(begin, end) for interval in self._unavailable[member]
+        )
 
     def undisturbed(self, member: int, begin: float, end: float) -> bool:
         """Like ``present``, but the member may have been started for the first time meanwhile."""
         started = self._running_from.get(member, math.inf)
-        return started <= end and not any(away.overlaps(begin, end) for away in self._away[member])
+        return started <= end and not any(
+            interval.overlaps(begin, end) for interval in self._unavailable[member]
+        )
 
     def partitioned_between(self, one: int, other: int, begin: float, end: float) -> bool:
         """Whether a partition separated the two members at any time."""
@@ -149,18 +153,18 @@
     def in_minority(self, member: int, begin: float, end: float) -> bool:
         """Whether a partition separated the member from a majority of the voters at any time."""
         side = self._in_first_region(member)
-        near = [voter for voter in self._topology.voters if self._in_first_region(voter.index) == side]
-        return 2 * len(near) <= len(self._topology.voters) and any(
+        same_side = [voter for voter in self._topology.voters if self._in_first_region(voter.index) == side]
+        return 2 * len(same_side) <= len(self._topology.voters) and any(
             partition.overlaps(begin, end) for partition in self.partitions
         )
 
     def zone_lost(self, member: int, at: float) -> bool:
         """Whether all members of the member's zone were down."""
-        zone = self._topology.places[member].zone
-        return not any(place.zone == zone for place in self.live(at))
+        zone = self._topology.members[member].zone
+        return not any(spec.zone == zone for spec in self.live(at))
 
     def _in_first_region(self, member: int) -> bool:
-        return self._topology.places[member].region == self._first_region
+        return self._topology.members[member].region == self._first_region
 
 
 class ValueHistory:
--- a/saltcourse/emulator/scale/hosted_member.py
+++ b/saltcourse/emulator/scale/hosted_member.py
@@ -2,17 +2,17 @@
 
 from __future__ import annotations
 
-from saltcourse.emulator.scale.hollow import HollowMember, MembersView
-from saltcourse.emulator.scale.topology import Place
+from saltcourse.emulator.scale.simulated_member import MembersView, SimulatedMember
+from saltcourse.emulator.scale.topology import MemberSpec
 from saltcourse.gossip.messages import Address, Status
 
 
 class HostedMember:
-    """One member over all its processes: ``core`` is the one that runs now, None while it is down."""
+    """One member over all its processes: ``process`` is the one that runs now, None while it is down."""
 
-    def __init__(self, place: Place) -> None:
-        self.place = place
-        self.core: HollowMember | None = None
+    def __init__(self, spec: MemberSpec) -> None:
+        self.spec = spec
+        self.process: SimulatedMember | None = None
         self.stopped = False
         self.waiting: list[tuple[Address, bytes]] = []  # datagrams that arrived while it was stopped
         self.timer: float | None = None  # when the earliest of its queued timers expires
@@ -25,8 +25,8 @@
         self.stored: object = None  # its disk, for its next process
         self.publishing: set[int] = set()  # changes whose result the operator waits for
 
-    def take_cpu(self) -> float:
+    def cpu_delta(self) -> float:
         """Seconds of CPU since the last call."""
-        total = self.cpu + (self.core.cpu if self.core is not None else 0.0)
+        total = self.cpu + (self.process.cpu if self.process is not None else 0.0)
         spent, self.cpu_recorded = total - self.cpu_recorded, total
         return spent
--- a/saltcourse/emulator/scale/mechanisms.py
+++ b/saltcourse/emulator/scale/mechanisms.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-from saltcourse.emulator.scale.hollow import HollowMember
+from saltcourse.emulator.scale.simulated_member import SimulatedMember
 
 MESH, GOSSIP = "mesh", "gossip"
 
 
-def member_class(mechanism: str) -> type[HollowMember]:
+def member_class(mechanism: str) -> type[SimulatedMember]:
     """The member class of a mechanism.
 
     Raises ImportError where the mechanism is not part of this version of the program.
--- a/saltcourse/emulator/scale/member_host.py
+++ b/saltcourse/emulator/scale/member_host.py
@@ -5,9 +5,9 @@
 import time
 from collections.abc import Callable
 
-from saltcourse.emulator.scale.hollow import Observation, Output
 from saltcourse.emulator.scale.hosted_member import HostedMember
-from saltcourse.emulator.scale.sockets import Paths, Sockets
+from saltcourse.emulator.scale.simulated_member import Observation, Output
+from saltcourse.emulator.scale.sockets import LinkEmulator, Sockets
 from saltcourse.emulator.scale.timer_queue import TimerQueue
 from saltcourse.gossip.messages import PACKET_OVERHEAD_BYTES, Address, Transmit
 
@@ -23,20 +23,20 @@
     def __init__(
         self,
         sockets: Sockets,
-        paths: Paths,
+        links: LinkEmulator,
         timers: TimerQueue,
         real: set[Address],
         observe: Callable[[HostedMember, Observation], None],
     ) -> None:
         self._sockets = sockets
-        self._paths = paths
+        self._links = links
         self._timers = timers
         self._real = real
         self._observe = observe
 
     def datagram_arrived(self, hosted: HostedMember, source: Address, datagram: bytes) -> None:
         """A datagram came on the member's socket: it is delivered after the link's delay, or lost."""
-        delay = self._paths.delay(hosted.place.zone, source)
+        delay = self._links.draw_delay(hosted.spec.zone, source)
         if delay is not None:
             self._timers.call_at(time.monotonic() + delay, lambda: self._deliver(hosted, source, datagram))
 
@@ -47,7 +47,7 @@
             if transmit.destination in self._real:
                 self._send_to_real(hosted, transmit)
             else:
-                self._sockets.send(hosted.place.index, transmit.datagram, transmit.destination)
+                self._sockets.send(hosted.spec.index, transmit.datagram, transmit.destination)
         for observation in output.observations:
             self._observe(hosted, observation)
         self._set_timer(hosted)
@@ -55,12 +55,12 @@
     def pause(self, hosted: HostedMember) -> None:
         """Gives the member no further events; its datagrams wait."""
         hosted.stopped = True
-        self._sockets.ignore(hosted.place.index)
+        self._sockets.unwatch(hosted.spec.index)
 
     def unpause(self, hosted: HostedMember) -> None:
         """Reads the member's socket again."""
         hosted.stopped = False
-        self._sockets.watch(hosted.place.index)
+        self._sockets.watch(hosted.spec.index)
 
     def deliver_waiting(self, hosted: HostedMember) -> None:
         """Delivers what arrived while the member was paused."""
@@ -71,46 +71,46 @@
 
     def set_partition(self, partitioned: bool) -> None:
         """Separates the first region from the others, or connects them again."""
-        self._paths.partitioned = partitioned
+        self._links.partitioned = partitioned
 
     def _deliver(self, hosted: HostedMember, source: Address, datagram: bytes) -> None:
-        if hosted.core is None or not self._paths.open(hosted.place.zone, source):
+        if hosted.process is None or not self._links.is_open(hosted.spec.zone, source):
             return
         if hosted.stopped:
             hosted.waiting.append((source, datagram))
             return
         hosted.received += len(datagram) + PACKET_OVERHEAD_BYTES
-        self.execute(hosted, hosted.core.receive(time.monotonic(), source, datagram))
+        self.execute(hosted, hosted.process.receive(time.monotonic(), source, datagram))
 
     def _send_to_real(self, hosted: HostedMember, transmit: Transmit) -> None:
         """Applies the link before the datagram is sent: no worker reads a real process's socket."""
-        delay = self._paths.delay(hosted.place.zone, transmit.destination)
+        delay = self._links.draw_delay(hosted.spec.zone, transmit.destination)
         if delay is None:
             return
 
         def send() -> None:
-            if self._paths.open(hosted.place.zone, transmit.destination):
-                self._sockets.send(hosted.place.index, transmit.datagram, transmit.destination)
+            if self._links.is_open(hosted.spec.zone, transmit.destination):
+                self._sockets.send(hosted.spec.index, transmit.datagram, transmit.destination)
 
         self._timers.call_at(time.monotonic() + delay, send)
 
     def _set_timer(self, hosted: HostedMember) -> None:
         """A later deadline waits for the timer that is set; an earlier one gets its own."""
-        if hosted.core is None:
+        if hosted.process is None:
             return
-        deadline = max(hosted.core.next_deadline, time.monotonic() + MIN_TIMER_DELAY)
+        deadline = max(hosted.process.next_deadline, time.monotonic() + MIN_TIMER_DELAY)
         if hosted.timer is None or deadline < hosted.timer:
             hosted.timer = deadline
             self._timers.call_at(deadline, lambda: self._timer_expired(hosted, deadline))
 
     def _timer_expired(self, hosted: HostedMember, set_for: float) -> None:
         if hosted.timer != set_for:
-            return  # an earlier one took its place
+            return  # an earlier deadline replaced this timer
         hosted.timer = None
-        if hosted.core is None or hosted.stopped:
+        if hosted.process is None or hosted.stopped:
             return
         now = time.monotonic()
-        if hosted.core.next_deadline <= now:
-            self.execute(hosted, hosted.core.tick(now))
+        if hosted.process.next_deadline <= now:
+            self.execute(hosted, hosted.process.tick(now))
         else:
             self._set_timer(hosted)
--- a/saltcourse/emulator/scale/mesh.py
+++ b/saltcourse/emulator/scale/mesh.py
@@ -1,6 +1,6 @@
 """A hollow member of the full mesh, ``saltcourse.shared_state``: the baseline of a scale run.
 
-The mesh carries no configuration. In place of a change the publisher announces one more record of its table,
+The mesh carries no configuration. Instead of a change the publisher announces one more record of its table,
 which reaches all proxies as a change would: with the next message, or by a resend after a loss.
 """
 
@@ -8,13 +8,13 @@
 
 from saltcourse.balancing.settings import RequestClass, Settings, SharedStateSettings
 from saltcourse.emulator.scale.connections import ConnectionChurn
-from saltcourse.emulator.scale.hollow import (
+from saltcourse.emulator.scale.simulated_member import (
     ConfigurationObserved,
-    HollowMember,
     MemberContext,
     MembersView,
     Output,
     PublicationConfirmed,
+    SimulatedMember,
     StatusObserved,
     view_of,
 )
@@ -24,47 +24,49 @@
 
 TICK = 0.05  # s between its messages
 PUBLISHER = 0  # index of the member that publishes changes
-CHANGES_SERVER = "changes"  # the backend under whose name they are announced
-SERVERS_PER_GROUP = 2  # backends that a group's connections go to
+CHANGES_BACKEND = "changes"  # the backend under whose name they are announced
+BACKENDS_PER_GROUP = 2  # backends that a group's connections go to
 
 
-class _Holding:
+class _BackendConnections:
     """Established connections of this proxy at one backend."""
 
     def __init__(self) -> None:
         self.count = 0
 
 
-class MeshMember(HollowMember):
+class MeshMember(SimulatedMember):
     """One process of a proxy in the full mesh."""
 
     def __init__(self, context: MemberContext) -> None:
         super().__init__(context)
         arrivals = context.arrivals
-        member_count = len(context.topology.places)
-        server_count = max(3, round(arrivals.servers_per_proxy * member_count))
-        self._servers = [f"server-{number}" for number in range(server_count)]
-        self._group_count = arrivals.groups_per_server * server_count
-        self._holdings = {server: _Holding() for server in self._servers}
-        self._pairs: dict[tuple[str, str], int] = {}  # connections of a group at a server
-        self._connections = ConnectionChurn(arrivals, context.random)
-        self._pair_of: dict[int, tuple[str, str]] = {}  # by connection
+        member_count = len(context.topology.members)
+        backend_count = max(3, round(arrivals.servers_per_proxy * member_count))
+        self._backends = [f"server-{number}" for number in range(backend_count)]
+        self._group_count = arrivals.groups_per_server * backend_count
+        self._connections_by_backend = {backend: _BackendConnections() for backend in self._backends}
+        self._connections_by_pair: dict[tuple[str, str], int] = {}  # connections of a group at a backend
+        self._churn = ConnectionChurn(arrivals, context.random)
+        self._pair_by_connection: dict[int, tuple[str, str]] = {}  # by connection
         self._changes_seen = 0
-        self._lost: set[int] = set()
+        self._lost_peers: set[int] = set()
         self._indexes = {address: index for index, address in enumerate(context.addresses)}
         settings = Settings(
             (RequestClass("live-feed", 0.5, 3.0),),
             proxy_count=member_count,
-            proxy_index=context.place.index,
+            proxy_index=context.spec.index,
             peers_allowed=True,
             has_groups=True,
             shared_state=SharedStateSettings(share_connection_counts=True),
         )
-        self._fleet = self._measured(SharedState, settings, context.process, self._holdings)
+        self._shared_state = self._measured(
+            SharedState, settings, context.process_id, self._connections_by_backend
+        )
 
     def start(self, now: float) -> Output:
         """Opens the initial connections and sends the first messages."""
-        for number in self._connections.start(now):
+        for number in self._churn.start(now):
             self._connect(number)
         return self.tick(now)
 
@@ -73,24 +75,24 @@
         index = self._indexes.get(source)
         if index is None:
             return Output()
-        output = self._output(self._measured(self._take, now, index, datagram))
+        output = self._output(self._measured(self._receive_message, now, index, datagram))
         if index == PUBLISHER:
             self._observe_changes(output)
         return output
 
-    def _take(self, now: float, sender: int, datagram: bytes) -> list[Outgoing]:
-        self._fleet.receive(now, sender, datagram.decode("ascii"))
-        return self._fleet.outgoing_messages(now)
+    def _receive_message(self, now: float, sender: int, datagram: bytes) -> list[Outgoing]:
+        self._shared_state.receive(now, sender, datagram.decode("ascii"))
+        return self._shared_state.outgoing_messages(now)
 
     def tick(self, now: float) -> Output:
         """Opens and ends connections, and sends what is new."""
-        self._play_connections(now)
+        self._update_connections(now)
         self.next_deadline = now + TICK
-        return self._output(self._measured(self._fleet.outgoing_messages, now))
+        return self._output(self._measured(self._shared_state.outgoing_messages, now))
 
     def publish(self, now: float, change: int, padding: int) -> Output:
         """Announces the change's record; it counts as committed at once. ``padding`` is ignored."""
-        self._measured(self._fleet.record_group, CHANGES_SERVER, str(change), True)
+        self._measured(self._shared_state.record_group, CHANGES_BACKEND, str(change), True)
         self._changes_seen = change + 1
         output = self.tick(now)
         output.observations += [
@@ -101,12 +103,12 @@
 
     def is_publisher(self) -> bool:
         """Whether this is the one member that publishes."""
-        return self.context.place.index == PUBLISHER
+        return self.context.spec.index == PUBLISHER
 
     def view(self) -> MembersView:
         """This proxy and its peers that are not lost."""
-        places = self.context.topology.places
-        return view_of(self.context.place.id, [places[index].id for index in self._fleet.peers])
+        specs = self.context.topology.members
+        return view_of(self.context.spec.id, [specs[index].id for index in self._shared_state.peers])
 
     # ---- what this member observes and sends -------------------------------------------------------------
 
@@ -115,53 +117,53 @@
         for peer, text in sends:
             datagram = text.encode()
             for index in range(len(self.context.addresses)) if peer is None else (peer,):
-                if index != self.context.place.index:
+                if index != self.context.spec.index:
                     output.datagrams.append(Transmit(self.context.addresses[index], datagram))
-        lost = self._fleet.lost.keys()
-        if lost != self._lost:
+        lost = self._shared_state.lost.keys()
+        if lost != self._lost_peers:
             self._observe_lost(set(lost), output)
         return output
 
     def _observe_lost(self, lost: set[int], output: Output) -> None:
-        places = self.context.topology.places
-        for index in sorted(lost - self._lost):
-            output.observations.append(StatusObserved(places[index].name, Status.DEAD))
-        for index in sorted(self._lost - lost):
-            output.observations.append(StatusObserved(places[index].name, Status.ALIVE))
-        self._lost = lost
+        specs = self.context.topology.members
+        for index in sorted(lost - self._lost_peers):
+            output.observations.append(StatusObserved(specs[index].name, Status.DEAD))
+        for index in sorted(self._lost_peers - lost):
+            output.observations.append(StatusObserved(specs[index].name, Status.ALIVE))
+        self._lost_peers = lost
 
     def _observe_changes(self, output: Output) -> None:
         """Changes that have arrived without a gap."""
-        while self._fleet.peer_serves_group(CHANGES_SERVER, str(self._changes_seen)):
+        while self._shared_state.peer_serves_group(CHANGES_BACKEND, str(self._changes_seen)):
             change = self._changes_seen
             self._changes_seen += 1
             output.observations.append(ConfigurationObserved(0, self._changes_seen, 0, (change,), ()))
 
     # ---- its client connections ----------------------------------------------------------------------
 
-    def _play_connections(self, now: float) -> None:
-        for number in self._connections.begun(now):
+    def _update_connections(self, now: float) -> None:
+        for number in self._churn.begun(now):
             self._connect(number)
-        for number in self._connections.ended(now):
+        for number in self._churn.ended(now):
             self._disconnect(number)
 
     def _connect(self, number: int) -> None:
         """To one of the backends of its group, drawn at random."""
         draw = self.context.random
         group = draw.randrange(self._group_count)
-        choice = draw.randrange(SERVERS_PER_GROUP)
-        server = self._servers[(group * SERVERS_PER_GROUP + choice) % len(self._servers)]
-        pair = server, f"group-{group}"
-        self._pair_of[number] = pair
-        self._holdings[server].count += 1
-        self._pairs[pair] = self._pairs.get(pair, 0) + 1
-        if self._pairs[pair] == 1:
-            self._measured(self._fleet.record_group, *pair, True)
+        choice = draw.randrange(BACKENDS_PER_GROUP)
+        backend = self._backends[(group * BACKENDS_PER_GROUP + choice) % len(self._backends)]
+        pair = backend, f"group-{group}"
+        self._pair_by_connection[number] = pair
+        self._connections_by_backend[backend].count += 1
+        self._connections_by_pair[pair] = self._connections_by_pair.get(pair, 0) + 1
+        if self._connections_by_pair[pair] == 1:
+            self._measured(self._shared_state.record_group, *pair, True)
 
     def _disconnect(self, number: int) -> None:
-        pair = self._pair_of.pop(number)
-        self._holdings[pair[0]].count -= 1
-        self._pairs[pair] -= 1
-        if not self._pairs[pair]:
-            del self._pairs[pair]
-            self._measured(self._fleet.record_group, *pair, False)
+        pair = self._pair_by_connection.pop(number)
+        self._connections_by_backend[pair[0]].count -= 1
+        self._connections_by_pair[pair] -= 1
+        if not self._connections_by_pair[pair]:
+            del self._connections_by_pair[pair]
+            self._measured(self._shared_state.record_group, *pair, False)
--- a/saltcourse/emulator/scale/operator.py
+++ b/saltcourse/emulator/scale/operator.py
@@ -40,9 +40,9 @@
         record: Callable[[Record], None],
         minority_region: str,
     ) -> None:
-        self._voters = [place.index for place in topology.voters]
+        self._voters = [spec.index for spec in topology.voters]
         self._minority = [
-            number for number, place in enumerate(topology.voters) if place.region == minority_region
+            number for number, spec in enumerate(topology.voters) if spec.region == minority_region
         ]
         self._send = send
         self._record = record
--- a/saltcourse/emulator/scale/publications.py
+++ b/saltcourse/emulator/scale/publications.py
@@ -6,10 +6,14 @@
 from collections.abc import Callable, Mapping
 
 from saltcourse.emulator.scale.fault_injection import FaultInjector
-from saltcourse.emulator.scale.hollow import HollowMember, PublicationConfirmed, PublicationFailed
 from saltcourse.emulator.scale.hosted_member import HostedMember
 from saltcourse.emulator.scale.member_host import MemberHost
-from saltcourse.emulator.scale.timeline import Act
+from saltcourse.emulator.scale.simulated_member import (
+    PublicationConfirmed,
+    PublicationFailed,
+    SimulatedMember,
+)
+from saltcourse.emulator.scale.timeline import FaultAction
 from saltcourse.emulator.scale.timer_queue import TimerQueue
 from saltcourse.emulator.scale.worker_messages import DOWN, NOT_PUBLISHER, Publish, PublishResult
 
@@ -23,12 +27,12 @@
     def confirmed(self, hosted: HostedMember, seen: PublicationConfirmed) -> None:
         """The change was committed."""
         hosted.publishing.discard(seen.change)
-        self._send(PublishResult(seen.change, hosted.place.index, "", seen.epoch, seen.version))
+        self._send(PublishResult(seen.change, hosted.spec.index, "", seen.epoch, seen.version))
 
     def failed(self, hosted: HostedMember, seen: PublicationFailed) -> None:
         """The member could not commit the change."""
         hosted.publishing.discard(seen.change)
-        self._send(PublishResult(seen.change, hosted.place.index, seen.reason))
+        self._send(PublishResult(seen.change, hosted.spec.index, seen.reason))
 
     def rejected(self, change: int, member: int, reason: str) -> None:
         """The worker did not give the change to the member."""
@@ -37,7 +41,7 @@
     def member_killed(self, hosted: HostedMember) -> None:
         """The operator's connection to the member breaks."""
         for change in hosted.publishing:
-            self._send(PublishResult(change, hosted.place.index, DOWN))
+            self._send(PublishResult(change, hosted.spec.index, DOWN))
         hosted.publishing = set()
 
 
@@ -58,26 +62,28 @@
         self._timers = timers
         self._results = results
 
-    def publish(self, order: Publish) -> None:
+    def publish(self, request: Publish) -> None:
         """The result goes to the operator now, or when the member has one."""
-        hosted = self._members[order.member]
-        core = hosted.core
-        if core is None or hosted.stopped:
-            self._results.rejected(order.change, order.member, DOWN)
+        hosted = self._members[request.member]
+        process = hosted.process
+        if process is None or hosted.stopped:
+            self._results.rejected(request.change, request.member, DOWN)
             return
-        if order.kill_after is not None:
-            if not core.is_publisher():
-                self._results.rejected(order.change, order.member, NOT_PUBLISHER)
+        if request.kill_after is not None:
+            if not process.is_publisher():
+                self._results.rejected(request.change, request.member, NOT_PUBLISHER)
                 return
-            self._schedule_loss(hosted, order.kill_after, order.restart_after)
-        self._publish_at(hosted, core, order)
+            self._schedule_loss(hosted, request.kill_after, request.restart_after)
+        self._publish_at(hosted, process, request)
 
-    def _publish_at(self, hosted: HostedMember, core: HollowMember, order: Publish) -> None:
-        hosted.publishing.add(order.change)
-        self._host.execute(hosted, core.publish(time.monotonic(), order.change, order.padding))
+    def _publish_at(self, hosted: HostedMember, process: SimulatedMember, request: Publish) -> None:
+        hosted.publishing.add(request.change)
+        self._host.execute(hosted, process.publish(time.monotonic(), request.change, request.padding))
 
     def _schedule_loss(self, hosted: HostedMember, kill_after: float, restart_after: float) -> None:
         killed_at = time.monotonic() + kill_after
-        self._timers.call_at(killed_at, lambda: self._faults.apply(hosted, Act.KILL))
+        self._timers.call_at(killed_at, lambda: self._faults.apply(hosted, FaultAction.KILL))
         if restart_after > 0:
-            self._timers.call_at(killed_at + restart_after, lambda: self._faults.apply(hosted, Act.START))
+            self._timers.call_at(
+                killed_at + restart_after, lambda: self._faults.apply(hosted, FaultAction.START)
+            )
--- a/saltcourse/emulator/scale/recorder.py
+++ b/saltcourse/emulator/scale/recorder.py
@@ -7,7 +7,6 @@
 from collections.abc import Collection
 from pathlib import Path
 
-from saltcourse.emulator.scale.hollow import ConfigurationObserved, FreshnessObserved, StatusObserved
 from saltcourse.emulator.scale.hosted_member import HostedMember
 from saltcourse.emulator.scale.records import (
     ConfigurationSeen,
@@ -19,7 +18,12 @@
     View,
     WorkerUsage,
 )
-from saltcourse.emulator.scale.timeline import Act
+from saltcourse.emulator.scale.simulated_member import (
+    ConfigurationObserved,
+    FreshnessObserved,
+    StatusObserved,
+)
+from saltcourse.emulator.scale.timeline import FaultAction
 from saltcourse.emulator.scale.timer_queue import LagSample
 from saltcourse.emulator.scale.topology import Topology
 from saltcourse.gossip.messages import Status
@@ -32,27 +36,27 @@
 
     def __init__(self, path: Path, topology: Topology) -> None:
         self._writer = RecordWriter(path)
-        self._index_by_name = {place.name: place.index for place in topology.places}
+        self._index_by_name = {spec.name: spec.index for spec in topology.members}
         self.begin = 0.0  # CLOCK_MONOTONIC of the run's begin
 
     def close(self) -> None:
         """Closes the file of records."""
         self._writer.close()
 
-    def lifecycle(self, act: Act, member: int = EVERYONE) -> None:
-        """An act that was carried out on one member, or on the links of all."""
-        self._writer.write(Lifecycle(self._now(), member, act.value))
+    def lifecycle(self, action: FaultAction, member: int = EVERYONE) -> None:
+        """An action that was carried out on one member, or on the links of all."""
+        self._writer.write(Lifecycle(self._now(), member, action.value))
 
     def freshness(self, hosted: HostedMember, seen: FreshnessObserved) -> None:
         """The member knows that it may be stale, or no longer is."""
-        self._writer.write(FreshnessSeen(self._now(), hosted.place.index, seen.stale))
+        self._writer.write(FreshnessSeen(self._now(), hosted.spec.index, seen.stale))
 
     def configuration(self, hosted: HostedMember, seen: ConfigurationObserved) -> None:
         """A version came into force at the member."""
         self._writer.write(
             ConfigurationSeen(
                 self._now(),
-                hosted.place.index,
+                hosted.spec.index,
                 seen.epoch,
                 seen.version,
                 seen.digest,
@@ -73,13 +77,13 @@
             del hosted.not_alive[seen.name]
         else:
             hosted.not_alive[seen.name] = seen.status
-        self._writer.write(StatusSeen(self._now(), hosted.place.index, other, int(seen.status)))
+        self._writer.write(StatusSeen(self._now(), hosted.spec.index, other, int(seen.status)))
 
     def loads(self, members: Collection[HostedMember]) -> None:
         """What each member sent, received and computed since the last call."""
         at = self._now()
         for hosted in members:
-            self._writer.write(Load(at, hosted.place.index, hosted.sent, hosted.received, hosted.take_cpu()))
+            self._writer.write(Load(at, hosted.spec.index, hosted.sent, hosted.received, hosted.cpu_delta()))
             hosted.sent = hosted.received = 0
         self._writer.flush()
 
@@ -87,12 +91,12 @@
         """Which members each running one considers alive, where that has changed."""
         at = self._now()
         for hosted in members:
-            if hosted.core is None or hosted.stopped:
+            if hosted.process is None or hosted.stopped:
                 continue
-            view = hosted.core.view()
+            view = hosted.process.view()
             if view != hosted.view:
                 hosted.view = view
-                self._writer.write(View(at, hosted.place.index, view.count, view.digest))
+                self._writer.write(View(at, hosted.spec.index, view.count, view.digest))
 
     def usage(self, members: int, memory_before: int, cpu: float, lag: LagSample, dropped: int) -> None:
         """Resources of the process: bytes of memory, seconds of CPU, datagrams that the kernel dropped."""
--- a/saltcourse/emulator/scale/records.py
+++ b/saltcourse/emulator/scale/records.py
@@ -17,11 +17,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Lifecycle:
-    """``act``: the value of the ``timeline.Act`` that was carried out; of a partition the member is -1."""
+    """A fault action that was carried out on a member, or on all links (member -1).
+
+    ``action`` is the value of a ``timeline.FaultAction``.
+    """
 
     at: float
     member: int
-    act: str
+    action: str
 
 
 @dataclass(frozen=True, slots=True)
@@ -129,7 +132,7 @@
 class ProcessSample:
     """Of a real process, from /proc: seconds of CPU since its start, and bytes of resident memory.
 
-    Member CONTROL_PROCESS is the one that runs without the feature.
+    Member BASELINE_PROCESS is the one that runs without the feature.
     """
 
     at: float
@@ -138,7 +141,7 @@
     memory: int
 
 
-CONTROL_PROCESS = -1
+BASELINE_PROCESS = -1
 Record = (
     Lifecycle
     | Load
--- a/saltcourse/emulator/scale/report.py
+++ b/saltcourse/emulator/scale/report.py
@@ -8,7 +8,7 @@
 
 from saltcourse.emulator.scale.evaluation.metrics import RunMetrics, slowest_recovery
 from saltcourse.emulator.scale.mechanisms import MESH
-from saltcourse.emulator.scale.summary import Spread, growth_exponent
+from saltcourse.emulator.scale.summary import Summary, growth_exponent
 
 Value = float | int | bool | str | None
 BUDGET_BYTES_PER_S = 21_000.0  # of issue 32, sent plus received; drawn in the chart
@@ -39,7 +39,7 @@
     """One flat object for all runs. Keys of the mesh begin with ``mesh_``."""
     found: dict[str, Value] = {}
     for metrics in runs:
-        for key, value in _of_size(metrics):
+        for key, value in _metrics_of_run(metrics):
             found[f"{prefix(metrics)}n{metrics.size}_{key}"] = _rounded(value)
     for mechanism in sorted({metrics.mechanism for metrics in runs}):
         chosen = [
@@ -58,7 +58,7 @@
     return "mesh_" if metrics.mechanism == MESH else ""
 
 
-def _of_size(metrics: RunMetrics) -> Iterator[tuple[str, Value]]:
+def _metrics_of_run(metrics: RunMetrics) -> Iterator[tuple[str, Value]]:
     yield from _costs(metrics)
     yield from _changes(metrics)
     yield from _failures_and_recovery(metrics)
@@ -82,7 +82,7 @@
 
 def _changes(metrics: RunMetrics) -> Iterator[tuple[str, Value]]:
     for name in ("p50", "p99", "max"):
-        yield f"change_everywhere_s_{name}", _part(metrics.change.seconds, name)
+        yield f"change_everywhere_s_{name}", _statistic(metrics.change.seconds, name)
     yield "changes", metrics.change.events
     yield "changes_missing", metrics.change.missing
     yield "changes_confirmed", metrics.changes_confirmed
@@ -90,16 +90,16 @@
 
 
 def _failures_and_recovery(metrics: RunMetrics) -> Iterator[tuple[str, Value]]:
-    yield "failure_known_s_p50", _part(metrics.failure.seconds, "p50")
-    yield "failure_known_everywhere_s_p50", _part(metrics.failure_everywhere, "p50")
-    yield "failure_known_everywhere_s_max", _part(metrics.failure_everywhere, "max")
+    yield "failure_known_s_p50", _statistic(metrics.failure.seconds, "p50")
+    yield "failure_known_everywhere_s_p50", _statistic(metrics.failure_everywhere, "p50")
+    yield "failure_known_everywhere_s_max", _statistic(metrics.failure_everywhere, "max")
     yield "failures", metrics.failure.events
     yield "failures_missing", metrics.failure.missing
-    yield "join_s_p50", _part(metrics.joining.seconds, "p50")
-    yield "join_s_max", _part(metrics.joining.seconds, "max")
+    yield "join_s_p50", _statistic(metrics.joining.seconds, "p50")
+    yield "join_s_max", _statistic(metrics.joining.seconds, "max")
     yield "joins", metrics.joining.events
     yield "joins_missing", metrics.joining.missing
-    yield "stale_known_s_max", _part(metrics.staleness.seconds, "max")
+    yield "stale_known_s_max", _statistic(metrics.staleness.seconds, "max")
     yield "stale_missing", metrics.staleness.missing
     yield "false_suspicions", metrics.false_suspicions
     yield "false_deaths", metrics.false_deaths
@@ -112,7 +112,7 @@
         yield f"phase_{phase.name}_bytes_per_s_max", phase.bytes_per_s
         yield f"phase_{phase.name}_cpu_share_max", phase.cpu_share
     for name, change in metrics.change_by_phase.items():
-        yield f"phase_{name}_change_everywhere_s_max", _part(change.seconds, "max")
+        yield f"phase_{name}_change_everywhere_s_max", _statistic(change.seconds, "max")
         yield f"phase_{name}_changes_missing", change.missing
 
 
@@ -121,9 +121,9 @@
         yield "real_processes", metrics.real.processes
         yield "real_bytes_per_s_max", metrics.real.bytes_per_s
         yield "real_cpu_share_max", metrics.real.cpu_share
-        yield "real_cpu_share_without", metrics.real.cpu_share_without
+        yield "real_cpu_share_without", metrics.real.cpu_share_without_gossip
         yield "real_memory_mb_max", metrics.real.memory_mb
-        yield "real_memory_mb_without", metrics.real.memory_mb_without
+        yield "real_memory_mb_without", metrics.real.memory_mb_without_gossip
 
 
 def _harness(metrics: RunMetrics) -> Iterator[tuple[str, Value]]:
@@ -134,7 +134,7 @@
     yield "overloaded", metrics.overloaded
 
 
-def _part(found: Spread | None, name: str) -> float | None:
+def _statistic(found: Summary | None, name: str) -> float | None:
     if found is None:
         return None
     return {"p50": found.p50, "p99": found.p99, "max": found.max}[name]
@@ -163,9 +163,9 @@
         _number(100 * cost.cpu_share.mean if cost else None, 2),
         _number(100 * cost.cpu_share.max if cost else None, 2),
         _number(metrics.memory_mb, 2),
-        *[_number(_part(metrics.change.seconds, part), 2) for part in ("p50", "p99", "max")],
+        *[_number(_statistic(metrics.change.seconds, name), 2) for name in ("p50", "p99", "max")],
         str(metrics.change.missing),
-        *[_number(_part(metrics.failure_everywhere, part), 1) for part in ("p50", "max")],
+        *[_number(_statistic(metrics.failure_everywhere, name), 1) for name in ("p50", "max")],
         _number(slowest_recovery(metrics.partitions), 2),
         str(metrics.false_suspicions),
         str(metrics.false_deaths),
--- a/saltcourse/emulator/scale/runner.py
+++ b/saltcourse/emulator/scale/runner.py
@@ -21,20 +21,20 @@
 from saltcourse.emulator.scale.worker import run_worker
 from saltcourse.emulator.scale.worker_messages import (
     Begin,
-    Bound,
     Finished,
     Fleet,
     Publish,
     PublishResult,
     Ready,
+    SocketsBound,
     WorkerFailed,
     WorkerTask,
 )
 from saltcourse.gossip.messages import Address
 
 START_TIMEOUT = 30.0  # s for the workers to import and bind
-LEAD = 0.3  # s between the order to begin and the begin
-LEAD_OF_REAL = 1.5  # s, where real processes are started meanwhile
+BEGIN_LEAD_TIME = 0.3  # s between the order to begin and the begin
+BEGIN_LEAD_TIME_WITH_REAL = 1.5  # s, where real processes are started meanwhile
 END_TIMEOUT = 20.0  # s after the timeline's end, for the last records
 OPERATOR_STEP = 0.02  # s
 JOIN_TIMEOUT = 2.0  # s for a worker that was asked to end
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunPlan:
-    """One run to make. ``size`` counts hollow proxies, ``workers`` and ``real`` processes."""
+    """One run to make. ``size`` counts simulated proxies, ``workers`` and ``real`` processes."""
 
     mechanism: str
     scenario: Scenario
@@ -82,7 +82,7 @@
         """Ends all that was started."""
 
 
-def play(
+def execute_run(
     plan: RunPlan,
     folder: Path,
     stop: threading.Event,
@@ -95,7 +95,7 @@
     """
     run = _Run(plan, folder, stop, progress, real or RealProcesses())
     try:
-        return run.play()
+        return run.execute()
     finally:
         run.close()
 
@@ -118,17 +118,17 @@
         self._timeline = build_timeline(plan.scenario, self._topology, plan.seed)
         self._processes: list[SpawnProcess] = []
         self._pipes: list[Connection] = []
-        self._pipe_of: dict[int, Connection] = {}  # by member
+        self._pipe_by_member: dict[int, Connection] = {}  # by member
         self._key = Random(f"key {plan.seed}").randbytes(KEY_BYTES)
 
-    def play(self) -> RunRecords:
+    def execute(self) -> RunRecords:
         paths = self._start_workers()
         addresses = self._exchange_addresses()
         operator_path = self._folder / f"{self._plan.mechanism}-{self._plan.size}-operator.jsonl"
         real_path = self._folder / f"{self._plan.mechanism}-{self._plan.size}-real.jsonl"
         records = RecordWriter(operator_path)
         try:
-            begin = time.monotonic() + (LEAD_OF_REAL if self._topology.real else LEAD)
+            begin = time.monotonic() + (BEGIN_LEAD_TIME_WITH_REAL if self._topology.real else BEGIN_LEAD_TIME)
             self._real.start(addresses, self._key, begin, real_path)
             for pipe in self._pipes:
                 pipe.send(Begin(begin))
@@ -141,10 +141,10 @@
 
     def _start_workers(self) -> list[Path]:
         context = multiprocessing.get_context("spawn")
-        hollow = [place.index for place in self._topology.places if place not in self._topology.real]
+        simulated = [spec.index for spec in self._topology.members if spec not in self._topology.real]
         paths = []
-        for number in range(min(self._plan.workers, len(hollow))):
-            members = tuple(hollow[number :: self._plan.workers])
+        for number in range(min(self._plan.workers, len(simulated))):
+            members = tuple(simulated[number :: self._plan.workers])
             path = self._folder / f"{self._plan.mechanism}-{self._plan.size}-{number}.jsonl"
             task = WorkerTask(
                 self._plan.mechanism,
@@ -162,7 +162,7 @@
             theirs.close()
             self._processes.append(process)
             self._pipes.append(ours)
-            self._pipe_of.update(dict.fromkeys(members, ours))
+            self._pipe_by_member.update(dict.fromkeys(members, ours))
             paths.append(path)
         return paths
 
@@ -171,8 +171,8 @@
         found = self._real.bind(self._topology)
         real = frozenset(found)
         for pipe in self._pipes:
-            found = found | self._expect(pipe, Bound, deadline).addresses
-        addresses = tuple(found[place.index] for place in self._topology.places)
+            found = found | self._expect(pipe, SocketsBound, deadline).addresses
+        addresses = tuple(found[spec.index] for spec in self._topology.members)
         for pipe in self._pipes:
             pipe.send(Fleet(addresses, real))
         for pipe in self._pipes:
@@ -221,9 +221,9 @@
                     working.discard(ready)
             self._progress(min(max(now / self._timeline.end, 0.0), 1.0))
 
-    def _send(self, order: Publish) -> None:
+    def _send(self, request: Publish) -> None:
         try:
-            self._pipe_of[order.member].send(order)
+            self._pipe_by_member[request.member].send(request)
         except OSError:
             raise RunError("a worker has ended") from None
 
--- a/saltcourse/emulator/scale/safety.py
+++ b/saltcourse/emulator/scale/safety.py
@@ -7,7 +7,7 @@
 from enum import Enum
 
 from saltcourse.emulator.scale.records import ConfigurationSeen, Confirmed, Lifecycle, Record
-from saltcourse.emulator.scale.timeline import Act
+from saltcourse.emulator.scale.timeline import FaultAction
 
 UNKNOWN_DIGEST = 0  # of a member that does not report it
 
@@ -15,11 +15,11 @@
 class BreachKind(Enum):
     """Ways in which a run can violate a safety property."""
 
-    WENT_BACK = "a process went back, or applied a version twice"
-    OLDER_EPOCH = "an older epoch's change after a newer one's"
-    HALF_CHANGE = "a part of a change is in force"
-    DIVERGED = "two members differ at one version"
-    LOST_CONFIRMED = "a confirmed change gave way to another"
+    VERSION_REGRESSION = "a process went back, or applied a version twice"
+    EPOCH_REGRESSION = "an older epoch's change after a newer one's"
+    TORN_CHANGE = "a part of a change is in force"
+    DIVERGENCE = "two members differ at one version"
+    LOST_CONFIRMED_CHANGE = "a confirmed change gave way to another"
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,42 +58,42 @@
 
     def lifecycle(self, record: Lifecycle) -> None:
         """Only a new process may begin anew."""
-        if record.act == Act.START.value:
+        if record.action == FaultAction.START.value:
             self._last.pop(record.member, None)
 
     def seen(self, record: ConfigurationSeen) -> None:
         before = self._last.get(record.member)
         if before is not None:
             if record.version <= before.version:
-                self._breach(BreachKind.WENT_BACK, record)
+                self._breach(BreachKind.VERSION_REGRESSION, record)
             if record.epoch < before.epoch:
-                self._breach(BreachKind.OLDER_EPOCH, record)
+                self._breach(BreachKind.EPOCH_REGRESSION, record)
         self._last[record.member] = record
         if record.torn:
-            self._breach(BreachKind.HALF_CHANGE, record)
+            self._breach(BreachKind.TORN_CHANGE, record)
         self._compare(record)
 
     def _compare(self, record: ConfigurationSeen) -> None:
         first = self._by_version.setdefault(record.version, record)
         if first.epoch != record.epoch:
-            self._breach(BreachKind.DIVERGED, record)
+            self._breach(BreachKind.DIVERGENCE, record)
         elif record.digest == UNKNOWN_DIGEST:
             return
         elif self._digests.setdefault(record.version, record.digest) != record.digest:
-            self._breach(BreachKind.DIVERGED, record)
+            self._breach(BreachKind.DIVERGENCE, record)
 
     def end(self) -> None:
         epoch = 0
         for version in sorted(self._by_version):
             record = self._by_version[version]
             if record.epoch < epoch:
-                self._breach(BreachKind.OLDER_EPOCH, record)
+                self._breach(BreachKind.EPOCH_REGRESSION, record)
             epoch = max(epoch, record.epoch)
         for confirmed in self.confirmed:
             seen = self._by_version.get(confirmed.version)
             if seen is not None and seen.epoch != confirmed.epoch:
                 self.breaches.append(
-                    Breach(BreachKind.LOST_CONFIRMED, seen.member, confirmed.at, confirmed.version)
+                    Breach(BreachKind.LOST_CONFIRMED_CHANGE, seen.member, confirmed.at, confirmed.version)
                 )
 
     def _breach(self, kind: BreachKind, record: ConfigurationSeen) -> None:
--- a/saltcourse/emulator/scale/scenario.py
+++ b/saltcourse/emulator/scale/scenario.py
@@ -138,7 +138,7 @@
     control_members: int
     voters: int
     arrivals: Arrivals
-    start_spread: float  # s over which the proxies start
+    start_duration: float  # s over which the proxies start
     settle: float  # s before the first phase
     phases: tuple[Phase, ...]
     sizes_at_once: bool
--- a/saltcourse/emulator/scale/scenario_file.py
+++ b/saltcourse/emulator/scale/scenario_file.py
@@ -66,7 +66,7 @@
             raise ConfigError(f"{path}:{error.GetLine() or 1}: {reason}") from None
         self._lines = key_lines(text)
 
-    def _wrong(self, key: str, reason: str) -> NoReturn:
+    def _fail(self, key: str, reason: str) -> NoReturn:
         """The line of the key, or of the nearest part around it that is there."""
         nearest = key
         while nearest:
@@ -76,15 +76,15 @@
             nearest = nearest.rpartition(".")[0]
         raise ConfigError(f"{self._path}:1: {key}: {reason}")
 
-    def _number(self, part: Message, key: str, least: float, most: float) -> float:
+    def _number(self, part: Message, key: str, minimum: float, maximum: float) -> float:
         """The field that the last name of ``key`` names."""
         value = float(getattr(part, key.rpartition(".")[2]))
-        if not least <= value <= most:
-            self._wrong(key, f"must be from {least:g} to {most:g}, not {value:g}")
+        if not minimum <= value <= maximum:
+            self._fail(key, f"must be from {minimum:g} to {maximum:g}, not {value:g}")
         return value
 
-    def _count(self, part: Message, key: str, least: int, most: int) -> int:
-        return int(self._number(part, key, least, most))
+    def _count(self, part: Message, key: str, minimum: int, maximum: int) -> int:
+        return int(self._number(part, key, minimum, maximum))
 
     def scenario(self) -> Scenario:
         file = self._file
@@ -100,7 +100,7 @@
             control_members=control_members,
             voters=self._count(control, "control.voters", 1, control_members),
             arrivals=self._arrivals(),
-            start_spread=self._number(file, "start_over_s", 0, MAX_SECONDS),
+            start_duration=self._number(file, "start_over_s", 0, MAX_SECONDS),
             settle=self._number(file, "settle_s", 0, MAX_SECONDS),
             phases=self._phases(),
             sizes_at_once=file.sizes_at_once,
@@ -109,31 +109,31 @@
 
     def _sizes(self) -> tuple[int, ...]:
         if not self._file.size:
-            self._wrong("size", "missing: the number of proxies")
+            self._fail("size", "missing: the number of proxies")
         for index, size in enumerate(self._file.size):
             if not MIN_SIZE <= size <= MAX_SIZE:
-                self._wrong(f"size[{index}]", f"must be from {MIN_SIZE} to {MAX_SIZE}, not {size}")
+                self._fail(f"size[{index}]", f"must be from {MIN_SIZE} to {MAX_SIZE}, not {size}")
         return tuple(sorted(set(self._file.size)))
 
     def _zones(self) -> tuple[Zone, ...]:
         zones: list[Zone] = []
         for r, region in enumerate(self._file.region):
-            self._label(f"region[{r}].name", region.name)
+            self._check_label(f"region[{r}].name", region.name)
             if not region.zone:
-                self._wrong(f"region[{r}].zone", "missing")
+                self._fail(f"region[{r}].zone", "missing")
             for z, name in enumerate(region.zone):
                 key = f"region[{r}].zone[{z}]"
-                self._label(key, name)
+                self._check_label(key, name)
                 if name in [zone.name for zone in zones]:
-                    self._wrong(key, f"{name!r} stands twice")
+                    self._fail(key, f"{name!r} stands twice")
                 zones.append(Zone(name, region.name))
         if not 1 <= len(zones) <= MAX_ZONES:
-            self._wrong("region", f"from 1 to {MAX_ZONES} zones, not {len(zones)}")
+            self._fail("region", f"from 1 to {MAX_ZONES} zones, not {len(zones)}")
         return tuple(zones)
 
-    def _label(self, key: str, label: str) -> None:
+    def _check_label(self, key: str, label: str) -> None:
         if not 1 <= len(label.encode()) <= MAX_LABEL_BYTES:
-            self._wrong(key, f"from 1 to {MAX_LABEL_BYTES} bytes, not {label!r}")
+            self._fail(key, f"from 1 to {MAX_LABEL_BYTES} bytes, not {label!r}")
 
     def _links(self) -> Links:
         links = self._file.links
@@ -144,9 +144,9 @@
         )
 
     def _link(self, key: str, link: pb.Link) -> Link:
-        least = self._number(link, f"{key}.least_delay_ms", 0, MAX_DELAY_MS)
-        most = self._number(link, f"{key}.most_delay_ms", least, MAX_DELAY_MS)
-        return Link(least / 1_000, most / 1_000, self._number(link, f"{key}.loss", 0, 0.9))
+        minimum = self._number(link, f"{key}.least_delay_ms", 0, MAX_DELAY_MS)
+        maximum = self._number(link, f"{key}.most_delay_ms", minimum, MAX_DELAY_MS)
+        return Link(minimum / 1_000, maximum / 1_000, self._number(link, f"{key}.loss", 0, 0.9))
 
     def _arrivals(self) -> Arrivals:
         arrivals = self._file.arrivals
@@ -159,14 +159,14 @@
 
     def _phases(self) -> tuple[Phase, ...]:
         if not 1 <= len(self._file.phase) <= MAX_PHASES:
-            self._wrong("phase", f"from 1 to {MAX_PHASES}, not {len(self._file.phase)}")
+            self._fail("phase", f"from 1 to {MAX_PHASES}, not {len(self._file.phase)}")
         phases: list[Phase] = []
         for index, phase in enumerate(self._file.phase):
             key = f"phase[{index}]"
             if not PHASE_NAME.fullmatch(phase.name):
-                self._wrong(f"{key}.name", f"small letters, digits and underscores, not {phase.name!r}")
+                self._fail(f"{key}.name", f"small letters, digits and underscores, not {phase.name!r}")
             if phase.name in [earlier.name for earlier in phases]:
-                self._wrong(f"{key}.name", f"{phase.name!r} stands twice")
+                self._fail(f"{key}.name", f"{phase.name!r} stands twice")
             seconds = self._number(phase, f"{key}.seconds", 1, MAX_SECONDS)
             changes = self._number(phase, f"{key}.changes_per_s", 0, 20)
             faults = tuple(
@@ -180,7 +180,7 @@
         remaining = phase_seconds - at
         kind = fault.WhichOneof("kind")
         if kind is None:
-            self._wrong(
+            self._fail(
                 key,
                 "what fails? kill, stop_resume, rolling_replacement, rack, zone, cut_regions, "
                 "publisher_lost or burst",
@@ -216,10 +216,10 @@
         after = self._number(lost, f"{key}.after_ms", 0, 10_000) / 1_000
         return PublisherLost(at, after, self._number(lost, f"{key}.restart_after_s", 0, remaining))
 
-    def _rolling(self, key: str, rolling: pb.RollingReplacement, at: float, left: float) -> Fault:
+    def _rolling(self, key: str, rolling: pb.RollingReplacement, at: float, remaining: float) -> Fault:
         members = self._count(rolling, f"{key}.members", 1, 1_000)
-        every = self._number(rolling, f"{key}.every_s", 0, left)
-        down = self._number(rolling, f"{key}.down_s", 0, left)
-        if every * (members - 1) + down > left:
-            self._wrong(key, f"takes longer than the {left:g} s that are left of the phase")
+        every = self._number(rolling, f"{key}.every_s", 0, remaining)
+        down = self._number(rolling, f"{key}.down_s", 0, remaining)
+        if every * (members - 1) + down > remaining:
+            self._fail(key, f"takes longer than the {remaining:g} s that are remaining of the phase")
         return RollingReplacement(at, members, every, down)
--- a/saltcourse/emulator/scale/hollow.py
+++ b/saltcourse/emulator/scale/simulated_member.py
@@ -1,6 +1,6 @@
 """A hollow member: the program's core without its host and without client connections.
 
-``HollowMember`` is the interface between a worker and each mechanism that a run can measure.
+``SimulatedMember`` is the interface between a worker and each mechanism that a run can measure.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from typing import Any, TypeVar
 
 from saltcourse.emulator.scale.scenario import Arrivals
-from saltcourse.emulator.scale.topology import Place, Topology
+from saltcourse.emulator.scale.topology import MemberSpec, Topology
 from saltcourse.gossip.messages import Address, MemberId, Status, Transmit
 
 Result = TypeVar("Result")
@@ -23,19 +23,19 @@
 class MemberContext:
     """What one process of a member is given at its start."""
 
-    place: Place
+    spec: MemberSpec
     topology: Topology
     addresses: tuple[Address, ...]  # of all members, by their indexes
     arrivals: Arrivals
     key: bytes  # of the fleet
-    process: int  # drawn at this start
+    process_id: int  # drawn at this start
     random: Random
     stored: Any = None  # what an earlier process of the member has put on its disk
 
     @property
     def address(self) -> Address:
         """The member's own address."""
-        return self.addresses[self.place.index]
+        return self.addresses[self.spec.index]
 
 
 @dataclass(frozen=True, slots=True)
@@ -102,7 +102,7 @@
     observations: list[Observation] = field(default_factory=list)
 
 
-class HollowMember(ABC):
+class SimulatedMember(ABC):
     """One process of a member.
 
     ``cpu`` are the seconds that the program's own code took, measured around each call, without what the
--- a/saltcourse/emulator/scale/sockets.py
+++ b/saltcourse/emulator/scale/sockets.py
@@ -15,54 +15,54 @@
 from random import Random
 
 from saltcourse.emulator.scale.scenario import Link, Scenario
-from saltcourse.emulator.scale.topology import Place, link_between
+from saltcourse.emulator.scale.topology import MemberSpec, link_between
 from saltcourse.gossip.messages import Address
 
 LOOPBACK = "127.0.0.1"
 RECEIVE_BUFFER = 1 << 20  # bytes wanted; the kernel may grant fewer
 MAX_DATAGRAM_BYTES = 2_048  # bytes read of one
 MAX_READS_AT_ONCE = 64  # datagrams of one socket before others have their turn
-SPARE_FILES = 256  # descriptors beside the sockets
+EXTRA_DESCRIPTORS = 256  # descriptors beside the sockets
 
 
 @dataclass(frozen=True, slots=True)
-class MemberPath:
+class EmulatedLink:
     """The path between two members."""
 
     link: Link
     between_regions: bool
 
 
-class Paths:
+class LinkEmulator:
     """Delay, loss and partitions between addresses. Members of one zone share a table."""
 
     def __init__(
-        self, scenario: Scenario, places: Iterable[Place], addresses: tuple[Address, ...], random: Random
+        self, scenario: Scenario, specs: Iterable[MemberSpec], addresses: tuple[Address, ...], random: Random
     ) -> None:
         self._random = random
         self.partitioned = False
         first = scenario.zones[0].region
-        self._tables: dict[str, dict[Address, MemberPath]] = {}
-        all_places = list(places)
-        by_zone = {place.zone: place for place in all_places}
+        self._tables: dict[str, dict[Address, EmulatedLink]] = {}
+        all_specs = list(specs)
+        by_zone = {spec.zone: spec for spec in all_specs}
         for zone, here in by_zone.items():
             self._tables[zone] = {
-                addresses[place.index]: MemberPath(
-                    link_between(scenario, here, place), (here.region == first) != (place.region == first)
+                addresses[spec.index]: EmulatedLink(
+                    link_between(scenario, here, spec), (here.region == first) != (spec.region == first)
                 )
-                for place in all_places
+                for spec in all_specs
             }
 
-    def delay(self, zone: str, far: Address) -> float | None:
+    def draw_delay(self, zone: str, remote: Address) -> float | None:
         """Drawn for one datagram between a member of the zone and the far address; None: it is lost."""
-        path = self._tables[zone].get(far)
+        path = self._tables[zone].get(remote)
         if path is None or self._random.random() < path.link.loss:
             return None
         return self._random.uniform(path.link.min_delay, path.link.max_delay)
 
-    def open(self, zone: str, far: Address) -> bool:
+    def is_open(self, zone: str, remote: Address) -> bool:
         """Whether no partition stops a datagram at this moment."""
-        return not (self.partitioned and self._tables[zone][far].between_regions)
+        return not (self.partitioned and self._tables[zone][remote].between_regions)
 
 
 class Sockets:
@@ -92,7 +92,7 @@
         """Reads the member's socket from now on."""
         self._epoll.register(self._sockets[member].fileno(), select.EPOLLIN)
 
-    def ignore(self, member: int) -> None:
+    def unwatch(self, member: int) -> None:
         """Reads the member's socket no longer: datagrams wait in the kernel, up to the size of its buffer."""
         self._epoll.unregister(self._sockets[member].fileno())
 
@@ -135,9 +135,9 @@
         self._epoll.close()
 
 
-def allow_sockets(count: int) -> None:
+def raise_open_files_limit(count: int) -> None:
     """Raises this process's own soft limit of open files as far as its hard limit allows."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    wanted = count + SPARE_FILES
+    wanted = count + EXTRA_DESCRIPTORS
     if soft < wanted:
         resource.setrlimit(resource.RLIMIT_NOFILE, (wanted if hard < 0 else min(wanted, hard), hard))
--- a/saltcourse/emulator/scale/summary.py
+++ b/saltcourse/emulator/scale/summary.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Spread:
+class Summary:
     """Summary of a set of values."""
 
     mean: float
@@ -31,11 +31,11 @@
     return ordered[min(max(rank, 1), len(ordered)) - 1]
 
 
-def spread(values: Sequence[float]) -> Spread | None:
+def summarize(values: Sequence[float]) -> Summary | None:
     """Summarises the values; None if there are none."""
     if not values:
         return None
-    return Spread(
+    return Summary(
         mean=sum(values) / len(values),
         p50=percentile(values, 0.5),
         p99=percentile(values, 0.99),
--- a/saltcourse/emulator/scale/timeline.py
+++ b/saltcourse/emulator/scale/timeline.py
@@ -6,15 +6,15 @@
 from enum import Enum
 from random import Random
 
-from saltcourse.emulator.scale import scenario as terms
+from saltcourse.emulator.scale import scenario as scenario_types
 from saltcourse.emulator.scale.scenario import Phase, Scenario
-from saltcourse.emulator.scale.topology import Place, Topology
+from saltcourse.emulator.scale.topology import MemberSpec, Topology
 from saltcourse.gossip.messages import Role
 
 FILL_BYTES = 800  # of one change that fills the configuration; it fits a datagram with its keys
 
 
-class Act(Enum):
+class FaultAction(Enum):
     """What a worker does to its members."""
 
     START = "start"  # a new process of the member's name and address
@@ -30,7 +30,7 @@
     """``at`` counts from the begin of the run; ``members`` are indexes of the topology."""
 
     at: float
-    act: Act
+    action: FaultAction
     members: tuple[int, ...] = ()
 
 
@@ -91,10 +91,10 @@
     def __init__(self, scenario: Scenario, topology: Topology, seed: int) -> None:
         self._scenario = scenario
         self._topology = topology
-        self._random = Random(f"timeline {seed} {len(topology.places)}")
+        self._random = Random(f"timeline {seed} {len(topology.members)}")
         self._commands: list[Command] = []
         self._publications: list[Publication] = []
-        self._gone: set[int] = set()  # members that are killed for good
+        self._removed: set[int] = set()  # members that are killed for good
 
     def build(self) -> Timeline:
         self._start_all()
@@ -115,12 +115,12 @@
 
     def _start_all(self) -> None:
         """Control members at once, then the proxies in an order drawn at random."""
-        control = [place.index for place in self._topology.places if place.role is Role.CONTROL]
-        self._command(0.0, Act.START, control)
-        proxies = [place.index for place in self._topology.proxies]
+        control = [spec.index for spec in self._topology.members if spec.role is Role.CONTROL]
+        self._command(0.0, FaultAction.START, control)
+        proxies = [spec.index for spec in self._topology.proxies]
         self._random.shuffle(proxies)
         for number, index in enumerate(proxies):
-            self._command(self._scenario.start_spread * number / len(proxies), Act.START, [index])
+            self._command(self._scenario.start_duration * number / len(proxies), FaultAction.START, [index])
 
     def _fill(self) -> None:
         """The middle half of the settling time brings the configuration to its size."""
@@ -139,71 +139,71 @@
             self._publish(at, PublicationKind.CHANGE)
             at += interval
 
-    def _fault(self, at: float, fault: terms.Fault) -> None:
+    def _fault(self, at: float, fault: scenario_types.Fault) -> None:
         match fault:
-            case terms.Kill():
+            case scenario_types.Kill():
                 self._kill(at, fault)
-            case terms.StopResume():
+            case scenario_types.StopResume():
                 self._stop_and_resume(at, fault)
-            case terms.RollingReplacement():
+            case scenario_types.RollingReplacement():
                 self._replace_one_by_one(at, fault)
-            case terms.RackOutage():
+            case scenario_types.RackOutage():
                 self._lose_rack(at, fault)
-            case terms.ZoneOutage():
+            case scenario_types.ZoneOutage():
                 self._lose_zone(at, fault)
-            case terms.RegionPartition():
+            case scenario_types.RegionPartition():
                 self._partition(at, fault)
-            case terms.PublisherLost():
+            case scenario_types.PublisherLost():
                 self._publish(at, PublicationKind.LOSE_PUBLISHER, fault.after, fault.restart_after)
-            case terms.Burst():
+            case scenario_types.Burst():
                 for _ in range(fault.changes):
                     self._publish(at, PublicationKind.CHANGE)
 
-    def _stop_and_resume(self, at: float, fault: terms.StopResume) -> None:
+    def _stop_and_resume(self, at: float, fault: scenario_types.StopResume) -> None:
         members = self._choose(fault.members)
-        self._command(at, Act.STOP, members)
-        self._command(at + fault.seconds, Act.RESUME, members)
+        self._command(at, FaultAction.STOP, members)
+        self._command(at + fault.seconds, FaultAction.RESUME, members)
 
-    def _replace_one_by_one(self, at: float, fault: terms.RollingReplacement) -> None:
+    def _replace_one_by_one(self, at: float, fault: scenario_types.RollingReplacement) -> None:
         for number, member in enumerate(self._choose(fault.members)):
             self._outage(at + number * fault.every, [member], fault.down)
 
-    def _lose_rack(self, at: float, fault: terms.RackOutage) -> None:
+    def _lose_rack(self, at: float, fault: scenario_types.RackOutage) -> None:
         racks = self._topology.racks()
         rack = self._random.choice(sorted(racks))
         self._outage(at, _indexes(racks[rack]), fault.seconds)
 
-    def _lose_zone(self, at: float, fault: terms.ZoneOutage) -> None:
+    def _lose_zone(self, at: float, fault: scenario_types.ZoneOutage) -> None:
         zone = self._random.choice(self._scenario.zones).name
-        lost = [p for p in self._topology.places if p.zone == zone and p not in self._topology.real]
+        lost = [p for p in self._topology.members if p.zone == zone and p not in self._topology.real]
         self._outage(at, _indexes(lost), fault.seconds)
 
-    def _partition(self, at: float, fault: terms.RegionPartition) -> None:
-        self._command(at, Act.PARTITION, [])
-        self._command(at + fault.seconds, Act.HEAL, [])
+    def _partition(self, at: float, fault: scenario_types.RegionPartition) -> None:
+        self._command(at, FaultAction.PARTITION, [])
+        self._command(at + fault.seconds, FaultAction.HEAL, [])
         if fault.conflicting_change:
             middle = at + fault.seconds / 2
             self._publish(middle, PublicationKind.CHANGE)
             self._publish(middle, PublicationKind.CONFLICT)
 
-    def _kill(self, at: float, fault: terms.Kill) -> None:
+    def _kill(self, at: float, fault: scenario_types.Kill) -> None:
         machines = self._topology.machines()
-        intact = [m for m in sorted(machines) if not self._gone & set(_indexes(machines[m]))]
+        intact = [m for m in sorted(machines) if not self._removed & set(_indexes(machines[m]))]
         chosen = self._random.sample(intact, min(fault.machines, len(intact)))
         members = [index for machine in chosen for index in _indexes(machines[machine])]
         if fault.restart_after > 0:
             self._outage(at, members, fault.restart_after)
         else:
-            self._command(at, Act.KILL, members)
-            self._gone |= set(members)
+            self._command(at, FaultAction.KILL, members)
+            self._removed |= set(members)
 
     def _outage(self, at: float, members: list[int], seconds: float) -> None:
-        members = [index for index in members if index not in self._gone]
-        self._command(at, Act.KILL, members)
-        self._command(at + seconds, Act.START, members)
+        members = [index for index in members if index not in self._removed]
+        self._command(at, FaultAction.KILL, members)
+        self._command(at + seconds, FaultAction.START, members)
 
     def _choose(self, count: int) -> list[int]:
-        left = [place.index for place in self._topology.proxies if place.index not in self._gone]
+        left = [spec.index for spec in self._topology.proxies if spec.index not in self._removed]
         return self._random.sample(left, min(count, len(left)))
 
     def _publish(
@@ -211,9 +211,9 @@
     ) -> None:
         self._publications.append(Publication(at, kind, kill_after, restart_after))
 
-    def _command(self, at: float, act: Act, members: list[int]) -> None:
-        self._commands.append(Command(at, act, tuple(members)))
+    def _command(self, at: float, action: FaultAction, members: list[int]) -> None:
+        self._commands.append(Command(at, action, tuple(members)))
 
 
-def _indexes(places: list[Place]) -> list[int]:
-    return [place.index for place in places]
+def _indexes(specs: list[MemberSpec]) -> list[int]:
+    return [spec.index for spec in specs]
--- a/saltcourse/emulator/scale/topology.py
+++ b/saltcourse/emulator/scale/topology.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class MemberSpec:
     """One member and its location.
 
     ``machine`` and ``rack`` are numbered over the fleet; a rack is of one zone.
@@ -36,29 +36,31 @@
 class Topology:
     """All members: control members, then hollow proxies, both round-robin over the zones, then real ones."""
 
-    places: tuple[Place, ...]
-    voters: tuple[Place, ...]
-    proxies: tuple[Place, ...]
-    real: tuple[Place, ...] = ()  # proxies that run as processes of their own; no fault is injected there
+    members: tuple[MemberSpec, ...]
+    voters: tuple[MemberSpec, ...]
+    proxies: tuple[MemberSpec, ...]
+    real: tuple[
+        MemberSpec, ...
+    ] = ()  # proxies that run as processes of their own; no fault is injected there
 
-    def machines(self) -> dict[int, list[Place]]:
+    def machines(self) -> dict[int, list[MemberSpec]]:
         """The proxies of each machine. Control members have machines of their own, which are not listed."""
-        found: dict[int, list[Place]] = {}
-        for place in self.proxies:
-            found.setdefault(place.machine, []).append(place)
+        found: dict[int, list[MemberSpec]] = {}
+        for spec in self.proxies:
+            found.setdefault(spec.machine, []).append(spec)
         return found
 
-    def racks(self) -> dict[int, list[Place]]:
+    def racks(self) -> dict[int, list[MemberSpec]]:
         """The proxies of each rack."""
-        found: dict[int, list[Place]] = {}
-        for place in self.proxies:
-            found.setdefault(place.rack, []).append(place)
+        found: dict[int, list[MemberSpec]] = {}
+        for spec in self.proxies:
+            found.setdefault(spec.rack, []).append(spec)
         return found
 
 
 def build_topology(scenario: Scenario, size: int, real: int = 0) -> Topology:
     """A fleet of ``size`` hollow proxies, the scenario's control members and ``real`` processes."""
-    places = _control_members(scenario)
+    specs = _control_members(scenario)
     zone_counts = dict.fromkeys([zone.name for zone in scenario.zones], 0)
     machines: dict[tuple[str, int], int] = {}
     racks: dict[tuple[str, int], int] = {}
@@ -70,36 +72,36 @@
         rack_in_zone = machine_in_zone // scenario.machines_per_rack
         machine = machines.setdefault((zone.name, machine_in_zone), scenario.control_members + len(machines))
         rack = racks.setdefault((zone.name, rack_in_zone), scenario.control_members + len(racks))
-        places.append(
-            Place(
-                len(places), f"proxy-{number}", zone.region, zone.name, machine, rack, Role.PROXY, voter=False
+        specs.append(
+            MemberSpec(
+                len(specs), f"proxy-{number}", zone.region, zone.name, machine, rack, Role.PROXY, voter=False
             )
         )
-    proxies = tuple(place for place in places if place.role is Role.PROXY)
-    real_proxies = tuple(_real_proxy(scenario, len(places) + number, number) for number in range(real))
+    proxies = tuple(spec for spec in specs if spec.role is Role.PROXY)
+    real_proxies = tuple(_real_proxy(scenario, len(specs) + number, number) for number in range(real))
     return Topology(
-        places=(*places, *real_proxies),
-        voters=tuple(place for place in places if place.voter),
+        members=(*specs, *real_proxies),
+        voters=tuple(spec for spec in specs if spec.voter),
         proxies=proxies,
         real=real_proxies,
     )
 
 
-def _real_proxy(scenario: Scenario, index: int, number: int) -> Place:
+def _real_proxy(scenario: Scenario, index: int, number: int) -> MemberSpec:
     """All are in the first zone, because no links are emulated between them."""
     zone = scenario.zones[0]
-    return Place(
+    return MemberSpec(
         index, f"real-{number}", zone.region, zone.name, REAL_MACHINE, REAL_MACHINE, Role.PROXY, voter=False
     )
 
 
-def _control_members(scenario: Scenario) -> list[Place]:
+def _control_members(scenario: Scenario) -> list[MemberSpec]:
     """Each on a machine and a rack of its own."""
-    places = []
+    specs = []
     for number in range(scenario.control_members):
         zone = scenario.zones[number % len(scenario.zones)]
-        places.append(
-            Place(
+        specs.append(
+            MemberSpec(
                 number,
                 f"control-{number}",
                 zone.region,
@@ -110,10 +112,10 @@
                 voter=number < scenario.voters,
             )
         )
-    return places
+    return specs
 
 
-def link_between(scenario: Scenario, one: Place, other: Place) -> Link:
+def link_between(scenario: Scenario, one: MemberSpec, other: MemberSpec) -> Link:
     """The link of two members, the same in both directions."""
     if one.region != other.region:
         return scenario.links.between_regions
--- a/saltcourse/emulator/scale/worker.py
+++ b/saltcourse/emulator/scale/worker.py
@@ -16,7 +16,12 @@
 from typing import TypeVar
 
 from saltcourse.emulator.scale.fault_injection import FaultInjector, MemberFactory
-from saltcourse.emulator.scale.hollow import (
+from saltcourse.emulator.scale.hosted_member import HostedMember
+from saltcourse.emulator.scale.mechanisms import member_class
+from saltcourse.emulator.scale.member_host import MemberHost
+from saltcourse.emulator.scale.publications import PublicationHandler, PublicationResults
+from saltcourse.emulator.scale.recorder import Recorder, resident_memory
+from saltcourse.emulator.scale.simulated_member import (
     ConfigurationObserved,
     FreshnessObserved,
     Observation,
@@ -24,21 +29,16 @@
     PublicationFailed,
     StatusObserved,
 )
-from saltcourse.emulator.scale.hosted_member import HostedMember
-from saltcourse.emulator.scale.mechanisms import member_class
-from saltcourse.emulator.scale.member_host import MemberHost
-from saltcourse.emulator.scale.publications import PublicationHandler, PublicationResults
-from saltcourse.emulator.scale.recorder import Recorder, resident_memory
-from saltcourse.emulator.scale.sockets import Paths, Sockets, allow_sockets
+from saltcourse.emulator.scale.sockets import LinkEmulator, Sockets, raise_open_files_limit
 from saltcourse.emulator.scale.timer_queue import TimerQueue
 from saltcourse.emulator.scale.worker_messages import (
     Begin,
-    Bound,
     Finished,
     Fleet,
     FromWorker,
     Publish,
     Ready,
+    SocketsBound,
     WorkerFailed,
     WorkerTask,
 )
@@ -61,8 +61,8 @@
         self._task = task
         self._connection = connection
         self._random = Random(f"worker {task.seed} {task.members}")
-        self._hosted = {index: HostedMember(task.topology.places[index]) for index in task.members}
-        allow_sockets(len(task.members))
+        self._hosted = {index: HostedMember(task.topology.members[index]) for index in task.members}
+        raise_open_files_limit(len(task.members))
         self._sockets = Sockets(task.members, connection.fileno())
         self._timers = TimerQueue(self._random)
         self._recorder = Recorder(task.records, task.topology)
@@ -70,7 +70,7 @@
 
     def run(self) -> None:
         """Returns when the timeline has ended and all records are written."""
-        self._send_to_runner(Bound(self._sockets.addresses()))
+        self._send_to_runner(SocketsBound(self._sockets.addresses()))
         self._compose(self._expect(Fleet))
         gc.collect()
         gc.freeze()
@@ -93,9 +93,9 @@
     def _compose(self, fleet: Fleet) -> None:
         task = self._task
         real = {fleet.addresses[index] for index in fleet.real}
-        paths = Paths(task.scenario, task.topology.places, fleet.addresses, self._random)
+        links = LinkEmulator(task.scenario, task.topology.members, fleet.addresses, self._random)
         factory = MemberFactory(member_class(task.mechanism), task, fleet.addresses, self._random)
-        self._host = MemberHost(self._sockets, paths, self._timers, real, self._observe)
+        self._host = MemberHost(self._sockets, links, self._timers, real, self._observe)
         self._faults = FaultInjector(
             self._hosted, factory, self._host, self._recorder, self._results.member_killed
         )
--- a/saltcourse/emulator/scale/worker_messages.py
+++ b/saltcourse/emulator/scale/worker_messages.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Bound:
+class SocketsBound:
     """The addresses of the worker's members."""
 
     addresses: dict[int, Address]
@@ -91,6 +91,6 @@
 
 
 FromRunner = Fleet | Begin | Publish
-FromWorker = Bound | Ready | PublishResult | Finished | WorkerFailed
+FromWorker = SocketsBound | Ready | PublishResult | Finished | WorkerFailed
 NOT_PUBLISHER = "not the publisher"  # reasons of the worker's own
 DOWN = "the member is down"
--- a/tests/emulator/scale/cases.py
+++ b/tests/emulator/scale/cases.py
@@ -37,7 +37,7 @@
 """
 
 
-def scenario_of(text: str, folder: Path) -> Scenario:
+def read_scenario_text(text: str, folder: Path) -> Scenario:
     path = folder / "test.txtpb"
     path.write_text(text)
     return read_scenario(path)
@@ -59,10 +59,10 @@
     return evaluate(GOSSIP, 1, topology, TIMELINE, [*STARTS, *records])
 
 
-def applied(topology: Topology, at: float, change: int, but: tuple[int, ...] = ()) -> list[Record]:
+def applied(topology: Topology, at: float, change: int, without: tuple[int, ...] = ()) -> list[Record]:
     """Each member has the change a little later than the one before it."""
     return [
-        ConfigurationSeen(at + 0.1 * place.index, place.index, 1, change + 1, 5, [change], [])
-        for place in topology.places
-        if place.index not in but
+        ConfigurationSeen(at + 0.1 * spec.index, spec.index, 1, change + 1, 5, [change], [])
+        for spec in topology.members
+        if spec.index not in without
     ]
--- a/tests/emulator/scale/conftest.py
+++ b/tests/emulator/scale/conftest.py
@@ -8,12 +8,12 @@
 
 from saltcourse.emulator.scale.scenario import Scenario
 from saltcourse.emulator.scale.topology import Topology, build_topology
-from tests.emulator.scale.cases import SMALL, scenario_of
+from tests.emulator.scale.cases import SMALL, read_scenario_text
 
 
 @pytest.fixture
 def scenario(tmp_path: Path) -> Scenario:
-    return scenario_of(SMALL, tmp_path)
+    return read_scenario_text(SMALL, tmp_path)
 
 
 @pytest.fixture
--- a/tests/emulator/scale/evaluation/test_changes.py
+++ b/tests/emulator/scale/evaluation/test_changes.py
@@ -13,18 +13,18 @@
 
 def test_a_change_is_timed_from_its_first_submission_to_each_member(topology: Topology) -> None:
     submitted = [ChangeSubmitted(1.0, 0, 0, "change"), ChangeSubmitted(1.5, 0, 1, "change")]
-    figures = evaluated(topology, *submitted, *applied(topology, 2.0, 0))
-    assert figures.change.seconds is not None
-    assert figures.change.seconds.max == pytest.approx(1.9)
-    assert figures.change.seconds.count == 10 and figures.change.missing == 0
-    assert figures.change_by_phase["ordinary"].events == 1 and figures.change_by_phase["cut"].events == 0
+    metrics = evaluated(topology, *submitted, *applied(topology, 2.0, 0))
+    assert metrics.change.seconds is not None
+    assert metrics.change.seconds.max == pytest.approx(1.9)
+    assert metrics.change.seconds.count == 10 and metrics.change.missing == 0
+    assert metrics.change_by_phase["ordinary"].events == 1 and metrics.change_by_phase["cut"].events == 0
 
 
 def test_a_member_that_never_gets_a_change_is_missing_unless_it_was_away(topology: Topology) -> None:
     """One member never gets a change. It counts as missing if it ran undisturbed, but not if it was killed,
     stopped or not yet started meanwhile.
     """
-    records = [ChangeSubmitted(1.0, 0, 0, "change"), *applied(topology, 2.0, 0, but=(9,))]
+    records = [ChangeSubmitted(1.0, 0, 0, "change"), *applied(topology, 2.0, 0, without=(9,))]
     assert evaluated(topology, *records).change.missing == 1
     assert evaluated(topology, *records, Lifecycle(1.5, 9, "kill")).change.missing == 0
     assert (
--- a/tests/emulator/scale/evaluation/test_recovery.py
+++ b/tests/emulator/scale/evaluation/test_recovery.py
@@ -35,7 +35,7 @@
     that they may be stale; a later report is as bad as none.
     """
     cut = [Lifecycle(30.0, -1, "cut"), Lifecycle(60.0, -1, "heal")]
-    east = [place.index for place in topology.places if place.region == "east"]
+    east = [spec.index for spec in topology.members if spec.region == "east"]
     reports: list[Record] = [FreshnessSeen(41.0 + index / 10, index, True) for index in east]
     found = evaluated(topology, *cut, *reports).staleness
     assert found.seconds is not None and found.seconds.max == pytest.approx(11.0 + max(east) / 10)
@@ -49,11 +49,11 @@
     """A partition heals. The members agree once every view is right and every member has the newest version;
     one late version or one wrong view means that they never did.
     """
-    count, digest = true_view(topology.places)
+    count, digest = true_view(topology.members)
     cut: list[Record] = [Lifecycle(30.0, -1, "cut"), Lifecycle(40.0, -1, "heal")]
-    views: list[Record] = [View(1.0, place.index, count, digest) for place in topology.places]
+    views: list[Record] = [View(1.0, spec.index, count, digest) for spec in topology.members]
     views += [View(32.0, 0, 7, 123), View(44.0, 0, count, digest)]
-    versions = [*applied(topology, 35.0, 0, but=(9,)), ConfigurationSeen(42.0, 9, 1, 1, 5, [0], [])]
+    versions = [*applied(topology, 35.0, 0, without=(9,)), ConfigurationSeen(42.0, 9, 1, 1, 5, [0], [])]
     submitted = ChangeSubmitted(35.0, 0, 0, "change")
     found = evaluated(topology, *cut, *views, *versions, submitted).partitions
     assert [(agreement.members, agreement.configuration) for agreement in found] == [(4.0, 2.0)]
--- a/tests/emulator/scale/test_history.py
+++ b/tests/emulator/scale/test_history.py
@@ -11,7 +11,7 @@
 def test_history_knows_which_members_were_separated(topology: Topology) -> None:
     """A partition of one second separates the east, which lacks a majority of the voters."""
     history = History(topology, [*STARTS, Lifecycle(5, -1, "cut"), Lifecycle(6, -1, "heal")])  # type: ignore[list-item]
-    east = next(place.index for place in topology.places if place.region == "east")
+    east = next(spec.index for spec in topology.members if spec.region == "east")
     assert (
         history.in_minority(east, 0, 10)
         and not history.in_minority(east, 7, 10)
--- a/tests/emulator/scale/test_operator.py
+++ b/tests/emulator/scale/test_operator.py
@@ -18,10 +18,10 @@
     """What the operator sends and records."""
 
     def __init__(self, topology: Topology, publications: tuple[Publication, ...]) -> None:
-        self.orders: list[Publish] = []
+        self.requests: list[Publish] = []
         self.records: list[Record] = []
         timeline = Timeline((PhaseSpan("p", 0, 100, True),), (), publications)
-        self.operator = Operator(topology, timeline, self.orders.append, self.records.append, "east")
+        self.operator = Operator(topology, timeline, self.requests.append, self.records.append, "east")
 
 
 def test_the_operator_tries_another_voter_after_a_failure_and_keeps_to_it(topology: Topology) -> None:
@@ -32,13 +32,13 @@
         topology, (Publication(1.0, PublicationKind.CHANGE), Publication(9.0, PublicationKind.CHANGE))
     )
     voters.operator.advance(0.5)
-    assert not voters.orders
+    assert not voters.requests
     voters.operator.advance(1.0)
     voters.operator.result_received(1.1, PublishResult(0, 0, "NO_MAJORITY"))
     voters.operator.advance(1.5)
     voters.operator.result_received(1.6, PublishResult(0, 1, "", 4, 1))
     voters.operator.advance(9.0)
-    assert [(order.change, order.member) for order in voters.orders] == [(0, 0), (0, 1), (1, 1)]
+    assert [(request.change, request.member) for request in voters.requests] == [(0, 0), (0, 1), (1, 1)]
     assert Confirmed(1.6, 0, 1, 4, 1) in voters.records
 
 
@@ -51,7 +51,7 @@
     while now < 100:
         voters.operator.advance(now)
         now += 0.1
-    assert 8 <= len(voters.orders) <= 13  # each RESULT_TIMEOUT, until it gives up
+    assert 8 <= len(voters.requests) <= 13  # each RESULT_TIMEOUT, until it gives up
     assert RESULT_TIMEOUT == 5.0
 
 
@@ -66,7 +66,11 @@
     voters.operator.advance(1.5)
     voters.operator.result_received(1.6, PublishResult(0, 1, "the member is down"))
     voters.operator.advance(2.0)
-    assert [(order.member, order.kill_after) for order in voters.orders] == [(0, 0.01), (1, 0.01), (2, None)]
+    assert [(request.member, request.kill_after) for request in voters.requests] == [
+        (0, 0.01),
+        (1, 0.01),
+        (2, None),
+    ]
 
 
 def test_a_conflicting_change_goes_to_the_minority_and_is_not_retried(topology: Topology) -> None:
@@ -75,6 +79,6 @@
     """
     voters = Voters(topology, (Publication(1.0, PublicationKind.CONFLICT),))
     voters.operator.advance(1.0)
-    voters.operator.result_received(1.6, PublishResult(0, voters.orders[0].member, "NO_MAJORITY"))
+    voters.operator.result_received(1.6, PublishResult(0, voters.requests[0].member, "NO_MAJORITY"))
     voters.operator.advance(5.0)
-    assert [topology.places[order.member].region for order in voters.orders] == ["east"]
+    assert [topology.members[request.member].region for request in voters.requests] == ["east"]
--- a/tests/emulator/scale/test_publications.py
+++ b/tests/emulator/scale/test_publications.py
@@ -8,10 +8,10 @@
 
 import pytest
 
-from saltcourse.emulator.scale.hollow import PublicationConfirmed
 from saltcourse.emulator.scale.publications import PublicationResults
 from saltcourse.emulator.scale.scenario import Scenario
-from saltcourse.emulator.scale.timeline import Act
+from saltcourse.emulator.scale.simulated_member import PublicationConfirmed
+from saltcourse.emulator.scale.timeline import FaultAction
 from saltcourse.emulator.scale.topology import Topology
 from saltcourse.emulator.scale.worker_messages import DOWN, Publish, PublishResult
 from tests.emulator.scale.worker_parts import MEMBER, WorkerParts, worker_parts
@@ -23,13 +23,17 @@
         yield found
 
 
-@pytest.mark.parametrize("acts", [(), (Act.START, Act.STOP), (Act.START, Act.KILL)])
-def test_a_member_that_does_not_run_rejects_a_change(parts: WorkerParts, acts: tuple[Act, ...]) -> None:
+@pytest.mark.parametrize(
+    "actions", [(), (FaultAction.START, FaultAction.STOP), (FaultAction.START, FaultAction.KILL)]
+)
+def test_a_member_that_does_not_run_rejects_a_change(
+    parts: WorkerParts, actions: tuple[FaultAction, ...]
+) -> None:
     """The operator submits a change to a voter that is down or stopped. It must get a result at once, so
     that it can try another voter.
     """
-    for act in acts:
-        parts.faults.apply(parts.hosted, act)
+    for action in actions:
+        parts.faults.apply(parts.hosted, action)
     parts.publications.publish(Publish(7, MEMBER))
     assert parts.results == [PublishResult(7, MEMBER, DOWN)]
 
@@ -38,11 +42,11 @@
     """A member is killed before it has a result for a change. The operator's connection breaks: it gets one
     failure for that change, and none for a change that was confirmed before.
     """
-    parts.faults.apply(parts.hosted, Act.START)
+    parts.faults.apply(parts.hosted, FaultAction.START)
     parts.publications.publish(Publish(1, MEMBER))
     parts.publications.publish(Publish(2, MEMBER))
     PublicationResults(parts.results.append).confirmed(parts.hosted, PublicationConfirmed(1, 4, 9))
-    parts.faults.apply(parts.hosted, Act.KILL)
+    parts.faults.apply(parts.hosted, FaultAction.KILL)
     assert parts.results == [PublishResult(1, MEMBER, "", 4, 9), PublishResult(2, MEMBER, DOWN)]
 
 
@@ -50,11 +54,11 @@
     """A scenario loses the publisher just after a change was submitted. The process takes the change first,
     is then killed, and a new one is started.
     """
-    parts.faults.apply(parts.hosted, Act.START)
-    old = parts.core
+    parts.faults.apply(parts.hosted, FaultAction.START)
+    old = parts.process
     parts.publications.publish(Publish(3, MEMBER, kill_after=1e-6, restart_after=1e-6))
-    assert old.published == [3] and parts.hosted.core is old
+    assert old.published == [3] and parts.hosted.process is old
     while parts.timers.next_expiry(time.monotonic() + 60) < time.monotonic() + 1:
         parts.timers.run_expired()
-    assert parts.core is not old
+    assert parts.process is not old
     assert parts.results == [PublishResult(3, MEMBER, DOWN)]
--- a/tests/emulator/scale/test_report.py
+++ b/tests/emulator/scale/test_report.py
@@ -14,10 +14,10 @@
 
 
 def test_the_report_has_the_keys_that_scripts_read(topology: Topology) -> None:
-    figures = evaluated(
-        topology, *[Load(float(s), p.index, 10, 20, 0.01) for s in range(1, 21) for p in topology.places]
+    metrics = evaluated(
+        topology, *[Load(float(s), p.index, 10, 20, 0.01) for s in range(1, 21) for p in topology.members]
     )
-    both = [figures, replace(figures, size=60), replace(figures, mechanism=MESH)]
+    both = [metrics, replace(metrics, size=60), replace(metrics, mechanism=MESH)]
     flat = flat_metrics(both)
     for key in (
         "control_bytes_per_s_max",
--- a/tests/emulator/scale/test_safety.py
+++ b/tests/emulator/scale/test_safety.py
@@ -30,14 +30,17 @@
 @pytest.mark.parametrize(
     ("broken", "kind"),
     [
-        (configuration_seen(8, 0, 1, 2, 12), BreachKind.WENT_BACK),
-        (configuration_seen(8, 0, 6, 3, 13), BreachKind.WENT_BACK),  # the same version twice
-        (configuration_seen(8, 0, 1, 4, 14), BreachKind.OLDER_EPOCH),
-        (configuration_seen(8, 0, 6, 4, 14, torn=(4,)), BreachKind.HALF_CHANGE),
-        (configuration_seen(8, 2, 6, 3, 99), BreachKind.DIVERGED),
-        (configuration_seen(8, 2, 7, 3, 13), BreachKind.DIVERGED),
-        (configuration_seen(8, 2, 2, 4, 14), BreachKind.OLDER_EPOCH),  # at another member than the newer one
-        (Confirmed(8, 9, 0, 5, 3), BreachKind.LOST_CONFIRMED),
+        (configuration_seen(8, 0, 1, 2, 12), BreachKind.VERSION_REGRESSION),
+        (configuration_seen(8, 0, 6, 3, 13), BreachKind.VERSION_REGRESSION),  # the same version twice
+        (configuration_seen(8, 0, 1, 4, 14), BreachKind.EPOCH_REGRESSION),
+        (configuration_seen(8, 0, 6, 4, 14, torn=(4,)), BreachKind.TORN_CHANGE),
+        (configuration_seen(8, 2, 6, 3, 99), BreachKind.DIVERGENCE),
+        (configuration_seen(8, 2, 7, 3, 13), BreachKind.DIVERGENCE),
+        (
+            configuration_seen(8, 2, 2, 4, 14),
+            BreachKind.EPOCH_REGRESSION,
+        ),  # at another member than the newer one
+        (Confirmed(8, 9, 0, 5, 3), BreachKind.LOST_CONFIRMED_CHANGE),
     ],
 )
 def test_each_breach_is_caught(broken: Record, kind: BreachKind) -> None:
--- a/tests/emulator/scale/test_scenario_file.py
+++ b/tests/emulator/scale/test_scenario_file.py
@@ -18,7 +18,7 @@
     ZoneOutage,
 )
 from saltcourse.emulator.scale.scenario_file import read_scenario
-from tests.emulator.scale.cases import SCENARIOS, SMALL, scenario_of
+from tests.emulator.scale.cases import SCENARIOS, SMALL, read_scenario_text
 
 
 @pytest.mark.parametrize("name", ["ordinary", "quick", "faults", "slope"])
@@ -85,7 +85,7 @@
     and the message must lead to the line of the file.
     """
     with pytest.raises(ConfigError) as caught:
-        scenario_of(SMALL.replace(wrong, right, 1), tmp_path)
+        read_scenario_text(SMALL.replace(wrong, right, 1), tmp_path)
     assert str(caught.value).startswith(f"{tmp_path}/test.txtpb:{line}: ")
     assert said in str(caught.value)
 
--- a/tests/emulator/scale/test_timeline.py
+++ b/tests/emulator/scale/test_timeline.py
@@ -6,7 +6,7 @@
 
 from saltcourse.emulator.scale.scenario import Phase, Scenario, ZoneOutage
 from saltcourse.emulator.scale.timeline import (
-    Act,
+    FaultAction,
     PhaseSpan,
     PublicationKind,
     build_timeline,
@@ -22,9 +22,13 @@
 def test_the_timeline_follows_the_scenario(scenario: Scenario, topology: Topology) -> None:
     timeline = build_timeline(scenario, topology, 1)
     assert timeline.spans == (PhaseSpan("ordinary", 1.0, 11.0, True), PhaseSpan("faults", 11.0, 41.0, False))
-    acts = [(command.at, command.act) for command in timeline.commands if command.act is not Act.START]
-    assert acts == [(12.0, Act.KILL), (13.0, Act.PARTITION), (21.0, Act.HEAL)]
-    started = [index for c in timeline.commands if c.act is Act.START for index in c.members]
+    actions = [
+        (command.at, command.action)
+        for command in timeline.commands
+        if command.action is not FaultAction.START
+    ]
+    assert actions == [(12.0, FaultAction.KILL), (13.0, FaultAction.PARTITION), (21.0, FaultAction.HEAL)]
+    started = [index for c in timeline.commands if c.action is FaultAction.START for index in c.members]
     assert sorted(started) == list(range(10))
     assert [p.kind for p in timeline.publications].count(PublicationKind.CONFLICT) == 1
     assert [p.at for p in timeline.publications[:5]] == [2.0, 4.0, 6.0, 8.0, 10.0]
@@ -34,12 +38,12 @@
     """A zone loses power: its proxies and its control members fail together and come back together."""
     phase = Phase("zone", 20.0, 0.0, (ZoneOutage(2.0, 5.0),))
     timeline = build_timeline(replace(scenario, phases=(phase,)), topology, 3)
-    killed = next(command for command in timeline.commands if command.act is Act.KILL)
-    zones = {topology.places[index].zone for index in killed.members}
+    killed = next(command for command in timeline.commands if command.action is FaultAction.KILL)
+    zones = {topology.members[index].zone for index in killed.members}
     assert len(zones) == 1
-    assert set(killed.members) == {p.index for p in topology.places if p.zone in zones}
+    assert set(killed.members) == {p.index for p in topology.members if p.zone in zones}
     again = timeline.commands[-1]
-    assert (again.act, again.at, again.members) == (Act.START, 8.0, killed.members)
+    assert (again.action, again.at, again.members) == (FaultAction.START, 8.0, killed.members)
 
 
 def test_the_configuration_is_filled_before_the_first_phase(scenario: Scenario, topology: Topology) -> None:
--- a/tests/emulator/scale/test_topology.py
+++ b/tests/emulator/scale/test_topology.py
@@ -14,8 +14,8 @@
     ordinary = read_scenario(SCENARIOS / "ordinary.txtpb")
     topology = build_topology(ordinary, 490, real=8)
     assert len({voter.zone for voter in topology.voters}) == 5
-    assert len(topology.proxies) == 490 and len(topology.real) == 8 and len(topology.places) == 506
-    assert [place.index for place in topology.places] == list(range(506))
-    assert max(Counter(place.rack for place in topology.proxies).values()) == 10
+    assert len(topology.proxies) == 490 and len(topology.real) == 8 and len(topology.members) == 506
+    assert [spec.index for spec in topology.members] == list(range(506))
+    assert max(Counter(spec.rack for spec in topology.proxies).values()) == 10
     assert all(len({p.zone for p in rack}) == 1 for rack in topology.racks().values())
     assert not set(topology.real) & {p for machine in topology.machines().values() for p in machine}
--- a/tests/emulator/scale/worker_parts.py
+++ b/tests/emulator/scale/worker_parts.py
@@ -9,13 +9,13 @@
 from random import Random
 
 from saltcourse.emulator.scale.fault_injection import FaultInjector, MemberFactory
-from saltcourse.emulator.scale.hollow import HollowMember, MembersView, Output
 from saltcourse.emulator.scale.hosted_member import HostedMember
 from saltcourse.emulator.scale.member_host import MemberHost
 from saltcourse.emulator.scale.publications import PublicationHandler, PublicationResults
 from saltcourse.emulator.scale.recorder import Recorder
 from saltcourse.emulator.scale.scenario import Scenario
-from saltcourse.emulator.scale.sockets import Paths, Sockets
+from saltcourse.emulator.scale.simulated_member import MembersView, Output, SimulatedMember
+from saltcourse.emulator.scale.sockets import LinkEmulator, Sockets
 from saltcourse.emulator.scale.timeline import PhaseSpan, Timeline
 from saltcourse.emulator.scale.timer_queue import TimerQueue
 from saltcourse.emulator.scale.topology import Topology
@@ -25,7 +25,7 @@
 MEMBER = 0
 
 
-class NotingMember(HollowMember):
+class RecordingMember(SimulatedMember):
     """Publishes always, never confirms, and stores how many processes it has had."""
 
     def start(self, now: float) -> Output:
@@ -59,31 +59,31 @@
     """All parts but the loop; member 1 is the far end of each datagram."""
 
     def __init__(self, scenario: Scenario, topology: Topology, folder: Path, sockets: Sockets) -> None:
-        addresses = tuple(("127.0.0.1", 1_000 + place.index) for place in topology.places)
+        addresses = tuple(("127.0.0.1", 1_000 + spec.index) for spec in topology.members)
         timeline = Timeline((PhaseSpan("p", 0, 100, True),), (), ())
         self.path = folder / "records"
         task = WorkerTask("", scenario, topology, timeline, (MEMBER,), 1, b"", self.path)
         self.results: list[PublishResult] = []
         self.timers = TimerQueue(Random(1))
-        self.hosted = HostedMember(topology.places[MEMBER])
+        self.hosted = HostedMember(topology.members[MEMBER])
         self.recorder = Recorder(self.path, topology)
-        paths = Paths(scenario, topology.places, addresses, Random(1))
+        links = LinkEmulator(scenario, topology.members, addresses, Random(1))
         publication_results = PublicationResults(self.results.append)
         members = {MEMBER: self.hosted}
-        self.host = MemberHost(sockets, paths, self.timers, set(), lambda hosted, seen: None)
-        factory = MemberFactory(NotingMember, task, addresses, Random(1))
+        self.host = MemberHost(sockets, links, self.timers, set(), lambda hosted, seen: None)
+        factory = MemberFactory(RecordingMember, task, addresses, Random(1))
         self.faults = FaultInjector(
             members, factory, self.host, self.recorder, publication_results.member_killed
         )
         self.publications = PublicationHandler(
             members, self.host, self.faults, self.timers, publication_results
         )
-        self.far = addresses[1]
+        self.remote_address = addresses[1]
 
     @property
-    def core(self) -> NotingMember:
-        assert isinstance(self.hosted.core, NotingMember)
-        return self.hosted.core
+    def process(self) -> RecordingMember:
+        assert isinstance(self.hosted.process, RecordingMember)
+        return self.hosted.process
 
 
 @contextmanager
