--- a/saltcourse/emulator/scale/connections.py
+++ b/saltcourse/emulator/scale/connections.py
@@ -1,4 +1,4 @@
-"""The emulated client connections of a hollow proxy: when they begin and end, and nothing else."""
+"""Arrivals and ends of a simulated proxy's client connections. No connection is actually opened."""
 
 from __future__ import annotations
 
@@ -9,12 +9,15 @@
 
 
 class ConnectionChurn:
-    """Connections arrive as a Poisson process and have exponential lifetimes. Each has a number."""
+    """Numbered connections that arrive as a Poisson process and have exponentially distributed lifetimes.
+
+    Times are seconds of any one clock.
+    """
 
     def __init__(self, arrivals: Arrivals, random: Random) -> None:
         self._arrivals = arrivals
         self._random = random
-        self._ends: list[tuple[float, int]] = []  # the next one first
+        self._ends: list[tuple[float, int]] = []  # heap of (end time, connection number)
         self._next_arrival = 0.0
         self._number = 0
 
@@ -22,13 +25,13 @@
         return len(self._ends)
 
     def start(self, now: float) -> list[int]:
-        """Begins with the mean number of connections; gives their numbers."""
+        """Open the mean number of concurrent connections and return their numbers."""
         self._next_arrival = now
         established = round(self._arrivals.connections_per_s * self._arrivals.mean_lifetime)
         return [self._begin(now) for _ in range(established)]
 
     def begun(self, now: float) -> list[int]:
-        """Numbers of the connections that began since the last call."""
+        """Return the numbers of the connections that began since the previous call."""
         found: list[int] = []
         rate = self._arrivals.connections_per_s
         while rate > 0 and self._next_arrival <= now:
@@ -37,7 +40,7 @@
         return found
 
     def ended(self, now: float) -> list[int]:
-        """Numbers of the connections that ended since the last call."""
+        """Return the numbers of the connections that ended since the previous call."""
         found: list[int] = []
         while self._ends and self._ends[0][0] <= now:
             found.append(heapq.heappop(self._ends)[1])
--- a/saltcourse/emulator/scale/evaluation/__init__.py
+++ b/saltcourse/emulator/scale/evaluation/__init__.py
@@ -1,4 +1,4 @@
-"""Evaluation of a scale run, from nothing but the records that the receivers wrote.
+"""Computes the metrics of a scale run from its records.
 
 ``evaluate`` composes ``metrics.RunMetrics`` from one module for each concern: ``costs`` (bytes, CPU, memory),
 ``changes`` (propagation of configuration changes), ``failures`` (failure detection and false alarms) and
--- a/saltcourse/emulator/scale/evaluation/changes.py
+++ b/saltcourse/emulator/scale/evaluation/changes.py
@@ -1,4 +1,4 @@
-"""How fast configuration changes reached the members, and whether any were lost."""
+"""Propagation times of configuration changes, and lost changes."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ChangePropagation:
-    """Timed from the first submission of a change to the moment when each member has it in force."""
+    """Propagation times of changes, from the first submission to the application at each member."""
 
     def __init__(self, index: RecordIndex) -> None:
         self._index = index
@@ -25,19 +25,19 @@
 
     @property
     def confirmed_count(self) -> int:
-        """Changes that a voter confirmed to the operator."""
+        """The number of changes that a voter confirmed to the operator."""
         return len(self._confirmed)
 
     def lost_count(self) -> int:
-        """Timed changes that are in force nowhere and were not confirmed."""
+        """Return the number of timed changes that no voter confirmed and no member applied."""
         return sum(change not in self._confirmed and change not in self._applied for change in self._timed)
 
     def overall(self) -> Propagation:
-        """Propagation of all timed changes of the run."""
+        """Return the propagation of all timed changes of the run."""
         return self._propagation(self._timed)
 
     def by_phase(self) -> dict[str, Propagation]:
-        """Propagation of the changes that were first submitted in each phase."""
+        """Return the propagation of the changes that were first submitted in each phase."""
         return {
             span.name: self._propagation(
                 [change for change in self._timed if span.begin <= self._submitted[change].at < span.end]
@@ -46,7 +46,7 @@
         }
 
     def _propagation(self, changes: list[int]) -> Propagation:
-        """Over changes that came into force anywhere, and members that were reachable meanwhile."""
+        """Return the propagation over applied changes and the members that were reachable during it."""
         seconds: list[float] = []
         missing = 0
         in_force = [change for change in changes if change in self._applied]
@@ -65,7 +65,7 @@
 
 
 def _first_applied(index: RecordIndex) -> dict[int, dict[int, float]]:
-    """Change -> member -> when it first had the change in force."""
+    """Return the time at which each member first applied each change: change -> member -> time."""
     applied: dict[int, dict[int, float]] = {}
     for record in index.records_of(ConfigurationSeen):
         for change in record.changes:
@@ -75,10 +75,10 @@
 
 
 def _add_real_processes(index: RecordIndex, applied: dict[int, dict[int, float]]) -> None:
-    """Derives when the real processes had each change.
+    """Add the times at which the real processes applied each change.
 
-    A real process reports its version and not what came with it: it has a change once it has reached the
-    version at which other members got that change.
+    A real process reports only its version. It has a change if its version is at least the lowest version
+    at which a simulated member applied that change.
     """
     versions = _lowest_versions(index)
     for spec in index.topology.real:
--- a/saltcourse/emulator/scale/evaluation/costs.py
+++ b/saltcourse/emulator/scale/evaluation/costs.py
@@ -1,4 +1,4 @@
-"""What the members of a run cost: bytes, CPU and memory."""
+"""The cost of a run's members: bytes, CPU and memory."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from saltcourse.emulator.scale.timeline import PhaseSpan
 from saltcourse.emulator.scale.topology import MemberSpec
 
-WINDOW = 10  # s over which bytes and CPU are averaged; members record their load once a second
+WINDOW = 10  # seconds of a sliding window; one Load record per member and second
 
 
 def ordinary_cost(index: RecordIndex, specs: Iterable[MemberSpec]) -> CostSummary | None:
-    """Cost of these members in the phases without faults; None without a record."""
+    """Return the cost of these members in the phases without faults, or None if there are no records."""
     members = {spec.index for spec in specs}
     byte_rates: list[float] = []
     cpu_shares: list[float] = []
@@ -32,7 +32,7 @@
 
 
 def phase_costs(index: RecordIndex, specs: Iterable[MemberSpec]) -> tuple[PhaseCost, ...]:
-    """The worst window of any of these members, for each phase."""
+    """Return the highest window mean of any of these members, for each phase."""
     members = {spec.index for spec in specs}
     costs = []
     for span in index.timeline.spans:
@@ -44,9 +44,9 @@
 
 
 def real_cost(index: RecordIndex) -> RealCost | None:
-    """Cost of the real processes; None if none took part."""
+    """Return the cost of the real processes, or None if there were none."""
     samples = _samples_by_process(index)
-    without = samples.pop(BASELINE_PROCESS, [])
+    baseline = samples.pop(BASELINE_PROCESS, [])
     if not samples:
         return None
     cost = ordinary_cost(index, index.topology.real)
@@ -54,21 +54,21 @@
         processes=len(samples),
         bytes_per_s=cost.bytes_per_s.max if cost is not None else 0.0,
         cpu_share=max(cpu_share_of(of_process) for of_process in samples.values()),
-        cpu_share_without_gossip=cpu_share_of(without),
+        cpu_share_without_gossip=cpu_share_of(baseline),
         memory_mb=max(of_process[-1].memory for of_process in samples.values()) / 1e6,
-        memory_mb_without_gossip=without[-1].memory / 1e6 if without else 0.0,
+        memory_mb_without_gossip=baseline[-1].memory / 1e6 if baseline else 0.0,
     )
 
 
 def cpu_share_of(samples: list[ProcessSample]) -> float:
-    """Share of a core, from the first sample to the last."""
+    """Return the used fraction of a core between the first and the last sample."""
     if len(samples) < 2:
         return 0.0
     return (samples[-1].cpu - samples[0].cpu) / (samples[-1].at - samples[0].at)
 
 
 def memory_per_member(usage: WorkerUsage) -> float:
-    """Bytes for each member of a worker, including what the harness keeps for it."""
+    """Return the memory in bytes for each member of a worker, including the emulator's state for it."""
     return max(usage.memory_at_end - usage.memory_without_members, 0) / max(1, usage.members)
 
 
@@ -89,7 +89,7 @@
 
 
 def _samples_by_process(index: RecordIndex) -> dict[int, list[ProcessSample]]:
-    """Samples of the first ordinary phase, or of the first phase where none is ordinary."""
+    """Return the samples of the first ordinary phase, or of the first phase if none is ordinary."""
     spans = index.timeline.spans
     span = next((span for span in spans if span.ordinary), spans[0])
     samples: dict[int, list[ProcessSample]] = {}
--- a/saltcourse/emulator/scale/evaluation/evaluate.py
+++ b/saltcourse/emulator/scale/evaluation/evaluate.py
@@ -19,7 +19,7 @@
 def evaluate(
     mechanism: str, seed: int, topology: Topology, timeline: Timeline, records: Iterable[Record]
 ) -> RunMetrics:
-    """The metrics of a run; ``records`` may come in any order."""
+    """Compute the metrics of a run. ``records`` may be in any order."""
     index = RecordIndex(topology, timeline, records)
     usage = index.records_of(WorkerUsage)
     changes = ChangePropagation(index)
@@ -55,6 +55,6 @@
 
 
 def _cpu_per_member(usage: list[WorkerUsage], seconds: float) -> float:
-    """Share of a core for each member, over the whole run and with the harness."""
+    """Return the used fraction of a core per member over the whole run, emulator included."""
     members = max(1, sum(worker.members for worker in usage))
     return sum(worker.cpu for worker in usage) / seconds / members
--- a/saltcourse/emulator/scale/evaluation/failures.py
+++ b/saltcourse/emulator/scale/evaluation/failures.py
@@ -1,4 +1,4 @@
-"""How fast the members detected failures, and how often they suspected a member that was well."""
+"""Failure detection times, and suspicions and deaths of healthy members."""
 
 from __future__ import annotations
 
@@ -12,24 +12,24 @@
 from saltcourse.emulator.scale.summary import Summary, summarize
 from saltcourse.gossip.messages import Status
 
-DETECTION_DEADLINE = 60.0  # s that a member may take to consider a killed one dead
-MIN_DOWNTIME = 10.0  # s that a killed member must stay away for its failure to count
-ZONE_CHECK_DELAY = 1.0  # s after a kill at which its whole zone is checked
-GRACE = 30.0  # s after a disturbance in which a suspicion is not a false one
-DeathTimes = Mapping[int, list[float]]  # by observer
+DETECTION_DEADLINE = 60.0  # seconds from a kill within which members must consider the member dead
+MIN_DOWNTIME = 10.0  # seconds; shorter outages are not counted as failures
+ZONE_CHECK_DELAY = 1.0  # seconds from a kill to the check whether its whole zone was lost
+GRACE = 30.0  # seconds after a fault of the member within which a suspicion is not a false alarm
+DeathTimes = Mapping[int, list[float]]  # observer -> times at which it considered the member dead
 
 
 @dataclass(frozen=True, slots=True)
 class FailureDetection:
-    """Detection of members that were killed one by one, or with their machine or rack."""
+    """Detection of failed members, except those whose whole zone was lost."""
 
     by_observer: Propagation
-    everywhere: Summary | None  # s until the last member knew, over the failures that all came to know
+    everywhere: Summary | None  # seconds until the last observer detected a failure that all detected
 
 
 @dataclass(frozen=True, slots=True)
 class FalseAlarms:
-    """Reports on members that ran and could be reached for ``GRACE`` seconds already."""
+    """Counts of suspicions and deaths of members that had run and been reachable for ``GRACE`` seconds."""
 
     suspicions: int
     deaths: int
@@ -37,16 +37,17 @@
 
 @dataclass(frozen=True, slots=True)
 class _Detection:
-    """Of one failure: seconds for each observer that learned of it, and how many others should have."""
+    """Detection of one failure: the seconds of each observer, and the number of observers that missed it."""
 
     seconds: list[float]
     missing: int
 
 
 def failure_detection(index: RecordIndex) -> FailureDetection:
-    """Members of a zone that is lost as a whole are not counted.
+    """Measure the detection of failed members.
 
-    Such a zone is reported as unreachable and its members are kept on purpose.
+    Members of a zone that is lost completely are not counted: such a zone is reported as unreachable, and
+    its members are kept in the membership by design.
     """
     deaths = _death_times(index)
     detections: list[_Detection] = []
@@ -58,14 +59,16 @@
         if index.history.zone_lost(outage.member, killed_at + ZONE_CHECK_DELAY):
             continue
         detections.append(_detection(index, outage, until, deaths.get(outage.member, {})))
-    every = [seconds for detection in detections for seconds in detection.seconds]
-    last = [max(found.seconds) for found in detections if found.seconds and not found.missing]
+    all_seconds = [seconds for detection in detections for seconds in detection.seconds]
+    last_seconds = [max(found.seconds) for found in detections if found.seconds and not found.missing]
     missing = sum(detection.missing for detection in detections)
-    return FailureDetection(Propagation(summarize(every), missing, len(detections)), summarize(last))
+    return FailureDetection(
+        Propagation(summarize(all_seconds), missing, len(detections)), summarize(last_seconds)
+    )
 
 
 def false_alarms(index: RecordIndex) -> FalseAlarms:
-    """Counts suspicions and deaths that were reported without a cause."""
+    """Count suspicions and deaths of members that had not failed or been separated recently."""
     suspicions = deaths = 0
     for record in index.records_of(StatusSeen):
         begin = record.at - GRACE
@@ -79,7 +82,7 @@
 
 
 def _death_times(index: RecordIndex) -> dict[int, dict[int, list[float]]]:
-    """Member -> observer -> when the observer considered the member dead."""
+    """Return the times of reported deaths: member -> observer -> times."""
     deaths: dict[int, dict[int, list[float]]] = {}
     for record in index.records_of(StatusSeen):
         if record.status in DEAD_OR_LEFT:
--- a/saltcourse/emulator/scale/evaluation/record_index.py
+++ b/saltcourse/emulator/scale/evaluation/record_index.py
@@ -1,4 +1,4 @@
-"""The records of one run, grouped by kind, with the history that follows from them."""
+"""The records of one run, grouped by type, and the history reconstructed from them."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from saltcourse.emulator.scale.timeline import Timeline
 from saltcourse.emulator.scale.topology import Topology
 
-CHANGE_DEADLINE = 10.0  # s in which a member that misses a change must stay undisturbed to count as missing
+CHANGE_DEADLINE = 10.0  # seconds after which a change counts as missing at a member that ran undisturbed
 Kind = TypeVar("Kind")
 
 
 class RecordIndex:
-    """What the parts of the evaluation read; ``records`` may come in any order."""
+    """The input of the evaluation modules. ``records`` may be in any order."""
 
     def __init__(self, topology: Topology, timeline: Timeline, records: Iterable[Record]) -> None:
         self.topology = topology
@@ -26,13 +26,14 @@
         self.history = History(topology, self.records_of(Lifecycle))
 
     def records_of(self, kind: type[Kind]) -> list[Kind]:
-        """All records of one kind, in the order of their time where they have one."""
+        """Return all records of one type, in time order if the type has a time."""
         return cast(list[Kind], self._by_kind.get(cast(type[Record], kind), []))
 
     def reachable(self, member: int, begin: float, end: float) -> bool:
-        """Whether one process of the member ran from ``begin`` to ``end`` and could get changes meanwhile.
+        """Return whether the same process of the member ran from ``begin`` to ``end`` and could get changes.
 
-        A partition counts in the first ``CHANGE_DEADLINE`` seconds.
+        A member cannot get changes while a partition separates it from a majority of the voters. Only
+        partitions in the first ``CHANGE_DEADLINE`` seconds are considered.
         """
         return self.history.ran_throughout(member, begin, end) and not self.history.in_minority(
             member, begin, min(end, begin + CHANGE_DEADLINE)
--- a/saltcourse/emulator/scale/evaluation/recovery.py
+++ b/saltcourse/emulator/scale/evaluation/recovery.py
@@ -1,4 +1,4 @@
-"""What happened after restarts and network partitions: catching up, staleness and agreement."""
+"""Recovery after restarts and network partitions: joining, staleness reports and agreement."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from saltcourse.emulator.scale.summary import summarize
 from saltcourse.emulator.scale.topology import MemberSpec
 
-JOIN_DEADLINE = 20.0  # s that a new process may take to the newest configuration
-JUST_AFTER = 0.001  # s after a start
-STALE_DEADLINE = 20.0  # s of a partition in which the minority side must report that it may be stale
-AGREEMENT_STEP = 0.25  # s between the moments at which agreement is checked
+JOIN_DEADLINE = 20.0  # seconds for a new process to reach the newest configuration
+JUST_AFTER = 0.001  # seconds after a start, to exclude the outage that ends with it
+STALE_DEADLINE = 20.0  # seconds from a partition's begin to the stale reports of its minority side
+AGREEMENT_STEP = 0.25  # seconds between checks of agreement
 
 
 def joining(index: RecordIndex) -> Propagation:
-    """Seconds from a restart until the member has what was the newest version at its start."""
+    """Measure the seconds from each restart until the member has the version that was the newest then."""
     seconds: list[float] = []
     missing = 0
     newest = _newest_versions(index)
@@ -42,7 +42,10 @@
 
 
 def staleness(index: RecordIndex) -> Propagation:
-    """Seconds until the minority side reports that it may be stale, in partitions of ``STALE_DEADLINE``."""
+    """Measure the seconds from the begin of each partition to the stale reports of its minority side.
+
+    Partitions shorter than ``STALE_DEADLINE`` are not counted.
+    """
     seconds: list[float] = []
     missing = events = 0
     for partition in index.history.partitions:
@@ -60,12 +63,12 @@
 
 
 def partition_recoveries(index: RecordIndex) -> tuple[PartitionRecovery, ...]:
-    """One for each partition that ended within the run."""
+    """Return the recovery from each partition that ended during the run."""
     return tuple(_recovery(index, cut) for cut in index.history.partitions if cut.end < math.inf)
 
 
 def true_view(live: Iterable[MemberSpec]) -> tuple[int, int]:
-    """Count and XOR of the ids of these members, as a ``View`` that is right records them."""
+    """Return the count and the XOR of the ids of these members, as in a correct ``View`` record."""
     count = digest = 0
     for spec in live:
         count += 1
@@ -81,7 +84,7 @@
 
 
 def _newest_versions(index: RecordIndex) -> ValueHistory:
-    """Epoch and version of the newest configuration anywhere, over time."""
+    """Return the epoch and version of the newest configuration at any member, over time."""
     newest = ValueHistory()
     highest = 0
     for record in index.records_of(ConfigurationSeen):
@@ -92,7 +95,7 @@
 
 
 def _minority(index: RecordIndex, begin: float, end: float) -> list[MemberSpec]:
-    """Hollow members that ran all the time and could not reach a majority of the voters."""
+    """Return the simulated members that ran throughout and were separated from a majority of the voters."""
     return [
         spec
         for spec in index.topology.members
@@ -123,32 +126,32 @@
 
 
 def _seconds_to_equal_views(index: RecordIndex, healed: float, until: float) -> float | None:
-    """Until the views of all live members are right at the same moment."""
+    """Return the seconds from ``healed`` until the views of all live members are correct at the same time."""
     views: dict[int, ValueHistory] = {}
     for view in index.records_of(View):
         views.setdefault(view.member, ValueHistory()).add(view.at, (view.count, view.digest))
     at = healed
     while at <= until:
         live = index.history.live(at)
-        truth = true_view(live)
-        if all(_view_is_right(index, spec, views.get(spec.index), at, truth) for spec in live):
+        expected = true_view(live)
+        if all(_view_is_correct(index, spec, views.get(spec.index), at, expected) for spec in live):
             return at - healed
         at += AGREEMENT_STEP
     return None
 
 
-def _view_is_right(
-    index: RecordIndex, spec: MemberSpec, views: ValueHistory | None, at: float, truth: tuple[int, int]
+def _view_is_correct(
+    index: RecordIndex, spec: MemberSpec, views: ValueHistory | None, at: float, expected: tuple[int, int]
 ) -> bool:
-    """A real process reports only how many members it considers alive."""
+    """Return whether the member's view matches. For a real process, only the member count is known."""
     view = views.at(at) if views is not None else None
     if view is None:
         return False
-    return view[0] == truth[0] if spec in index.topology.real else view == truth
+    return view[0] == expected[0] if spec in index.topology.real else view == expected
 
 
 def _seconds_to_newest_configuration(index: RecordIndex, healed: float, until: float) -> float | None:
-    """Until each live member has what was the newest version anywhere when the partition ended."""
+    """Return the seconds from ``healed`` until each live member has the version that was the newest then."""
     seen = index.records_of(ConfigurationSeen)
     newest = max((record.version for record in seen if record.at <= healed), default=0)
     if newest == 0:
--- a/saltcourse/emulator/scale/fault_injection.py
+++ b/saltcourse/emulator/scale/fault_injection.py
@@ -1,4 +1,4 @@
-"""Carries out the commands of a run's timeline on the members of one worker."""
+"""Executes the fault commands of a run's timeline on the members of one worker."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class MemberFactory:
-    """Creates a new process of a member."""
+    """Creates the processes of simulated members."""
 
     def __init__(
         self,
@@ -31,7 +31,7 @@
         self._random = random
 
     def create(self, hosted: HostedMember) -> SimulatedMember:
-        """A process with a new incarnation, and with what the member has stored."""
+        """Create a process with a new process id and the member's persisted state."""
         task = self._task
         return self._member_class(
             MemberContext(
@@ -48,9 +48,9 @@
 
 
 class FaultInjector:
-    """Starts, kills, stops and resumes members, and separates regions.
+    """Starts, kills, stops and resumes members, and begins and ends network partitions.
 
-    ``on_killed`` is called after a member's process has ended.
+    ``on_killed`` is called after a member was killed.
     """
 
     def __init__(
@@ -68,7 +68,7 @@
         self._on_killed = on_killed
 
     def execute(self, command: Command) -> None:
-        """Applies the command to those of its members that this worker hosts."""
+        """Apply the command to its members that this worker hosts, or to the links."""
         if command.action in (FaultAction.PARTITION, FaultAction.HEAL):
             self._host.set_partition(command.action is FaultAction.PARTITION)
             self._recorder.lifecycle(command.action)
@@ -78,7 +78,7 @@
                 self.apply(self._members[index], command.action)
 
     def apply(self, hosted: HostedMember, action: FaultAction) -> None:
-        """Does nothing where an earlier fault has left no room for this one."""
+        """Apply the action, or ignore it if the member's state does not allow it (e.g. a second kill)."""
         match action:
             case FaultAction.START if hosted.process is None:
                 self._start(hosted)
--- a/saltcourse/emulator/scale/gossip.py
+++ b/saltcourse/emulator/scale/gossip.py
@@ -1,6 +1,7 @@
-"""A hollow member of the gossip: ``saltcourse.gossip.node.Node`` without its host.
+"""A simulated gossip member: ``saltcourse.gossip.node.Node`` without its asyncio host.
 
-The operator's change of number n writes two keys with the same value, so that half of a change is detected.
+Each change of the operator writes two keys with the same value, so that a partially applied (torn) change
+can be detected.
 """
 
 from __future__ import annotations
@@ -49,12 +50,12 @@
 from saltcourse.gossip.quorum import Phase
 from saltcourse.gossip.settings import NodeSettings, Voter, default_bytes_per_s
 
-COUNT_INTERVAL = 1.0  # s between the connection counts that a proxy publishes, as its host does
+COUNT_INTERVAL = 1.0  # seconds between the connection counts that a proxy publishes, as in the gossip host
 LEFT_KEY = "scale/{}/left"
 RIGHT_KEY = "scale/{}/right"
 PADDING_KEY = "scale/{}/padding"
 CHANGE_KEY = re.compile(r"scale/(\d+)/(?:left|right)")
-DIGEST_BYTES = 7  # of a configuration: it stays a whole number in JSON
+DIGEST_BYTES = 7  # short enough that the digest is an integer in JSON
 
 
 class GossipMember(SimulatedMember):
@@ -69,17 +70,17 @@
         self._node = self._measured(Node, node_settings(context), context.random, stored)
 
     def start(self, now: float) -> Output:
-        """Starts the node and its connections."""
+        """Start the node and open the initial connections."""
         self._churn.start(now)
         self._next_count_at = now + COUNT_INTERVAL
         return self._output(self._measured(self._start, now))
 
     def receive(self, now: float, source: Address, datagram: bytes) -> Output:
-        """Takes one datagram."""
+        """Process one received datagram."""
         return self._handle(now, Received(source, datagram))
 
     def tick(self, now: float) -> Output:
-        """Publishes the connection count of a proxy, or lets the node's timers expire."""
+        """Publish the proxy's connection count if its interval has passed, else run the node's timers."""
         if self.context.spec.role is Role.PROXY and now >= self._next_count_at:
             self._churn.begun(now)
             self._churn.ended(now)
@@ -88,15 +89,15 @@
         return self._handle(now, Tick())
 
     def publish(self, now: float, change: int, padding: int) -> Output:
-        """Writes the two keys of the change, and one more for the padding."""
+        """Publish the two keys of the change, and a third key for the padding."""
         return self._handle(now, Publish(change, change_writes(change, padding)))
 
     def is_publisher(self) -> bool:
-        """Whether this voter leads the quorum."""
+        """Return whether this member is the quorum's publisher."""
         return self._node.quorum is not None and self._node.quorum.phase is Phase.PUBLISHING
 
     def view(self) -> MembersView:
-        """The members whose status is alive here."""
+        """Return the members whose status is ALIVE at this member."""
         own = self.context.spec.id
         alive = [
             member
@@ -106,7 +107,7 @@
         return view_of(own, alive)
 
     def stored(self) -> ReplicaState | None:
-        """The newest state that the node has persisted."""
+        """Return the last state that the node persisted."""
         return self._state
 
     def _handle(self, now: float, event: Event) -> Output:
@@ -148,7 +149,7 @@
 
 
 def node_settings(context: MemberContext) -> NodeSettings:
-    """Every member joins by the control members, and knows the voters."""
+    """Return the gossip settings of a member, with all control members as its seeds."""
     control = [spec for spec in context.topology.members if spec.role is Role.CONTROL]
     return NodeSettings(
         own_record=member_record(context.spec, context.address, context.process_id),
@@ -160,12 +161,12 @@
 
 
 def member_record(spec: MemberSpec, address: Address, process_id: int) -> MemberRecord:
-    """The record under which a member joins."""
+    """Return the membership record that a member joins with."""
     return MemberRecord(spec.name, address, spec.region, spec.zone, spec.role, 0, process_id)
 
 
 def change_writes(change: int, padding: int = 0) -> tuple[Write, ...]:
-    """The writes of the operator's change of this number; ``padding`` bytes more go to a third key."""
+    """Return the writes of the operator's change; with ``padding``, a third key has that many bytes."""
     value = str(change).encode()
     writes: tuple[Write, ...] = (LEFT_KEY.format(change), value), (RIGHT_KEY.format(change), value)
     if padding:
@@ -176,7 +177,10 @@
 def observe_applied(
     applied: list[Applied], configuration: Mapping[str, bytes]
 ) -> list[ConfigurationObserved]:
-    """One for each version; only the last one has the digest, as the node shows the newest state alone."""
+    """Return one observation for each applied version.
+
+    Only the last one has a digest, because the node exposes only its newest configuration.
+    """
     found = []
     for number, action in enumerate(applied):
         changes = changes_of(action.changed)
@@ -194,19 +198,19 @@
 
 
 def changes_of(keys: Iterable[str]) -> tuple[int, ...]:
-    """Numbers of the operator's changes that wrote any of these keys."""
+    """Return the numbers of the operator's changes that wrote any of these keys."""
     matches = [CHANGE_KEY.fullmatch(key) for key in keys]
     return tuple(sorted({int(match[1]) for match in matches if match is not None}))
 
 
 def is_torn(change: int, configuration: Mapping[str, bytes]) -> bool:
-    """Whether only a part of the change is in the configuration."""
+    """Return whether the two keys of the change differ or the first one is missing."""
     left = configuration.get(LEFT_KEY.format(change))
     return left is None or left != configuration.get(RIGHT_KEY.format(change))
 
 
 def configuration_digest(configuration: Mapping[str, bytes]) -> int:
-    """A digest that does not depend on the order of the keys."""
+    """Return a digest of the configuration that does not depend on the order of its keys."""
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for key in sorted(configuration):
         digest.update(f"{len(key)} {key} {len(configuration[key])} ".encode())
--- a/saltcourse/emulator/scale/history.py
+++ b/saltcourse/emulator/scale/history.py
@@ -1,6 +1,6 @@
-"""Which members ran when, and which could reach each other.
+"""Reconstructs when each member ran and which members could reach each other.
 
-Worked out from the actions that the workers carried out, not from the plan.
+The input is the fault actions that the workers recorded, not the planned timeline.
 """
 
 from __future__ import annotations
@@ -17,30 +17,30 @@
 
 @dataclass(frozen=True, slots=True)
 class Interval:
-    """A span of time in seconds since the begin of the run."""
+    """A time interval in seconds since the start of the run."""
 
     begin: float
-    end: float  # infinite where it did not end in the run
+    end: float  # infinite if the interval did not end during the run
 
     def overlaps(self, begin: float, end: float) -> bool:
-        """Whether the two spans have a moment in common."""
+        """Return whether the interval and the given one (both ends included) have a moment in common."""
         return self.begin <= end and begin <= self.end
 
     def contains(self, at: float) -> bool:
-        """Whether the moment is within the span; its end is not."""
+        """Return whether ``at`` is within the interval; the end is excluded."""
         return self.begin <= at < self.end
 
 
 @dataclass(frozen=True, slots=True)
 class Outage:
-    """A member that was killed, and when it was started again."""
+    """The time from the kill of a member to its restart."""
 
     member: int
     interval: Interval
 
 
 class _Outages:
-    """Builds the spans in which members were down or stopped, from actions in the order of time."""
+    """Builds the intervals in which members were down or stopped, from actions in time order."""
 
     def __init__(self, topology: Topology) -> None:
         self.outages: list[Outage] = []
@@ -65,7 +65,7 @@
                 self._end_stop(member, record.at)
 
     def finish(self) -> None:
-        """Whoever has not come back stays away for ever."""
+        """Add intervals without an end for the members that are still down or stopped."""
         for member, at in self._killed.items():
             self._add_outage(member, Interval(at, math.inf))
         for member, at in self._stopped.items():
@@ -81,7 +81,11 @@
 
 
 class _Partitions:
-    """Builds the spans of partitions. Each worker records both ends, at slightly different times."""
+    """Builds the intervals of partitions.
+
+    Each worker records the begin and end of a partition, at slightly different times: an interval lasts from
+    the first begin to the last end.
+    """
 
     def __init__(self) -> None:
         self.intervals: list[Interval] = []
@@ -94,17 +98,17 @@
             case FaultAction.HEAL if self._begin < math.inf:
                 self.intervals.append(Interval(self._begin, record.at))
                 self._begin = math.inf
-            case FaultAction.HEAL if self.intervals:  # another worker's: all have healed with the last one
+            case FaultAction.HEAL if self.intervals:  # recorded by another worker: extend to the latest end
                 self.intervals[-1] = Interval(self.intervals[-1].begin, record.at)
 
     def finish(self) -> None:
-        """A partition that was not healed lasts for ever."""
+        """Add an interval without an end for a partition that was not healed."""
         if self._begin < math.inf:
             self.intervals.append(Interval(self._begin, math.inf))
 
 
 class History:
-    """Outages, stops and partitions of a run. Times are seconds since its begin."""
+    """Outages, stops and partitions of a run. Times are seconds since its start."""
 
     def __init__(self, topology: Topology, records: Iterable[Lifecycle]) -> None:
         self._topology = topology
@@ -122,7 +126,7 @@
         self._unavailable = outages.unavailable
 
     def live(self, at: float) -> list[MemberSpec]:
-        """Members that run and are not stopped."""
+        """Return the members that run and are not stopped at this time."""
         return [
             spec
             for spec in self._topology.members
@@ -131,27 +135,30 @@
         ]
 
     def ran_throughout(self, member: int, begin: float, end: float) -> bool:
-        """Whether one process of the member ran through all of this time, and was never stopped."""
+        """Return whether the same process of the member ran from ``begin`` to ``end`` and was not stopped."""
         started = self._running_from.get(member, math.inf)
         return started <= begin and not any(
             interval.overlaps(begin, end) for interval in self._unavailable[member]
         )
 
     def undisturbed(self, member: int, begin: float, end: float) -> bool:
-        """Like ``present``, but the member may have been started for the first time meanwhile."""
+        """Return whether the member was neither killed nor stopped between ``begin`` and ``end``.
+
+        Unlike in ``ran_throughout``, the member's first start may be in this interval.
+        """
         started = self._running_from.get(member, math.inf)
         return started <= end and not any(
             interval.overlaps(begin, end) for interval in self._unavailable[member]
         )
 
     def partitioned_between(self, one: int, other: int, begin: float, end: float) -> bool:
-        """Whether a partition separated the two members at any time."""
+        """Return whether a partition separated the two members at any time in the interval."""
         if self._in_first_region(one) == self._in_first_region(other):
             return False
         return any(partition.overlaps(begin, end) for partition in self.partitions)
 
     def in_minority(self, member: int, begin: float, end: float) -> bool:
-        """Whether a partition separated the member from a majority of the voters at any time."""
+        """Return whether a partition separated the member from a majority of voters in the interval."""
         side = self._in_first_region(member)
         same_side = [voter for voter in self._topology.voters if self._in_first_region(voter.index) == side]
         return 2 * len(same_side) <= len(self._topology.voters) and any(
@@ -159,7 +166,7 @@
         )
 
     def zone_lost(self, member: int, at: float) -> bool:
-        """Whether all members of the member's zone were down."""
+        """Return whether no member of the member's zone was running at this time."""
         zone = self._topology.members[member].zone
         return not any(spec.zone == zone for spec in self.live(at))
 
@@ -168,18 +175,18 @@
 
 
 class ValueHistory:
-    """Values that a member reported, each in force until its next one."""
+    """A series of reported values, each valid until the next one."""
 
     def __init__(self) -> None:
         self._times: list[float] = []
         self._values: list[tuple[int, int]] = []
 
     def add(self, at: float, value: tuple[int, int]) -> None:
-        """Appends a value; calls come in the order of time."""
+        """Append a value. Calls must be in time order."""
         self._times.append(at)
         self._values.append(value)
 
     def at(self, at: float) -> tuple[int, int] | None:
-        """The value in force at this moment; None before the first one."""
+        """Return the value that is valid at this time, or None before the first one."""
         position = bisect_right(self._times, at)
         return self._values[position - 1] if position else None
--- a/saltcourse/emulator/scale/hosted_member.py
+++ b/saltcourse/emulator/scale/hosted_member.py
@@ -1,4 +1,4 @@
-"""What a worker keeps of each member that it hosts."""
+"""The state that a worker keeps for each member that it hosts."""
 
 from __future__ import annotations
 
@@ -8,25 +8,28 @@
 
 
 class HostedMember:
-    """One member over all its processes: ``process`` is the one that runs now, None while it is down."""
+    """One member across restarts.
+
+    ``process`` is the simulated process that currently runs, or None while the member is down.
+    """
 
     def __init__(self, spec: MemberSpec) -> None:
         self.spec = spec
         self.process: SimulatedMember | None = None
         self.stopped = False
-        self.waiting: list[tuple[Address, bytes]] = []  # datagrams that arrived while it was stopped
-        self.timer: float | None = None  # when the earliest of its queued timers expires
+        self.waiting: list[tuple[Address, bytes]] = []  # datagrams received while stopped
+        self.timer: float | None = None  # expiry of the earliest queued timer, CLOCK_MONOTONIC
         self.sent = 0  # bytes since the last load record
-        self.received = 0
-        self.cpu = 0.0  # s, of its earlier processes
-        self.cpu_recorded = 0.0
+        self.received = 0  # bytes since the last load record
+        self.cpu = 0.0  # CPU seconds used by earlier processes of the member
+        self.cpu_recorded = 0.0  # CPU seconds reported by cpu_delta() so far
         self.view: MembersView | None = None
         self.not_alive: dict[str, Status] = {}
-        self.stored: object = None  # its disk, for its next process
-        self.publishing: set[int] = set()  # changes whose result the operator waits for
+        self.stored: object = None  # persisted state that the next process starts with
+        self.publishing: set[int] = set()  # changes whose result is still pending
 
     def cpu_delta(self) -> float:
-        """Seconds of CPU since the last call."""
+        """Return the CPU seconds that the member used since the previous call."""
         total = self.cpu + (self.process.cpu if self.process is not None else 0.0)
         spent, self.cpu_recorded = total - self.cpu_recorded, total
         return spent
--- a/saltcourse/emulator/scale/mechanisms.py
+++ b/saltcourse/emulator/scale/mechanisms.py
@@ -1,4 +1,4 @@
-"""The mechanisms that a scale run can measure. Each is imported only where it runs."""
+"""The mechanisms that a scale run can measure. A mechanism is imported only by the processes that run it."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 
 def member_class(mechanism: str) -> type[SimulatedMember]:
-    """The member class of a mechanism.
+    """Return the member class of a mechanism.
 
-    Raises ImportError where the mechanism is not part of this version of the program.
+    Raises ImportError if this version of the program does not include the mechanism.
     """
     if mechanism == MESH:
         from saltcourse.emulator.scale.mesh import MeshMember
--- a/saltcourse/emulator/scale/member_host.py
+++ b/saltcourse/emulator/scale/member_host.py
@@ -1,4 +1,4 @@
-"""Moves datagrams and timers of the members of one worker, over links with delay, loss and partitions."""
+"""Delivers datagrams and timers to the members of one worker, over links with delay, loss and partitions."""
 
 from __future__ import annotations
 
@@ -11,13 +11,14 @@
 from saltcourse.emulator.scale.timer_queue import TimerQueue
 from saltcourse.gossip.messages import PACKET_OVERHEAD_BYTES, Address, Transmit
 
-MIN_TIMER_DELAY = 0.001  # s, as in the gossip's host: a deadline that does not move must not spin
+MIN_TIMER_DELAY = 0.001  # seconds, as in the gossip host: avoids a busy loop if a deadline does not advance
 
 
 class MemberHost:
-    """``observe`` is called with each observation that a member reports.
+    """Runs the steps of hosted members and their I/O.
 
-    ``real`` are the addresses of processes of their own.
+    ``observe`` is called with each observation that a member reports. ``real`` holds the addresses of real
+    proxies.
     """
 
     def __init__(
@@ -35,13 +36,13 @@
         self._observe = observe
 
     def datagram_arrived(self, hosted: HostedMember, source: Address, datagram: bytes) -> None:
-        """A datagram came on the member's socket: it is delivered after the link's delay, or lost."""
+        """Deliver a datagram from the member's socket after the link's delay, or drop it."""
         delay = self._links.draw_delay(hosted.spec.zone, source)
         if delay is not None:
             self._timers.call_at(time.monotonic() + delay, lambda: self._deliver(hosted, source, datagram))
 
     def execute(self, hosted: HostedMember, output: Output) -> None:
-        """Sends the datagrams of a member's step, passes its observations on and sets its timer."""
+        """Send the datagrams of a member's step, report its observations and set its timer."""
         for transmit in output.datagrams:
             hosted.sent += len(transmit.datagram) + PACKET_OVERHEAD_BYTES
             if transmit.destination in self._real:
@@ -53,24 +54,24 @@
         self._set_timer(hosted)
 
     def pause(self, hosted: HostedMember) -> None:
-        """Gives the member no further events; its datagrams wait."""
+        """Stop delivering events to the member; its datagrams are queued."""
         hosted.stopped = True
         self._sockets.unwatch(hosted.spec.index)
 
     def unpause(self, hosted: HostedMember) -> None:
-        """Reads the member's socket again."""
+        """Resume reading the member's socket."""
         hosted.stopped = False
         self._sockets.watch(hosted.spec.index)
 
     def deliver_waiting(self, hosted: HostedMember) -> None:
-        """Delivers what arrived while the member was paused."""
+        """Deliver the datagrams that were queued while the member was paused."""
         waiting, hosted.waiting = hosted.waiting, []
         for source, datagram in waiting:
             self._deliver(hosted, source, datagram)
         self._set_timer(hosted)
 
     def set_partition(self, partitioned: bool) -> None:
-        """Separates the first region from the others, or connects them again."""
+        """Separate the first region from the others, or reconnect them."""
         self._links.partitioned = partitioned
 
     def _deliver(self, hosted: HostedMember, source: Address, datagram: bytes) -> None:
@@ -83,7 +84,7 @@
         self.execute(hosted, hosted.process.receive(time.monotonic(), source, datagram))
 
     def _send_to_real(self, hosted: HostedMember, transmit: Transmit) -> None:
-        """Applies the link before the datagram is sent: no worker reads a real process's socket."""
+        """Apply the link before sending, because no worker reads a real process's socket."""
         delay = self._links.draw_delay(hosted.spec.zone, transmit.destination)
         if delay is None:
             return
@@ -95,7 +96,10 @@
         self._timers.call_at(time.monotonic() + delay, send)
 
     def _set_timer(self, hosted: HostedMember) -> None:
-        """A later deadline waits for the timer that is set; an earlier one gets its own."""
+        """Queue a timer for the member's next deadline.
+
+        If an earlier timer is queued already, the deadline is checked again when that timer expires.
+        """
         if hosted.process is None:
             return
         deadline = max(hosted.process.next_deadline, time.monotonic() + MIN_TIMER_DELAY)
@@ -105,7 +109,7 @@
 
     def _timer_expired(self, hosted: HostedMember, set_for: float) -> None:
         if hosted.timer != set_for:
-            return  # an earlier deadline replaced this timer
+            return  # an earlier timer replaced this one
         hosted.timer = None
         if hosted.process is None or hosted.stopped:
             return
--- a/saltcourse/emulator/scale/mesh.py
+++ b/saltcourse/emulator/scale/mesh.py
@@ -1,7 +1,7 @@
-"""A hollow member of the full mesh, ``saltcourse.shared_state``: the baseline of a scale run.
+"""A simulated proxy of the full mesh (``saltcourse.shared_state``), the baseline of a scale run.
 
-The mesh carries no configuration. Instead of a change the publisher announces one more record of its table,
-which reaches all proxies as a change would: with the next message, or by a resend after a loss.
+The mesh carries no configuration. For each change, the publisher announces one more group record instead,
+which reaches all proxies as a change would: with the next message, or by a retransmission after a loss.
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
 from saltcourse.shared_state.outbox import Outgoing
 from saltcourse.shared_state.state import SharedState
 
-TICK = 0.05  # s between its messages
+TICK = 0.05  # seconds between the messages of a proxy
 PUBLISHER = 0  # index of the member that publishes changes
-CHANGES_BACKEND = "changes"  # the backend under whose name they are announced
-BACKENDS_PER_GROUP = 2  # backends that a group's connections go to
+CHANGES_BACKEND = "changes"  # backend name of the group records that stand for changes
+BACKENDS_PER_GROUP = 2  # backends that serve the connections of one group
 
 
 class _BackendConnections:
-    """Established connections of this proxy at one backend."""
+    """The number of established connections of this proxy to one backend."""
 
     def __init__(self) -> None:
         self.count = 0
@@ -46,9 +46,9 @@
         self._backends = [f"server-{number}" for number in range(backend_count)]
         self._group_count = arrivals.groups_per_server * backend_count
         self._connections_by_backend = {backend: _BackendConnections() for backend in self._backends}
-        self._connections_by_pair: dict[tuple[str, str], int] = {}  # connections of a group at a backend
+        self._connections_by_pair: dict[tuple[str, str], int] = {}  # (backend, group) -> connections
         self._churn = ConnectionChurn(arrivals, context.random)
-        self._pair_by_connection: dict[int, tuple[str, str]] = {}  # by connection
+        self._pair_by_connection: dict[int, tuple[str, str]] = {}  # connection number -> (backend, group)
         self._changes_seen = 0
         self._lost_peers: set[int] = set()
         self._indexes = {address: index for index, address in enumerate(context.addresses)}
@@ -65,13 +65,13 @@
         )
 
     def start(self, now: float) -> Output:
-        """Opens the initial connections and sends the first messages."""
+        """Open the initial connections and send the first messages."""
         for number in self._churn.start(now):
             self._connect(number)
         return self.tick(now)
 
     def receive(self, now: float, source: Address, datagram: bytes) -> Output:
-        """Takes one message; those of unknown senders are ignored."""
+        """Process one message. Messages from unknown senders are ignored."""
         index = self._indexes.get(source)
         if index is None:
             return Output()
@@ -85,13 +85,13 @@
         return self._shared_state.outgoing_messages(now)
 
     def tick(self, now: float) -> Output:
-        """Opens and ends connections, and sends what is new."""
+        """Open and close connections, and send the resulting updates."""
         self._update_connections(now)
         self.next_deadline = now + TICK
         return self._output(self._measured(self._shared_state.outgoing_messages, now))
 
     def publish(self, now: float, change: int, padding: int) -> Output:
-        """Announces the change's record; it counts as committed at once. ``padding`` is ignored."""
+        """Announce the group record of the change, which counts as committed at once. Ignores ``padding``."""
         self._measured(self._shared_state.record_group, CHANGES_BACKEND, str(change), True)
         self._changes_seen = change + 1
         output = self.tick(now)
@@ -102,15 +102,15 @@
         return output
 
     def is_publisher(self) -> bool:
-        """Whether this is the one member that publishes."""
+        """Return whether this is the member with index ``PUBLISHER``."""
         return self.context.spec.index == PUBLISHER
 
     def view(self) -> MembersView:
-        """This proxy and its peers that are not lost."""
+        """Return the view with this proxy and all peers that are not lost."""
         specs = self.context.topology.members
         return view_of(self.context.spec.id, [specs[index].id for index in self._shared_state.peers])
 
-    # ---- what this member observes and sends -------------------------------------------------------------
+    # ---- datagrams and observations ----------------------------------------------------------------------
 
     def _output(self, sends: list[Outgoing]) -> Output:
         output = Output()
@@ -133,13 +133,13 @@
         self._lost_peers = lost
 
     def _observe_changes(self, output: Output) -> None:
-        """Changes that have arrived without a gap."""
+        """Observe the changes that have arrived, in order and without a gap."""
         while self._shared_state.peer_serves_group(CHANGES_BACKEND, str(self._changes_seen)):
             change = self._changes_seen
             self._changes_seen += 1
             output.observations.append(ConfigurationObserved(0, self._changes_seen, 0, (change,), ()))
 
-    # ---- its client connections ----------------------------------------------------------------------
+    # ---- emulated client connections ---------------------------------------------------------------------
 
     def _update_connections(self, now: float) -> None:
         for number in self._churn.begun(now):
@@ -148,7 +148,7 @@
             self._disconnect(number)
 
     def _connect(self, number: int) -> None:
-        """To one of the backends of its group, drawn at random."""
+        """Open a connection of a random group to a random backend of that group."""
         draw = self.context.random
         group = draw.randrange(self._group_count)
         choice = draw.randrange(BACKENDS_PER_GROUP)
--- a/saltcourse/emulator/scale/operator.py
+++ b/saltcourse/emulator/scale/operator.py
@@ -1,6 +1,6 @@
-"""The operator of a scale run: submits changes to the voters at their time, with retries.
+"""The operator of a scale run: submits the scheduled changes to the voters, with retries.
 
-No I/O and no clock: ``send`` passes each order to the worker that hosts the voter.
+No I/O and no clock: the callback ``send`` passes each request to the worker that hosts the voter.
 """
 
 from __future__ import annotations
@@ -13,24 +13,27 @@
 from saltcourse.emulator.scale.topology import Topology
 from saltcourse.emulator.scale.worker_messages import NOT_PUBLISHER, Publish, PublishResult
 
-RESULT_TIMEOUT = 5.0  # s, a little over the voters' own publish_timeout; then another one is tried
-RETRY_DELAY = 0.2  # s
-RETRY_DEADLINE = 60.0  # s from the first attempt
+RESULT_TIMEOUT = 5.0  # seconds per attempt; a little longer than the voters' own publish_timeout
+RETRY_DELAY = 0.2  # seconds between a failed attempt and the next one
+RETRY_DEADLINE = 60.0  # seconds from the first attempt; later failures are not retried
 NO_ANSWER = "no answer in time"
 
 
 @dataclass(slots=True)
-class _Pending:
+class _PendingChange:
     change: int
     publication: Publication
     first_submitted: float
-    voter: int  # its position among the voters
-    answer_until: float = 0.0
-    try_at: float | None = None  # when the next attempt begins; None while one is in flight
+    voter: int  # position in the list of voters
+    result_deadline: float = 0.0  # end of the current attempt
+    retry_at: float | None = None  # start of the next attempt; None while one is in flight
 
 
 class Operator:
-    """Submits each publication until a voter confirms it. Times are seconds since the begin of the run."""
+    """Submits each publication until a voter confirms it. Times are seconds since the start of the run.
+
+    Conflicting changes go to a voter in ``minority_region`` and are not retried.
+    """
 
     def __init__(
         self,
@@ -41,52 +44,52 @@
         minority_region: str,
     ) -> None:
         self._voters = [spec.index for spec in topology.voters]
-        self._minority = [
+        self._minority_voters = [
             number for number, spec in enumerate(topology.voters) if spec.region == minority_region
         ]
         self._send = send
         self._record = record
         self._waiting = list(timeline.publications)
-        self._pending: dict[int, _Pending] = {}
-        self._preferred = 0  # the voter that confirmed the last change
-        self._change = 0
+        self._pending: dict[int, _PendingChange] = {}
+        self._preferred_voter = 0  # the voter that confirmed the last change
+        self._next_change = 0
 
     def advance(self, now: float) -> None:
-        """Begins attempts whose time has come, and ends those without a result in time."""
+        """Submit the scheduled changes and retries up to ``now``, and time out attempts without a result."""
         while self._waiting and self._waiting[0].at <= now:
             self._begin(now, self._waiting.pop(0))
         for pending in list(self._pending.values()):
-            if pending.try_at is not None and pending.try_at <= now:
+            if pending.retry_at is not None and pending.retry_at <= now:
                 self._submit(now, pending)
-            elif pending.try_at is None and pending.answer_until <= now:
-                self._failed(now, pending, NO_ANSWER)
+            elif pending.retry_at is None and pending.result_deadline <= now:
+                self._attempt_failed(now, pending, NO_ANSWER)
 
     def result_received(self, now: float, result: PublishResult) -> None:
-        """Takes a voter's result; one of an attempt that timed out still confirms its change."""
+        """Process a voter's result. A late confirmation of an attempt that timed out still counts."""
         pending = self._pending.get(result.change)
         if pending is None:
-            return  # the change was abandoned, or is confirmed once more
+            return  # the change was abandoned or is already confirmed
         if not result.reason:
             self._record(Confirmed(now, result.change, result.member, result.epoch, result.version))
-            self._preferred = self._voters.index(result.member)
+            self._preferred_voter = self._voters.index(result.member)
             del self._pending[result.change]
-        elif pending.try_at is None and result.member == self._voters[pending.voter]:
-            self._failed(now, pending, result.reason)
+        elif pending.retry_at is None and result.member == self._voters[pending.voter]:
+            self._attempt_failed(now, pending, result.reason)
 
     def _begin(self, now: float, publication: Publication) -> None:
-        voter = self._preferred
+        voter = self._preferred_voter
         if publication.kind is PublicationKind.CONFLICT:
-            if not self._minority:
+            if not self._minority_voters:
                 return
-            voter = self._minority[0]
-        pending = _Pending(self._change, publication, now, voter)
-        self._pending[self._change] = pending
-        self._change += 1
+            voter = self._minority_voters[0]
+        pending = _PendingChange(self._next_change, publication, now, voter)
+        self._pending[self._next_change] = pending
+        self._next_change += 1
         self._submit(now, pending)
 
-    def _submit(self, now: float, pending: _Pending) -> None:
-        pending.try_at = None
-        pending.answer_until = now + RESULT_TIMEOUT
+    def _submit(self, now: float, pending: _PendingChange) -> None:
+        pending.retry_at = None
+        pending.result_deadline = now + RESULT_TIMEOUT
         voter = self._voters[pending.voter]
         publication = pending.publication
         self._record(ChangeSubmitted(now, pending.change, voter, publication.kind.value))
@@ -95,7 +98,7 @@
         else:
             self._send(Publish(pending.change, voter, padding=publication.padding))
 
-    def _failed(self, now: float, pending: _Pending, reason: str) -> None:
+    def _attempt_failed(self, now: float, pending: _PendingChange, reason: str) -> None:
         self._record(NotConfirmed(now, pending.change, self._voters[pending.voter], reason))
         if (
             pending.publication.kind is PublicationKind.CONFLICT
@@ -104,7 +107,7 @@
             del self._pending[pending.change]
             return
         if pending.publication.kind is PublicationKind.LOSE_PUBLISHER and reason != NOT_PUBLISHER:
-            # The publisher has been killed by now; the change itself is retried like any other.
+            # The publisher was killed. Retry as an ordinary change, so that only one publisher is killed.
             pending.publication = Publication(pending.publication.at, PublicationKind.CHANGE)
         pending.voter = (pending.voter + 1) % len(self._voters)
-        pending.try_at = now + RETRY_DELAY
+        pending.retry_at = now + RETRY_DELAY
--- a/saltcourse/emulator/scale/publications.py
+++ b/saltcourse/emulator/scale/publications.py
@@ -1,4 +1,4 @@
-"""The operator's changes at the members of one worker, and their results."""
+"""Passes the operator's changes to the members of one worker, and their results back."""
 
 from __future__ import annotations
 
@@ -19,34 +19,34 @@
 
 
 class PublicationResults:
-    """Sends the result of each publication to the operator, once."""
+    """Sends one result of each publish request to the operator."""
 
     def __init__(self, send: Callable[[PublishResult], None]) -> None:
         self._send = send
 
     def confirmed(self, hosted: HostedMember, seen: PublicationConfirmed) -> None:
-        """The change was committed."""
+        """Report that the change was committed."""
         hosted.publishing.discard(seen.change)
         self._send(PublishResult(seen.change, hosted.spec.index, "", seen.epoch, seen.version))
 
     def failed(self, hosted: HostedMember, seen: PublicationFailed) -> None:
-        """The member could not commit the change."""
+        """Report that the member did not commit the change."""
         hosted.publishing.discard(seen.change)
         self._send(PublishResult(seen.change, hosted.spec.index, seen.reason))
 
     def rejected(self, change: int, member: int, reason: str) -> None:
-        """The worker did not give the change to the member."""
+        """Report that the worker did not pass the change to the member."""
         self._send(PublishResult(change, member, reason))
 
     def member_killed(self, hosted: HostedMember) -> None:
-        """The operator's connection to the member breaks."""
+        """Report failure of all pending changes: a killed member's operator connections break."""
         for change in hosted.publishing:
             self._send(PublishResult(change, hosted.spec.index, DOWN))
         hosted.publishing = set()
 
 
 class PublicationHandler:
-    """Gives the operator's changes to the members."""
+    """Passes the operator's changes to the members."""
 
     def __init__(
         self,
@@ -63,7 +63,10 @@
         self._results = results
 
     def publish(self, request: Publish) -> None:
-        """The result goes to the operator now, or when the member has one."""
+        """Pass the change to the member, or reject it if the member cannot publish it.
+
+        The result is sent to the operator at once or when the member reports it.
+        """
         hosted = self._members[request.member]
         process = hosted.process
         if process is None or hosted.stopped:
--- a/saltcourse/emulator/scale/recorder.py
+++ b/saltcourse/emulator/scale/recorder.py
@@ -1,4 +1,4 @@
-"""Writes down what the members of a worker observe and spend."""
+"""Records the observations, load and views of a worker's members."""
 
 from __future__ import annotations
 
@@ -28,31 +28,31 @@
 from saltcourse.emulator.scale.topology import Topology
 from saltcourse.gossip.messages import Status
 
-EVERYONE = -1  # the member of a partition's records
+ALL_MEMBERS = -1  # member index in the records of partitions
 
 
 class Recorder:
-    """Records of one worker, stamped with seconds since the begin of the run."""
+    """Writes the records of one worker, with times in seconds since the start of the run."""
 
     def __init__(self, path: Path, topology: Topology) -> None:
         self._writer = RecordWriter(path)
         self._index_by_name = {spec.name: spec.index for spec in topology.members}
-        self.begin = 0.0  # CLOCK_MONOTONIC of the run's begin
+        self.begin = 0.0  # start of the run, CLOCK_MONOTONIC
 
     def close(self) -> None:
-        """Closes the file of records."""
+        """Flush and close the record file."""
         self._writer.close()
 
-    def lifecycle(self, action: FaultAction, member: int = EVERYONE) -> None:
-        """An action that was carried out on one member, or on the links of all."""
+    def lifecycle(self, action: FaultAction, member: int = ALL_MEMBERS) -> None:
+        """Record an action that was carried out on one member, or on the links of all members."""
         self._writer.write(Lifecycle(self._now(), member, action.value))
 
     def freshness(self, hosted: HostedMember, seen: FreshnessObserved) -> None:
-        """The member knows that it may be stale, or no longer is."""
+        """Record that the member's configuration became possibly stale or current."""
         self._writer.write(FreshnessSeen(self._now(), hosted.spec.index, seen.stale))
 
     def configuration(self, hosted: HostedMember, seen: ConfigurationObserved) -> None:
-        """A version came into force at the member."""
+        """Record a configuration version that came into force at the member."""
         self._writer.write(
             ConfigurationSeen(
                 self._now(),
@@ -66,9 +66,9 @@
         )
 
     def status(self, hosted: HostedMember, seen: StatusObserved) -> None:
-        """The member changed its view of another one.
+        """Record that the member changed its view of another member.
 
-        Only faults and the end of faults are recorded, not that members learn of each other at the start.
+        Only failures and recoveries are recorded; the discovery of members at the start of the run is not.
         """
         other = self._index_by_name.get(seen.name)
         if other is None or hosted.not_alive.get(seen.name, Status.ALIVE) == seen.status:
@@ -80,7 +80,7 @@
         self._writer.write(StatusSeen(self._now(), hosted.spec.index, other, int(seen.status)))
 
     def loads(self, members: Collection[HostedMember]) -> None:
-        """What each member sent, received and computed since the last call."""
+        """Record the bytes and CPU time of each member since the previous call, and flush the file."""
         at = self._now()
         for hosted in members:
             self._writer.write(Load(at, hosted.spec.index, hosted.sent, hosted.received, hosted.cpu_delta()))
@@ -88,7 +88,7 @@
         self._writer.flush()
 
     def views(self, members: Collection[HostedMember]) -> None:
-        """Which members each running one considers alive, where that has changed."""
+        """Record the view of each running member whose view has changed."""
         at = self._now()
         for hosted in members:
             if hosted.process is None or hosted.stopped:
@@ -99,7 +99,7 @@
                 self._writer.write(View(at, hosted.spec.index, view.count, view.digest))
 
     def usage(self, members: int, memory_before: int, cpu: float, lag: LagSample, dropped: int) -> None:
-        """Resources of the process: bytes of memory, seconds of CPU, datagrams that the kernel dropped."""
+        """Record the worker's resources: memory in bytes, CPU in seconds, datagrams dropped by the kernel."""
         self._writer.write(
             WorkerUsage(
                 members=members,
@@ -117,6 +117,6 @@
 
 
 def resident_memory() -> int:
-    """Bytes of this process, as the kernel counts them."""
+    """Return the resident memory of this process in bytes."""
     with open("/proc/self/statm") as file:
         return int(file.read().split()[1]) * os.sysconf("SC_PAGE_SIZE")
--- a/saltcourse/emulator/scale/records.py
+++ b/saltcourse/emulator/scale/records.py
@@ -1,7 +1,7 @@
-"""What the members of a scale run observed and spent: records in files, one JSON array a line.
+"""The records of a scale run and their file format: one JSON array per line, class name and field values.
 
-Times are seconds of CLOCK_MONOTONIC, which all processes of a machine share, counted from the begin of the
-run. Members are indexes of the topology.
+Class names and field order are part of the format. Times (``at``) are seconds since the start of the run on
+CLOCK_MONOTONIC, which all processes of a machine share. Members are indexes into ``Topology.members``.
 """
 
 from __future__ import annotations
@@ -29,7 +29,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """What a member spent in the second that ends at ``at``: bytes with all headers, CPU in seconds."""
+    """The load of a member in the second that ends at ``at``.
+
+    ``sent`` and ``received`` are bytes with IP and UDP headers; ``cpu`` is CPU time in seconds.
+    """
 
     at: float
     member: int
@@ -40,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class View:
-    """The members that one considers alive, itself included: their count and the XOR of their ids."""
+    """The members that ``member`` considers alive, including itself: their count and the XOR of their ids."""
 
     at: float
     member: int
@@ -50,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StatusSeen:
-    """From now on ``member`` believes this of ``other``."""
+    """``member`` changed its view of ``other`` to ``status``, a value of ``gossip.messages.Status``."""
 
     at: float
     member: int
@@ -60,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FreshnessSeen:
-    """From now on the member reports that its configuration may be stale, or no longer is."""
+    """The member began to report that its configuration may be stale, or that it is current again."""
 
     at: float
     member: int
@@ -69,10 +72,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationSeen:
-    """The configuration in force at ``member``; ``digest`` is of all of it.
+    """A configuration version that came into force at ``member``.
 
-    ``changes`` are the numbers of the operator's changes that came with it, ``torn`` those of which only a
-    part is there.
+    ``digest`` covers the whole configuration (0: not reported). ``changes`` are the numbers of the operator's
+    changes that the version applied, ``torn`` those of them that were applied only partially.
     """
 
     at: float
@@ -107,7 +110,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NotConfirmed:
-    """One submission of a change failed."""
+    """One attempt to submit a change failed or timed out."""
 
     at: float
     change: int
@@ -117,22 +120,22 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerUsage:
-    """Resources of one worker process. ``lag``: seconds by which timers were handled late."""
+    """Resources of one worker process. ``lag_p99`` and ``lag_max`` are timer delays in seconds."""
 
     members: int
     memory_without_members: int  # bytes of resident memory
-    memory_at_end: int
-    cpu: float  # of the whole process over the run, the harness included
+    memory_at_end: int  # bytes of resident memory
+    cpu: float  # CPU seconds of the whole process during the run, emulator included
     lag_p99: float
     lag_max: float
-    dropped: int  # datagrams that the kernel had no room for
+    dropped: int  # datagrams that the kernel dropped for lack of buffer space
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessSample:
-    """Of a real process, from /proc: seconds of CPU since its start, and bytes of resident memory.
+    """CPU seconds since the start of a real process and its resident memory in bytes, from /proc.
 
-    Member BASELINE_PROCESS is the one that runs without the feature.
+    The member BASELINE_PROCESS is the process that runs without gossip.
     """
 
     at: float
@@ -141,7 +144,7 @@
     memory: int
 
 
-BASELINE_PROCESS = -1
+BASELINE_PROCESS = -1  # member index of the real process without gossip
 Record = (
     Lifecycle
     | Load
@@ -160,35 +163,35 @@
 
 
 class RecordError(Exception):
-    """A line of a file is not a record; the text has the line's begin."""
+    """A line of a record file is not a valid record."""
 
 
 class RecordWriter:
-    """Writes records to a new file."""
+    """Writes records to a file, replacing its content."""
 
     def __init__(self, path: Path) -> None:
         self._file: TextIO = path.open("w")
 
     def write(self, record: Record) -> None:
-        """Appends a record; a buffer may keep it until ``flush``."""
+        """Append a record, buffered until ``flush`` or ``close``."""
         self._file.write(encode(record))
 
     def flush(self) -> None:
-        """Writes what the buffer has."""
+        """Write all buffered records to the file."""
         self._file.flush()
 
     def close(self) -> None:
-        """Flushes and closes the file."""
+        """Flush and close the file."""
         self._file.close()
 
 
 def encode(record: Record) -> str:
-    """One line with its line end."""
+    """Return the record as one line, including the newline."""
     return json.dumps([type(record).__name__, *astuple(record)]) + "\n"
 
 
 def decode(line: str) -> Record:
-    """The record of one line. Raises RecordError."""
+    """Parse one line. Raises RecordError if it is not a valid record."""
     try:
         name, *values = json.loads(line)
         kind = KINDS[name]
@@ -196,13 +199,13 @@
             raise ValueError
         return kind(*values)
     except (ValueError, KeyError, TypeError):
-        raise RecordError(f"not a record: {line[:80]!r}") from None
+        raise RecordError(f"line is not a valid record: {line[:80]!r}") from None
 
 
 def read_records(paths: Iterable[Path]) -> Iterator[Record]:
-    """The records of all files. Raises RecordError on a line that is not one.
+    """Yield the records of all files. Raises RecordError on an invalid line.
 
-    A last line without a line end is skipped: a killed process may have written a part of it.
+    A line without a newline at the end of a file is skipped: it was truncated when its writer was killed.
     """
     for path in paths:
         with path.open() as file:
--- a/saltcourse/emulator/scale/report.py
+++ b/saltcourse/emulator/scale/report.py
@@ -1,4 +1,7 @@
-"""The metrics of all runs: one flat JSON object, a table and a chart."""
+"""Reports the metrics of all runs as a flat JSON object, a table and a chart.
+
+The keys of the JSON object are read by scripts and do not change.
+"""
 
 from __future__ import annotations
 
@@ -11,9 +14,9 @@
 from saltcourse.emulator.scale.summary import Summary, growth_exponent
 
 Value = float | int | bool | str | None
-BUDGET_BYTES_PER_S = 21_000.0  # of issue 32, sent plus received; drawn in the chart
-BUDGET_CPU_SHARE = 0.026
-DIGITS = 5
+BUDGET_BYTES_PER_S = 21_000.0  # a proxy's budget for control traffic (issue 32), sent plus received
+BUDGET_CPU_SHARE = 0.026  # a proxy's budget for control work, fraction of a core
+DIGITS = 5  # decimal places of numbers in the JSON object
 COLUMNS = (
     "proxies",
     "B/s mean",
@@ -36,7 +39,7 @@
 
 
 def flat_metrics(runs: Sequence[RunMetrics]) -> dict[str, Value]:
-    """One flat object for all runs. Keys of the mesh begin with ``mesh_``."""
+    """Return one flat object for all runs. Keys of mesh runs begin with ``mesh_``."""
     found: dict[str, Value] = {}
     for metrics in runs:
         for key, value in _metrics_of_run(metrics):
@@ -45,16 +48,16 @@
         chosen = [
             metrics for metrics in runs if metrics.mechanism == mechanism and metrics.proxies is not None
         ]
-        start = f"{mechanism}_" if mechanism == MESH else ""
-        sizes = {f.size: f.proxies.bytes_per_s.mean for f in chosen if f.proxies is not None}
-        shares = {f.size: f.proxies.cpu_share.mean for f in chosen if f.proxies is not None}
-        found[f"{start}bytes_growth_exponent"] = _rounded(growth_exponent(sizes))
-        found[f"{start}cpu_growth_exponent"] = _rounded(growth_exponent(shares))
+        key_prefix = f"{mechanism}_" if mechanism == MESH else ""
+        byte_rates = {run.size: run.proxies.bytes_per_s.mean for run in chosen if run.proxies is not None}
+        cpu_shares = {run.size: run.proxies.cpu_share.mean for run in chosen if run.proxies is not None}
+        found[f"{key_prefix}bytes_growth_exponent"] = _rounded(growth_exponent(byte_rates))
+        found[f"{key_prefix}cpu_growth_exponent"] = _rounded(growth_exponent(cpu_shares))
     return found
 
 
 def prefix(metrics: RunMetrics) -> str:
-    """What the keys of a run begin with."""
+    """Return the prefix of a run's keys."""
     return "mesh_" if metrics.mechanism == MESH else ""
 
 
@@ -145,7 +148,10 @@
 
 
 def table(runs: Sequence[RunMetrics]) -> str:
-    """Plain text; bytes are sent plus received, CPU is in per cent of a core, times are in seconds."""
+    """Return a plain-text table, one row per run.
+
+    Bytes are sent plus received, CPU is in percent of a core, times are in seconds.
+    """
     rows = [COLUMNS, *[_row(metrics) for metrics in runs]]
     widths = [max(len(row[column]) for row in rows) for column in range(len(COLUMNS))]
     lines = ["  ".join(cell.rjust(width) for cell, width in zip(row, widths, strict=True)) for row in rows]
@@ -178,7 +184,7 @@
 
 
 def chart(runs: Sequence[RunMetrics], path: Path) -> None:
-    """Bytes and CPU of a proxy over the size of the fleet. ImportError without matplotlib."""
+    """Draw bytes and CPU per proxy over the fleet size. Raises ImportError if matplotlib is not installed."""
     importlib.import_module("matplotlib").use("Agg")
     pyplot = importlib.import_module("matplotlib.pyplot")
     figure, (left, right) = pyplot.subplots(1, 2, figsize=(11, 4.5))
@@ -198,8 +204,8 @@
         )
     left.axhline(BUDGET_BYTES_PER_S, linestyle="--", color="gray", label="budget")
     right.axhline(100 * BUDGET_CPU_SHARE, linestyle="--", color="gray", label="budget")
-    left.set_ylabel("bytes a second of a proxy, sent plus received")
-    right.set_ylabel("% of a core")
+    left.set_ylabel("bytes per second per proxy, sent plus received")
+    right.set_ylabel("% of a core per proxy")
     for axes in (left, right):
         axes.set_xlabel("proxies")
         axes.set_xscale("log")
--- a/saltcourse/emulator/scale/runner.py
+++ b/saltcourse/emulator/scale/runner.py
@@ -1,4 +1,4 @@
-"""One run: starts the workers, runs the operator, and ends in any case what it has started."""
+"""Executes one run: starts the workers, runs the operator, and stops all processes at the end."""
 
 from __future__ import annotations
 
@@ -32,23 +32,27 @@
 )
 from saltcourse.gossip.messages import Address
 
-START_TIMEOUT = 30.0  # s for the workers to import and bind
-BEGIN_LEAD_TIME = 0.3  # s between the order to begin and the begin
-BEGIN_LEAD_TIME_WITH_REAL = 1.5  # s, where real processes are started meanwhile
-END_TIMEOUT = 20.0  # s after the timeline's end, for the last records
-OPERATOR_STEP = 0.02  # s
-JOIN_TIMEOUT = 2.0  # s for a worker that was asked to end
+START_TIMEOUT = 30.0  # seconds for the workers to import their modules and bind their sockets
+BEGIN_LEAD_TIME = 0.3  # seconds from the ``Begin`` message to the start of the run
+BEGIN_LEAD_TIME_WITH_REAL = 1.5  # seconds, if real processes are started in that time
+END_TIMEOUT = 20.0  # seconds from the end of the timeline to the last records
+OPERATOR_STEP = 0.02  # seconds
+JOIN_TIMEOUT = 2.0  # seconds for a worker to exit after its pipe was closed or it was terminated
 KEY_BYTES = 32
-Answer = TypeVar("Answer")
+Expected = TypeVar("Expected")
 
 
 class RunError(Exception):
-    """The run gave no records; the text says why."""
+    """The run failed or was stopped before its end."""
 
 
 @dataclass(frozen=True, slots=True)
 class RunPlan:
-    """One run to make. ``size`` counts simulated proxies, ``workers`` and ``real`` processes."""
+    """The parameters of one run.
+
+    ``size`` is the number of simulated proxies, ``workers`` that of worker processes and ``real`` that of
+    real proxies.
+    """
 
     mechanism: str
     scenario: Scenario
@@ -60,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunRecords:
-    """What a run left behind, to be evaluated by ``evaluation``."""
+    """The record files of a run, with the plan, topology and timeline that their evaluation needs."""
 
     plan: RunPlan
     topology: Topology
@@ -69,17 +73,21 @@
 
 
 class RealProcesses:
-    """Where real processes take part; without any, nothing is done."""
+    """The interface to the real proxies of a run. This implementation is for runs without real proxies."""
 
     def bind(self, topology: Topology) -> dict[int, Address]:
-        """Addresses of ``topology.real``."""
+        """Return the addresses of ``topology.real``, by member index."""
         return {}
 
     def start(self, addresses: tuple[Address, ...], key: bytes, begin: float, records: Path) -> None:
-        """Called just before the begin of the run. What is observed of them goes to the file ``records``."""
+        """Start the real proxies. Called shortly before the start of the run.
+
+        ``addresses`` are those of all members, ``key`` is the fleet's gossip key and ``begin`` is the start
+        of the run on CLOCK_MONOTONIC. Observations of the proxies are written to the file ``records``.
+        """
 
     def close(self) -> None:
-        """Ends all that was started."""
+        """Stop all processes that were started."""
 
 
 def execute_run(
@@ -89,9 +97,10 @@
     progress: Callable[[float], None],
     real: RealProcesses | None = None,
 ) -> RunRecords:
-    """Makes one run; ``progress`` gets the share that is done.
+    """Execute one run, with the record files in ``folder``.
 
-    Raises RunError when a worker failed or was late, or when ``stop`` was set.
+    ``progress`` is called with the completed fraction of the run. Raises RunError if a worker fails or misses
+    a deadline, or if ``stop`` is set.
     """
     run = _Run(plan, folder, stop, progress, real or RealProcesses())
     try:
@@ -118,7 +127,7 @@
         self._timeline = build_timeline(plan.scenario, self._topology, plan.seed)
         self._processes: list[SpawnProcess] = []
         self._pipes: list[Connection] = []
-        self._pipe_by_member: dict[int, Connection] = {}  # by member
+        self._pipe_by_member: dict[int, Connection] = {}  # pipe of the worker that hosts each member
         self._key = Random(f"key {plan.seed}").randbytes(KEY_BYTES)
 
     def execute(self) -> RunRecords:
@@ -179,22 +188,22 @@
             self._expect(pipe, Ready, deadline)
         return addresses
 
-    def _expect(self, pipe: Connection, kind: type[Answer], deadline: float) -> Answer:
+    def _expect(self, pipe: Connection, kind: type[Expected], deadline: float) -> Expected:
         while not pipe.poll(OPERATOR_STEP):
             if self._stop.is_set():
                 raise RunError("stopped")
             if time.monotonic() > deadline:
-                raise RunError("a worker did not start in time")
+                raise RunError(f"a worker did not send {kind.__name__} within {START_TIMEOUT:g} s")
         message = self._receive(pipe)
         if not isinstance(message, kind):
-            raise RunError(f"{kind.__name__} was expected of a worker, not {message!r}")
+            raise RunError(f"a worker sent {message!r}, expected {kind.__name__}")
         return message
 
     def _receive(self, pipe: Connection) -> object:
         try:
             message = pipe.recv()
         except (EOFError, ConnectionError):
-            raise RunError("a worker has ended") from None
+            raise RunError("a worker process exited during the run") from None
         if isinstance(message, WorkerFailed):
             raise RunError(f"a worker failed:\n{message.text}")
         return message
@@ -208,7 +217,7 @@
             if self._stop.is_set():
                 raise RunError("stopped")
             if time.monotonic() > deadline:
-                raise RunError("a worker did not end in time")
+                raise RunError(f"a worker did not finish within {END_TIMEOUT:g} s of the timeline's end")
             now = time.monotonic() - begin
             if now < self._timeline.end:
                 operator.advance(now)
@@ -225,12 +234,12 @@
         try:
             self._pipe_by_member[request.member].send(request)
         except OSError:
-            raise RunError("a worker has ended") from None
+            raise RunError(f"the worker of member {request.member} exited during the run") from None
 
     def close(self) -> None:
-        """Ends the workers that have not ended by themselves, and only these."""
+        """Stop the worker processes that have not exited: close their pipes, then terminate, then kill."""
         for pipe in self._pipes:
-            pipe.close()  # whoever waits for an order ends by this
+            pipe.close()  # a worker that waits for a message exits on this
         for process in self._processes:
             process.join(JOIN_TIMEOUT if not self._stop.is_set() else 0.1)
             if process.is_alive():
--- a/saltcourse/emulator/scale/safety.py
+++ b/saltcourse/emulator/scale/safety.py
@@ -1,4 +1,4 @@
-"""What must never happen to a configuration, checked on the records of the members that applied it."""
+"""Checks the safety properties of the configuration on the records of the members that applied it."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 from saltcourse.emulator.scale.records import ConfigurationSeen, Confirmed, Lifecycle, Record
 from saltcourse.emulator.scale.timeline import FaultAction
 
-UNKNOWN_DIGEST = 0  # of a member that does not report it
+UNKNOWN_DIGEST = 0  # recorded where the member does not report a digest
 
 
 class BreachKind(Enum):
-    """Ways in which a run can violate a safety property."""
+    """The ways in which a run can violate a safety property."""
 
-    VERSION_REGRESSION = "a process went back, or applied a version twice"
-    EPOCH_REGRESSION = "an older epoch's change after a newer one's"
-    TORN_CHANGE = "a part of a change is in force"
-    DIVERGENCE = "two members differ at one version"
-    LOST_CONFIRMED_CHANGE = "a confirmed change gave way to another"
+    VERSION_REGRESSION = "a process applied an older version or the same version again"
+    EPOCH_REGRESSION = "a change of an older epoch followed one of a newer epoch"
+    TORN_CHANGE = "a change was applied partially"
+    DIVERGENCE = "two members have different configurations at the same version"
+    LOST_CONFIRMED_CHANGE = "a confirmed change was replaced by another change"
 
 
 @dataclass(frozen=True, slots=True)
 class Breach:
-    """One violation; ``member`` and ``version`` are those of the record that shows it."""
+    """One violation, with the member, time and version of the record that shows it."""
 
     kind: BreachKind
     member: int
@@ -33,7 +33,7 @@
 
 
 def find_breaches(records: Iterable[Record]) -> list[Breach]:
-    """All violations that the records show; they may come in any order."""
+    """Return all violations that the records show. The records may be in any order."""
     checker = _Checker()
     relevant = [r for r in records if isinstance(r, (ConfigurationSeen, Confirmed, Lifecycle))]
     for record in sorted(relevant, key=lambda record: record.at):
@@ -52,12 +52,12 @@
     def __init__(self) -> None:
         self.breaches: list[Breach] = []
         self.confirmed: list[Confirmed] = []
-        self._last: dict[int, ConfigurationSeen] = {}  # of each member's running process
-        self._by_version: dict[int, ConfigurationSeen] = {}  # the first that was seen of each
-        self._digests: dict[int, int] = {}
+        self._last: dict[int, ConfigurationSeen] = {}  # by member, current process only
+        self._by_version: dict[int, ConfigurationSeen] = {}  # first record of each version
+        self._digests: dict[int, int] = {}  # first known digest of each version
 
     def lifecycle(self, record: Lifecycle) -> None:
-        """Only a new process may begin anew."""
+        """Reset the member's last version at a start: a new process may begin at an older version."""
         if record.action == FaultAction.START.value:
             self._last.pop(record.member, None)
 
--- a/saltcourse/emulator/scale/scenario.py
+++ b/saltcourse/emulator/scale/scenario.py
@@ -1,4 +1,4 @@
-"""A scenario of a scale run: the fleet, its links and loads, and what fails when. Times are in seconds."""
+"""The scenario of a scale run: fleet, links, load and scheduled faults. Times are in seconds."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Zone:
-    """A zone and the region that it is part of."""
+    """A zone and its region."""
 
     name: str
     region: str
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Link:
-    """Bounds of the one-way delay in seconds, and the share of datagrams that are lost."""
+    """Bounds of the one-way delay in seconds, and the fraction of datagrams that are lost."""
 
     min_delay: float
     max_delay: float
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Links:
-    """The links of members by the distance between them."""
+    """The links between members of one zone, of one region and of different regions."""
 
     in_zone: Link
     in_region: Link
@@ -33,17 +33,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrivals:
-    """Client connections of each proxy: new ones a second, and their mean lifetime in seconds."""
+    """The client connections of each proxy, with the number of backends and groups that they go to."""
 
     connections_per_s: float
-    mean_lifetime: float
+    mean_lifetime: float  # seconds
     servers_per_proxy: float
     groups_per_server: int
 
 
 @dataclass(frozen=True, slots=True)
 class Kill:
-    """Machines drawn at random lose all their proxies."""
+    """All proxies of some random machines are killed."""
 
     at: float
     machines: int
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StopResume:
-    """Proxies drawn at random stop, as by SIGSTOP, for ``seconds``."""
+    """Random proxies are stopped for ``seconds``, as by SIGSTOP."""
 
     at: float
     members: int
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RollingReplacement:
-    """Proxies are restarted one ``every`` seconds, each ``down`` for a while."""
+    """Random proxies are replaced, one every ``every`` seconds; each is down for ``down`` seconds."""
 
     at: float
     members: int
@@ -71,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RackOutage:
-    """All proxies of one rack are down for ``seconds``."""
+    """All proxies of a random rack are down for ``seconds``."""
 
     at: float
     seconds: float
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneOutage:
-    """All members of one zone are down for ``seconds``."""
+    """All members of a random zone are down for ``seconds``."""
 
     at: float
     seconds: float
@@ -87,7 +87,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RegionPartition:
-    """The first region and the others cannot reach each other for ``seconds``."""
+    """The first region is separated from the others for ``seconds``.
+
+    With ``conflicting_change``, each side receives a change halfway through the partition.
+    """
 
     at: float
     seconds: float
@@ -96,7 +99,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PublisherLost:
-    """The publisher is killed ``after`` seconds from the submission of a change."""
+    """The publisher is killed ``after`` seconds after it received a change."""
 
     at: float
     after: float
@@ -105,7 +108,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Burst:
-    """Changes that are submitted at once."""
+    """Changes that are submitted at the same time."""
 
     at: float
     changes: int
@@ -118,7 +121,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Phase:
-    """A part of the run; ``at`` of its faults counts from its begin. Without faults it is an ordinary one."""
+    """A part of the run. ``at`` of its faults is relative to the start of the phase."""
 
     name: str
     seconds: float
@@ -128,7 +131,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """A whole scenario file."""
+    """The content of a scenario file."""
 
     sizes: tuple[int, ...]
     zones: tuple[Zone, ...]
@@ -138,13 +141,13 @@
     control_members: int
     voters: int
     arrivals: Arrivals
-    start_duration: float  # s over which the proxies start
-    settle: float  # s before the first phase
+    start_duration: float  # seconds over which the proxies are started
+    settle: float  # seconds from the first start to the first phase
     phases: tuple[Phase, ...]
     sizes_at_once: bool
-    configuration_bytes: int  # published before the first phase
+    configuration_bytes: int  # bytes published before the first phase
 
     @property
     def seconds(self) -> float:
-        """From the first start to the end of the last phase."""
+        """The duration from the first start to the end of the last phase."""
         return self.settle + sum(phase.seconds for phase in self.phases)
--- a/saltcourse/emulator/scale/scenario_file.py
+++ b/saltcourse/emulator/scale/scenario_file.py
@@ -1,6 +1,6 @@
-"""The scenario file of a scale run: protobuf text format, schema in ``saltcourse/schema/scenario.proto``.
+"""Reads scenario files: protobuf text format, schema in ``saltcourse/schema/scenario.proto``.
 
-Whatever is wrong raises ``ConfigError`` with the file, the line and the path of the key.
+Every error is a ``ConfigError`` with the file, the line and the path of the key.
 """
 
 from __future__ import annotations
@@ -37,16 +37,16 @@
 MIN_SIZE, MAX_SIZE = 2, 2_000  # proxies of one run
 MAX_ZONES = 32
 MAX_PHASES = 32
-MAX_SECONDS = 3_600.0  # of a phase
+MAX_SECONDS = 3_600.0  # duration of a phase, of the start and of the settling time
 MAX_DELAY_MS = 1_000.0
 MAX_CONTROL_MEMBERS = 64
 MAX_BURST = 1_000
-MAX_CONFIGURATION_BYTES = 200_000  # with the changes of a run below the gossip's own bound
+MAX_CONFIGURATION_BYTES = 200_000  # leaves room for the changes of a run below the gossip limit
 PHASE_NAME = re.compile(r"[a-z][a-z0-9_]{0,30}")
 
 
 def read_scenario(path: Path) -> Scenario:
-    """Reads and checks a scenario. Raises ConfigError when it cannot be read or has a value out of bounds."""
+    """Read and validate a scenario file. Raises ConfigError if it is unreadable or has an invalid value."""
     return _Reader(path).scenario()
 
 
@@ -67,17 +67,17 @@
         self._lines = key_lines(text)
 
     def _fail(self, key: str, reason: str) -> NoReturn:
-        """The line of the key, or of the nearest part around it that is there."""
-        nearest = key
-        while nearest:
-            indexed = re.sub(r"(\w)(?=\.|$)", r"\1[0]", nearest)
+        """Raise ConfigError with the line of the key, or of the closest enclosing message in the file."""
+        enclosing = key
+        while enclosing:
+            indexed = re.sub(r"(\w)(?=\.|$)", r"\1[0]", enclosing)
             if indexed in self._lines:
                 raise ConfigError(f"{self._path}:{self._lines[indexed]}: {key}: {reason}")
-            nearest = nearest.rpartition(".")[0]
+            enclosing = enclosing.rpartition(".")[0]
         raise ConfigError(f"{self._path}:1: {key}: {reason}")
 
     def _number(self, part: Message, key: str, minimum: float, maximum: float) -> float:
-        """The field that the last name of ``key`` names."""
+        """Return the field of ``part`` that the last component of ``key`` names, if it is in range."""
         value = float(getattr(part, key.rpartition(".")[2]))
         if not minimum <= value <= maximum:
             self._fail(key, f"must be from {minimum:g} to {maximum:g}, not {value:g}")
@@ -109,7 +109,7 @@
 
     def _sizes(self) -> tuple[int, ...]:
         if not self._file.size:
-            self._fail("size", "missing: the number of proxies")
+            self._fail("size", "missing, expected at least one number of proxies")
         for index, size in enumerate(self._file.size):
             if not MIN_SIZE <= size <= MAX_SIZE:
                 self._fail(f"size[{index}]", f"must be from {MIN_SIZE} to {MAX_SIZE}, not {size}")
@@ -120,20 +120,20 @@
         for r, region in enumerate(self._file.region):
             self._check_label(f"region[{r}].name", region.name)
             if not region.zone:
-                self._fail(f"region[{r}].zone", "missing")
+                self._fail(f"region[{r}].zone", "missing, expected at least one zone name")
             for z, name in enumerate(region.zone):
                 key = f"region[{r}].zone[{z}]"
                 self._check_label(key, name)
                 if name in [zone.name for zone in zones]:
-                    self._fail(key, f"{name!r} stands twice")
+                    self._fail(key, f"duplicate zone name {name!r}")
                 zones.append(Zone(name, region.name))
         if not 1 <= len(zones) <= MAX_ZONES:
-            self._fail("region", f"from 1 to {MAX_ZONES} zones, not {len(zones)}")
+            self._fail("region", f"must have from 1 to {MAX_ZONES} zones in total, not {len(zones)}")
         return tuple(zones)
 
     def _check_label(self, key: str, label: str) -> None:
         if not 1 <= len(label.encode()) <= MAX_LABEL_BYTES:
-            self._fail(key, f"from 1 to {MAX_LABEL_BYTES} bytes, not {label!r}")
+            self._fail(key, f"must be from 1 to {MAX_LABEL_BYTES} bytes long, not {label!r}")
 
     def _links(self) -> Links:
         links = self._file.links
@@ -159,14 +159,18 @@
 
     def _phases(self) -> tuple[Phase, ...]:
         if not 1 <= len(self._file.phase) <= MAX_PHASES:
-            self._fail("phase", f"from 1 to {MAX_PHASES}, not {len(self._file.phase)}")
+            self._fail("phase", f"must be given from 1 to {MAX_PHASES} times, not {len(self._file.phase)}")
         phases: list[Phase] = []
         for index, phase in enumerate(self._file.phase):
             key = f"phase[{index}]"
             if not PHASE_NAME.fullmatch(phase.name):
-                self._fail(f"{key}.name", f"small letters, digits and underscores, not {phase.name!r}")
+                self._fail(
+                    f"{key}.name",
+                    "must be a lowercase letter, then up to 30 lowercase letters, digits or underscores, "
+                    f"not {phase.name!r}",
+                )
             if phase.name in [earlier.name for earlier in phases]:
-                self._fail(f"{key}.name", f"{phase.name!r} stands twice")
+                self._fail(f"{key}.name", f"duplicate phase name {phase.name!r}")
             seconds = self._number(phase, f"{key}.seconds", 1, MAX_SECONDS)
             changes = self._number(phase, f"{key}.changes_per_s", 0, 20)
             faults = tuple(
@@ -182,8 +186,8 @@
         if kind is None:
             self._fail(
                 key,
-                "what fails? kill, stop_resume, rolling_replacement, rack, zone, cut_regions, "
-                "publisher_lost or burst",
+                "missing, expected one of kill, stop_resume, rolling_replacement, rack, zone, cut_regions, "
+                "publisher_lost, burst",
             )
         part = f"{key}.{kind}"
         if kind in ("rack", "zone", "cut_regions"):
@@ -221,5 +225,8 @@
         every = self._number(rolling, f"{key}.every_s", 0, remaining)
         down = self._number(rolling, f"{key}.down_s", 0, remaining)
         if every * (members - 1) + down > remaining:
-            self._fail(key, f"takes longer than the {remaining:g} s that are remaining of the phase")
+            self._fail(
+                key,
+                f"takes {every * (members - 1) + down:g} s, but only {remaining:g} s remain in the phase",
+            )
         return RollingReplacement(at, members, every, down)
--- a/saltcourse/emulator/scale/simulated_member.py
+++ b/saltcourse/emulator/scale/simulated_member.py
@@ -1,6 +1,7 @@
-"""A hollow member: the program's core without its host and without client connections.
+"""The interface between a worker and the simulated members of each mechanism that a run can measure.
 
-``SimulatedMember`` is the interface between a worker and each mechanism that a run can measure.
+A simulated member runs the production protocol code without a proxy around it: no event loop, no sockets
+and no client connections.
 """
 
 from __future__ import annotations
@@ -21,16 +22,16 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberContext:
-    """What one process of a member is given at its start."""
+    """The parameters of one process of a simulated member."""
 
     spec: MemberSpec
     topology: Topology
-    addresses: tuple[Address, ...]  # of all members, by their indexes
+    addresses: tuple[Address, ...]  # addresses of all members, by member index
     arrivals: Arrivals
-    key: bytes  # of the fleet
-    process_id: int  # drawn at this start
+    key: bytes  # authentication key shared by the fleet
+    process_id: int  # random, different for each process of a member
     random: Random
-    stored: Any = None  # what an earlier process of the member has put on its disk
+    stored: Any = None  # state that an earlier process of the member persisted
 
     @property
     def address(self) -> Address:
@@ -40,15 +41,15 @@
 
 @dataclass(frozen=True, slots=True)
 class MembersView:
-    """The members that one member considers alive, itself included."""
+    """The members that one member considers alive, including itself."""
 
     count: int
-    digest: int  # XOR of the ids
+    digest: int  # XOR of their ids
 
 
 @dataclass(frozen=True, slots=True)
 class StatusObserved:
-    """The member believes from now on that another one has this status."""
+    """The member changed its view of another member's status."""
 
     name: str
     status: Status
@@ -56,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FreshnessObserved:
-    """The member noticed that its configuration may be stale, or no longer is."""
+    """The member's configuration became possibly stale, or current again."""
 
     stale: bool
 
@@ -68,8 +69,8 @@
     epoch: int
     version: int
     digest: int
-    changes: tuple[int, ...]  # numbers of the operator's changes that came with it
-    torn: tuple[int, ...]  # those of which only a part is there
+    changes: tuple[int, ...]  # numbers of the operator's changes that this version applied
+    torn: tuple[int, ...]  # the changes of which only a part is in the configuration
 
 
 @dataclass(frozen=True, slots=True)
@@ -83,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PublicationFailed:
-    """The operator's change was not committed, as far as the member knows."""
+    """The operator's change failed at this member. It may still have been committed by others."""
 
     change: int
     reason: str
@@ -96,7 +97,7 @@
 
 @dataclass(slots=True)
 class Output:
-    """What a step of a member sends, and what it has observed."""
+    """The datagrams that one step of a member sends, and its observations."""
 
     datagrams: list[Transmit] = field(default_factory=list)
     observations: list[Observation] = field(default_factory=list)
@@ -105,44 +106,44 @@
 class SimulatedMember(ABC):
     """One process of a member.
 
-    ``cpu`` are the seconds that the program's own code took, measured around each call, without what the
-    harness adds. Times are seconds of CLOCK_MONOTONIC.
+    ``cpu`` is the CPU time in seconds of the production code, measured around each call; the emulator's own
+    CPU time is not included. ``now`` and ``next_deadline`` are seconds of CLOCK_MONOTONIC.
     """
 
     def __init__(self, context: MemberContext) -> None:
         self.context = context
         self.cpu = 0.0
-        self.next_deadline = 0.0  # when ``tick`` is to be called, by the clock of ``now``
+        self.next_deadline = 0.0  # when ``tick`` must be called next
 
     @abstractmethod
     def start(self, now: float) -> Output:
-        """Starts the process; called once, before all other steps."""
+        """Start the process. Called once, before all other steps."""
 
     @abstractmethod
     def receive(self, now: float, source: Address, datagram: bytes) -> Output:
-        """Takes one datagram."""
+        """Process one received datagram."""
 
     @abstractmethod
     def tick(self, now: float) -> Output:
-        """Does what is to be done at ``next_deadline``."""
+        """Run the work that is scheduled for ``next_deadline``."""
 
     @abstractmethod
     def publish(self, now: float, change: int, padding: int) -> Output:
-        """Takes the operator's change of this number, with ``padding`` bytes more.
+        """Publish the operator's change with this number and ``padding`` additional bytes.
 
-        The result is a PublicationConfirmed or PublicationFailed, now or in a later step.
+        The result is a PublicationConfirmed or PublicationFailed observation of this or a later step.
         """
 
     @abstractmethod
     def is_publisher(self) -> bool:
-        """Whether the member publishes changes at present."""
+        """Return whether the member currently publishes changes."""
 
     @abstractmethod
     def view(self) -> MembersView:
-        """The members that this one considers alive."""
+        """Return the members that this member considers alive."""
 
     def stored(self) -> Any:
-        """What is on the member's disk, for its next process."""
+        """Return the persisted state for the member's next process."""
         return None
 
     def _measured(self, call: Callable[..., Result], *arguments: Any) -> Result:
@@ -153,7 +154,7 @@
 
 
 def view_of(own: MemberId, others: list[MemberId]) -> MembersView:
-    """The view of a member that considers ``others`` and itself alive."""
+    """Return the view of a member that considers itself and ``others`` alive."""
     digest = own
     for other in others:
         digest ^= other
--- a/saltcourse/emulator/scale/sockets.py
+++ b/saltcourse/emulator/scale/sockets.py
@@ -1,7 +1,8 @@
-"""The sockets of a worker's members, and the links between all members: delay, loss and partitions.
+"""The UDP sockets of a worker's members, and emulated links with delay, loss and partitions.
 
-They are applied where a datagram arrives, so that nothing is sent twice for them. Only for datagrams to a
-real process they are applied by the sender, because no worker reads that process's socket.
+Links are applied by the worker that receives a datagram, so that no datagram has to be forwarded. Datagrams
+to a real process are the exception: the sending worker applies the link, because no worker reads that
+process's socket.
 """
 
 from __future__ import annotations
@@ -19,22 +20,22 @@
 from saltcourse.gossip.messages import Address
 
 LOOPBACK = "127.0.0.1"
-RECEIVE_BUFFER = 1 << 20  # bytes wanted; the kernel may grant fewer
-MAX_DATAGRAM_BYTES = 2_048  # bytes read of one
-MAX_READS_AT_ONCE = 64  # datagrams of one socket before others have their turn
-EXTRA_DESCRIPTORS = 256  # descriptors beside the sockets
+RECEIVE_BUFFER = 1 << 20  # bytes requested; the kernel may grant fewer
+MAX_DATAGRAM_BYTES = 2_048  # longer datagrams are truncated
+MAX_READS_AT_ONCE = 64  # datagrams read from one socket before the next socket is read
+EXTRA_DESCRIPTORS = 256  # open files allowed in addition to the member sockets
 
 
 @dataclass(frozen=True, slots=True)
 class EmulatedLink:
-    """The path between two members."""
+    """The link between two members, and whether it crosses the border of the first region."""
 
     link: Link
     between_regions: bool
 
 
 class LinkEmulator:
-    """Delay, loss and partitions between addresses. Members of one zone share a table."""
+    """Emulates delay, loss and partitions between addresses. Members of one zone share a table."""
 
     def __init__(
         self, scenario: Scenario, specs: Iterable[MemberSpec], addresses: tuple[Address, ...], random: Random
@@ -54,25 +55,31 @@
             }
 
     def draw_delay(self, zone: str, remote: Address) -> float | None:
-        """Drawn for one datagram between a member of the zone and the far address; None: it is lost."""
-        path = self._tables[zone].get(remote)
-        if path is None or self._random.random() < path.link.loss:
+        """Draw the one-way delay in seconds of a datagram between a member of the zone and ``remote``.
+
+        Returns None if the datagram is lost or ``remote`` is not a member's address.
+        """
+        emulated = self._tables[zone].get(remote)
+        if emulated is None or self._random.random() < emulated.link.loss:
             return None
-        return self._random.uniform(path.link.min_delay, path.link.max_delay)
+        return self._random.uniform(emulated.link.min_delay, emulated.link.max_delay)
 
     def is_open(self, zone: str, remote: Address) -> bool:
-        """Whether no partition stops a datagram at this moment."""
+        """Return whether no partition currently separates the zone from ``remote``.
+
+        Raises KeyError if ``remote`` is not a member's address.
+        """
         return not (self.partitioned and self._tables[zone][remote].between_regions)
 
 
 class Sockets:
-    """One UDP socket for each member, watched by one epoll; so is ``control``, the pipe to the runner."""
+    """One UDP socket for each member, polled together with ``control``, the pipe to the runner."""
 
     def __init__(self, members: Iterable[int], control: int) -> None:
         self._epoll = select.epoll()
         self._epoll.register(control, select.EPOLLIN)
         self._control = control
-        self.control_ready = False  # something came on the pipe, or it was closed
+        self.control_ready = False  # the pipe has a message or was closed
         self._sockets: dict[int, socket.socket] = {}
         self._members: dict[int, int] = {}  # descriptor -> member
         for member in members:
@@ -85,19 +92,22 @@
             self.watch(member)
 
     def addresses(self) -> dict[int, Address]:
-        """The bound address of each member."""
+        """Return the bound address of each member."""
         return {member: bound.getsockname() for member, bound in self._sockets.items()}
 
     def watch(self, member: int) -> None:
-        """Reads the member's socket from now on."""
+        """Start reading the member's socket."""
         self._epoll.register(self._sockets[member].fileno(), select.EPOLLIN)
 
     def unwatch(self, member: int) -> None:
-        """Reads the member's socket no longer: datagrams wait in the kernel, up to the size of its buffer."""
+        """Stop reading the member's socket. Datagrams queue in the kernel until its buffer is full."""
         self._epoll.unregister(self._sockets[member].fileno())
 
     def receive(self, timeout: float) -> Iterator[tuple[int, Address, bytes]]:
-        """Waits up to ``timeout`` seconds; gives receiver, source and payload of each datagram."""
+        """Wait up to ``timeout`` seconds and yield the receiving member, source and payload of each datagram.
+
+        Sets ``control_ready`` when the control pipe is readable.
+        """
         for descriptor, _ in self._epoll.poll(timeout):
             if descriptor == self._control:
                 self.control_ready = True
@@ -112,14 +122,14 @@
                 yield member, source, datagram
 
     def send(self, member: int, datagram: bytes, destination: Address) -> None:
-        """Sends from the member's socket; an error loses the datagram, as on a real network."""
+        """Send from the member's socket. A socket error drops the datagram, as a network would."""
         try:
             self._sockets[member].sendto(datagram, destination)
         except OSError:
             return
 
     def dropped(self) -> int:
-        """Datagrams that the kernel dropped for lack of buffer space, by its own count."""
+        """Return how many datagrams the kernel dropped for lack of buffer space (/proc/net/udp)."""
         ports = {bound.getsockname()[1] for bound in self._sockets.values()}
         total = 0
         for line in Path("/proc/net/udp").read_text().splitlines()[1:]:
@@ -129,14 +139,14 @@
         return total
 
     def close(self) -> None:
-        """Closes all sockets; the control pipe stays open."""
+        """Close all sockets. The control pipe stays open."""
         for bound in self._sockets.values():
             bound.close()
         self._epoll.close()
 
 
 def raise_open_files_limit(count: int) -> None:
-    """Raises this process's own soft limit of open files as far as its hard limit allows."""
+    """Raise this process's soft limit on open files to fit ``count`` sockets, within its hard limit."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     wanted = count + EXTRA_DESCRIPTORS
     if soft < wanted:
--- a/saltcourse/emulator/scale/summary.py
+++ b/saltcourse/emulator/scale/summary.py
@@ -1,4 +1,4 @@
-"""Percentiles, worst windows and slopes, in plain Python."""
+"""Percentiles, sliding window means and growth exponents."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 
 class NoValuesError(ValueError):
-    """A statistic of an empty set was asked for."""
+    """A percentile of an empty sequence was requested."""
 
 
 @dataclass(frozen=True, slots=True)
 class Summary:
-    """Summary of a set of values."""
+    """Summary statistics of a set of values."""
 
     mean: float
     p50: float
@@ -23,16 +23,19 @@
 
 
 def percentile(values: Sequence[float], share: float) -> float:
-    """The smallest value that at least ``share`` of all do not exceed. Raises NoValuesError."""
+    """Return the smallest value that at least the fraction ``share`` of all values do not exceed.
+
+    Raises NoValuesError if there are no values.
+    """
     if not values:
-        raise NoValuesError("no values")
+        raise NoValuesError("no values to take a percentile of")
     ordered = sorted(values)
     rank = math.ceil(share * len(ordered))
     return ordered[min(max(rank, 1), len(ordered)) - 1]
 
 
 def summarize(values: Sequence[float]) -> Summary | None:
-    """Summarises the values; None if there are none."""
+    """Return the summary of the values, or None if there are none."""
     if not values:
         return None
     return Summary(
@@ -45,7 +48,7 @@
 
 
 def window_means(values: Sequence[float], length: int) -> list[float]:
-    """The mean of each run of ``length`` values; of all of them where there are fewer."""
+    """Return the mean of each window of ``length`` consecutive values, or of all if there are fewer."""
     if not values:
         return []
     length = min(length, len(values))
@@ -58,7 +61,10 @@
 
 
 def growth_exponent(by_size: Mapping[int, float]) -> float | None:
-    """The slope of log(value) over log(size) by least squares: 0 is flat, 1 linear. None below two sizes."""
+    """Return the least-squares slope of log(value) over log(size): 0 is constant, 1 is linear growth.
+
+    Returns None if fewer than two sizes have a positive value.
+    """
     points = [(math.log(size), math.log(value)) for size, value in by_size.items() if size > 0 and value > 0]
     if len(points) < 2:
         return None
--- a/saltcourse/emulator/scale/timeline.py
+++ b/saltcourse/emulator/scale/timeline.py
@@ -1,4 +1,7 @@
-"""The schedule of one run: phases, faults and publications worked out for a fleet, from one seed."""
+"""The schedule of one run: phases, faults and publications for one fleet, generated from a seed.
+
+Times are seconds since the start of the run.
+"""
 
 from __future__ import annotations
 
@@ -11,23 +14,23 @@
 from saltcourse.emulator.scale.topology import MemberSpec, Topology
 from saltcourse.gossip.messages import Role
 
-FILL_BYTES = 800  # of one change that fills the configuration; it fits a datagram with its keys
+FILL_BYTES = 800  # padding per fill change, so that the change and its keys fit in one datagram
 
 
 class FaultAction(Enum):
-    """What a worker does to its members."""
+    """An action of a worker on its members or links. The values are written to the record files."""
 
-    START = "start"  # a new process of the member's name and address
+    START = "start"  # start a new process with the member's name and address
     KILL = "kill"
-    STOP = "stop"  # it gets no events, and what comes waits
+    STOP = "stop"  # deliver no events; received datagrams are queued
     RESUME = "resume"
-    PARTITION = "cut"  # separates the first region from the others; of no single member
+    PARTITION = "cut"  # separate the first region from the others
     HEAL = "heal"
 
 
 @dataclass(frozen=True, slots=True)
 class Command:
-    """``at`` counts from the begin of the run; ``members`` are indexes of the topology."""
+    """A scheduled fault action on the members with these indexes, or on all links if there are none."""
 
     at: float
     action: FaultAction
@@ -35,32 +38,32 @@
 
 
 class PublicationKind(Enum):
-    """Why the operator publishes a change."""
+    """The purpose of a change. The values are written to the record files."""
 
     CHANGE = "change"
-    FILL = "fill"  # a large one before the first phase; not timed
-    CONFLICT = "conflict"  # submitted to a voter of the minority side of a partition, without a retry
-    LOSE_PUBLISHER = "lose_publisher"
+    FILL = "fill"  # fills the configuration before the first phase; its propagation is not timed
+    CONFLICT = "conflict"  # submitted once to a voter on the minority side of a partition
+    LOSE_PUBLISHER = "lose_publisher"  # the publisher is killed shortly after the submission
 
 
 @dataclass(frozen=True, slots=True)
 class Publication:
     """A change that the operator submits at ``at``.
 
-    The publisher is killed ``kill_after`` seconds later, and started again ``restart_after`` seconds after
-    that.
+    For LOSE_PUBLISHER, the publisher is killed ``kill_after`` seconds after the submission and restarted
+    ``restart_after`` seconds later (0: never).
     """
 
     at: float
     kind: PublicationKind
     kill_after: float = 0.0
     restart_after: float = 0.0
-    padding: int = 0  # bytes of a value beside the change's own
+    padding: int = 0  # bytes of an additional value
 
 
 @dataclass(frozen=True, slots=True)
 class PhaseSpan:
-    """When a phase begins and ends, in seconds; an ordinary one has no faults."""
+    """The time interval of a phase. An ordinary phase has no faults."""
 
     name: str
     begin: float
@@ -70,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Timeline:
-    """Commands and publications in the order of their times."""
+    """The phases, commands and publications of a run, each in time order."""
 
     spans: tuple[PhaseSpan, ...]
     commands: tuple[Command, ...]
@@ -78,12 +81,12 @@
 
     @property
     def end(self) -> float:
-        """Seconds from the begin of the run to the end of the last phase."""
+        """The end of the last phase."""
         return self.spans[-1].end
 
 
 def build_timeline(scenario: Scenario, topology: Topology, seed: int) -> Timeline:
-    """The schedule of a fleet; one seed always gives the same one."""
+    """Build the schedule of a run. The same scenario, topology and seed always give the same schedule."""
     return _Builder(scenario, topology, seed).build()
 
 
@@ -94,7 +97,7 @@
         self._random = Random(f"timeline {seed} {len(topology.members)}")
         self._commands: list[Command] = []
         self._publications: list[Publication] = []
-        self._removed: set[int] = set()  # members that are killed for good
+        self._removed: set[int] = set()  # members that are killed and not restarted
 
     def build(self) -> Timeline:
         self._start_all()
@@ -114,7 +117,7 @@
         )
 
     def _start_all(self) -> None:
-        """Control members at once, then the proxies in an order drawn at random."""
+        """Start all control members at once, then the proxies in random order over ``start_duration``."""
         control = [spec.index for spec in self._topology.members if spec.role is Role.CONTROL]
         self._command(0.0, FaultAction.START, control)
         proxies = [spec.index for spec in self._topology.proxies]
@@ -123,7 +126,7 @@
             self._command(self._scenario.start_duration * number / len(proxies), FaultAction.START, [index])
 
     def _fill(self) -> None:
-        """The middle half of the settling time brings the configuration to its size."""
+        """Schedule the changes that fill the configuration, over the middle half of the settling time."""
         count = self._scenario.configuration_bytes // FILL_BYTES
         settle = self._scenario.settle
         for number in range(count):
@@ -203,8 +206,8 @@
         self._command(at + seconds, FaultAction.START, members)
 
     def _choose(self, count: int) -> list[int]:
-        left = [spec.index for spec in self._topology.proxies if spec.index not in self._removed]
-        return self._random.sample(left, min(count, len(left)))
+        remaining = [spec.index for spec in self._topology.proxies if spec.index not in self._removed]
+        return self._random.sample(remaining, min(count, len(remaining)))
 
     def _publish(
         self, at: float, kind: PublicationKind, kill_after: float = 0.0, restart_after: float = 0.0
--- a/saltcourse/emulator/scale/timer_queue.py
+++ b/saltcourse/emulator/scale/timer_queue.py
@@ -1,4 +1,4 @@
-"""The timers of a worker process, and how late they were handled."""
+"""The timers of a worker process and statistics on their lag."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from saltcourse.emulator.scale.summary import percentile
 
 LAG_SAMPLES = 4_096
-MAX_TIMERS_AT_ONCE = 256  # expired timers that run before sockets are read again
+MAX_TIMERS_AT_ONCE = 256  # timers run per call, so that the sockets are read in between
 Callback = Callable[[], None]
 
 
 class LagSample:
-    """A random sample of fixed size over the whole run, in seconds (reservoir sampling)."""
+    """A bounded random sample of timer lags in seconds, uniform over the whole run (reservoir sampling)."""
 
     def __init__(self, random: Random) -> None:
         self._random = random
@@ -24,7 +24,7 @@
         self.max = 0.0
 
     def add(self, lag: float) -> None:
-        """Counts one handled timer that was ``lag`` seconds late."""
+        """Add one timer that ran ``lag`` seconds late."""
         self._count += 1
         self.max = max(self.max, lag)
         if len(self._lags) < LAG_SAMPLES:
@@ -34,12 +34,12 @@
 
     @property
     def p99(self) -> float:
-        """The 99th percentile, 0 without a timer."""
+        """The 99th percentile in seconds; 0 if no timer has run."""
         return percentile(self._lags, 0.99) if self._lags else 0.0
 
 
 class TimerQueue:
-    """Callbacks by the time of CLOCK_MONOTONIC at which they expire; equal times keep the order of calls."""
+    """Callbacks ordered by expiry time on CLOCK_MONOTONIC; equal times run in the order they were added."""
 
     def __init__(self, random: Random) -> None:
         self._heap: list[tuple[float, int, Callback]] = []
@@ -47,12 +47,12 @@
         self.lag = LagSample(random)
 
     def call_at(self, when: float, callback: Callback) -> None:
-        """Runs the callback once, at or after ``when``."""
+        """Schedule the callback to run once, at or after ``when``."""
         self._sequence += 1
         heapq.heappush(self._heap, (when, self._sequence, callback))
 
     def call_every(self, begin: float, interval: float, callback: Callable[[], object]) -> None:
-        """Runs the callback at whole intervals from ``begin`` on, so that no lag adds up."""
+        """Schedule the callback at ``begin`` plus each multiple of ``interval`` seconds, without drift."""
         self._repeat(begin, interval, callback, 1)
 
     def _repeat(self, begin: float, interval: float, callback: Callable[[], object], count: int) -> None:
@@ -63,11 +63,11 @@
         self.call_at(begin + count * interval, expire)
 
     def next_expiry(self, default: float) -> float:
-        """When the next timer expires, but not after ``default``."""
+        """Return the time of the next expiry, or ``default`` if that is earlier."""
         return min(self._heap[0][0], default) if self._heap else default
 
     def run_expired(self) -> None:
-        """Runs up to ``MAX_TIMERS_AT_ONCE`` expired timers."""
+        """Run up to ``MAX_TIMERS_AT_ONCE`` expired timers."""
         for _ in range(MAX_TIMERS_AT_ONCE):
             now = time.monotonic()
             if not self._heap or self._heap[0][0] > now:
--- a/saltcourse/emulator/scale/topology.py
+++ b/saltcourse/emulator/scale/topology.py
@@ -1,4 +1,4 @@
-"""The members of a fleet of one size: names, zones, machines, racks and roles, in a fixed order."""
+"""The members of a fleet of one size: names, zones, machines, racks and roles, in deterministic order."""
 
 from __future__ import annotations
 
@@ -7,14 +7,15 @@
 from saltcourse.emulator.scale.scenario import Link, Scenario
 from saltcourse.gossip.messages import MemberId, Role, member_id
 
-REAL_MACHINE = -1  # of all real processes
+REAL_MACHINE = -1  # machine and rack number of all real processes
 
 
 @dataclass(frozen=True, slots=True)
 class MemberSpec:
-    """One member and its location.
+    """Identity, location and role of one member.
 
-    ``machine`` and ``rack`` are numbered over the fleet; a rack is of one zone.
+    ``index`` is the member's position in ``Topology.members``. Machine and rack numbers are unique in the
+    fleet; all machines of a rack are in one zone.
     """
 
     index: int
@@ -28,30 +29,31 @@
 
     @property
     def id(self) -> MemberId:
-        """The member's id in gossip."""
+        """The member's gossip id."""
         return member_id(self.name)
 
 
 @dataclass(frozen=True, slots=True)
 class Topology:
-    """All members: control members, then hollow proxies, both round-robin over the zones, then real ones."""
+    """All members of a fleet: control members first, then simulated proxies, then real proxies.
+
+    Control members and simulated proxies are assigned to the zones round-robin.
+    """
 
     members: tuple[MemberSpec, ...]
     voters: tuple[MemberSpec, ...]
     proxies: tuple[MemberSpec, ...]
-    real: tuple[
-        MemberSpec, ...
-    ] = ()  # proxies that run as processes of their own; no fault is injected there
+    real: tuple[MemberSpec, ...] = ()  # proxies in separate OS processes, without injected faults
 
     def machines(self) -> dict[int, list[MemberSpec]]:
-        """The proxies of each machine. Control members have machines of their own, which are not listed."""
+        """Return the simulated proxies of each machine. Machines of control members are not included."""
         found: dict[int, list[MemberSpec]] = {}
         for spec in self.proxies:
             found.setdefault(spec.machine, []).append(spec)
         return found
 
     def racks(self) -> dict[int, list[MemberSpec]]:
-        """The proxies of each rack."""
+        """Return the simulated proxies of each rack."""
         found: dict[int, list[MemberSpec]] = {}
         for spec in self.proxies:
             found.setdefault(spec.rack, []).append(spec)
@@ -59,7 +61,7 @@
 
 
 def build_topology(scenario: Scenario, size: int, real: int = 0) -> Topology:
-    """A fleet of ``size`` hollow proxies, the scenario's control members and ``real`` processes."""
+    """Build a fleet of ``size`` simulated proxies, the scenario's control members and ``real`` proxies."""
     specs = _control_members(scenario)
     zone_counts = dict.fromkeys([zone.name for zone in scenario.zones], 0)
     machines: dict[tuple[str, int], int] = {}
@@ -88,7 +90,7 @@
 
 
 def _real_proxy(scenario: Scenario, index: int, number: int) -> MemberSpec:
-    """All are in the first zone, because no links are emulated between them."""
+    """Return a real proxy in the first zone: links between real proxies are not emulated."""
     zone = scenario.zones[0]
     return MemberSpec(
         index, f"real-{number}", zone.region, zone.name, REAL_MACHINE, REAL_MACHINE, Role.PROXY, voter=False
@@ -96,7 +98,7 @@
 
 
 def _control_members(scenario: Scenario) -> list[MemberSpec]:
-    """Each on a machine and a rack of its own."""
+    """Return the control members, each on a separate machine and rack."""
     specs = []
     for number in range(scenario.control_members):
         zone = scenario.zones[number % len(scenario.zones)]
@@ -116,7 +118,7 @@
 
 
 def link_between(scenario: Scenario, one: MemberSpec, other: MemberSpec) -> Link:
-    """The link of two members, the same in both directions."""
+    """Return the link between two members. Links are symmetric."""
     if one.region != other.region:
         return scenario.links.between_regions
     return scenario.links.in_zone if one.zone == other.zone else scenario.links.in_region
--- a/saltcourse/emulator/scale/worker.py
+++ b/saltcourse/emulator/scale/worker.py
@@ -1,7 +1,7 @@
-"""The process that hosts a part of the fleet: it composes the parts, runs their loop and ends them.
+"""The worker process that hosts a part of the fleet: composition, event loop and shutdown.
 
-Garbage is collected between the members' steps and not within them: a collection goes through all members of
-the process, so it would be charged to whichever happened to be at work.
+Automatic garbage collection is off. A collection visits the objects of all members in the process, so if it
+ran within a member's step, its whole CPU time would be charged to that member. Timers collect between steps.
 """
 
 from __future__ import annotations
@@ -43,19 +43,19 @@
     WorkerTask,
 )
 
-LOAD_INTERVAL = 1.0  # s between records of what members spent
-VIEW_INTERVAL = 0.5  # s between records of which members they consider alive
-COLLECT_INTERVAL = 2.0  # s between collections of garbage
+LOAD_INTERVAL = 1.0  # seconds between Load records
+VIEW_INTERVAL = 0.5  # seconds between View records
+COLLECT_INTERVAL = 2.0  # seconds between garbage collections
 MAX_POLL_SECONDS = 0.5
 Expected = TypeVar("Expected")
 
 
 class UnexpectedMessageError(Exception):
-    """The runner sent a message of another type than the start-up sequence has next."""
+    """The runner sent a message of the wrong type during the start-up sequence."""
 
 
 class Worker:
-    """One worker process, from the exchange of addresses to its last record."""
+    """One worker process, from the exchange of addresses to the last record."""
 
     def __init__(self, task: WorkerTask, connection: Connection) -> None:
         self._task = task
@@ -69,7 +69,11 @@
         self._results = PublicationResults(connection.send)
 
     def run(self) -> None:
-        """Returns when the timeline has ended and all records are written."""
+        """Run until the timeline has ended and all records are written.
+
+        Raises UnexpectedMessageError on an unexpected start-up message, and EOFError or BrokenPipeError when
+        the runner has closed the pipe.
+        """
         self._send_to_runner(SocketsBound(self._sockets.addresses()))
         self._compose(self._expect(Fleet))
         gc.collect()
@@ -143,7 +147,7 @@
     def _expect(self, kind: type[Expected]) -> Expected:
         message = self._connection.recv()
         if not isinstance(message, kind):
-            raise UnexpectedMessageError(f"{kind.__name__} was expected, not {message!r}")
+            raise UnexpectedMessageError(f"runner sent {message!r}, expected {kind.__name__}")
         return message
 
     def _send_to_runner(self, message: FromWorker) -> None:
@@ -151,11 +155,11 @@
 
 
 def run_worker(task: WorkerTask, connection: Connection) -> None:
-    """The body of a worker process. The runner ends it, also on Ctrl-C."""
+    """Run a worker process. It ignores SIGINT, because the runner stops its workers on Ctrl-C."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)
     try:
         Worker(task, connection).run()
     except (EOFError, BrokenPipeError):
-        return  # the runner has gone
+        return  # the runner closed the pipe
     except Exception:
         connection.send(WorkerFailed(traceback.format_exc()))
--- a/saltcourse/emulator/scale/worker_messages.py
+++ b/saltcourse/emulator/scale/worker_messages.py
@@ -1,4 +1,4 @@
-"""The messages between the runner and its worker processes, over the pipe between them."""
+"""The messages on the pipe between the runner and a worker process."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerTask:
-    """What a worker gets at its start. ``members`` are those that it hosts."""
+    """The parameters of a worker. It hosts the members with the indexes ``members``."""
 
     mechanism: str
     scenario: Scenario
@@ -27,14 +27,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SocketsBound:
-    """The addresses of the worker's members."""
+    """The worker has bound the sockets of its members to these addresses, by member index."""
 
     addresses: dict[int, Address]
 
 
 @dataclass(frozen=True, slots=True)
 class Fleet:
-    """The addresses of all members, by their indexes; ``real``: those of processes of their own."""
+    """The addresses of all members, by member index. ``real`` holds the indexes of real proxies."""
 
     addresses: tuple[Address, ...]
     real: frozenset[int] = frozenset()
@@ -42,22 +42,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Ready:
-    """The worker has composed its members and waits for ``Begin``."""
+    """The worker has set up its members and waits for ``Begin``."""
 
 
 @dataclass(frozen=True, slots=True)
 class Begin:
-    """``at``: CLOCK_MONOTONIC of the run's begin."""
+    """The run starts at ``at``, in seconds of CLOCK_MONOTONIC."""
 
     at: float
 
 
 @dataclass(frozen=True, slots=True)
 class Publish:
-    """The operator's change for one member.
+    """A request to publish a change of the operator at one member.
 
-    With ``kill_after`` only the publisher takes it. It is killed that many seconds later and is started again
-    ``restart_after`` seconds after that (0: never).
+    With ``kill_after``, only the publisher accepts the change; it is killed ``kill_after`` seconds later and
+    restarted ``restart_after`` seconds after that (0: never). ``padding`` is the number of additional bytes.
     """
 
     change: int
@@ -69,7 +69,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PublishResult:
-    """``reason`` is empty when the change was committed, at ``epoch`` and ``version``."""
+    """The result of a publish request.
+
+    ``reason`` is empty if the change was committed at ``epoch`` and ``version``.
+    """
 
     change: int
     member: int
@@ -85,12 +88,13 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerFailed:
-    """The traceback of the worker's error."""
+    """The worker raised an exception; ``text`` is its traceback."""
 
     text: str
 
 
 FromRunner = Fleet | Begin | Publish
 FromWorker = SocketsBound | Ready | PublishResult | Finished | WorkerFailed
-NOT_PUBLISHER = "not the publisher"  # reasons of the worker's own
+# Reasons in a PublishResult that come from the worker and not from the member.
+NOT_PUBLISHER = "not the publisher"
 DOWN = "the member is down"
--- a/tests/emulator/scale/test_scenario_file.py
+++ b/tests/emulator/scale/test_scenario_file.py
@@ -1,4 +1,4 @@
-"""The scenario file: the benchmarks' own files, and what is rejected."""
+"""Scenario files: the benchmarks' files are valid, and invalid files are rejected."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     assert len({zone.region for zone in scenario.zones}) == 2 and len(scenario.zones) == 5
 
 
-def test_the_benchmark_scenarios_have_each_kind_of_fault_and_quick_fits_its_time() -> None:
+def test_the_ordinary_scenario_has_all_fault_kinds_and_the_quick_one_is_short() -> None:
     ordinary = read_scenario(SCENARIOS / "ordinary.txtpb")
     kinds = {type(fault) for phase in ordinary.phases for fault in phase.faults}
     assert kinds == {
@@ -49,14 +49,14 @@
 
 
 @pytest.mark.parametrize(
-    ("wrong", "right", "line", "said"),
+    ("valid", "invalid", "line", "reason"),
     [
         ("size: 6", "size: 1", 2, "size[0]: must be from 2 to 2000, not 1"),
         ("size: 6", "", 1, "size: missing"),
         ("size: 6", "sizes: 6", 2, "no field named"),
-        ('zone: "e1"', 'zone: "w1"', 4, "region[1].zone[0]: 'w1' stands twice"),
+        ('zone: "e1"', 'zone: "w1"', 4, "region[1].zone[0]: duplicate zone name 'w1'"),
         ('zone: "e1"', "", 4, "region[1].zone: missing"),
-        ('name: "east"', 'name: "a-region-of-a-long-name"', 4, "region[1].name: from 1 to 16 bytes"),
+        ('name: "east"', 'name: "a-region-of-a-long-name"', 4, "region[1].name: must be from 1 to 16 bytes"),
         (
             "most_delay_ms: 1 }",
             "most_delay_ms: -1 }",
@@ -66,9 +66,9 @@
         ("loss: 0.02", "loss: 1", 8, "links.between_regions.loss: must be from 0 to 0.9, not 1"),
         ("voters: 3", "voters: 5", 11, "control.voters: must be from 1 to 4, not 5"),
         ("life_s: 10", "life_s: nan", 12, "arrivals.life_s: must be from 0.1 to 86400, not nan"),
-        ('"ordinary"', '"Ordinary day"', 14, "phase[0].name: small letters"),
-        ('name: "faults"', 'name: "ordinary"', 16, "phase[1].name: 'ordinary' stands twice"),
-        ("kill { machines: 1 }", "", 17, "phase[1].fault[0]: what fails?"),
+        ('"ordinary"', '"Ordinary day"', 14, "phase[0].name: must be a lowercase letter"),
+        ('name: "faults"', 'name: "ordinary"', 16, "phase[1].name: duplicate phase name 'ordinary'"),
+        ("kill { machines: 1 }", "", 17, "phase[1].fault[0]: missing, expected one of kill, stop_resume"),
         ("seconds: 8", "seconds: 29", 18, "phase[1].fault[1].cut_regions.seconds: must be from 0.1 to 28"),
         (
             "kill { machines: 1 }",
@@ -79,18 +79,18 @@
     ],
 )
 def test_an_invalid_scenario_is_rejected_with_line_and_key(
-    tmp_path: Path, wrong: str, right: str, line: int, said: str
+    tmp_path: Path, valid: str, invalid: str, line: int, reason: str
 ) -> None:
-    """A scenario file has one value that is out of bounds, missing or named twice. The run must not start,
-    and the message must lead to the line of the file.
+    """A scenario file has one value that is out of bounds, missing or duplicate. The run must not start, and
+    the message must give the line of the file.
     """
     with pytest.raises(ConfigError) as caught:
-        read_scenario_text(SMALL.replace(wrong, right, 1), tmp_path)
+        read_scenario_text(SMALL.replace(valid, invalid, 1), tmp_path)
     assert str(caught.value).startswith(f"{tmp_path}/test.txtpb:{line}: ")
-    assert said in str(caught.value)
+    assert reason in str(caught.value)
 
 
 def test_a_missing_scenario_file_is_reported(tmp_path: Path) -> None:
-    """The path of the scenario is mistyped. The message names the path and the system's reason."""
+    """The path of the scenario is wrong. The message has the path and the operating system's reason."""
     with pytest.raises(ConfigError, match="nothing.txtpb: No such file"):
         read_scenario(tmp_path / "nothing.txtpb")
