--- a/tests/emulator/scale/cases.py
+++ b/tests/emulator/scale/cases.py
@@ -1,4 +1,4 @@
-"""What the tests of the scale emulator share: a small scenario and builders of records."""
+"""A small scenario and builders of records for the tests of the scale emulator."""
 
 from __future__ import annotations
 
@@ -55,12 +55,15 @@
     return ConfigurationSeen(at, member, epoch, version, digest, [version], list(torn))
 
 
-def evaluated(topology: Topology, *records: Record):  # type: ignore[no-untyped-def]
+def metrics_of(topology: Topology, *records: Record):  # type: ignore[no-untyped-def]
     return evaluate(GOSSIP, 1, topology, TIMELINE, [*STARTS, *records])
 
 
-def applied(topology: Topology, at: float, change: int, without: tuple[int, ...] = ()) -> list[Record]:
-    """Each member has the change a little later than the one before it."""
+def change_seen(topology: Topology, at: float, change: int, without: tuple[int, ...] = ()) -> list[Record]:
+    """Return records in which each member applies the change 0.1 s after the previous member.
+
+    The members with the indexes ``without`` do not apply it.
+    """
     return [
         ConfigurationSeen(at + 0.1 * spec.index, spec.index, 1, change + 1, 5, [change], [])
         for spec in topology.members
--- a/tests/emulator/scale/conftest.py
+++ b/tests/emulator/scale/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the scale emulator's tests."""
+"""Fixtures for the tests of the scale emulator."""
 
 from __future__ import annotations
 
--- a/tests/emulator/scale/test_connections.py
+++ b/tests/emulator/scale/test_connections.py
@@ -8,7 +8,7 @@
 from saltcourse.emulator.scale.scenario import Arrivals
 
 
-def test_connections_begin_and_end_at_their_rates() -> None:
+def test_connections_arrive_and_end_at_the_configured_rates() -> None:
     connections = ConnectionChurn(Arrivals(2.0, 10.0, 1.0, 1), Random(5))
     assert len(connections.start(0.0)) == 20
     begun = sum(len(connections.begun(now / 10)) for now in range(2000))
--- a/tests/emulator/scale/test_history.py
+++ b/tests/emulator/scale/test_history.py
@@ -1,4 +1,4 @@
-"""Which members ran and could reach each other."""
+"""Reconstruction of partitions from recorded actions."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from tests.emulator.scale.cases import STARTS
 
 
-def test_history_knows_which_members_were_separated(topology: Topology) -> None:
-    """A partition of one second separates the east, which lacks a majority of the voters."""
+def test_history_shows_which_members_a_partition_separated(topology: Topology) -> None:
+    """A partition of one second separates the region east, which has no majority of the voters."""
     history = History(topology, [*STARTS, Lifecycle(5, -1, "cut"), Lifecycle(6, -1, "heal")])  # type: ignore[list-item]
     east = next(spec.index for spec in topology.members if spec.region == "east")
     assert (
--- a/tests/emulator/scale/test_publications.py
+++ b/tests/emulator/scale/test_publications.py
@@ -1,4 +1,4 @@
-"""The operator's changes at a hosted member."""
+"""Publication of the operator's changes at a hosted member."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 def test_a_member_that_does_not_run_rejects_a_change(
     parts: WorkerParts, actions: tuple[FaultAction, ...]
 ) -> None:
-    """The operator submits a change to a voter that is down or stopped. It must get a result at once, so
+    """A change is submitted to a voter that is down or stopped. The operator must get a result at once, so
     that it can try another voter.
     """
     for action in actions:
@@ -38,9 +38,9 @@
     assert parts.results == [PublishResult(7, MEMBER, DOWN)]
 
 
-def test_a_kill_ends_the_publications_in_flight(parts: WorkerParts) -> None:
-    """A member is killed before it has a result for a change. The operator's connection breaks: it gets one
-    failure for that change, and none for a change that was confirmed before.
+def test_a_kill_fails_the_pending_publications(parts: WorkerParts) -> None:
+    """A member is killed while a change is pending. The operator gets one failure for that change, as for a
+    broken connection, and none for a change that was already confirmed.
     """
     parts.faults.apply(parts.hosted, FaultAction.START)
     parts.publications.publish(Publish(1, MEMBER))
@@ -50,9 +50,9 @@
     assert parts.results == [PublishResult(1, MEMBER, "", 4, 9), PublishResult(2, MEMBER, DOWN)]
 
 
-def test_a_publisher_is_killed_after_it_took_the_change(parts: WorkerParts) -> None:
-    """A scenario loses the publisher just after a change was submitted. The process takes the change first,
-    is then killed, and a new one is started.
+def test_a_publisher_is_killed_after_it_received_the_change(parts: WorkerParts) -> None:
+    """A scenario kills the publisher just after a change was submitted. The process gets the change first, is
+    then killed, and a new process is started.
     """
     parts.faults.apply(parts.hosted, FaultAction.START)
     old = parts.process
--- a/tests/emulator/scale/test_records.py
+++ b/tests/emulator/scale/test_records.py
@@ -1,4 +1,4 @@
-"""Files of records."""
+"""Record files: encoding, decoding and truncated lines."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def test_records_are_read_back_without_a_truncated_last_line(tmp_path: Path) -> None:
-    """A worker is killed while it writes: its last line lacks its end. All whole records count."""
+    """A worker is killed while it writes, so its last line is incomplete. All complete records are read."""
     records: list[Record] = [
         Load(1.0, 3, 10, 20, 0.5),
         ConfigurationSeen(2.0, 1, 4, 5, 6, [7], []),
@@ -34,6 +34,6 @@
     "line", ["", "{}", "[]", '["Load"]', '["Nothing", 1]', "[1, 2]", '["Load", 1, 2, 3, 4, 5, 6]']
 )
 def test_a_line_that_is_not_a_record_is_rejected(line: str) -> None:
-    """A file of records is damaged or of another program. No line of it may pass as a record."""
+    """A record file is corrupt or from another program. No invalid line may be decoded as a record."""
     with pytest.raises(RecordError):
         decode(line + "\n")
--- a/tests/emulator/scale/test_report.py
+++ b/tests/emulator/scale/test_report.py
@@ -1,4 +1,4 @@
-"""The flat object and the table of all runs."""
+"""The flat JSON object and the table of all runs."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 from saltcourse.emulator.scale.records import Load
 from saltcourse.emulator.scale.report import flat_metrics, table
 from saltcourse.emulator.scale.topology import Topology
-from tests.emulator.scale.cases import evaluated
+from tests.emulator.scale.cases import metrics_of
 
 
-def test_the_report_has_the_keys_that_scripts_read(topology: Topology) -> None:
-    metrics = evaluated(
+def test_the_report_has_the_main_keys_for_each_size_and_mechanism(topology: Topology) -> None:
+    metrics = metrics_of(
         topology, *[Load(float(s), p.index, 10, 20, 0.01) for s in range(1, 21) for p in topology.members]
     )
-    both = [metrics, replace(metrics, size=60), replace(metrics, mechanism=MESH)]
-    flat = flat_metrics(both)
+    runs = [metrics, replace(metrics, size=60), replace(metrics, mechanism=MESH)]
+    flat = flat_metrics(runs)
     for key in (
         "control_bytes_per_s_max",
         "control_cpu_share_max",
@@ -31,4 +31,4 @@
         assert f"n6_{key}" in flat and f"n60_{key}" in flat and f"mesh_n6_{key}" in flat
     assert flat["bytes_growth_exponent"] == pytest.approx(0.0) and flat["mesh_bytes_growth_exponent"] is None
     assert all(value is None or isinstance(value, (int, float)) for value in flat.values())
-    assert len(table(both).splitlines()) == 4
+    assert len(table(runs).splitlines()) == 4
--- a/tests/emulator/scale/test_runner.py
+++ b/tests/emulator/scale/test_runner.py
@@ -1,4 +1,4 @@
-"""One small run with worker processes, and one that is stopped."""
+"""Small runs with worker processes, and a run that is stopped."""
 
 from __future__ import annotations
 
@@ -18,7 +18,9 @@
 
 
 @pytest.mark.parametrize("mechanism", [MESH, GOSSIP])
-def test_six_members_for_two_seconds(scenario: Scenario, tmp_path: Path, mechanism: str) -> None:
+def test_a_run_of_six_members_has_plausible_metrics(
+    scenario: Scenario, tmp_path: Path, mechanism: str
+) -> None:
     short = replace(scenario, settle=0.3, phases=(Phase("ordinary", 1.2, 5.0, ()),), control_members=3)
     records = execute_run(
         RunPlan(mechanism, short, 3, 1, workers=2), tmp_path, threading.Event(), lambda share: None
@@ -32,7 +34,7 @@
 
 
 def test_a_run_that_is_stopped_leaves_no_process(scenario: Scenario, tmp_path: Path) -> None:
-    """The user stops a run before its workers have started. No worker process may outlive it."""
+    """The user stops a run before its workers have started. No worker process may remain."""
     stop = threading.Event()
     stop.set()
     with pytest.raises(RunError, match="stopped"):
--- a/tests/emulator/scale/test_safety.py
+++ b/tests/emulator/scale/test_safety.py
@@ -1,4 +1,4 @@
-"""The checker of safety properties, with sound and with broken records."""
+"""The checker of safety properties, with records that satisfy them and records that violate them."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from saltcourse.emulator.scale.safety import BreachKind, find_breaches
 from tests.emulator.scale.cases import configuration_seen
 
-SOUND = [
+VALID_RECORDS = [
     configuration_seen(1, 0, 1, 1, 11),
     configuration_seen(2, 0, 1, 2, 12),
     configuration_seen(3, 0, 6, 3, 13),
@@ -22,13 +22,13 @@
 ]
 
 
-def test_sound_records_show_no_breach() -> None:
-    assert find_breaches(SOUND) == []
-    assert find_breaches(reversed(SOUND)) == []
+def test_valid_records_show_no_breach() -> None:
+    assert find_breaches(VALID_RECORDS) == []
+    assert find_breaches(reversed(VALID_RECORDS)) == []
 
 
 @pytest.mark.parametrize(
-    ("broken", "kind"),
+    ("violation", "kind"),
     [
         (configuration_seen(8, 0, 1, 2, 12), BreachKind.VERSION_REGRESSION),
         (configuration_seen(8, 0, 6, 3, 13), BreachKind.VERSION_REGRESSION),  # the same version twice
@@ -43,6 +43,6 @@
         (Confirmed(8, 9, 0, 5, 3), BreachKind.LOST_CONFIRMED_CHANGE),
     ],
 )
-def test_each_breach_is_caught(broken: Record, kind: BreachKind) -> None:
-    """One member breaks one safety property in an otherwise sound run. The checker must name it."""
-    assert kind in [breach.kind for breach in find_breaches([*SOUND, broken])]
+def test_each_kind_of_breach_is_detected(violation: Record, kind: BreachKind) -> None:
+    """One record violates one safety property in an otherwise valid run. The checker must report its kind."""
+    assert kind in [breach.kind for breach in find_breaches([*VALID_RECORDS, violation])]
--- a/tests/emulator/scale/test_sockets.py
+++ b/tests/emulator/scale/test_sockets.py
@@ -9,7 +9,7 @@
 from saltcourse.emulator.scale.topology import Topology
 
 
-def test_paths_apply_delay_loss_and_partitions_by_zone(scenario: Scenario, topology: Topology) -> None:
+def test_links_apply_delay_loss_and_partitions_by_zone(scenario: Scenario, topology: Topology) -> None:
     addresses = tuple(("127.0.0.1", 1000 + spec.index) for spec in topology.members)
     links = LinkEmulator(scenario, topology.members, addresses, Random(1))
     other_region = next(spec for spec in topology.members if spec.region == "east")
@@ -23,4 +23,4 @@
     assert links.is_open("w1", addresses[same_region.index]) and links.is_open(
         "e1", addresses[other_region.index]
     )
-    assert links.draw_delay("w1", ("127.0.0.1", 9)) is None  # a stranger
+    assert links.draw_delay("w1", ("127.0.0.1", 9)) is None  # not a member's address
--- a/tests/emulator/scale/test_timeline.py
+++ b/tests/emulator/scale/test_timeline.py
@@ -1,4 +1,4 @@
-"""The schedule of a run, worked out from a scenario and a seed."""
+"""The schedule of a run, built from a scenario and a seed."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from saltcourse.emulator.scale.topology import Topology
 
 
-def test_one_seed_gives_one_timeline(scenario: Scenario, topology: Topology) -> None:
+def test_the_same_seed_gives_the_same_timeline(scenario: Scenario, topology: Topology) -> None:
     assert build_timeline(scenario, topology, 1) == build_timeline(scenario, topology, 1)
     assert build_timeline(scenario, topology, 1) != build_timeline(scenario, topology, 2)
 
@@ -34,8 +34,8 @@
     assert [p.at for p in timeline.publications[:5]] == [2.0, 4.0, 6.0, 8.0, 10.0]
 
 
-def test_a_zone_outage_takes_all_members_of_one_zone(scenario: Scenario, topology: Topology) -> None:
-    """A zone loses power: its proxies and its control members fail together and come back together."""
+def test_a_zone_outage_affects_all_members_of_one_zone(scenario: Scenario, topology: Topology) -> None:
+    """A zone loses power: its proxies and control members fail at the same time and restart together."""
     phase = Phase("zone", 20.0, 0.0, (ZoneOutage(2.0, 5.0),))
     timeline = build_timeline(replace(scenario, phases=(phase,)), topology, 3)
     killed = next(command for command in timeline.commands if command.action is FaultAction.KILL)
--- a/tests/emulator/scale/test_timer_queue.py
+++ b/tests/emulator/scale/test_timer_queue.py
@@ -8,7 +8,7 @@
 from saltcourse.emulator.scale.timer_queue import LAG_SAMPLES, MAX_TIMERS_AT_ONCE, LagSample, TimerQueue
 
 
-def test_timers_expire_in_the_order_of_time_and_then_of_calls() -> None:
+def test_timers_run_in_order_of_expiry_and_then_of_insertion() -> None:
     timers = TimerQueue(Random(1))
     expired: list[str] = []
     now = time.monotonic()
@@ -23,9 +23,9 @@
     assert 2 <= timers.lag.max < 60 and timers.lag.p99 == timers.lag.max
 
 
-def test_repeated_timers_keep_to_whole_intervals() -> None:
-    """A worker is late by three intervals. The timer catches up, and its next expiry is a whole interval from
-    the begin: lag does not add up.
+def test_repeated_timers_do_not_drift() -> None:
+    """A worker is more than three intervals late. The timer runs three times, and its next expiry is still a
+    multiple of the interval after the start: lag does not accumulate.
     """
     timers = TimerQueue(Random(1))
     calls: list[float] = []
@@ -36,22 +36,24 @@
     assert timers.next_expiry(begin + 1e6) == begin + 400.0
 
 
-def test_sockets_are_read_between_many_expired_timers() -> None:
-    """A timer sets itself again at once. Without a bound the worker would never read its sockets again."""
+def test_the_number_of_timers_run_at_once_is_bounded() -> None:
+    """A timer always schedules itself again for a past time. Without the bound, the worker would never return
+    to reading its sockets.
+    """
     timers = TimerQueue(Random(1))
     count = 0
 
-    def again() -> None:
+    def reschedule() -> None:
         nonlocal count
         count += 1
-        timers.call_at(0.0, again)
+        timers.call_at(0.0, reschedule)
 
-    again()
+    reschedule()
     timers.run_expired()
     assert count == MAX_TIMERS_AT_ONCE + 1
 
 
-def test_the_lag_sample_is_bounded_and_covers_the_whole_run() -> None:
+def test_the_lag_sample_is_bounded_and_uniform_over_the_run() -> None:
     lag = LagSample(Random(1))
     assert (lag.p99, lag.max) == (0.0, 0.0)
     for _ in range(LAG_SAMPLES):
--- a/tests/emulator/scale/test_topology.py
+++ b/tests/emulator/scale/test_topology.py
@@ -10,7 +10,7 @@
 from tests.emulator.scale.cases import SCENARIOS
 
 
-def test_the_voters_are_in_different_zones(scenario: Scenario) -> None:
+def test_the_ordinary_topology_spreads_voters_and_racks_over_the_zones(scenario: Scenario) -> None:
     ordinary = read_scenario(SCENARIOS / "ordinary.txtpb")
     topology = build_topology(ordinary, 490, real=8)
     assert len({voter.zone for voter in topology.voters}) == 5
--- a/tests/emulator/scale/worker_parts.py
+++ b/tests/emulator/scale/worker_parts.py
@@ -1,4 +1,4 @@
-"""The parts of a worker around one member that only notes what it is given."""
+"""The parts of a worker around one member that only records the datagrams and changes that it gets."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class RecordingMember(SimulatedMember):
-    """Publishes always, never confirms, and stores how many processes it has had."""
+    """A member that is always publisher, never confirms a change, and persists its number of processes."""
 
     def start(self, now: float) -> Output:
         self.received: list[bytes] = []
@@ -56,7 +56,7 @@
 
 
 class WorkerParts:
-    """All parts but the loop; member 1 is the far end of each datagram."""
+    """All parts of a worker except its loop. Datagrams come from member 1 unless a test changes it."""
 
     def __init__(self, scenario: Scenario, topology: Topology, folder: Path, sockets: Sockets) -> None:
         addresses = tuple(("127.0.0.1", 1_000 + spec.index) for spec in topology.members)
