--- a/saltcourse/emulator/scale/connections.py
+++ b/saltcourse/emulator/scale/connections.py
@@ -28,25 +28,25 @@
         """Open the mean number of concurrent connections and return their numbers."""
         self._next_arrival = now
         established = round(self._arrivals.connections_per_s * self._arrivals.mean_lifetime)
-        return [self._begin(now) for _ in range(established)]
+        return [self._open(now) for _ in range(established)]
 
     def begun(self, now: float) -> list[int]:
         """Return the numbers of the connections that began since the previous call."""
-        found: list[int] = []
+        begun: list[int] = []
         rate = self._arrivals.connections_per_s
         while rate > 0 and self._next_arrival <= now:
-            found.append(self._begin(now))
+            begun.append(self._open(now))
             self._next_arrival += self._random.expovariate(rate)
-        return found
+        return begun
 
     def ended(self, now: float) -> list[int]:
         """Return the numbers of the connections that ended since the previous call."""
-        found: list[int] = []
+        ended: list[int] = []
         while self._ends and self._ends[0][0] <= now:
-            found.append(heapq.heappop(self._ends)[1])
-        return found
+            ended.append(heapq.heappop(self._ends)[1])
+        return ended
 
-    def _begin(self, now: float) -> int:
+    def _open(self, now: float) -> int:
         self._number += 1
         heapq.heappush(
             self._ends, (now + self._random.expovariate(1 / self._arrivals.mean_lifetime), self._number)
--- a/saltcourse/emulator/scale/evaluation/changes.py
+++ b/saltcourse/emulator/scale/evaluation/changes.py
@@ -40,7 +40,7 @@
         """Return the propagation of the changes that were first submitted in each phase."""
         return {
             span.name: self._propagation(
-                [change for change in self._timed if span.begin <= self._submitted[change].at < span.end]
+                [change for change in self._timed if span.start <= self._submitted[change].at < span.end]
             )
             for span in self._index.timeline.spans
         }
--- a/saltcourse/emulator/scale/evaluation/costs.py
+++ b/saltcourse/emulator/scale/evaluation/costs.py
@@ -11,7 +11,7 @@
 from saltcourse.emulator.scale.timeline import PhaseSpan
 from saltcourse.emulator.scale.topology import MemberSpec
 
-WINDOW = 10  # seconds of a sliding window; one Load record per member and second
+WINDOW_SECONDS = 10  # seconds of a sliding window; one Load record per member and second
 
 
 def ordinary_cost(index: RecordIndex, specs: Iterable[MemberSpec]) -> CostSummary | None:
@@ -73,19 +73,19 @@
 
 
 def _loads_by_member(index: RecordIndex, span: PhaseSpan, members: set[int]) -> list[list[Load]]:
-    found: dict[int, list[Load]] = {}
+    loads_by_member: dict[int, list[Load]] = {}
     for load in index.records_of(Load):
-        if load.member in members and span.begin < load.at <= span.end:
-            found.setdefault(load.member, []).append(load)
-    return list(found.values())
+        if load.member in members and span.start < load.at <= span.end:
+            loads_by_member.setdefault(load.member, []).append(load)
+    return list(loads_by_member.values())
 
 
 def _byte_rates(loads: list[Load]) -> list[float]:
-    return window_means([float(load.sent + load.received) for load in loads], WINDOW)
+    return window_means([float(load.sent + load.received) for load in loads], WINDOW_SECONDS)
 
 
 def _cpu_shares(loads: list[Load]) -> list[float]:
-    return window_means([load.cpu for load in loads], WINDOW)
+    return window_means([load.cpu for load in loads], WINDOW_SECONDS)
 
 
 def _samples_by_process(index: RecordIndex) -> dict[int, list[ProcessSample]]:
@@ -94,6 +94,6 @@
     span = next((span for span in spans if span.ordinary), spans[0])
     samples: dict[int, list[ProcessSample]] = {}
     for sample in index.records_of(ProcessSample):
-        if span.begin <= sample.at <= span.end:
+        if span.start <= sample.at <= span.end:
             samples.setdefault(sample.member, []).append(sample)
     return samples
--- a/saltcourse/emulator/scale/evaluation/failures.py
+++ b/saltcourse/emulator/scale/evaluation/failures.py
@@ -15,7 +15,7 @@
 DETECTION_DEADLINE = 60.0  # seconds from a kill within which members must consider the member dead
 MIN_DOWNTIME = 10.0  # seconds; shorter outages are not counted as failures
 ZONE_CHECK_DELAY = 1.0  # seconds from a kill to the check whether its whole zone was lost
-GRACE = 30.0  # seconds after a fault of the member within which a suspicion is not a false alarm
+GRACE_PERIOD = 30.0  # seconds after a fault of the member within which a suspicion is not a false alarm
 DeathTimes = Mapping[int, list[float]]  # observer -> times at which it considered the member dead
 
 
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FalseAlarms:
-    """Counts of suspicions and deaths of members that had run and been reachable for ``GRACE`` seconds."""
+    """Counts of suspicions and deaths of members that ran and were reachable for ``GRACE_PERIOD`` seconds."""
 
     suspicions: int
     deaths: int
@@ -52,7 +52,7 @@
     deaths = _death_times(index)
     detections: list[_Detection] = []
     for outage in index.history.outages:
-        killed_at = outage.interval.begin
+        killed_at = outage.interval.start
         until = min(outage.interval.end, index.end, killed_at + DETECTION_DEADLINE)
         if until - killed_at < MIN_DOWNTIME:
             continue
@@ -71,10 +71,10 @@
     """Count suspicions and deaths of members that had not failed or been separated recently."""
     suspicions = deaths = 0
     for record in index.records_of(StatusSeen):
-        begin = record.at - GRACE
-        if not index.history.undisturbed(record.other, begin, record.at):
+        start = record.at - GRACE_PERIOD
+        if not index.history.undisturbed(record.other, start, record.at):
             continue
-        if index.history.partitioned_between(record.member, record.other, begin, record.at):
+        if index.history.partitioned_between(record.member, record.other, start, record.at):
             continue
         suspicions += record.status == Status.SUSPECT
         deaths += record.status in DEAD_OR_LEFT
@@ -91,7 +91,7 @@
 
 
 def _detection(index: RecordIndex, outage: Outage, until: float, deaths: DeathTimes) -> _Detection:
-    killed_at = outage.interval.begin
+    killed_at = outage.interval.start
     seconds: list[float] = []
     missing = 0
     for spec in index.topology.members:
--- a/saltcourse/emulator/scale/evaluation/metrics.py
+++ b/saltcourse/emulator/scale/evaluation/metrics.py
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CostSummary:
-    """The cost of members, summarized over all windows of ``costs.WINDOW`` seconds of all members."""
+    """The cost of members, summarized over all windows of ``costs.WINDOW_SECONDS`` seconds of all members."""
 
     bytes_per_s: Summary  # sent plus received
     cpu_share: Summary  # fraction of a core
@@ -90,7 +90,7 @@
     failure: Propagation
     failure_everywhere: Summary | None  # seconds until the last member learned of a failure that all detected
     joining: Propagation  # from a restart to the version that was the newest at the restart
-    staleness: Propagation  # from the begin of a partition to the stale reports of the minority side
+    staleness: Propagation  # from the start of a partition to the stale reports of the minority side
     false_suspicions: int
     false_deaths: int
     partitions: tuple[PartitionRecovery, ...]
--- a/saltcourse/emulator/scale/evaluation/record_index.py
+++ b/saltcourse/emulator/scale/evaluation/record_index.py
@@ -29,14 +29,14 @@
         """Return all records of one type, in time order if the type has a time."""
         return cast(list[Kind], self._by_kind.get(cast(type[Record], kind), []))
 
-    def reachable(self, member: int, begin: float, end: float) -> bool:
-        """Return whether the same process of the member ran from ``begin`` to ``end`` and could get changes.
+    def reachable(self, member: int, start: float, end: float) -> bool:
+        """Return whether the same process of the member ran from ``start`` to ``end`` and could get changes.
 
         A member cannot get changes while a partition separates it from a majority of the voters. Only
         partitions in the first ``CHANGE_DEADLINE`` seconds are considered.
         """
-        return self.history.ran_throughout(member, begin, end) and not self.history.in_minority(
-            member, begin, min(end, begin + CHANGE_DEADLINE)
+        return self.history.ran_throughout(member, start, end) and not self.history.in_minority(
+            member, start, min(end, start + CHANGE_DEADLINE)
         )
 
 
--- a/saltcourse/emulator/scale/evaluation/recovery.py
+++ b/saltcourse/emulator/scale/evaluation/recovery.py
@@ -13,8 +13,8 @@
 from saltcourse.emulator.scale.topology import MemberSpec
 
 JOIN_DEADLINE = 20.0  # seconds for a new process to reach the newest configuration
-JUST_AFTER = 0.001  # seconds after a start, to exclude the outage that ends with it
-STALE_DEADLINE = 20.0  # seconds from a partition's begin to the stale reports of its minority side
+START_MARGIN = 0.001  # seconds after a restart; at the restart itself, the member still counts as down
+STALE_DEADLINE = 20.0  # seconds from a partition's start to the stale reports of its minority side
 AGREEMENT_STEP = 0.25  # seconds between checks of agreement
 
 
@@ -32,7 +32,7 @@
         until = started + JOIN_DEADLINE if joined_at is None else joined_at
         if until > index.end or version == 0:
             continue
-        if not index.reachable(outage.member, started + JUST_AFTER, until):
+        if not index.reachable(outage.member, started + START_MARGIN, until):
             continue
         if joined_at is None:
             missing += 1
@@ -42,32 +42,34 @@
 
 
 def staleness(index: RecordIndex) -> Propagation:
-    """Measure the seconds from the begin of each partition to the stale reports of its minority side.
+    """Measure the seconds from the start of each partition to the stale reports of its minority side.
 
     Partitions shorter than ``STALE_DEADLINE`` are not counted.
     """
     seconds: list[float] = []
     missing = events = 0
     for partition in index.history.partitions:
-        until = partition.begin + STALE_DEADLINE
+        until = partition.start + STALE_DEADLINE
         if partition.end < until:
             continue
         events += 1
-        for spec in _minority(index, partition.begin, until):
-            reported_at = _first_stale_report(index, spec, partition.begin, until)
+        for spec in _minority(index, partition.start, until):
+            reported_at = _first_stale_report(index, spec, partition.start, until)
             if reported_at is None:
                 missing += 1
             else:
-                seconds.append(reported_at - partition.begin)
+                seconds.append(reported_at - partition.start)
     return Propagation(summarize(seconds), missing, events)
 
 
 def partition_recoveries(index: RecordIndex) -> tuple[PartitionRecovery, ...]:
     """Return the recovery from each partition that ended during the run."""
-    return tuple(_recovery(index, cut) for cut in index.history.partitions if cut.end < math.inf)
+    return tuple(
+        _recovery(index, partition) for partition in index.history.partitions if partition.end < math.inf
+    )
 
 
-def true_view(live: Iterable[MemberSpec]) -> tuple[int, int]:
+def expected_view(live: Iterable[MemberSpec]) -> tuple[int, int]:
     """Return the count and the XOR of the ids of these members, as in a correct ``View`` record."""
     count = digest = 0
     for spec in live:
@@ -94,29 +96,29 @@
     return newest
 
 
-def _minority(index: RecordIndex, begin: float, end: float) -> list[MemberSpec]:
+def _minority(index: RecordIndex, start: float, end: float) -> list[MemberSpec]:
     """Return the simulated members that ran throughout and were separated from a majority of the voters."""
     return [
         spec
         for spec in index.topology.members
-        if index.history.in_minority(spec.index, begin, end)
+        if index.history.in_minority(spec.index, start, end)
         and spec not in index.topology.real
-        and index.history.ran_throughout(spec.index, begin, end)
+        and index.history.ran_throughout(spec.index, start, end)
     ]
 
 
-def _first_stale_report(index: RecordIndex, spec: MemberSpec, begin: float, end: float) -> float | None:
+def _first_stale_report(index: RecordIndex, spec: MemberSpec, start: float, end: float) -> float | None:
     reports = (
         record.at
         for record in index.records_of(FreshnessSeen)
-        if record.member == spec.index and record.stale and begin <= record.at <= end
+        if record.member == spec.index and record.stale and start <= record.at <= end
     )
     return next(reports, None)
 
 
 def _recovery(index: RecordIndex, partition: Interval) -> PartitionRecovery:
     spans = index.timeline.spans
-    span = next((span for span in spans if span.begin <= partition.begin < span.end), None)
+    span = next((span for span in spans if span.start <= partition.start < span.end), None)
     until = span.end if span is not None else index.end
     return PartitionRecovery(
         members=_seconds_to_equal_views(index, partition.end, until),
@@ -132,8 +134,8 @@
         views.setdefault(view.member, ValueHistory()).add(view.at, (view.count, view.digest))
     at = healed
     while at <= until:
-        live = index.history.live(at)
-        expected = true_view(live)
+        live = index.history.live_members(at)
+        expected = expected_view(live)
         if all(_view_is_correct(index, spec, views.get(spec.index), at, expected) for spec in live):
             return at - healed
         at += AGREEMENT_STEP
@@ -152,16 +154,18 @@
 
 def _seconds_to_newest_configuration(index: RecordIndex, healed: float, until: float) -> float | None:
     """Return the seconds from ``healed`` until each live member has the version that was the newest then."""
-    seen = index.records_of(ConfigurationSeen)
-    newest = max((record.version for record in seen if record.at <= healed), default=0)
+    configurations = index.records_of(ConfigurationSeen)
+    newest = max((record.version for record in configurations if record.at <= healed), default=0)
     if newest == 0:
         return 0.0
     reached: dict[int, float] = {}
-    for record in seen:
+    for record in configurations:
         if record.version >= newest:
             reached.setdefault(record.member, record.at)
     live = [
-        spec for spec in index.history.live(until) if index.history.ran_throughout(spec.index, healed, until)
+        spec
+        for spec in index.history.live_members(until)
+        if index.history.ran_throughout(spec.index, healed, until)
     ]
     if not all(spec.index in reached and reached[spec.index] <= until for spec in live):
         return None
--- a/saltcourse/emulator/scale/fault_injection.py
+++ b/saltcourse/emulator/scale/fault_injection.py
@@ -71,7 +71,7 @@
         """Apply the command to its members that this worker hosts, or to the links."""
         if command.action in (FaultAction.PARTITION, FaultAction.HEAL):
             self._host.set_partition(command.action is FaultAction.PARTITION)
-            self._recorder.lifecycle(command.action)
+            self._recorder.record_lifecycle(command.action)
             return
         for index in command.members:
             if index in self._members:
@@ -85,29 +85,29 @@
             case FaultAction.KILL if hosted.process is not None:
                 self._kill(hosted, hosted.process)
             case FaultAction.STOP if hosted.process is not None and not hosted.stopped:
-                self._recorder.lifecycle(action, hosted.spec.index)
+                self._recorder.record_lifecycle(action, hosted.spec.index)
                 self._host.pause(hosted)
             case FaultAction.RESUME if hosted.stopped:
-                self._recorder.lifecycle(action, hosted.spec.index)
+                self._recorder.record_lifecycle(action, hosted.spec.index)
                 self._host.unpause(hosted)
-                self._host.deliver_waiting(hosted)
+                self._host.deliver_queued(hosted)
             case _:
                 pass
 
     def _start(self, hosted: HostedMember) -> None:
-        self._recorder.lifecycle(FaultAction.START, hosted.spec.index)
+        self._recorder.record_lifecycle(FaultAction.START, hosted.spec.index)
         hosted.view = None
         hosted.not_alive = {}
         process = self._factory.create(hosted)
         hosted.process = process
-        self._host.execute(hosted, process.start(time.monotonic()))
+        self._host.handle_output(hosted, process.start(time.monotonic()))
 
     def _kill(self, hosted: HostedMember, process: SimulatedMember) -> None:
-        self._recorder.lifecycle(FaultAction.KILL, hosted.spec.index)
+        self._recorder.record_lifecycle(FaultAction.KILL, hosted.spec.index)
         if hosted.stopped:
             self._host.unpause(hosted)
         hosted.cpu += process.cpu
         hosted.stored = process.stored()
         hosted.process = None
-        hosted.waiting = []
+        hosted.queued = []
         self._on_killed(hosted)
--- a/saltcourse/emulator/scale/gossip.py
+++ b/saltcourse/emulator/scale/gossip.py
@@ -21,7 +21,7 @@
     PublicationFailed,
     SimulatedMember,
     StatusObserved,
-    view_of,
+    build_view,
 )
 from saltcourse.emulator.scale.topology import MemberSpec
 from saltcourse.gossip.messages import (
@@ -66,14 +66,14 @@
         self._churn = ConnectionChurn(context.arrivals, context.random)
         self._next_count_at = 0.0
         stored = context.stored if isinstance(context.stored, ReplicaState) else None
-        self._state = stored
-        self._node = self._measured(Node, node_settings(context), context.random, stored)
+        self._persisted_state = stored
+        self._node = self._measure_cpu(Node, node_settings(context), context.random, stored)
 
     def start(self, now: float) -> Output:
         """Start the node and open the initial connections."""
         self._churn.start(now)
         self._next_count_at = now + COUNT_INTERVAL
-        return self._output(self._measured(self._start, now))
+        return self._build_output(self._measure_cpu(self._start, now))
 
     def receive(self, now: float, source: Address, datagram: bytes) -> Output:
         """Process one received datagram."""
@@ -101,17 +101,17 @@
         own = self.context.spec.id
         alive = [
             member
-            for member, known in self._node.membership.members.items()
-            if known.status is Status.ALIVE and member != own
+            for member, entry in self._node.membership.members.items()
+            if entry.status is Status.ALIVE and member != own
         ]
-        return view_of(own, alive)
+        return build_view(own, alive)
 
     def stored(self) -> ReplicaState | None:
         """Return the last state that the node persisted."""
-        return self._state
+        return self._persisted_state
 
     def _handle(self, now: float, event: Event) -> Output:
-        return self._output(self._measured(self._step, now, event))
+        return self._build_output(self._measure_cpu(self._step, now, event))
 
     def _start(self, now: float) -> list[Action]:
         actions = self._node.start(now)
@@ -123,7 +123,7 @@
         self.next_deadline = self._node.next_deadline()
         return actions
 
-    def _output(self, actions: Iterable[Action]) -> Output:
+    def _build_output(self, actions: Iterable[Action]) -> Output:
         output = Output()
         applied: list[Applied] = []
         for action in actions:
@@ -131,7 +131,7 @@
                 case Transmit():
                     output.datagrams.append(action)
                 case Persist(state):
-                    self._state = state
+                    self._persisted_state = state
                 case Applied():
                     applied.append(action)
                 case MemberChanged(name, _, status):
@@ -181,11 +181,11 @@
 
     Only the last one has a digest, because the node exposes only its newest configuration.
     """
-    found = []
+    observations = []
     for number, action in enumerate(applied):
         changes = changes_of(action.changed)
         last = number == len(applied) - 1
-        found.append(
+        observations.append(
             ConfigurationObserved(
                 epoch=action.position.epoch,
                 version=action.position.version,
@@ -194,7 +194,7 @@
                 torn=tuple(change for change in changes if is_torn(change, configuration)),
             )
         )
-    return found
+    return observations
 
 
 def changes_of(keys: Iterable[str]) -> tuple[int, ...]:
--- a/saltcourse/emulator/scale/history.py
+++ b/saltcourse/emulator/scale/history.py
@@ -19,16 +19,16 @@
 class Interval:
     """A time interval in seconds since the start of the run."""
 
-    begin: float
+    start: float
     end: float  # infinite if the interval did not end during the run
 
-    def overlaps(self, begin: float, end: float) -> bool:
+    def overlaps(self, start: float, end: float) -> bool:
         """Return whether the interval and the given one (both ends included) have a moment in common."""
-        return self.begin <= end and begin <= self.end
+        return self.start <= end and start <= self.end
 
     def contains(self, at: float) -> bool:
         """Return whether ``at`` is within the interval; the end is excluded."""
-        return self.begin <= at < self.end
+        return self.start <= at < self.end
 
 
 @dataclass(frozen=True, slots=True)
@@ -83,28 +83,28 @@
 class _Partitions:
     """Builds the intervals of partitions.
 
-    Each worker records the begin and end of a partition, at slightly different times: an interval lasts from
-    the first begin to the last end.
+    Each worker records the start and end of a partition, at slightly different times: an interval lasts from
+    the first start to the last end.
     """
 
     def __init__(self) -> None:
         self.intervals: list[Interval] = []
-        self._begin = math.inf
+        self._start = math.inf
 
     def add(self, record: Lifecycle) -> None:
         match FaultAction(record.action):
             case FaultAction.PARTITION:
-                self._begin = min(self._begin, record.at)
-            case FaultAction.HEAL if self._begin < math.inf:
-                self.intervals.append(Interval(self._begin, record.at))
-                self._begin = math.inf
+                self._start = min(self._start, record.at)
+            case FaultAction.HEAL if self._start < math.inf:
+                self.intervals.append(Interval(self._start, record.at))
+                self._start = math.inf
             case FaultAction.HEAL if self.intervals:  # recorded by another worker: extend to the latest end
-                self.intervals[-1] = Interval(self.intervals[-1].begin, record.at)
+                self.intervals[-1] = Interval(self.intervals[-1].start, record.at)
 
     def finish(self) -> None:
         """Add an interval without an end for a partition that was not healed."""
-        if self._begin < math.inf:
-            self.intervals.append(Interval(self._begin, math.inf))
+        if self._start < math.inf:
+            self.intervals.append(Interval(self._start, math.inf))
 
 
 class History:
@@ -125,7 +125,7 @@
         self._running_from = outages.running_from
         self._unavailable = outages.unavailable
 
-    def live(self, at: float) -> list[MemberSpec]:
+    def live_members(self, at: float) -> list[MemberSpec]:
         """Return the members that run and are not stopped at this time."""
         return [
             spec
@@ -134,41 +134,41 @@
             and not any(interval.contains(at) for interval in self._unavailable[spec.index])
         ]
 
-    def ran_throughout(self, member: int, begin: float, end: float) -> bool:
-        """Return whether the same process of the member ran from ``begin`` to ``end`` and was not stopped."""
+    def ran_throughout(self, member: int, start: float, end: float) -> bool:
+        """Return whether the same process of the member ran from ``start`` to ``end`` and was not stopped."""
         started = self._running_from.get(member, math.inf)
-        return started <= begin and not any(
-            interval.overlaps(begin, end) for interval in self._unavailable[member]
+        return started <= start and not any(
+            interval.overlaps(start, end) for interval in self._unavailable[member]
         )
 
-    def undisturbed(self, member: int, begin: float, end: float) -> bool:
-        """Return whether the member was neither killed nor stopped between ``begin`` and ``end``.
+    def undisturbed(self, member: int, start: float, end: float) -> bool:
+        """Return whether the member was neither killed nor stopped between ``start`` and ``end``.
 
         Unlike in ``ran_throughout``, the member's first start may be in this interval.
         """
         started = self._running_from.get(member, math.inf)
         return started <= end and not any(
-            interval.overlaps(begin, end) for interval in self._unavailable[member]
+            interval.overlaps(start, end) for interval in self._unavailable[member]
         )
 
-    def partitioned_between(self, one: int, other: int, begin: float, end: float) -> bool:
+    def partitioned_between(self, one: int, other: int, start: float, end: float) -> bool:
         """Return whether a partition separated the two members at any time in the interval."""
         if self._in_first_region(one) == self._in_first_region(other):
             return False
-        return any(partition.overlaps(begin, end) for partition in self.partitions)
+        return any(partition.overlaps(start, end) for partition in self.partitions)
 
-    def in_minority(self, member: int, begin: float, end: float) -> bool:
+    def in_minority(self, member: int, start: float, end: float) -> bool:
         """Return whether a partition separated the member from a majority of voters in the interval."""
         side = self._in_first_region(member)
         same_side = [voter for voter in self._topology.voters if self._in_first_region(voter.index) == side]
         return 2 * len(same_side) <= len(self._topology.voters) and any(
-            partition.overlaps(begin, end) for partition in self.partitions
+            partition.overlaps(start, end) for partition in self.partitions
         )
 
     def zone_lost(self, member: int, at: float) -> bool:
         """Return whether no member of the member's zone was running at this time."""
         zone = self._topology.members[member].zone
-        return not any(spec.zone == zone for spec in self.live(at))
+        return not any(spec.zone == zone for spec in self.live_members(at))
 
     def _in_first_region(self, member: int) -> bool:
         return self._topology.members[member].region == self._first_region
--- a/saltcourse/emulator/scale/hosted_member.py
+++ b/saltcourse/emulator/scale/hosted_member.py
@@ -17,16 +17,16 @@
         self.spec = spec
         self.process: SimulatedMember | None = None
         self.stopped = False
-        self.waiting: list[tuple[Address, bytes]] = []  # datagrams received while stopped
-        self.timer: float | None = None  # expiry of the earliest queued timer, CLOCK_MONOTONIC
+        self.queued: list[tuple[Address, bytes]] = []  # datagrams received while stopped
+        self.timer_expiry: float | None = None  # expiry of the earliest queued timer, CLOCK_MONOTONIC
         self.sent = 0  # bytes since the last load record
         self.received = 0  # bytes since the last load record
         self.cpu = 0.0  # CPU seconds used by earlier processes of the member
         self.cpu_recorded = 0.0  # CPU seconds reported by cpu_delta() so far
         self.view: MembersView | None = None
-        self.not_alive: dict[str, Status] = {}
+        self.not_alive: dict[str, Status] = {}  # last recorded status of members that it considers not alive
         self.stored: object = None  # persisted state that the next process starts with
-        self.publishing: set[int] = set()  # changes whose result is still pending
+        self.pending_changes: set[int] = set()  # changes whose result is still pending
 
     def cpu_delta(self) -> float:
         """Return the CPU seconds that the member used since the previous call."""
--- a/saltcourse/emulator/scale/member_host.py
+++ b/saltcourse/emulator/scale/member_host.py
@@ -41,7 +41,7 @@
         if delay is not None:
             self._timers.call_at(time.monotonic() + delay, lambda: self._deliver(hosted, source, datagram))
 
-    def execute(self, hosted: HostedMember, output: Output) -> None:
+    def handle_output(self, hosted: HostedMember, output: Output) -> None:
         """Send the datagrams of a member's step, report its observations and set its timer."""
         for transmit in output.datagrams:
             hosted.sent += len(transmit.datagram) + PACKET_OVERHEAD_BYTES
@@ -63,10 +63,10 @@
         hosted.stopped = False
         self._sockets.watch(hosted.spec.index)
 
-    def deliver_waiting(self, hosted: HostedMember) -> None:
+    def deliver_queued(self, hosted: HostedMember) -> None:
         """Deliver the datagrams that were queued while the member was paused."""
-        waiting, hosted.waiting = hosted.waiting, []
-        for source, datagram in waiting:
+        queued, hosted.queued = hosted.queued, []
+        for source, datagram in queued:
             self._deliver(hosted, source, datagram)
         self._set_timer(hosted)
 
@@ -78,10 +78,10 @@
         if hosted.process is None or not self._links.is_open(hosted.spec.zone, source):
             return
         if hosted.stopped:
-            hosted.waiting.append((source, datagram))
+            hosted.queued.append((source, datagram))
             return
         hosted.received += len(datagram) + PACKET_OVERHEAD_BYTES
-        self.execute(hosted, hosted.process.receive(time.monotonic(), source, datagram))
+        self.handle_output(hosted, hosted.process.receive(time.monotonic(), source, datagram))
 
     def _send_to_real(self, hosted: HostedMember, transmit: Transmit) -> None:
         """Apply the link before sending, because no worker reads a real process's socket."""
@@ -103,18 +103,18 @@
         if hosted.process is None:
             return
         deadline = max(hosted.process.next_deadline, time.monotonic() + MIN_TIMER_DELAY)
-        if hosted.timer is None or deadline < hosted.timer:
-            hosted.timer = deadline
+        if hosted.timer_expiry is None or deadline < hosted.timer_expiry:
+            hosted.timer_expiry = deadline
             self._timers.call_at(deadline, lambda: self._timer_expired(hosted, deadline))
 
     def _timer_expired(self, hosted: HostedMember, set_for: float) -> None:
-        if hosted.timer != set_for:
+        if hosted.timer_expiry != set_for:
             return  # an earlier timer replaced this one
-        hosted.timer = None
+        hosted.timer_expiry = None
         if hosted.process is None or hosted.stopped:
             return
         now = time.monotonic()
         if hosted.process.next_deadline <= now:
-            self.execute(hosted, hosted.process.tick(now))
+            self.handle_output(hosted, hosted.process.tick(now))
         else:
             self._set_timer(hosted)
--- a/saltcourse/emulator/scale/mesh.py
+++ b/saltcourse/emulator/scale/mesh.py
@@ -16,7 +16,7 @@
     PublicationConfirmed,
     SimulatedMember,
     StatusObserved,
-    view_of,
+    build_view,
 )
 from saltcourse.gossip.messages import Address, Status, Transmit
 from saltcourse.shared_state.outbox import Outgoing
@@ -60,7 +60,7 @@
             has_groups=True,
             shared_state=SharedStateSettings(share_connection_counts=True),
         )
-        self._shared_state = self._measured(
+        self._shared_state = self._measure_cpu(
             SharedState, settings, context.process_id, self._connections_by_backend
         )
 
@@ -75,7 +75,7 @@
         index = self._indexes.get(source)
         if index is None:
             return Output()
-        output = self._output(self._measured(self._receive_message, now, index, datagram))
+        output = self._build_output(self._measure_cpu(self._receive_message, now, index, datagram))
         if index == PUBLISHER:
             self._observe_changes(output)
         return output
@@ -88,11 +88,11 @@
         """Open and close connections, and send the resulting updates."""
         self._update_connections(now)
         self.next_deadline = now + TICK
-        return self._output(self._measured(self._shared_state.outgoing_messages, now))
+        return self._build_output(self._measure_cpu(self._shared_state.outgoing_messages, now))
 
     def publish(self, now: float, change: int, padding: int) -> Output:
         """Announce the group record of the change, which counts as committed at once. Ignores ``padding``."""
-        self._measured(self._shared_state.record_group, CHANGES_BACKEND, str(change), True)
+        self._measure_cpu(self._shared_state.record_group, CHANGES_BACKEND, str(change), True)
         self._changes_seen = change + 1
         output = self.tick(now)
         output.observations += [
@@ -108,11 +108,11 @@
     def view(self) -> MembersView:
         """Return the view with this proxy and all peers that are not lost."""
         specs = self.context.topology.members
-        return view_of(self.context.spec.id, [specs[index].id for index in self._shared_state.peers])
+        return build_view(self.context.spec.id, [specs[index].id for index in self._shared_state.peers])
 
     # ---- datagrams and observations ----------------------------------------------------------------------
 
-    def _output(self, sends: list[Outgoing]) -> Output:
+    def _build_output(self, sends: list[Outgoing]) -> Output:
         output = Output()
         for peer, text in sends:
             datagram = text.encode()
@@ -149,16 +149,16 @@
 
     def _connect(self, number: int) -> None:
         """Open a connection of a random group to a random backend of that group."""
-        draw = self.context.random
-        group = draw.randrange(self._group_count)
-        choice = draw.randrange(BACKENDS_PER_GROUP)
+        random = self.context.random
+        group = random.randrange(self._group_count)
+        choice = random.randrange(BACKENDS_PER_GROUP)
         backend = self._backends[(group * BACKENDS_PER_GROUP + choice) % len(self._backends)]
         pair = backend, f"group-{group}"
         self._pair_by_connection[number] = pair
         self._connections_by_backend[backend].count += 1
         self._connections_by_pair[pair] = self._connections_by_pair.get(pair, 0) + 1
         if self._connections_by_pair[pair] == 1:
-            self._measured(self._shared_state.record_group, *pair, True)
+            self._measure_cpu(self._shared_state.record_group, *pair, True)
 
     def _disconnect(self, number: int) -> None:
         pair = self._pair_by_connection.pop(number)
@@ -166,4 +166,4 @@
         self._connections_by_pair[pair] -= 1
         if not self._connections_by_pair[pair]:
             del self._connections_by_pair[pair]
-            self._measured(self._shared_state.record_group, *pair, False)
+            self._measure_cpu(self._shared_state.record_group, *pair, False)
--- a/saltcourse/emulator/scale/operator.py
+++ b/saltcourse/emulator/scale/operator.py
@@ -49,15 +49,15 @@
         ]
         self._send = send
         self._record = record
-        self._waiting = list(timeline.publications)
+        self._scheduled = list(timeline.publications)
         self._pending: dict[int, _PendingChange] = {}
         self._preferred_voter = 0  # the voter that confirmed the last change
         self._next_change = 0
 
     def advance(self, now: float) -> None:
         """Submit the scheduled changes and retries up to ``now``, and time out attempts without a result."""
-        while self._waiting and self._waiting[0].at <= now:
-            self._begin(now, self._waiting.pop(0))
+        while self._scheduled and self._scheduled[0].at <= now:
+            self._submit_new(now, self._scheduled.pop(0))
         for pending in list(self._pending.values()):
             if pending.retry_at is not None and pending.retry_at <= now:
                 self._submit(now, pending)
@@ -76,7 +76,7 @@
         elif pending.retry_at is None and result.member == self._voters[pending.voter]:
             self._attempt_failed(now, pending, result.reason)
 
-    def _begin(self, now: float, publication: Publication) -> None:
+    def _submit_new(self, now: float, publication: Publication) -> None:
         voter = self._preferred_voter
         if publication.kind is PublicationKind.CONFLICT:
             if not self._minority_voters:
--- a/saltcourse/emulator/scale/publications.py
+++ b/saltcourse/emulator/scale/publications.py
@@ -24,15 +24,17 @@
     def __init__(self, send: Callable[[PublishResult], None]) -> None:
         self._send = send
 
-    def confirmed(self, hosted: HostedMember, seen: PublicationConfirmed) -> None:
+    def confirmed(self, hosted: HostedMember, observation: PublicationConfirmed) -> None:
         """Report that the change was committed."""
-        hosted.publishing.discard(seen.change)
-        self._send(PublishResult(seen.change, hosted.spec.index, "", seen.epoch, seen.version))
+        hosted.pending_changes.discard(observation.change)
+        self._send(
+            PublishResult(observation.change, hosted.spec.index, "", observation.epoch, observation.version)
+        )
 
-    def failed(self, hosted: HostedMember, seen: PublicationFailed) -> None:
+    def failed(self, hosted: HostedMember, observation: PublicationFailed) -> None:
         """Report that the member did not commit the change."""
-        hosted.publishing.discard(seen.change)
-        self._send(PublishResult(seen.change, hosted.spec.index, seen.reason))
+        hosted.pending_changes.discard(observation.change)
+        self._send(PublishResult(observation.change, hosted.spec.index, observation.reason))
 
     def rejected(self, change: int, member: int, reason: str) -> None:
         """Report that the worker did not pass the change to the member."""
@@ -40,9 +42,9 @@
 
     def member_killed(self, hosted: HostedMember) -> None:
         """Report failure of all pending changes: a killed member's operator connections break."""
-        for change in hosted.publishing:
+        for change in hosted.pending_changes:
             self._send(PublishResult(change, hosted.spec.index, DOWN))
-        hosted.publishing = set()
+        hosted.pending_changes = set()
 
 
 class PublicationHandler:
@@ -76,14 +78,14 @@
             if not process.is_publisher():
                 self._results.rejected(request.change, request.member, NOT_PUBLISHER)
                 return
-            self._schedule_loss(hosted, request.kill_after, request.restart_after)
-        self._publish_at(hosted, process, request)
+            self._schedule_kill(hosted, request.kill_after, request.restart_after)
+        self._publish(hosted, process, request)
 
-    def _publish_at(self, hosted: HostedMember, process: SimulatedMember, request: Publish) -> None:
-        hosted.publishing.add(request.change)
-        self._host.execute(hosted, process.publish(time.monotonic(), request.change, request.padding))
+    def _publish(self, hosted: HostedMember, process: SimulatedMember, request: Publish) -> None:
+        hosted.pending_changes.add(request.change)
+        self._host.handle_output(hosted, process.publish(time.monotonic(), request.change, request.padding))
 
-    def _schedule_loss(self, hosted: HostedMember, kill_after: float, restart_after: float) -> None:
+    def _schedule_kill(self, hosted: HostedMember, kill_after: float, restart_after: float) -> None:
         killed_at = time.monotonic() + kill_after
         self._timers.call_at(killed_at, lambda: self._faults.apply(hosted, FaultAction.KILL))
         if restart_after > 0:
--- a/saltcourse/emulator/scale/recorder.py
+++ b/saltcourse/emulator/scale/recorder.py
@@ -37,49 +37,49 @@
     def __init__(self, path: Path, topology: Topology) -> None:
         self._writer = RecordWriter(path)
         self._index_by_name = {spec.name: spec.index for spec in topology.members}
-        self.begin = 0.0  # start of the run, CLOCK_MONOTONIC
+        self.run_start = 0.0  # start of the run, CLOCK_MONOTONIC
 
     def close(self) -> None:
         """Flush and close the record file."""
         self._writer.close()
 
-    def lifecycle(self, action: FaultAction, member: int = ALL_MEMBERS) -> None:
+    def record_lifecycle(self, action: FaultAction, member: int = ALL_MEMBERS) -> None:
         """Record an action that was carried out on one member, or on the links of all members."""
         self._writer.write(Lifecycle(self._now(), member, action.value))
 
-    def freshness(self, hosted: HostedMember, seen: FreshnessObserved) -> None:
+    def record_freshness(self, hosted: HostedMember, observation: FreshnessObserved) -> None:
         """Record that the member's configuration became possibly stale or current."""
-        self._writer.write(FreshnessSeen(self._now(), hosted.spec.index, seen.stale))
+        self._writer.write(FreshnessSeen(self._now(), hosted.spec.index, observation.stale))
 
-    def configuration(self, hosted: HostedMember, seen: ConfigurationObserved) -> None:
+    def record_configuration(self, hosted: HostedMember, observation: ConfigurationObserved) -> None:
         """Record a configuration version that came into force at the member."""
         self._writer.write(
             ConfigurationSeen(
                 self._now(),
                 hosted.spec.index,
-                seen.epoch,
-                seen.version,
-                seen.digest,
-                list(seen.changes),
-                list(seen.torn),
+                observation.epoch,
+                observation.version,
+                observation.digest,
+                list(observation.changes),
+                list(observation.torn),
             )
         )
 
-    def status(self, hosted: HostedMember, seen: StatusObserved) -> None:
+    def record_status(self, hosted: HostedMember, observation: StatusObserved) -> None:
         """Record that the member changed its view of another member.
 
         Only failures and recoveries are recorded; the discovery of members at the start of the run is not.
         """
-        other = self._index_by_name.get(seen.name)
-        if other is None or hosted.not_alive.get(seen.name, Status.ALIVE) == seen.status:
+        other = self._index_by_name.get(observation.name)
+        if other is None or hosted.not_alive.get(observation.name, Status.ALIVE) == observation.status:
             return
-        if seen.status is Status.ALIVE:
-            del hosted.not_alive[seen.name]
+        if observation.status is Status.ALIVE:
+            del hosted.not_alive[observation.name]
         else:
-            hosted.not_alive[seen.name] = seen.status
-        self._writer.write(StatusSeen(self._now(), hosted.spec.index, other, int(seen.status)))
+            hosted.not_alive[observation.name] = observation.status
+        self._writer.write(StatusSeen(self._now(), hosted.spec.index, other, int(observation.status)))
 
-    def loads(self, members: Collection[HostedMember]) -> None:
+    def record_loads(self, members: Collection[HostedMember]) -> None:
         """Record the bytes and CPU time of each member since the previous call, and flush the file."""
         at = self._now()
         for hosted in members:
@@ -87,7 +87,7 @@
             hosted.sent = hosted.received = 0
         self._writer.flush()
 
-    def views(self, members: Collection[HostedMember]) -> None:
+    def record_views(self, members: Collection[HostedMember]) -> None:
         """Record the view of each running member whose view has changed."""
         at = self._now()
         for hosted in members:
@@ -98,7 +98,9 @@
                 hosted.view = view
                 self._writer.write(View(at, hosted.spec.index, view.count, view.digest))
 
-    def usage(self, members: int, memory_before: int, cpu: float, lag: LagSample, dropped: int) -> None:
+    def record_usage(
+        self, members: int, memory_before: int, cpu: float, lag: LagSample, dropped: int
+    ) -> None:
         """Record the worker's resources: memory in bytes, CPU in seconds, datagrams dropped by the kernel."""
         self._writer.write(
             WorkerUsage(
@@ -113,7 +115,7 @@
         )
 
     def _now(self) -> float:
-        return time.monotonic() - self.begin
+        return time.monotonic() - self.run_start
 
 
 def resident_memory() -> int:
--- a/saltcourse/emulator/scale/report.py
+++ b/saltcourse/emulator/scale/report.py
@@ -39,11 +39,11 @@
 
 
 def flat_metrics(runs: Sequence[RunMetrics]) -> dict[str, Value]:
-    """Return one flat object for all runs. Keys of mesh runs begin with ``mesh_``."""
-    found: dict[str, Value] = {}
+    """Return one flat object for all runs. Keys of mesh runs start with ``mesh_``."""
+    flat: dict[str, Value] = {}
     for metrics in runs:
         for key, value in _metrics_of_run(metrics):
-            found[f"{prefix(metrics)}n{metrics.size}_{key}"] = _rounded(value)
+            flat[f"{prefix(metrics)}n{metrics.size}_{key}"] = _rounded(value)
     for mechanism in sorted({metrics.mechanism for metrics in runs}):
         chosen = [
             metrics for metrics in runs if metrics.mechanism == mechanism and metrics.proxies is not None
@@ -51,9 +51,9 @@
         key_prefix = f"{mechanism}_" if mechanism == MESH else ""
         byte_rates = {run.size: run.proxies.bytes_per_s.mean for run in chosen if run.proxies is not None}
         cpu_shares = {run.size: run.proxies.cpu_share.mean for run in chosen if run.proxies is not None}
-        found[f"{key_prefix}bytes_growth_exponent"] = _rounded(growth_exponent(byte_rates))
-        found[f"{key_prefix}cpu_growth_exponent"] = _rounded(growth_exponent(cpu_shares))
-    return found
+        flat[f"{key_prefix}bytes_growth_exponent"] = _rounded(growth_exponent(byte_rates))
+        flat[f"{key_prefix}cpu_growth_exponent"] = _rounded(growth_exponent(cpu_shares))
+    return flat
 
 
 def prefix(metrics: RunMetrics) -> str:
@@ -137,10 +137,10 @@
     yield "overloaded", metrics.overloaded
 
 
-def _statistic(found: Summary | None, name: str) -> float | None:
-    if found is None:
+def _statistic(summary: Summary | None, name: str) -> float | None:
+    if summary is None:
         return None
-    return {"p50": found.p50, "p99": found.p99, "max": found.max}[name]
+    return {"p50": summary.p50, "p99": summary.p99, "max": summary.max}[name]
 
 
 def _rounded(value: Value) -> Value:
--- a/saltcourse/emulator/scale/runner.py
+++ b/saltcourse/emulator/scale/runner.py
@@ -20,23 +20,23 @@
 from saltcourse.emulator.scale.topology import Topology, build_topology
 from saltcourse.emulator.scale.worker import run_worker
 from saltcourse.emulator.scale.worker_messages import (
-    Begin,
     Finished,
     Fleet,
     Publish,
     PublishResult,
     Ready,
     SocketsBound,
+    StartRun,
     WorkerFailed,
     WorkerTask,
 )
 from saltcourse.gossip.messages import Address
 
 START_TIMEOUT = 30.0  # seconds for the workers to import their modules and bind their sockets
-BEGIN_LEAD_TIME = 0.3  # seconds from the ``Begin`` message to the start of the run
-BEGIN_LEAD_TIME_WITH_REAL = 1.5  # seconds, if real processes are started in that time
+START_LEAD_TIME = 0.3  # seconds from the ``StartRun`` message to the start of the run
+START_LEAD_TIME_WITH_REAL = 1.5  # seconds, if real processes are started in that time
 END_TIMEOUT = 20.0  # seconds from the end of the timeline to the last records
-OPERATOR_STEP = 0.02  # seconds
+OPERATOR_STEP = 0.02  # seconds that the runner waits for messages before it advances the operator
 JOIN_TIMEOUT = 2.0  # seconds for a worker to exit after its pipe was closed or it was terminated
 KEY_BYTES = 32
 Expected = TypeVar("Expected")
@@ -137,11 +137,13 @@
         real_path = self._folder / f"{self._plan.mechanism}-{self._plan.size}-real.jsonl"
         records = RecordWriter(operator_path)
         try:
-            begin = time.monotonic() + (BEGIN_LEAD_TIME_WITH_REAL if self._topology.real else BEGIN_LEAD_TIME)
-            self._real.start(addresses, self._key, begin, real_path)
+            run_start = time.monotonic() + (
+                START_LEAD_TIME_WITH_REAL if self._topology.real else START_LEAD_TIME
+            )
+            self._real.start(addresses, self._key, run_start, real_path)
             for pipe in self._pipes:
-                pipe.send(Begin(begin))
-            self._operate(begin, records)
+                pipe.send(StartRun(run_start))
+            self._operate(run_start, records)
         finally:
             self._real.close()
             records.close()
@@ -165,23 +167,23 @@
                 self._key,
                 path,
             )
-            ours, theirs = context.Pipe()
-            process = context.Process(target=run_worker, args=(task, theirs), daemon=True)
+            runner_end, worker_end = context.Pipe()
+            process = context.Process(target=run_worker, args=(task, worker_end), daemon=True)
             process.start()
-            theirs.close()
+            worker_end.close()
             self._processes.append(process)
-            self._pipes.append(ours)
-            self._pipe_by_member.update(dict.fromkeys(members, ours))
+            self._pipes.append(runner_end)
+            self._pipe_by_member.update(dict.fromkeys(members, runner_end))
             paths.append(path)
         return paths
 
     def _exchange_addresses(self) -> tuple[Address, ...]:
         deadline = time.monotonic() + START_TIMEOUT
-        found = self._real.bind(self._topology)
-        real = frozenset(found)
+        address_by_member = self._real.bind(self._topology)
+        real = frozenset(address_by_member)
         for pipe in self._pipes:
-            found = found | self._expect(pipe, SocketsBound, deadline).addresses
-        addresses = tuple(found[spec.index] for spec in self._topology.members)
+            address_by_member = address_by_member | self._expect(pipe, SocketsBound, deadline).addresses
+        addresses = tuple(address_by_member[spec.index] for spec in self._topology.members)
         for pipe in self._pipes:
             pipe.send(Fleet(addresses, real))
         for pipe in self._pipes:
@@ -208,24 +210,24 @@
             raise RunError(f"a worker failed:\n{message.text}")
         return message
 
-    def _operate(self, begin: float, records: RecordWriter) -> None:
+    def _operate(self, run_start: float, records: RecordWriter) -> None:
         minority = self._plan.scenario.zones[-1].region
         operator = Operator(self._topology, self._timeline, self._send, records.write, minority)
         working = set(self._pipes)
-        deadline = begin + self._timeline.end + END_TIMEOUT
+        deadline = run_start + self._timeline.end + END_TIMEOUT
         while working:
             if self._stop.is_set():
                 raise RunError("stopped")
             if time.monotonic() > deadline:
                 raise RunError(f"a worker did not finish within {END_TIMEOUT:g} s of the timeline's end")
-            now = time.monotonic() - begin
+            now = time.monotonic() - run_start
             if now < self._timeline.end:
                 operator.advance(now)
             for ready in wait(list(working), OPERATOR_STEP):
                 assert isinstance(ready, Connection)
                 message = self._receive(ready)
                 if isinstance(message, PublishResult):
-                    operator.result_received(time.monotonic() - begin, message)
+                    operator.result_received(time.monotonic() - run_start, message)
                 elif isinstance(message, Finished):
                     working.discard(ready)
             self._progress(min(max(now / self._timeline.end, 0.0), 1.0))
--- a/saltcourse/emulator/scale/safety.py
+++ b/saltcourse/emulator/scale/safety.py
@@ -41,10 +41,10 @@
             case Lifecycle():
                 checker.lifecycle(record)
             case ConfigurationSeen():
-                checker.seen(record)
+                checker.configuration_seen(record)
             case Confirmed():
                 checker.confirmed.append(record)
-    checker.end()
+    checker.finish()
     return checker.breaches
 
 
@@ -57,11 +57,11 @@
         self._digests: dict[int, int] = {}  # first known digest of each version
 
     def lifecycle(self, record: Lifecycle) -> None:
-        """Reset the member's last version at a start: a new process may begin at an older version."""
+        """Reset the member's last version at a start: a new process may start at an older version."""
         if record.action == FaultAction.START.value:
             self._last.pop(record.member, None)
 
-    def seen(self, record: ConfigurationSeen) -> None:
+    def configuration_seen(self, record: ConfigurationSeen) -> None:
         before = self._last.get(record.member)
         if before is not None:
             if record.version <= before.version:
@@ -82,7 +82,7 @@
         elif self._digests.setdefault(record.version, record.digest) != record.digest:
             self._breach(BreachKind.DIVERGENCE, record)
 
-    def end(self) -> None:
+    def finish(self) -> None:
         epoch = 0
         for version in sorted(self._by_version):
             record = self._by_version[version]
@@ -90,10 +90,10 @@
                 self._breach(BreachKind.EPOCH_REGRESSION, record)
             epoch = max(epoch, record.epoch)
         for confirmed in self.confirmed:
-            seen = self._by_version.get(confirmed.version)
-            if seen is not None and seen.epoch != confirmed.epoch:
+            applied = self._by_version.get(confirmed.version)
+            if applied is not None and applied.epoch != confirmed.epoch:
                 self.breaches.append(
-                    Breach(BreachKind.LOST_CONFIRMED_CHANGE, seen.member, confirmed.at, confirmed.version)
+                    Breach(BreachKind.LOST_CONFIRMED_CHANGE, applied.member, confirmed.at, confirmed.version)
                 )
 
     def _breach(self, kind: BreachKind, record: ConfigurationSeen) -> None:
--- a/saltcourse/emulator/scale/simulated_member.py
+++ b/saltcourse/emulator/scale/simulated_member.py
@@ -146,14 +146,14 @@
         """Return the persisted state for the member's next process."""
         return None
 
-    def _measured(self, call: Callable[..., Result], *arguments: Any) -> Result:
-        begin = time.thread_time()
+    def _measure_cpu(self, call: Callable[..., Result], *arguments: Any) -> Result:
+        start = time.thread_time()
         result = call(*arguments)
-        self.cpu += time.thread_time() - begin
+        self.cpu += time.thread_time() - start
         return result
 
 
-def view_of(own: MemberId, others: list[MemberId]) -> MembersView:
+def build_view(own: MemberId, others: list[MemberId]) -> MembersView:
     """Return the view of a member that considers itself and ``others`` alive."""
     digest = own
     for other in others:
--- a/saltcourse/emulator/scale/sockets.py
+++ b/saltcourse/emulator/scale/sockets.py
@@ -42,14 +42,15 @@
     ) -> None:
         self._random = random
         self.partitioned = False
-        first = scenario.zones[0].region
+        first_region = scenario.zones[0].region
         self._tables: dict[str, dict[Address, EmulatedLink]] = {}
         all_specs = list(specs)
         by_zone = {spec.zone: spec for spec in all_specs}
-        for zone, here in by_zone.items():
+        for zone, zone_member in by_zone.items():
             self._tables[zone] = {
                 addresses[spec.index]: EmulatedLink(
-                    link_between(scenario, here, spec), (here.region == first) != (spec.region == first)
+                    link_between(scenario, zone_member, spec),
+                    (zone_member.region == first_region) != (spec.region == first_region),
                 )
                 for spec in all_specs
             }
@@ -148,6 +149,6 @@
 def raise_open_files_limit(count: int) -> None:
     """Raise this process's soft limit on open files to fit ``count`` sockets, within its hard limit."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    wanted = count + EXTRA_DESCRIPTORS
-    if soft < wanted:
-        resource.setrlimit(resource.RLIMIT_NOFILE, (wanted if hard < 0 else min(wanted, hard), hard))
+    needed = count + EXTRA_DESCRIPTORS
+    if soft < needed:
+        resource.setrlimit(resource.RLIMIT_NOFILE, (needed if hard < 0 else min(needed, hard), hard))
--- a/saltcourse/emulator/scale/summary.py
+++ b/saltcourse/emulator/scale/summary.py
@@ -54,8 +54,8 @@
     length = min(length, len(values))
     total = sum(values[:length])
     means = [total / length]
-    for begin in range(1, len(values) - length + 1):
-        total += values[begin + length - 1] - values[begin - 1]
+    for start in range(1, len(values) - length + 1):
+        total += values[start + length - 1] - values[start - 1]
         means.append(total / length)
     return means
 
--- a/saltcourse/emulator/scale/timeline.py
+++ b/saltcourse/emulator/scale/timeline.py
@@ -66,7 +66,7 @@
     """The time interval of a phase. An ordinary phase has no faults."""
 
     name: str
-    begin: float
+    start: float
     end: float
     ordinary: bool
 
@@ -103,13 +103,13 @@
         self._start_all()
         self._fill()
         spans = []
-        begin = self._scenario.settle
+        start = self._scenario.settle
         for phase in self._scenario.phases:
-            spans.append(PhaseSpan(phase.name, begin, begin + phase.seconds, not phase.faults))
-            self._changes(phase, begin)
+            spans.append(PhaseSpan(phase.name, start, start + phase.seconds, not phase.faults))
+            self._changes(phase, start)
             for fault in phase.faults:
-                self._fault(begin + fault.at, fault)
-            begin += phase.seconds
+                self._fault(start + fault.at, fault)
+            start += phase.seconds
         return Timeline(
             spans=tuple(spans),
             commands=tuple(sorted(self._commands, key=lambda command: command.at)),
@@ -133,12 +133,12 @@
             at = settle * (0.25 + 0.5 * number / count)
             self._publications.append(Publication(at, PublicationKind.FILL, padding=FILL_BYTES))
 
-    def _changes(self, phase: Phase, begin: float) -> None:
+    def _changes(self, phase: Phase, start: float) -> None:
         if phase.changes_per_s <= 0:
             return
         interval = 1.0 / phase.changes_per_s
-        at = begin + interval / 2
-        while at < begin + phase.seconds:
+        at = start + interval / 2
+        while at < start + phase.seconds:
             self._publish(at, PublicationKind.CHANGE)
             at += interval
 
@@ -163,12 +163,12 @@
                     self._publish(at, PublicationKind.CHANGE)
 
     def _stop_and_resume(self, at: float, fault: scenario_types.StopResume) -> None:
-        members = self._choose(fault.members)
+        members = self._sample_proxies(fault.members)
         self._command(at, FaultAction.STOP, members)
         self._command(at + fault.seconds, FaultAction.RESUME, members)
 
     def _replace_one_by_one(self, at: float, fault: scenario_types.RollingReplacement) -> None:
-        for number, member in enumerate(self._choose(fault.members)):
+        for number, member in enumerate(self._sample_proxies(fault.members)):
             self._outage(at + number * fault.every, [member], fault.down)
 
     def _lose_rack(self, at: float, fault: scenario_types.RackOutage) -> None:
@@ -205,7 +205,7 @@
         self._command(at, FaultAction.KILL, members)
         self._command(at + seconds, FaultAction.START, members)
 
-    def _choose(self, count: int) -> list[int]:
+    def _sample_proxies(self, count: int) -> list[int]:
         remaining = [spec.index for spec in self._topology.proxies if spec.index not in self._removed]
         return self._random.sample(remaining, min(count, len(remaining)))
 
--- a/saltcourse/emulator/scale/timer_queue.py
+++ b/saltcourse/emulator/scale/timer_queue.py
@@ -51,16 +51,16 @@
         self._sequence += 1
         heapq.heappush(self._heap, (when, self._sequence, callback))
 
-    def call_every(self, begin: float, interval: float, callback: Callable[[], object]) -> None:
-        """Schedule the callback at ``begin`` plus each multiple of ``interval`` seconds, without drift."""
-        self._repeat(begin, interval, callback, 1)
+    def call_every(self, start: float, interval: float, callback: Callable[[], object]) -> None:
+        """Schedule the callback at ``start`` plus each multiple of ``interval`` seconds, without drift."""
+        self._repeat(start, interval, callback, 1)
 
-    def _repeat(self, begin: float, interval: float, callback: Callable[[], object], count: int) -> None:
+    def _repeat(self, start: float, interval: float, callback: Callable[[], object], count: int) -> None:
         def expire() -> None:
             callback()
-            self._repeat(begin, interval, callback, count + 1)
+            self._repeat(start, interval, callback, count + 1)
 
-        self.call_at(begin + count * interval, expire)
+        self.call_at(start + count * interval, expire)
 
     def next_expiry(self, default: float) -> float:
         """Return the time of the next expiry, or ``default`` if that is earlier."""
--- a/saltcourse/emulator/scale/topology.py
+++ b/saltcourse/emulator/scale/topology.py
@@ -47,17 +47,17 @@
 
     def machines(self) -> dict[int, list[MemberSpec]]:
         """Return the simulated proxies of each machine. Machines of control members are not included."""
-        found: dict[int, list[MemberSpec]] = {}
+        by_machine: dict[int, list[MemberSpec]] = {}
         for spec in self.proxies:
-            found.setdefault(spec.machine, []).append(spec)
-        return found
+            by_machine.setdefault(spec.machine, []).append(spec)
+        return by_machine
 
     def racks(self) -> dict[int, list[MemberSpec]]:
         """Return the simulated proxies of each rack."""
-        found: dict[int, list[MemberSpec]] = {}
+        by_rack: dict[int, list[MemberSpec]] = {}
         for spec in self.proxies:
-            found.setdefault(spec.rack, []).append(spec)
-        return found
+            by_rack.setdefault(spec.rack, []).append(spec)
+        return by_rack
 
 
 def build_topology(scenario: Scenario, size: int, real: int = 0) -> Topology:
--- a/saltcourse/emulator/scale/worker.py
+++ b/saltcourse/emulator/scale/worker.py
@@ -32,13 +32,13 @@
 from saltcourse.emulator.scale.sockets import LinkEmulator, Sockets, raise_open_files_limit
 from saltcourse.emulator.scale.timer_queue import TimerQueue
 from saltcourse.emulator.scale.worker_messages import (
-    Begin,
     Finished,
     Fleet,
     FromWorker,
     Publish,
     Ready,
     SocketsBound,
+    StartRun,
     WorkerFailed,
     WorkerTask,
 )
@@ -82,14 +82,14 @@
         memory_before = resident_memory()
         cpu_before = time.process_time()
         self._send_to_runner(Ready())
-        begin = self._expect(Begin).at
-        self._recorder.begin = begin
-        self._schedule_all(begin)
-        self._loop(begin + self._task.timeline.end)
+        run_start = self._expect(StartRun).at
+        self._recorder.run_start = run_start
+        self._schedule_all(run_start)
+        self._loop(run_start + self._task.timeline.end)
         gc.collect()
         cpu = time.process_time() - cpu_before
         dropped = self._sockets.dropped()
-        self._recorder.usage(len(self._hosted), memory_before, cpu, self._timers.lag, dropped)
+        self._recorder.record_usage(len(self._hosted), memory_before, cpu, self._timers.lag, dropped)
         self._recorder.close()
         self._sockets.close()
         self._send_to_runner(Finished())
@@ -107,13 +107,13 @@
             self._hosted, self._host, self._faults, self._timers, self._results
         )
 
-    def _schedule_all(self, begin: float) -> None:
+    def _schedule_all(self, run_start: float) -> None:
         members = self._hosted.values()
         for command in self._task.timeline.commands:
-            self._timers.call_at(begin + command.at, partial(self._faults.execute, command))
-        self._timers.call_every(begin, LOAD_INTERVAL, lambda: self._recorder.loads(members))
-        self._timers.call_every(begin, VIEW_INTERVAL, lambda: self._recorder.views(members))
-        self._timers.call_every(begin, COLLECT_INTERVAL, lambda: gc.collect(1))
+            self._timers.call_at(run_start + command.at, partial(self._faults.execute, command))
+        self._timers.call_every(run_start, LOAD_INTERVAL, lambda: self._recorder.record_loads(members))
+        self._timers.call_every(run_start, VIEW_INTERVAL, lambda: self._recorder.record_views(members))
+        self._timers.call_every(run_start, COLLECT_INTERVAL, lambda: gc.collect(1))
 
     def _loop(self, end: float) -> None:
         while (now := time.monotonic()) < end:
@@ -134,11 +134,11 @@
     def _observe(self, hosted: HostedMember, observation: Observation) -> None:
         match observation:
             case StatusObserved():
-                self._recorder.status(hosted, observation)
+                self._recorder.record_status(hosted, observation)
             case FreshnessObserved():
-                self._recorder.freshness(hosted, observation)
+                self._recorder.record_freshness(hosted, observation)
             case ConfigurationObserved():
-                self._recorder.configuration(hosted, observation)
+                self._recorder.record_configuration(hosted, observation)
             case PublicationConfirmed():
                 self._results.confirmed(hosted, observation)
             case PublicationFailed():
--- a/saltcourse/emulator/scale/worker_messages.py
+++ b/saltcourse/emulator/scale/worker_messages.py
@@ -42,11 +42,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Ready:
-    """The worker has set up its members and waits for ``Begin``."""
+    """The worker has set up its members and waits for ``StartRun``."""
 
 
 @dataclass(frozen=True, slots=True)
-class Begin:
+class StartRun:
     """The run starts at ``at``, in seconds of CLOCK_MONOTONIC."""
 
     at: float
@@ -93,7 +93,7 @@
     text: str
 
 
-FromRunner = Fleet | Begin | Publish
+FromRunner = Fleet | StartRun | Publish
 FromWorker = SocketsBound | Ready | PublishResult | Finished | WorkerFailed
 # Reasons in a PublishResult that come from the worker and not from the member.
 NOT_PUBLISHER = "not the publisher"
--- a/tests/emulator/scale/evaluation/test_failures.py
+++ b/tests/emulator/scale/evaluation/test_failures.py
@@ -44,7 +44,7 @@
     assert (metrics.false_suspicions, metrics.false_deaths) == (1, 1)
     stopped = [Lifecycle(50.0, 9, "stop"), Lifecycle(55.0, 9, "resume")]
     assert metrics_of(topology, suspicion, *stopped).false_suspicions == 0
-    far = next(p.index for p in topology.members if p.region == "east")
+    remote = next(p.index for p in topology.members if p.region == "east")
     cut = [Lifecycle(50.0, -1, "cut"), Lifecycle(55.0, -1, "heal")]
-    assert metrics_of(topology, StatusSeen(60.0, 0, far, int(Status.SUSPECT)), *cut).false_suspicions == 0
-    assert metrics_of(topology, StatusSeen(95.0, 0, far, int(Status.SUSPECT)), *cut).false_suspicions == 1
+    assert metrics_of(topology, StatusSeen(60.0, 0, remote, int(Status.SUSPECT)), *cut).false_suspicions == 0
+    assert metrics_of(topology, StatusSeen(95.0, 0, remote, int(Status.SUSPECT)), *cut).false_suspicions == 1
--- a/tests/emulator/scale/evaluation/test_recovery.py
+++ b/tests/emulator/scale/evaluation/test_recovery.py
@@ -5,7 +5,7 @@
 import pytest
 
 from saltcourse.emulator.scale.evaluation.metrics import slowest_recovery
-from saltcourse.emulator.scale.evaluation.recovery import true_view
+from saltcourse.emulator.scale.evaluation.recovery import expected_view
 from saltcourse.emulator.scale.records import (
     ChangeSubmitted,
     ConfigurationSeen,
@@ -51,7 +51,7 @@
     """A partition heals. The members agree once all views are correct and all members have the newest
     version. A single missing version or wrong view means that they did not agree.
     """
-    count, digest = true_view(topology.members)
+    count, digest = expected_view(topology.members)
     cut: list[Record] = [Lifecycle(30.0, -1, "cut"), Lifecycle(40.0, -1, "heal")]
     views: list[Record] = [View(1.0, spec.index, count, digest) for spec in topology.members]
     views += [View(32.0, 0, 7, 123), View(44.0, 0, count, digest)]
--- a/tests/emulator/scale/test_fault_injection.py
+++ b/tests/emulator/scale/test_fault_injection.py
@@ -29,7 +29,7 @@
 
 
 def recorded_actions(parts: WorkerParts) -> list[str]:
-    parts.recorder.loads([])  # flushes the record file
+    parts.recorder.record_loads([])  # flushes the record file
     return [record.action for record in read_records([parts.path]) if isinstance(record, Lifecycle)]
 
 
--- a/tests/emulator/scale/worker_parts.py
+++ b/tests/emulator/scale/worker_parts.py
@@ -70,7 +70,7 @@
         links = LinkEmulator(scenario, topology.members, addresses, Random(1))
         publication_results = PublicationResults(self.results.append)
         members = {MEMBER: self.hosted}
-        self.host = MemberHost(sockets, links, self.timers, set(), lambda hosted, seen: None)
+        self.host = MemberHost(sockets, links, self.timers, set(), lambda hosted, observation: None)
         factory = MemberFactory(RecordingMember, task, addresses, Random(1))
         self.faults = FaultInjector(
             members, factory, self.host, self.recorder, publication_results.member_killed
