--- a/saltcourse/emulator/scale/timeline.py
+++ b/saltcourse/emulator/scale/timeline.py
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Command:
-    """A scheduled fault action on the members with these indexes, or on all links if there are none."""
+    """A scheduled fault action on the members with these indexes. PARTITION and HEAL have no members."""
 
     at: float
     action: FaultAction
@@ -100,15 +100,15 @@
         self._removed: set[int] = set()  # members that are killed and not restarted
 
     def build(self) -> Timeline:
-        self._start_all()
-        self._fill()
+        self._add_starts()
+        self._add_fill_changes()
         spans = []
         start = self._scenario.settle
         for phase in self._scenario.phases:
             spans.append(PhaseSpan(phase.name, start, start + phase.seconds, not phase.faults))
-            self._changes(phase, start)
+            self._add_changes(phase, start)
             for fault in phase.faults:
-                self._fault(start + fault.at, fault)
+                self._add_fault(start + fault.at, fault)
             start += phase.seconds
         return Timeline(
             spans=tuple(spans),
@@ -116,16 +116,18 @@
             publications=tuple(sorted(self._publications, key=lambda publication: publication.at)),
         )
 
-    def _start_all(self) -> None:
+    def _add_starts(self) -> None:
         """Start all control members at once, then the proxies in random order over ``start_duration``."""
         control = [spec.index for spec in self._topology.members if spec.role is Role.CONTROL]
-        self._command(0.0, FaultAction.START, control)
+        self._add_command(0.0, FaultAction.START, control)
         proxies = [spec.index for spec in self._topology.proxies]
         self._random.shuffle(proxies)
         for number, index in enumerate(proxies):
-            self._command(self._scenario.start_duration * number / len(proxies), FaultAction.START, [index])
+            self._add_command(
+                self._scenario.start_duration * number / len(proxies), FaultAction.START, [index]
+            )
 
-    def _fill(self) -> None:
+    def _add_fill_changes(self) -> None:
         """Schedule the changes that fill the configuration, over the middle half of the settling time."""
         count = self._scenario.configuration_bytes // FILL_BYTES
         settle = self._scenario.settle
@@ -133,88 +135,88 @@
             at = settle * (0.25 + 0.5 * number / count)
             self._publications.append(Publication(at, PublicationKind.FILL, padding=FILL_BYTES))
 
-    def _changes(self, phase: Phase, start: float) -> None:
+    def _add_changes(self, phase: Phase, start: float) -> None:
         if phase.changes_per_s <= 0:
             return
         interval = 1.0 / phase.changes_per_s
         at = start + interval / 2
         while at < start + phase.seconds:
-            self._publish(at, PublicationKind.CHANGE)
+            self._add_publication(at, PublicationKind.CHANGE)
             at += interval
 
-    def _fault(self, at: float, fault: scenario_types.Fault) -> None:
+    def _add_fault(self, at: float, fault: scenario_types.Fault) -> None:
         match fault:
             case scenario_types.Kill():
-                self._kill(at, fault)
+                self._add_kill(at, fault)
             case scenario_types.StopResume():
-                self._stop_and_resume(at, fault)
+                self._add_stop_and_resume(at, fault)
             case scenario_types.RollingReplacement():
-                self._replace_one_by_one(at, fault)
+                self._add_rolling_replacement(at, fault)
             case scenario_types.RackOutage():
-                self._lose_rack(at, fault)
+                self._add_rack_outage(at, fault)
             case scenario_types.ZoneOutage():
-                self._lose_zone(at, fault)
+                self._add_zone_outage(at, fault)
             case scenario_types.RegionPartition():
-                self._partition(at, fault)
+                self._add_partition(at, fault)
             case scenario_types.PublisherLost():
-                self._publish(at, PublicationKind.LOSE_PUBLISHER, fault.after, fault.restart_after)
+                self._add_publication(at, PublicationKind.LOSE_PUBLISHER, fault.after, fault.restart_after)
             case scenario_types.Burst():
                 for _ in range(fault.changes):
-                    self._publish(at, PublicationKind.CHANGE)
+                    self._add_publication(at, PublicationKind.CHANGE)
 
-    def _stop_and_resume(self, at: float, fault: scenario_types.StopResume) -> None:
+    def _add_stop_and_resume(self, at: float, fault: scenario_types.StopResume) -> None:
         members = self._sample_proxies(fault.members)
-        self._command(at, FaultAction.STOP, members)
-        self._command(at + fault.seconds, FaultAction.RESUME, members)
+        self._add_command(at, FaultAction.STOP, members)
+        self._add_command(at + fault.seconds, FaultAction.RESUME, members)
 
-    def _replace_one_by_one(self, at: float, fault: scenario_types.RollingReplacement) -> None:
+    def _add_rolling_replacement(self, at: float, fault: scenario_types.RollingReplacement) -> None:
         for number, member in enumerate(self._sample_proxies(fault.members)):
-            self._outage(at + number * fault.every, [member], fault.down)
+            self._add_outage(at + number * fault.every, [member], fault.down)
 
-    def _lose_rack(self, at: float, fault: scenario_types.RackOutage) -> None:
+    def _add_rack_outage(self, at: float, fault: scenario_types.RackOutage) -> None:
         racks = self._topology.racks()
         rack = self._random.choice(sorted(racks))
-        self._outage(at, _indexes(racks[rack]), fault.seconds)
+        self._add_outage(at, _indexes(racks[rack]), fault.seconds)
 
-    def _lose_zone(self, at: float, fault: scenario_types.ZoneOutage) -> None:
+    def _add_zone_outage(self, at: float, fault: scenario_types.ZoneOutage) -> None:
         zone = self._random.choice(self._scenario.zones).name
         lost = [p for p in self._topology.members if p.zone == zone and p not in self._topology.real]
-        self._outage(at, _indexes(lost), fault.seconds)
+        self._add_outage(at, _indexes(lost), fault.seconds)
 
-    def _partition(self, at: float, fault: scenario_types.RegionPartition) -> None:
-        self._command(at, FaultAction.PARTITION, [])
-        self._command(at + fault.seconds, FaultAction.HEAL, [])
+    def _add_partition(self, at: float, fault: scenario_types.RegionPartition) -> None:
+        self._add_command(at, FaultAction.PARTITION, [])
+        self._add_command(at + fault.seconds, FaultAction.HEAL, [])
         if fault.conflicting_change:
             middle = at + fault.seconds / 2
-            self._publish(middle, PublicationKind.CHANGE)
-            self._publish(middle, PublicationKind.CONFLICT)
+            self._add_publication(middle, PublicationKind.CHANGE)
+            self._add_publication(middle, PublicationKind.CONFLICT)
 
-    def _kill(self, at: float, fault: scenario_types.Kill) -> None:
+    def _add_kill(self, at: float, fault: scenario_types.Kill) -> None:
         machines = self._topology.machines()
         intact = [m for m in sorted(machines) if not self._removed & set(_indexes(machines[m]))]
         chosen = self._random.sample(intact, min(fault.machines, len(intact)))
         members = [index for machine in chosen for index in _indexes(machines[machine])]
         if fault.restart_after > 0:
-            self._outage(at, members, fault.restart_after)
+            self._add_outage(at, members, fault.restart_after)
         else:
-            self._command(at, FaultAction.KILL, members)
+            self._add_command(at, FaultAction.KILL, members)
             self._removed |= set(members)
 
-    def _outage(self, at: float, members: list[int], seconds: float) -> None:
+    def _add_outage(self, at: float, members: list[int], seconds: float) -> None:
         members = [index for index in members if index not in self._removed]
-        self._command(at, FaultAction.KILL, members)
-        self._command(at + seconds, FaultAction.START, members)
+        self._add_command(at, FaultAction.KILL, members)
+        self._add_command(at + seconds, FaultAction.START, members)
 
     def _sample_proxies(self, count: int) -> list[int]:
         remaining = [spec.index for spec in self._topology.proxies if spec.index not in self._removed]
         return self._random.sample(remaining, min(count, len(remaining)))
 
-    def _publish(
+    def _add_publication(
         self, at: float, kind: PublicationKind, kill_after: float = 0.0, restart_after: float = 0.0
     ) -> None:
         self._publications.append(Publication(at, kind, kill_after, restart_after))
 
-    def _command(self, at: float, action: FaultAction, members: list[int]) -> None:
+    def _add_command(self, at: float, action: FaultAction, members: list[int]) -> None:
         self._commands.append(Command(at, action, tuple(members)))
 
 
