--- a/saltcourse/boottime.py
+++ b/saltcourse/boottime.py
@@ -1,6 +1,6 @@
-"""The CLOCK_BOOTTIME clock, which keeps counting while the machine is suspended.
+"""Access to CLOCK_BOOTTIME, a monotonic clock that keeps counting while the machine is suspended.
 
-Leases and time-outs of hosts are timed with it, because they must not outlast a suspension of the machine.
+Leases and time-outs use it so that they also expire during a suspension.
 """
 
 from __future__ import annotations
--- a/saltcourse/gossip/__init__.py
+++ b/saltcourse/gossip/__init__.py
@@ -1,5 +1,6 @@
-"""Membership, configuration and sums of a large fleet, at a cost per member that does not grow with it.
+"""Membership, configuration and connection counts of a large fleet.
 
-Off unless the operator's file switches it on, and not imported then. ``messages`` has the vocabulary,
-``node`` joins the parts; everything but ``host`` and ``store`` is free of I/O.
+The cost per member does not grow with the size of the fleet. The package is imported only if the operator's
+file enables gossip. ``messages`` defines the records that members exchange, ``node`` combines the protocols
+of one member. Only ``host``, ``store``, ``event_log`` and ``admin`` depend on I/O or asyncio.
 """
--- a/saltcourse/gossip/admin.py
+++ b/saltcourse/gossip/admin.py
@@ -1,4 +1,4 @@
-"""Calls of the admin address that a member answers: its view of the fleet, the configuration, publishing."""
+"""Handlers of the gossip requests at the admin address: members, configuration and publishing."""
 
 from __future__ import annotations
 
@@ -14,30 +14,31 @@
 from saltcourse.gossip.host import Host, PublishOutcome
 from saltcourse.gossip.messages import Position, Published, PublishError
 
-PUBLISH_MARGIN_SECONDS = 2.0  # over the node's own time for a change; then its answer is not waited for
+# The request ends this long after the node's own publish timeout, in case the node does not answer.
+PUBLISH_MARGIN_SECONDS = 2.0
 
-STATUS_OF_ERROR = {
+STATUS_BY_ERROR = {
     PublishError.NOT_CONTROL: 404,
     PublishError.NO_MAJORITY: 503,
     PublishError.TOO_LARGE: 413,
     PublishError.BUSY: 503,
 }
-TEXT_OF_ERROR = {
-    PublishError.NOT_CONTROL: "this is no control member that votes: publish at one that does",
-    PublishError.NO_MAJORITY: "no majority of the control members in time; the change may still be committed",
-    PublishError.TOO_LARGE: "the configuration would be too large",
-    PublishError.BUSY: "too many changes are under way; this one was not published",
+MESSAGE_BY_ERROR = {
+    PublishError.NOT_CONTROL: "this member is not a voter; publish at a control member that is one",
+    PublishError.NO_MAJORITY: "no majority of the voters answered in time; the change may still be committed",
+    PublishError.TOO_LARGE: "the change would make the configuration too large",
+    PublishError.BUSY: "too many changes are in progress; this one was not published",
 }
 
 
 class GossipAdminHandler:
-    """Answers to calls; ``host`` may have been closed."""
+    """Answers admin requests from the state of ``host``, also after the host was closed."""
 
     def __init__(self, host: Host) -> None:
         self._host = host
 
     def members(self) -> Response:
-        """Members with their status, and connections by zone."""
+        """Return all known members with their status, and the members and connections of each zone."""
         node = self._host.node
         now = self._host.now()
         zones = {
@@ -58,10 +59,10 @@
             for member in node.membership.members.values()
         ]
         members.sort(key=lambda member: str(member["name"]))
-        return _json(200, {"members": members, "zones": zones})
+        return _json_response(200, {"members": members, "zones": zones})
 
     def configuration(self) -> Response:
-        """The configuration in force here; values that are no UTF-8 in base64."""
+        """Return the configuration applied at this member; values that are not UTF-8 are in base64."""
         dissemination = self._host.node.dissemination
         values: dict[str, str] = {}
         binary: dict[str, str] = {}
@@ -70,16 +71,19 @@
                 values[key] = value.decode()
             except UnicodeDecodeError:
                 binary[key] = base64.b64encode(value).decode()
-        answer = _position(dissemination.position)
-        answer |= {"freshness": dissemination.freshness.name.lower(), "values": values}
+        fields = _position_fields(dissemination.position)
+        fields |= {"freshness": dissemination.freshness.name.lower(), "values": values}
         if binary:
-            answer["base64"] = binary
-        return _json(200, answer)
+            fields["base64"] = binary
+        return _json_response(200, fields)
 
     async def publish(self, body: bytes) -> Response:
-        """Publish a change (see ``parse_change``); the answer comes within the publish timeout."""
+        """Publish the change in ``body``, whose format ``parse_change`` describes.
+
+        Returns at the latest ``PUBLISH_MARGIN_SECONDS`` after the node's publish timeout.
+        """
         if self._host.node.quorum is None:
-            return _failure(PublishError.NOT_CONTROL)
+            return _failure_response(PublishError.NOT_CONTROL)
         try:
             writes = parse_change(body)
         except ChangeTooLargeError as error:
@@ -89,24 +93,24 @@
         timeout_s = self._host.node.settings.timing.publish_timeout + PUBLISH_MARGIN_SECONDS
         try:
             async with asyncio.timeout(timeout_s):
-                return _outcome(await self._host.publish(writes))
+                return _outcome_response(await self._host.publish(writes))
         except TimeoutError:
-            return _failure(PublishError.NO_MAJORITY)
+            return _failure_response(PublishError.NO_MAJORITY)
 
 
-def _outcome(outcome: PublishOutcome) -> Response:
+def _outcome_response(outcome: PublishOutcome) -> Response:
     if isinstance(outcome, Published):
-        return _json(200, _position(outcome.position))
-    return _failure(outcome.error)
+        return _json_response(200, _position_fields(outcome.position))
+    return _failure_response(outcome.error)
 
 
-def _failure(error: PublishError) -> Response:
-    return Response(STATUS_OF_ERROR[error], f"{TEXT_OF_ERROR[error]}\n".encode())
+def _failure_response(error: PublishError) -> Response:
+    return Response(STATUS_BY_ERROR[error], f"{MESSAGE_BY_ERROR[error]}\n".encode())
 
 
-def _position(position: Position) -> dict[str, Any]:
+def _position_fields(position: Position) -> dict[str, Any]:
     return {"epoch": position.epoch, "version": position.version}
 
 
-def _json(status: int, value: dict[str, Any]) -> Response:
+def _json_response(status: int, value: dict[str, Any]) -> Response:
     return Response(status, orjson.dumps(value) + b"\n", content_type=JSON)
--- a/saltcourse/gossip/codec/__init__.py
+++ b/saltcourse/gossip/codec/__init__.py
@@ -1,10 +1,12 @@
-"""Bytes of a datagram, both ways. Any bytes give one message or one ``CodecError``.
+"""Encoding and decoding of datagrams.
 
-    datagram        prefix, authentication and header; ``Codec``
-    schema          one type of message
-    membership, configuration, quorum   the types of messages
+Decoding returns a message or raises ``CodecError``, for any input.
 
-The records inside messages are encoded by ``saltcourse.gossip.fields``.
+    datagram        ``Codec``: prefix, authentication tag and header
+    schema          wire code, encoder and decoder of a message type
+    membership, configuration, quorum   the message types
+
+``saltcourse.gossip.fields`` encodes the records in messages.
 """
 
 from __future__ import annotations
--- a/saltcourse/gossip/codec/configuration.py
+++ b/saltcourse/gossip/codec/configuration.py
@@ -1,4 +1,4 @@
-"""Binary form of the messages that bring changes to members, and of a whole configuration in a snapshot."""
+"""Binary encoding of the messages that distribute changes, and of configurations in snapshots."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 def change_size(change: Change) -> int:
-    """Encoded bytes of one change. ``EncodeError`` where it has no binary form or is too long."""
+    """Return the encoded size of a change in bytes. Raise ``EncodeError`` if it can't be encoded."""
     return len(encode_change(change))
 
 
@@ -54,7 +54,7 @@
 
 
 def _read_changes(reader: Reader) -> Changes:
-    return Changes(reader.records(read_change))
+    return Changes(reader.read_list(read_change))
 
 
 def _encode_snapshot_fetch(message: SnapshotFetch) -> bytes:
@@ -63,9 +63,9 @@
 
 def _read_snapshot_fetch(reader: Reader) -> SnapshotFetch:
     position = read_position(reader)
-    offset = reader.number(U32)
+    offset = reader.read_number(U32)
     if offset > MAX_CONFIGURATION_BYTES:
-        raise CodecError(Reason.SCHEMA, f"a snapshot's offset of {offset}")
+        raise CodecError(Reason.SCHEMA, f"snapshot offset {offset} exceeds {MAX_CONFIGURATION_BYTES}")
     return SnapshotFetch(position, offset)
 
 
@@ -78,8 +78,8 @@
     position = read_position(reader)
     size, digest, offset, length = reader.unpack(SNAPSHOT_PART)
     if size > MAX_CONFIGURATION_BYTES or offset + length > size:
-        raise CodecError(Reason.SCHEMA, f"{length} bytes at {offset} of a snapshot of {size}")
-    return SnapshotPart(position, size, digest, offset, reader.raw(length))
+        raise CodecError(Reason.SCHEMA, f"snapshot of {size} bytes: part of {length} bytes at {offset}")
+    return SnapshotPart(position, size, digest, offset, reader.read_bytes(length))
 
 
 CONFIGURATION_SCHEMAS: tuple[Schema[Any], ...] = (
@@ -89,27 +89,33 @@
     Schema(19, SnapshotPart, _encode_snapshot_part, _read_snapshot_part),
 )
 
-# ---- a whole configuration --------------------------------------------------------------------------
+# ---- snapshots --------------------------------------------------------------------------------------
 
 
 def encode_configuration(items: Iterable[tuple[str, bytes]]) -> bytes:
-    """Return the same bytes for the same items in any order. ``EncodeError`` where they are too large."""
+    """Encode a configuration; the order of ``items`` does not matter.
+
+    Raises ``EncodeError`` if a key, a value or the configuration is too large.
+    """
     parts = [_encode_item(key, value) for key, value in sorted(items)]
     data = b"".join(parts)
     if len(data) > MAX_CONFIGURATION_BYTES:
-        raise EncodeError(f"a configuration of {len(data)} bytes; at most {MAX_CONFIGURATION_BYTES}")
+        raise EncodeError(f"configuration of {len(data)} bytes; the limit is {MAX_CONFIGURATION_BYTES}")
     return data
 
 
 def _encode_item(name: str, value: bytes) -> bytes:
     key = encode_text(name, MAX_KEY_BYTES)
     if len(value) > MAX_VALUE_BYTES:
-        raise EncodeError(f"a value of {len(value)} bytes; at most {MAX_VALUE_BYTES}")
+        raise EncodeError(f"key {name!r}: value of {len(value)} bytes; the limit is {MAX_VALUE_BYTES}")
     return CONFIGURATION_ITEM.pack(len(key), len(value)) + key + value
 
 
 def decode_configuration(data: bytes) -> dict[str, bytes]:
-    """``CodecError`` for all bytes but those that ``encode_configuration`` makes."""
+    """Decode a configuration.
+
+    Raises ``CodecError`` for all bytes that ``encode_configuration`` would not produce.
+    """
     if len(data) > MAX_CONFIGURATION_BYTES:
         raise CodecError(Reason.TOO_LONG)
     reader = Reader(data)
@@ -117,9 +123,11 @@
     last = ""
     while reader.offset < len(data):
         key_length, value_length = reader.unpack(CONFIGURATION_ITEM)
-        key = reader.text(key_length, MAX_KEY_BYTES)
+        key = reader.read_string(key_length, MAX_KEY_BYTES)
         if key <= last or value_length > MAX_VALUE_BYTES:
-            raise CodecError(Reason.SCHEMA, "keys out of order, or a value too long")
-        configuration[key] = reader.raw(value_length)
+            raise CodecError(
+                Reason.SCHEMA, f"key {key!r} not after {last!r}, or its value too long: {value_length}"
+            )
+        configuration[key] = reader.read_bytes(value_length)
         last = key
     return configuration
--- a/saltcourse/gossip/codec/datagram.py
+++ b/saltcourse/gossip/codec/datagram.py
@@ -1,9 +1,9 @@
-"""A datagram: a prefix, a tag, the header and one message.
+"""Encoding and authentication of datagrams.
 
     magic, version | tag | header, message type | message
 
-The tag is a truncated HMAC-SHA256 with the fleet's key over all that follows it. What is cheap to check is
-checked first, and nothing of the message is read before the tag was found to be right.
+The tag is a truncated HMAC-SHA256, with the fleet's key, of everything after the tag. Cheap checks come
+first; header and message are not parsed before the tag has been verified.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 TAG_END = len(PREFIX) + TAG_BYTES
 # sender, incarnation, process id, position, heartbeat, message type
 HEADER = Struct("!QIIIIIIB")
-HEADER_BYTES = TAG_END + HEADER.size  # of every datagram before the message
+HEADER_BYTES = TAG_END + HEADER.size  # bytes before the message
 
 SCHEMAS: tuple[Schema[Any], ...] = (*MEMBERSHIP_SCHEMAS, *CONFIGURATION_SCHEMAS, *QUORUM_SCHEMAS)
 SCHEMA_BY_TYPE: dict[type[Any], Schema[Any]] = {schema.type: schema for schema in SCHEMAS}
@@ -38,13 +38,13 @@
 
 
 class Codec:
-    """Bytes of datagrams under one key."""
+    """Encodes and decodes datagrams authenticated with ``key``."""
 
     def __init__(self, key: bytes) -> None:
         self._key = key
 
     def encode(self, header: Header, message: Message) -> bytes:
-        """Return the datagram. ``EncodeError`` where the message has no binary form or is too long."""
+        """Return the datagram. Raise ``EncodeError`` if the message is too long or can't be encoded."""
         schema = SCHEMA_BY_TYPE[type(message)]
         position = header.position
         heartbeat = header.heartbeat
@@ -61,14 +61,14 @@
             )
             signed = fixed + schema.encode(message)
         except struct_error as error:
-            raise EncodeError(f"a number does not fit: {error}") from None
+            raise EncodeError(f"{type(message).__name__}: number out of range: {error}") from None
         size = TAG_END + len(signed)
         if size > MAX_DATAGRAM_BYTES:
-            raise EncodeError(f"{type(message).__name__}: {size} bytes; at most {MAX_DATAGRAM_BYTES}")
+            raise EncodeError(f"{type(message).__name__}: {size} bytes; the limit is {MAX_DATAGRAM_BYTES}")
         return PREFIX + self._tag(signed) + signed
 
     def decode(self, datagram: bytes) -> tuple[Header, Message]:
-        """Check and read a datagram. ``CodecError`` where it is no message under this key."""
+        """Authenticate and parse a datagram. Raise ``CodecError`` if it is rejected."""
         if len(datagram) > MAX_DATAGRAM_BYTES:
             raise CodecError(Reason.TOO_LONG)
         if len(datagram) < HEADER_BYTES or not datagram.startswith(MAGIC):
@@ -85,9 +85,9 @@
         sender, incarnation, process_id, epoch, version, heartbeat_epoch, count, code = reader.unpack(HEADER)
         schema = SCHEMA_BY_CODE.get(code)
         if schema is None:
-            raise CodecError(Reason.SCHEMA, f"a message of type {code}")
+            raise CodecError(Reason.SCHEMA, f"unknown message type {code}")
         message: Message = schema.read(reader)
-        reader.end()
+        reader.expect_end()
         position = Position(epoch, version)
         heartbeat = Heartbeat(heartbeat_epoch, count)
         return Header(sender, incarnation, process_id, position, heartbeat), message
--- a/saltcourse/gossip/codec/membership.py
+++ b/saltcourse/gossip/codec/membership.py
@@ -1,4 +1,4 @@
-"""Binary form of the messages of failure detection, table sync and aggregation."""
+"""Binary encoding of the messages of failure detection, table sync and aggregation."""
 
 from __future__ import annotations
 
@@ -41,12 +41,12 @@
 )
 
 PROBE = Struct("!IQ")  # sequence, target
-SYNC_REQUEST = Struct("!QB")  # cursor, count of digests
-TALLY = Struct("!IIB")  # members, connections, length of the zone
+SYNC_REQUEST = Struct("!QB")  # cursor, number of digests
+TALLY = Struct("!IIB")  # members, connections, length of the zone name
 
 
 def update_size(update: Update) -> int:
-    """Encoded bytes of one update, to fill a datagram. ``EncodeError`` for a record without a binary form."""
+    """Return the encoded size of an update in bytes. Raise ``EncodeError`` if its address is invalid."""
     if isinstance(update, StatusUpdate):
         return STATUS_UPDATE.size
     if isinstance(update, MemberRecord):
@@ -60,7 +60,7 @@
 
 
 def _read_updates(reader: Reader) -> tuple[Update, ...]:
-    return reader.records(read_update)
+    return reader.read_list(read_update)
 
 
 def _encode_probe(message: Ping | PingRequest) -> bytes:
@@ -85,7 +85,7 @@
 
 
 def _read_ack(reader: Reader) -> Ack:
-    return Ack(reader.number(U32), _read_updates(reader))
+    return Ack(reader.read_number(U32), _read_updates(reader))
 
 
 def _encode_nack(message: Nack) -> bytes:
@@ -93,7 +93,7 @@
 
 
 def _read_nack(reader: Reader) -> Nack:
-    return Nack(reader.number(U32))
+    return Nack(reader.read_number(U32))
 
 
 def _encode_gossip(message: Gossip) -> bytes:
@@ -107,15 +107,15 @@
 def _encode_sync_request(message: SyncRequest) -> bytes:
     count = len(message.digests)
     if count not in (0, SYNC_BUCKETS):
-        raise EncodeError(f"{count} digests; 0 or {SYNC_BUCKETS} are expected")
+        raise EncodeError(f"SyncRequest with {count} digests, expected 0 or {SYNC_BUCKETS}")
     return SYNC_REQUEST.pack(message.cursor, count) + b"".join(map(U64.pack, message.digests))
 
 
 def _read_sync_request(reader: Reader) -> SyncRequest:
     cursor, count = reader.unpack(SYNC_REQUEST)
     if count not in (0, SYNC_BUCKETS):
-        raise CodecError(Reason.SCHEMA, f"{count} digests; 0 or {SYNC_BUCKETS} are expected")
-    return SyncRequest(cursor, tuple([reader.number(U64) for _ in range(count)]))
+        raise CodecError(Reason.SCHEMA, f"SyncRequest with {count} digests, expected 0 or {SYNC_BUCKETS}")
+    return SyncRequest(cursor, tuple([reader.read_number(U64) for _ in range(count)]))
 
 
 def _encode_sync_reply(message: SyncReply) -> bytes:
@@ -123,8 +123,8 @@
 
 
 def _read_sync_reply(reader: Reader) -> SyncReply:
-    more = read_flag(reader.number(U8))
-    return SyncReply(reader.records(read_member_record), more)
+    more = read_flag(reader.read_number(U8))
+    return SyncReply(reader.read_list(read_member_record), more)
 
 
 def _encode_tally(message: Tally) -> bytes:
@@ -134,7 +134,7 @@
 
 def _read_tally(reader: Reader) -> Tally:
     members, connections, length = reader.unpack(TALLY)
-    return Tally(reader.text(length, MAX_LABEL_BYTES), members, connections)
+    return Tally(reader.read_string(length, MAX_LABEL_BYTES), members, connections)
 
 
 MEMBERSHIP_SCHEMAS: tuple[Schema[Any], ...] = (
--- a/saltcourse/gossip/codec/quorum.py
+++ b/saltcourse/gossip/codec/quorum.py
@@ -1,4 +1,4 @@
-"""Binary form of the messages between the voters."""
+"""Binary encoding of the messages between the voters."""
 
 from __future__ import annotations
 
@@ -35,11 +35,11 @@
 
 
 def _read_prepare(reader: Reader) -> Prepare:
-    return Prepare(reader.number(U32))
+    return Prepare(reader.read_number(U32))
 
 
 def _read_rejected(reader: Reader) -> Rejected:
-    return Rejected(reader.number(U32))
+    return Rejected(reader.read_number(U32))
 
 
 def _encode_promise(message: Promise) -> bytes:
@@ -60,7 +60,7 @@
 
 
 def _read_propose(reader: Reader) -> Propose:
-    return Propose(reader.number(U32), read_change(reader))
+    return Propose(reader.read_number(U32), read_change(reader))
 
 
 def _encode_accepted(message: Accepted) -> bytes:
@@ -68,7 +68,7 @@
 
 
 def _read_accepted(reader: Reader) -> Accepted:
-    return Accepted(reader.number(U32), read_position(reader))
+    return Accepted(reader.read_number(U32), read_position(reader))
 
 
 def _encode_lease(message: LeaseRequest | LeaseGrant) -> bytes:
--- a/saltcourse/gossip/codec/schema.py
+++ b/saltcourse/gossip/codec/schema.py
@@ -1,4 +1,4 @@
-"""One type of message: its code on the wire, and how it is encoded and read."""
+"""Description of a message type: its code on the wire, its encoder and its decoder."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Schema(Generic[MessageType]):
-    """One type of message, and its binary form.
+    """A message type and its binary encoding.
 
-    ``encode`` raises ``EncodeError``, or ``struct.error`` where a number does not fit; ``read`` raises
+    ``encode`` raises ``EncodeError``, or ``struct.error`` if a number is out of range; ``read`` raises
     ``CodecError``.
     """
 
@@ -27,7 +27,10 @@
 
 
 def read_flag(value: int) -> bool:
-    """Return a byte as a truth value. ``CodecError`` for all but 0 and 1: a message has one form only."""
+    """Return the boolean encoded as 0 or 1.
+
+    Raises ``CodecError`` for other values, so that each message has exactly one encoding.
+    """
     if value > 1:
-        raise CodecError(Reason.SCHEMA, f"a flag of {value}")
+        raise CodecError(Reason.SCHEMA, f"flag of {value}, expected 0 or 1")
     return value == 1
--- a/saltcourse/gossip/errors.py
+++ b/saltcourse/gossip/errors.py
@@ -1,11 +1,11 @@
-"""Errors of the gossip package. Each says what was wrong and what was expected.
+"""Exceptions of the gossip package.
 
 GossipError
-    CodecError              bytes that are no message
-    EncodeError             a record without a binary form; also a ValueError
-    InvalidChangeError      an operator's change that can't be published
+    CodecError              the bytes are not a valid message
+    EncodeError             the record can't be encoded; also a ValueError
+    InvalidChangeError      the operator's change can't be published
         ChangeTooLargeError
-    StoreError              a voter's file can't be used, or its state not stored
+    StoreError              the replica file can't be opened, read or written
 """
 
 from __future__ import annotations
@@ -14,21 +14,24 @@
 
 
 class GossipError(Exception):
-    """Base of all errors that the package raises for its callers to handle."""
+    """Base class of the exceptions that this package raises."""
 
 
 class Reason(Enum):
-    """Why a datagram is rejected, in the order in which it is found out."""
+    """Reasons to reject a datagram, in the order in which they are checked.
 
-    TOO_LONG = auto()  # more than ``MAX_DATAGRAM_BYTES``
-    FORM = auto()  # too short, or not of this protocol
-    VERSION = auto()  # of another version of this protocol
-    AUTHENTICATION = auto()  # made without the key, or changed on its way
-    SCHEMA = auto()  # made with the key, and yet not a message
+    The lower-case names are the suffixes of the ``dropped.*`` metrics.
+    """
+
+    TOO_LONG = auto()  # longer than ``MAX_DATAGRAM_BYTES``
+    FORM = auto()  # shorter than a header, or without the protocol's magic bytes
+    VERSION = auto()  # another version of the protocol
+    AUTHENTICATION = auto()  # wrong authentication tag: another key, or altered in transit
+    SCHEMA = auto()  # correctly authenticated, but not a valid message
 
 
 class CodecError(GossipError):
-    """Bytes that are no message."""
+    """The bytes are not a valid message; ``reason`` says which check failed."""
 
     def __init__(self, reason: Reason, detail: str = "") -> None:
         super().__init__(detail or reason.name.lower())
@@ -36,16 +39,16 @@
 
 
 class EncodeError(GossipError, ValueError):
-    """A record that has no binary form or is too long: the caller's fault."""
+    """The record is too long or has a value that can't be encoded; a programming error of the caller."""
 
 
 class InvalidChangeError(GossipError):
-    """An operator's change that can't be published; the text names what is wrong."""
+    """The operator's change can't be published; the message names the offending key or value."""
 
 
 class ChangeTooLargeError(InvalidChangeError):
-    """More than ``MAX_CHANGE_BYTES`` or ``MAX_LIST_LENGTH`` keys."""
+    """The change has more than ``MAX_CHANGE_BYTES`` bytes or more than ``MAX_LIST_LENGTH`` keys."""
 
 
 class StoreError(GossipError):
-    """A voter's file can't be used, or its state not stored; the text names the file and says why."""
+    """The replica file can't be opened, read or written; the message has its path and the cause."""
--- a/saltcourse/gossip/fields.py
+++ b/saltcourse/gossip/fields.py
@@ -1,7 +1,8 @@
-"""Binary form of the records that messages are made of: texts, addresses, positions, updates and changes.
+"""Binary encoding of the records in messages: strings, addresses, positions, updates and changes.
 
-Integers are big-endian. A text or value is a length and its bytes. Writers raise ``EncodeError`` on a record
-that has no binary form; ``Reader`` raises ``CodecError`` and never reads behind the end of its data.
+Integers are big-endian. Strings and values are preceded by their length in bytes. Encoders raise
+``EncodeError`` for a record that can't be encoded; ``Reader`` raises ``CodecError`` for malformed data and
+never reads past its end.
 """
 
 from __future__ import annotations
@@ -34,10 +35,10 @@
 
 Record = TypeVar("Record")
 
-RECORD_CACHE_SIZE = 1_024  # member records and their bytes, each about 600 bytes of memory
-MAX_LIST_LENGTH = 255  # records in one list: its count is one byte
-MAX_VALUE_BYTES = 0xFFFE  # of one value; the next length stands for a deleted key
-DELETED = 0xFFFF  # in place of a value's length
+RECORD_CACHE_SIZE = 1_024  # member records per cache; an entry takes about 600 bytes of memory
+MAX_LIST_LENGTH = 255  # records in a list, whose count is encoded in one byte
+MAX_VALUE_BYTES = 0xFFFE  # configuration value; the next higher length marks a deleted key
+DELETED = 0xFFFF  # value length that marks a deleted key
 CONTROL_CHARACTER = re.compile("[\x00-\x1f\x7f-\x9f]")
 
 U8 = Struct("!B")
@@ -45,18 +46,18 @@
 U64 = Struct("!Q")
 POSITION = Struct("!II")
 STATUS_UPDATE = Struct("!BQI")  # kind, member, incarnation
-# kind, role and status, incarnation, process, lengths of name, region, zone and address, port
+# kind, role and status, incarnation, process id, lengths of name, region, zone and address, port
 MEMBER_RECORD = Struct("!BBIIBBBBH")
-ZONE_SUM = Struct("!BIIIB")  # kind, sequence, members, connections, length of the zone
+ZONE_SUM = Struct("!BIIIB")  # kind, sequence, members, connections, length of the zone name
 WRITE = Struct("!BH")  # lengths of key and value
 
-# The first byte of an update. A status update's kind is the status itself.
+# Kinds of updates, which are their first byte. The kind of a status update is its status.
 STATUSES = tuple(Status)
 MEMBER_RECORD_KIND = 16
 ZONE_SUM_KIND = 17
 
 ROLES = tuple(Role)
-ROLE_SHIFT = 4  # the role is in the upper half of its byte, the status in the lower
+ROLE_SHIFT = 4  # the upper four bits are the role, the lower four the status
 STATUS_MASK = 0x0F
 
 IPV4_BYTES = 4
@@ -65,7 +66,7 @@
 
 
 class Reader:
-    """Takes records from the front of ``data``, one after the other."""
+    """Reads records from ``data``, starting at ``offset``. All methods raise ``CodecError``."""
 
     __slots__ = ("data", "offset")
 
@@ -74,99 +75,101 @@
         self.offset = offset
 
     def unpack(self, layout: Struct) -> tuple[int, ...]:
-        """Take the numbers of a fixed layout."""
+        """Read the numbers of a fixed layout."""
         start = self.offset
         end = start + layout.size
         if end > len(self.data):
-            raise CodecError(Reason.SCHEMA, "ends within a record")
+            raise CodecError(
+                Reason.SCHEMA, f"truncated record: {len(self.data) - start} of {layout.size} bytes"
+            )
         self.offset = end
         return layout.unpack_from(self.data, start)
 
-    def number(self, layout: Struct) -> int:
-        """Take one number."""
+    def read_number(self, layout: Struct) -> int:
+        """Read a number."""
         return self.unpack(layout)[0]
 
-    def raw(self, length: int) -> bytes:
-        """Take so many bytes."""
+    def read_bytes(self, length: int) -> bytes:
+        """Read ``length`` bytes."""
         start = self.offset
         end = start + length
         if end > len(self.data):
-            raise CodecError(Reason.SCHEMA, "ends within a value")
+            raise CodecError(Reason.SCHEMA, f"truncated value: {len(self.data) - start} of {length} bytes")
         self.offset = end
         return self.data[start:end]
 
-    def text(self, length: int, max_bytes: int) -> str:
-        """Take a text of ``length`` bytes in UTF-8, 1 to ``max_bytes``, without control characters."""
+    def read_string(self, length: int, max_bytes: int) -> str:
+        """Read a UTF-8 string of ``length`` bytes, 1 to ``max_bytes``, without control characters."""
         if not 0 < length <= max_bytes:
-            raise CodecError(Reason.SCHEMA, f"a text of {length} bytes")
+            raise CodecError(Reason.SCHEMA, f"string of {length} bytes, expected 1 to {max_bytes}")
         try:
-            text = self.raw(length).decode()
+            text = self.read_bytes(length).decode()
         except UnicodeDecodeError:
-            raise CodecError(Reason.SCHEMA, "a text is not UTF-8") from None
+            raise CodecError(Reason.SCHEMA, f"string of {length} bytes is not valid UTF-8") from None
         if CONTROL_CHARACTER.search(text):
-            raise CodecError(Reason.SCHEMA, "a control character in a text")
+            raise CodecError(Reason.SCHEMA, f"string contains a control character: {text!r}")
         return text
 
-    def address(self, length: int, port: int) -> Address:
-        """Take the bytes of an IP address, in the system's canonical text."""
+    def read_address(self, length: int, port: int) -> Address:
+        """Read an IP address of ``length`` bytes; return it as formatted by ``inet_ntop``, with ``port``."""
         family = ADDRESS_FAMILIES.get(length)
         if family is None:
-            raise CodecError(Reason.SCHEMA, f"an address of {length} bytes")
+            raise CodecError(Reason.SCHEMA, f"IP address of {length} bytes, expected 4 or 16")
         if port == 0:
-            raise CodecError(Reason.SCHEMA, "port 0")
-        return socket.inet_ntop(family, self.raw(length)), port
+            raise CodecError(Reason.SCHEMA, "port is 0, expected 1 to 65535")
+        return socket.inet_ntop(family, self.read_bytes(length)), port
 
-    def records(self, read: Callable[[Reader], Record]) -> tuple[Record, ...]:
-        """Take a list of up to ``MAX_LIST_LENGTH`` records."""
-        return tuple([read(self) for _ in range(self.number(U8))])
+    def read_list(self, read: Callable[[Reader], Record]) -> tuple[Record, ...]:
+        """Read a list of up to ``MAX_LIST_LENGTH`` records."""
+        return tuple([read(self) for _ in range(self.read_number(U8))])
 
-    def end(self) -> None:
-        """``CodecError`` unless all bytes were taken."""
+    def expect_end(self) -> None:
+        """Raise ``CodecError`` if data is left."""
         if self.offset != len(self.data):
-            raise CodecError(Reason.SCHEMA, "bytes behind the end")
+            raise CodecError(Reason.SCHEMA, f"{len(self.data) - self.offset} bytes after the message")
 
 
-# ---- writers ----------------------------------------------------------------------------------------
+# ---- encoding ---------------------------------------------------------------------------------------
 
 
 def encode_text(text: str, max_bytes: int) -> bytes:
-    """Return 1 to ``max_bytes`` bytes of UTF-8 without control characters."""
+    """Encode a string that has 1 to ``max_bytes`` bytes in UTF-8 and no control characters."""
     try:
         data = text.encode()
     except UnicodeEncodeError:
-        raise EncodeError(f"not a text that UTF-8 can hold: {text!r}") from None
+        raise EncodeError(f"string can't be encoded in UTF-8: {text!r}") from None
     if not 0 < len(data) <= max_bytes or CONTROL_CHARACTER.search(text):
-        raise EncodeError(f"not a text of 1 to {max_bytes} bytes without control characters: {text!r}")
+        raise EncodeError(f"string must have 1 to {max_bytes} bytes and no control characters: {text!r}")
     return data
 
 
 def encode_address(host: str) -> bytes:
-    """Return the 4 or 16 bytes of an IP address."""
+    """Encode an IP address in 4 or 16 bytes."""
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     try:
         return socket.inet_pton(family, host)
-    except (OSError, ValueError):  # ValueError: a character that no address has
-        raise EncodeError(f"not an IP address: {host!r}") from None
+    except (OSError, ValueError):  # ValueError: null character or lone surrogate
+        raise EncodeError(f"invalid IP address: {host!r}") from None
 
 
 def encode_list(records: Sequence[Record], encode: Callable[[Record], bytes]) -> bytes:
-    """Return the count of the records and their bytes."""
+    """Encode the number of records, then each record with ``encode``."""
     if len(records) > MAX_LIST_LENGTH:
-        raise EncodeError(f"{len(records)} records in a list")
+        raise EncodeError(f"list of {len(records)} records; the limit is {MAX_LIST_LENGTH}")
     return U8.pack(len(records)) + b"".join([encode(record) for record in records])
 
 
 def encode_position(position: Position) -> bytes:
-    """Return 8 bytes."""
+    """Encode a position in 8 bytes."""
     return POSITION.pack(position.epoch, position.version)
 
 
 @lru_cache(maxsize=RECORD_CACHE_SIZE)
 def encode_member_record(record: MemberRecord) -> bytes:
-    """Return the bytes of a full record. Cached: one record is sent many times over."""
+    """Encode a member record. Cached, since a record is usually sent many times."""
     host, port = record.address
     if port == 0:
-        raise EncodeError("port 0")
+        raise EncodeError(f"member {record.name!r}: port is 0, expected 1 to 65535")
     name = encode_text(record.name, MAX_NAME_BYTES)
     region = encode_text(record.region, MAX_LABEL_BYTES)
     zone = encode_text(record.zone, MAX_LABEL_BYTES)
@@ -186,7 +189,7 @@
 
 
 def encode_update(update: Update) -> bytes:
-    """Return the bytes of an update, which begin with its kind."""
+    """Encode an update, starting with its kind."""
     if isinstance(update, StatusUpdate):
         return STATUS_UPDATE.pack(update.status, update.member, update.incarnation)
     if isinstance(update, MemberRecord):
@@ -196,42 +199,42 @@
 
 
 def encode_write(write: Write) -> bytes:
-    """Return the bytes of one key and its value, or of its deletion."""
+    """Encode a key and its value, or its deletion."""
     name, value = write
     key = encode_text(name, MAX_KEY_BYTES)
     if value is None:
         return WRITE.pack(len(key), DELETED) + key
     if len(value) > MAX_VALUE_BYTES:
-        raise EncodeError(f"a value of {len(value)} bytes")
+        raise EncodeError(f"key {name!r}: value of {len(value)} bytes; the limit is {MAX_VALUE_BYTES}")
     return WRITE.pack(len(key), len(value)) + key + value
 
 
 def encode_change(change: Change) -> bytes:
-    """Return at most ``MAX_CHANGE_BYTES`` bytes."""
+    """Encode a change in at most ``MAX_CHANGE_BYTES`` bytes."""
     data = encode_position(change.position) + encode_list(change.writes, encode_write)
     if len(data) > MAX_CHANGE_BYTES:
-        raise EncodeError(f"a change of {len(data)} bytes")
+        raise EncodeError(f"change of {len(data)} bytes; the limit is {MAX_CHANGE_BYTES}")
     return data
 
 
 def encode_accepted_change(accepted: AcceptedChange) -> bytes:
-    """Return the bytes of the epoch and the change."""
+    """Encode the epoch and the change."""
     return U32.pack(accepted.epoch) + encode_change(accepted.change)
 
 
-# ---- readers ----------------------------------------------------------------------------------------
+# ---- decoding ---------------------------------------------------------------------------------------
 
 
 def read_position(reader: Reader) -> Position:
-    """Read what ``encode_position`` writes."""
+    """Read a position encoded by ``encode_position``."""
     epoch, version = reader.unpack(POSITION)
     return Position(epoch, version)
 
 
 def read_update(reader: Reader) -> Update:
-    """Read what ``encode_update`` writes."""
+    """Read an update encoded by ``encode_update``."""
     if reader.offset >= len(reader.data):
-        raise CodecError(Reason.SCHEMA, "ends before an update")
+        raise CodecError(Reason.SCHEMA, "truncated before an update")
     kind = reader.data[reader.offset]
     if kind < len(STATUSES):
         _, member, incarnation = reader.unpack(STATUS_UPDATE)
@@ -240,31 +243,34 @@
         return read_member_record(reader)
     if kind == ZONE_SUM_KIND:
         return read_zone_sum(reader)
-    raise CodecError(Reason.SCHEMA, f"an update of kind {kind}")
+    raise CodecError(Reason.SCHEMA, f"unknown kind of update: {kind}")
 
 
 def read_member_record(reader: Reader) -> MemberRecord:
-    """Read one record. It comes many times over while it spreads: its bytes are decoded once."""
+    """Read a member record.
+
+    While an update spreads, the same record is received many times; the cache avoids decoding it again.
+    """
     start = reader.offset
     *_, name, region, zone, address, _ = reader.unpack(MEMBER_RECORD)
-    reader.raw(name + region + zone + address)
+    reader.read_bytes(name + region + zone + address)
     return decode_member_record(reader.data[start : reader.offset])
 
 
 @lru_cache(maxsize=RECORD_CACHE_SIZE)
 def decode_member_record(data: bytes) -> MemberRecord:
-    """Decode exactly one record; cached by its bytes."""
+    """Decode one member record; cached by its bytes."""
     reader = Reader(data)
     kind, flags, incarnation, process_id, name, region, zone, address, port = reader.unpack(MEMBER_RECORD)
     role = flags >> ROLE_SHIFT
     status = flags & STATUS_MASK
     if kind != MEMBER_RECORD_KIND or role >= len(ROLES) or status >= len(STATUSES):
-        raise CodecError(Reason.SCHEMA, "not a member record")
+        raise CodecError(Reason.SCHEMA, f"invalid member record: kind {kind}, role {role}, status {status}")
     return MemberRecord(
-        name=reader.text(name, MAX_NAME_BYTES),
-        region=reader.text(region, MAX_LABEL_BYTES),
-        zone=reader.text(zone, MAX_LABEL_BYTES),
-        address=reader.address(address, port),
+        name=reader.read_string(name, MAX_NAME_BYTES),
+        region=reader.read_string(region, MAX_LABEL_BYTES),
+        zone=reader.read_string(zone, MAX_LABEL_BYTES),
+        address=reader.read_address(address, port),
         role=ROLES[role],
         incarnation=incarnation,
         process_id=process_id,
@@ -273,29 +279,29 @@
 
 
 def read_zone_sum(reader: Reader) -> ZoneSum:
-    """Read the update of kind ``ZONE_SUM_KIND``."""
+    """Read an update of kind ``ZONE_SUM_KIND``."""
     _, sequence, members, connections, length = reader.unpack(ZONE_SUM)
-    return ZoneSum(reader.text(length, MAX_LABEL_BYTES), sequence, members, connections)
+    return ZoneSum(reader.read_string(length, MAX_LABEL_BYTES), sequence, members, connections)
 
 
 def read_write(reader: Reader) -> Write:
-    """Read what ``encode_write`` writes."""
+    """Read a write encoded by ``encode_write``."""
     key_length, value_length = reader.unpack(WRITE)
-    key = reader.text(key_length, MAX_KEY_BYTES)
+    key = reader.read_string(key_length, MAX_KEY_BYTES)
     if value_length == DELETED:
         return key, None
-    return key, reader.raw(value_length)
+    return key, reader.read_bytes(value_length)
 
 
 def read_change(reader: Reader) -> Change:
-    """Read what ``encode_change`` writes."""
+    """Read a change encoded by ``encode_change``."""
     start = reader.offset
-    change = Change(read_position(reader), reader.records(read_write))
+    change = Change(read_position(reader), reader.read_list(read_write))
     if reader.offset - start > MAX_CHANGE_BYTES:
-        raise CodecError(Reason.SCHEMA, "a change is too long")
+        raise CodecError(Reason.SCHEMA, f"change is longer than {MAX_CHANGE_BYTES} bytes")
     return change
 
 
 def read_accepted_change(reader: Reader) -> AcceptedChange:
-    """Read what ``encode_accepted_change`` writes."""
-    return AcceptedChange(reader.number(U32), read_change(reader))
+    """Read an accepted change encoded by ``encode_accepted_change``."""
+    return AcceptedChange(reader.read_number(U32), read_change(reader))
--- a/saltcourse/gossip/host.py
+++ b/saltcourse/gossip/host.py
@@ -1,7 +1,8 @@
-"""A ``Node`` on a real UDP socket: datagrams and time become events, its actions are carried out in order.
+"""Runs a ``Node`` on a UDP socket and the asyncio loop.
 
-It decides nothing. The clock is CLOCK_BOOTTIME, which also counts while the machine is suspended, so that a
-member that wakes up knows how long it received nothing.
+Turns received datagrams and expired timers into events of the node, and executes its actions in order. All
+protocol decisions are made by the node. The clock is CLOCK_BOOTTIME, which keeps counting while the machine
+is suspended, so that a resumed member knows for how long it has received nothing.
 """
 
 from __future__ import annotations
@@ -40,10 +41,10 @@
 )
 from saltcourse.gossip.node import Node
 
-LEAVE_GRACE_SECONDS = 0.3  # for which a leaving member still answers, so that its goodbye gets through
-MIN_TICK_DELAY_SECONDS = 0.001  # a deadline that does not move must not spin
-MAX_UNSENT_BYTES = 262_144  # that wait for the socket; more is dropped, as the network would
-MAX_RECEIVE_BYTES = 2_048  # of one datagram; over MAX_DATAGRAM_BYTES, so that longer ones are found out
+LEAVE_GRACE_SECONDS = 0.3  # a leaving member keeps its socket this long, so that its departure is received
+MIN_TICK_DELAY_SECONDS = 0.001  # prevents a busy loop if a deadline stays in the past
+MAX_UNSENT_BYTES = 262_144  # limit of asyncio's send buffer; further datagrams are dropped
+MAX_RECEIVE_BYTES = 2_048  # above MAX_DATAGRAM_BYTES, so that longer datagrams are recognized
 
 log = structlog.get_logger("saltcourse")
 
@@ -51,20 +52,20 @@
 
 
 class StateStore(Protocol):
-    """Where a voter's state survives a restart."""
+    """Persistent storage of a voter's state."""
 
     def save(self, state: ReplicaState) -> None:
-        """Returns when it is on the disk; ``StoreError`` when it can't be stored."""
+        """Return when the state is on disk. Raise ``StoreError`` if it can't be stored."""
 
     def close(self) -> None:
-        """Release the file."""
+        """Close the file."""
 
 
 class Host(asyncio.DatagramProtocol):
-    """A ``Node`` on a real UDP socket, with its timer.
+    """Runs ``node`` on a UDP socket, with a timer for its deadlines.
 
-    ``store`` is a voter's; ``on_applied`` is called for each new configuration, ``on_failure`` when the store
-    has failed and this member has ended for it.
+    ``store`` keeps a voter's state; other members have none. ``on_applied`` is called for each configuration
+    that is applied, ``on_failure`` after the host was closed because the store failed.
     """
 
     def __init__(
@@ -85,30 +86,30 @@
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.DatagramTransport | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._timer_at = float("inf")  # on this host's clock
-        self._tokens = itertools.count(1)
-        self._publishing: dict[int, asyncio.Future[PublishOutcome]] = {}
-        self._events = EventLog()
+        self._timer_at = float("inf")  # time on ``clock`` for which the timer is set
+        self._publish_tokens = itertools.count(1)
+        self._pending_publishes: dict[int, asyncio.Future[PublishOutcome]] = {}
+        self._event_log = EventLog()
         self._leaving = False
 
     async def start(self, address: Address) -> None:
-        """Bind the socket and start the node. OSError when the address can't be bound."""
+        """Bind the socket and start the node. Raise OSError if the address can't be bound."""
         await self._loop.create_datagram_endpoint(lambda: self, local_addr=address)
         self.started_at = self._clock()
-        self._carry_out(self.node.start(self.started_at))
-        self._arm()
+        self._execute(self.node.start(self.started_at))
+        self._set_timer()
 
     def leave(self) -> None:
-        """Announce the departure at once, and close ``LEAVE_GRACE_SECONDS`` later."""
+        """Announce the departure, and close ``LEAVE_GRACE_SECONDS`` later."""
         if self._leaving:
             return
         self._leaving = True
         self._handle(Leave())
-        self._abandon_publishing()
+        self._fail_pending_publishes()
         self._loop.call_later(LEAVE_GRACE_SECONDS, self.close)
 
     def close(self) -> None:
-        """Close socket, timer and store at once; publishers that wait are answered."""
+        """Close socket, timer and store. Pending ``publish`` calls return ``NO_MAJORITY``."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -118,58 +119,61 @@
         if self._store is not None:
             self._store.close()
             self._store = None
-        self._abandon_publishing()
-        self._events.flush()
+        self._fail_pending_publishes()
+        self._event_log.flush()
 
     @property
     def is_open(self) -> bool:
-        """Whether the socket is bound."""
+        """True while the socket is open."""
         return self._transport is not None
 
-    # ---- calls of the program ---------------------------------------------------------------------
+    # ---- calls from the application ---------------------------------------------------------------
 
     def report_connections(self, connections: int) -> None:
-        """Set the number of this proxy's client connections."""
+        """Report the number of this proxy's client connections to the node."""
         self._handle(ConnectionCount(connections))
 
     async def publish(self, writes: tuple[Write, ...]) -> PublishOutcome:
-        """Publish a change. Returns within the node's ``publish_timeout``."""
-        token = next(self._tokens)
+        """Publish a change and return the result, within the node's ``publish_timeout``."""
+        token = next(self._publish_tokens)
         if not self.is_open or self._leaving:
             return PublishFailed(token, PublishError.NO_MAJORITY)
         outcome: asyncio.Future[PublishOutcome] = self._loop.create_future()
-        self._publishing[token] = outcome
+        self._pending_publishes[token] = outcome
         try:
             self._handle(Publish(token, writes))
             return await outcome
         finally:
-            self._publishing.pop(token, None)
+            self._pending_publishes.pop(token, None)
 
     def metrics(self) -> dict[str, int]:
-        """Metrics of ``/_vars``, by name."""
+        """Return the metrics shown at ``/_vars``, by name."""
         metrics = self.node.metrics(self._clock())
         metrics |= {f"datagrams.{name}": count for name, count in sorted(self.datagrams.items())}
         return metrics
 
     def now(self) -> float:
-        """Seconds on the node's clock."""
+        """Return the time on the node's clock, in seconds."""
         return self._clock()
 
     # ---- events -----------------------------------------------------------------------------------
 
     def connection_made(self, transport: asyncio.DatagramTransport) -> None:  # type: ignore[override]
-        """Asyncio has bound the socket."""
-        # asyncio sets aside this much memory for each datagram that it reads; by default 256 KiB.
+        """Store the transport; called by asyncio when the socket is bound."""
+        # asyncio allocates a buffer of this size for each datagram that it reads; the default is 256 KiB.
         transport.max_size = MAX_RECEIVE_BYTES  # type: ignore[attr-defined]
         self._transport = transport
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Asyncio has read a datagram."""
+        """Pass a received datagram to the node; called by asyncio."""
         self.datagrams["received"] += 1
         self._handle(Received(addr[:2], data))
 
     def error_received(self, exc: Exception) -> None:
-        """A destination can't be reached, or its port is closed; its silence is what the node sees."""
+        """Count a send error; called by asyncio.
+
+        The destination can't be reached or its port is closed. The node detects that by missing answers.
+        """
         self.datagrams["errors"] += 1
 
     def _tick(self) -> None:
@@ -180,11 +184,14 @@
     def _handle(self, event: Event) -> None:
         if not self.is_open:
             return
-        self._carry_out(self.node.handle(self._clock(), event))
-        self._arm()
+        self._execute(self.node.handle(self._clock(), event))
+        self._set_timer()
 
-    def _arm(self) -> None:
-        """Set one timer to the node's next deadline. One for an earlier time is left: it costs a tick."""
+    def _set_timer(self) -> None:
+        """Set the timer to the node's next deadline.
+
+        A timer that is set to an earlier time is not changed; it causes one unneeded tick.
+        """
         if not self.is_open:
             return
         deadline = self.node.next_deadline()
@@ -198,7 +205,7 @@
 
     # ---- actions ----------------------------------------------------------------------------------
 
-    def _carry_out(self, actions: list[Action]) -> None:
+    def _execute(self, actions: list[Action]) -> None:
         for action in actions:
             match action:
                 case Transmit(destination, datagram):
@@ -207,18 +214,18 @@
                     if not self._persist(state):
                         return
                 case Published(token) | PublishFailed(token):
-                    self._settle(token, action)
+                    self._finish_publish(token, action)
                 case MemberChanged() | FreshnessChanged() | ZoneReachability():
-                    self._events.record(action)
+                    self._event_log.record(action)
                 case Applied():
-                    self._events.record(action)
+                    self._event_log.record(action)
                     if self._on_applied is not None:
                         self._on_applied(action)
 
     def _transmit(self, destination: Address, datagram: bytes) -> None:
         if self._transport is None:
             return
-        # Of every asyncio transport that writes; its type lacks it.
+        # asyncio's datagram transports have this method, but the type stubs lack it.
         unsent: int = self._transport.get_write_buffer_size()  # type: ignore[attr-defined]
         if unsent > MAX_UNSENT_BYTES:
             self.datagrams["unsent"] += 1
@@ -227,28 +234,29 @@
         self._transport.sendto(datagram, destination)
 
     def _persist(self, state: ReplicaState) -> bool:
-        """Store a voter's state.
+        """Store a voter's state; return whether that succeeded.
 
-        What can't be stored must not be sent, nor anything after it: this member ends.
+        On failure the host closes, because neither messages that depend on the state nor later ones may be
+        sent.
         """
         if self._store is None:
             return True
         try:
             self._store.save(state)
         except StoreError as error:
-            log.error("gossip state could not be stored; this member stops", reason=str(error))
+            log.error("gossip state could not be stored; stopping this member", reason=str(error))
             self.close()
             if self._on_failure is not None:
                 self._on_failure(error)
             return False
         return True
 
-    def _settle(self, token: int, outcome: PublishOutcome) -> None:
-        waiting = self._publishing.get(token)
-        if waiting is not None and not waiting.done():
-            waiting.set_result(outcome)
+    def _finish_publish(self, token: int, outcome: PublishOutcome) -> None:
+        pending = self._pending_publishes.get(token)
+        if pending is not None and not pending.done():
+            pending.set_result(outcome)
 
-    def _abandon_publishing(self) -> None:
-        """Answer the publishers that wait: others may still commit what is under way."""
-        for token in list(self._publishing):
-            self._settle(token, PublishFailed(token, PublishError.NO_MAJORITY))
+    def _fail_pending_publishes(self) -> None:
+        """Fail the pending ``publish`` calls; the other voters may still commit these changes."""
+        for token in list(self._pending_publishes):
+            self._finish_publish(token, PublishFailed(token, PublishError.NO_MAJORITY))
--- a/saltcourse/gossip/messages/__init__.py
+++ b/saltcourse/gossip/messages/__init__.py
@@ -1,14 +1,14 @@
-"""What members send each other, and what a ``Node`` handles and returns: plain records, no I/O.
+"""Record types of the gossip protocol: messages between members, and events and actions of a ``Node``.
 
-    limits          bounds of everything that travels
+    limits          size limits of messages and of a member's tables
     membership      members, updates, failure detection, table sync, aggregation
-    configuration   changes and their dissemination
-    quorum          agreement of the voters
-    datagram        header, and a message to be sent
+    configuration   configuration changes and their dissemination
+    quorum          consensus between the voters
+    datagram        datagram header, and requests to send a message
     node            events and actions of a node
 
-``codec`` has the bytes. All times are seconds of the member's own monotonic clock and never leave it: nothing
-on the wire is a time.
+``saltcourse.gossip.codec`` defines the binary form of messages. No message contains a time: all times are
+seconds on a member's own monotonic clock, which other members can't interpret.
 """
 
 from __future__ import annotations
--- a/saltcourse/gossip/messages/configuration.py
+++ b/saltcourse/gossip/messages/configuration.py
@@ -1,4 +1,4 @@
-"""Configuration changes, and the messages that bring them to every member."""
+"""Configuration changes, and the messages that distribute them to all members."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Position:
-    """Of a configuration: the epoch of the publisher of its last change, and the number of changes.
+    """Identifies a configuration by the epoch of its last change's publisher and its number of changes.
 
-    Committed changes form one sequence: ``version`` has no gaps and ``epoch`` never falls along it.
+    Committed changes form one sequence, in which ``version`` has no gaps and ``epoch`` never decreases.
     """
 
     epoch: int = 0  # 32 bits
@@ -19,48 +19,54 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Heartbeat:
-    """Proof of the current publisher that a majority of the voters follows it."""
+    """Counter that a publisher advances only while a majority of the voters renews its lease."""
 
     epoch: int = 0  # 32 bits
     count: int = 0  # 32 bits
 
 
-Write = tuple[str, bytes | None]  # a key and its new value; None: the key is deleted
+Write = tuple[str, bytes | None]  # key and new value; None deletes the key
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """Applied whole, on top of the configuration of version ``position.version - 1``."""
+    """Writes that are applied together to the configuration of version ``position.version - 1``."""
 
     position: Position
     writes: tuple[Write, ...]
 
 
 class Freshness(IntEnum):
-    """Whether this member may be behind."""
+    """How up to date a member's configuration is."""
 
     CURRENT = 0
-    BEHIND = 1  # a newer version is known and on its way
-    STALE = 2  # no new heartbeat of a publisher for a while: there may be changes that did not arrive
+    BEHIND = 1  # a newer version is known and is being fetched
+    STALE = 2  # no new publisher heartbeat within ``stale_after``: changes may have been missed
 
 
 @dataclass(frozen=True, slots=True)
 class Fetch:
-    """Changes behind ``after`` are wanted; or, if the receiver has no log that far back, a snapshot."""
+    """Requests the changes after position ``after``.
+
+    A receiver whose log does not reach back that far answers with a snapshot.
+    """
 
     after: Position
 
 
 @dataclass(frozen=True, slots=True)
 class Changes:
-    """Consecutive changes, as many as fit."""
+    """Consecutive changes, as many as fit in one datagram."""
 
     changes: tuple[Change, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class SnapshotFetch:
-    """One part of the snapshot at ``position`` is wanted; Position(): of the newest that the receiver has."""
+    """Requests the part at ``offset`` (bytes) of the snapshot at ``position``.
+
+    ``Position()`` stands for the receiver's newest snapshot.
+    """
 
     position: Position
     offset: int
@@ -68,15 +74,16 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotPart:
-    """Bytes of the snapshot at ``position``. ``digest`` is of the whole.
+    """Part of the snapshot at ``position``.
 
-    All members make the same bytes of the snapshot at one position, so parts may come from any of them.
+    All members encode the snapshot at one position to the same bytes, so parts from several members can be
+    combined.
     """
 
     position: Position
-    size: int
-    digest: int  # 64 bits
-    offset: int
+    size: int  # bytes of the complete snapshot
+    digest: int  # 64 bits, over the complete snapshot
+    offset: int  # of ``data`` in the snapshot, bytes
     data: bytes
 
 
--- a/saltcourse/gossip/messages/datagram.py
+++ b/saltcourse/gossip/messages/datagram.py
@@ -1,4 +1,4 @@
-"""A datagram is a ``Header`` and one ``Message``; a ``Send`` is a part's request to transmit one."""
+"""Contents of a datagram, which are a ``Header`` and one ``Message``, and requests to send messages."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Header:
-    """On every datagram: its sender, and the newest position and heartbeat that the sender knows."""
+    """The sender of a datagram, and the newest position and heartbeat that the sender knows."""
 
     sender: MemberId
     incarnation: int
@@ -24,17 +24,20 @@
 
 
 class Priority(IntEnum):
-    """What is sent first when the byte budget is short. Lower values first."""
+    """Order in which messages are sent when the byte budget is limited; lower values are sent first."""
 
-    PROBE = 0  # failure detection and agreement: sent also beyond the budget, bounded by their own pace
+    PROBE = 0  # failure detection and consensus: not limited by the budget, since their rate is bounded
     CONFIGURATION = 1
     MEMBERSHIP = 2
-    BULK = 3  # snapshots and whole member tables
+    BULK = 3  # snapshots and member tables
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """A message that a part of a node wants sent; the node adds the header and observes the budget."""
+    """Request of one of a node's protocols to send a message.
+
+    The node adds the header and enforces the byte budget.
+    """
 
     destination: Address
     message: Message
--- a/saltcourse/gossip/messages/membership.py
+++ b/saltcourse/gossip/messages/membership.py
@@ -1,4 +1,4 @@
-"""Members, what is claimed of them, and the messages of failure detection, table sync and aggregation."""
+"""Member records and updates, and the messages of failure detection, table sync and aggregation."""
 
 from __future__ import annotations
 
@@ -6,26 +6,29 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-Address = tuple[str, int]  # an IPv4 or IPv6 address, and a UDP port
-MemberId = int  # 64 bits of a hash of the member's name
+Address = tuple[str, int]  # IPv4 or IPv6 address and UDP port
+MemberId = int  # 64 bits, hash of the member's name
 
 
 def member_id(name: str) -> MemberId:
-    """Return the id of the member of this name, the same at all members."""
+    """Return the id of the member called ``name``; all members compute the same id."""
     return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=8).digest(), "big")
 
 
 class Status(IntEnum):
-    """What is believed of a member. At one incarnation the higher value overrides the lower."""
+    """Status of a member as seen by another one.
+
+    Within one incarnation a higher value overrides a lower one.
+    """
 
     ALIVE = 0
-    SUSPECT = 1  # did not answer; dead unless it refutes that in time
+    SUSPECT = 1  # did not answer probes; declared dead unless it refutes the suspicion in time
     DEAD = 2
-    LEFT = 3  # announced that it ends
+    LEFT = 3  # announced its departure
 
 
 class Role(IntEnum):
-    """What kind of process a member is."""
+    """Kind of process that a member is."""
 
     PROXY = 0
     CONTROL = 1  # may be a voter on configuration changes
@@ -33,10 +36,10 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberRecord:
-    """A member in full.
+    """Complete record of a member.
 
-    ``incarnation`` is raised only by the member itself; ``process_id`` is drawn at each start, so that two
-    processes of one name are distinguished.
+    Only the member itself raises its ``incarnation``. ``process_id`` is drawn at random at each start and
+    distinguishes processes that have the same name.
     """
 
     name: str
@@ -50,13 +53,16 @@
 
     @property
     def id(self) -> MemberId:
-        """The id that belongs to the name."""
+        """The member's id, derived from its name."""
         return member_id(self.name)
 
 
 @dataclass(frozen=True, slots=True)
 class StatusUpdate:
-    """The status of a member whose full record the receiver has; others ignore it and sync later."""
+    """Status of a member, without its record.
+
+    Receivers that lack the record ignore the update and get the record by table sync.
+    """
 
     member: MemberId
     incarnation: int
@@ -65,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneSum:
-    """Connections of one zone's live proxies. The highest ``sequence`` of a zone is the newest."""
+    """Sums over the live proxies of a zone; of two sums the one with the higher ``sequence`` is newer."""
 
     zone: str
     sequence: int  # 32 bits
@@ -78,7 +84,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Ping:
-    """Probe ``target``: another process that has its address by now must not answer for it."""
+    """Probes ``target``.
+
+    It is named in the message because another member may have taken over its address, and must not answer.
+    """
 
     sequence: int  # 32 bits, drawn at random
     target: MemberId
@@ -87,7 +96,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ack:
-    """Answer to the Ping or PingRequest of this sequence: its target is alive."""
+    """Answers the ``Ping`` or ``PingRequest`` with the same sequence: its target is alive."""
 
     sequence: int
     updates: tuple[Update, ...] = ()
@@ -95,7 +104,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PingRequest:
-    """Ping ``target`` for the sender, and relay its Ack with this sequence; a Nack if none comes in time."""
+    """Asks the receiver to ping ``target`` on behalf of the sender.
+
+    The receiver answers with an ``Ack`` of the same sequence, or with a ``Nack`` if the target does not
+    answer in time.
+    """
 
     sequence: int
     target: MemberId
@@ -104,23 +117,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Nack:
-    """The target of the PingRequest of this sequence has not answered."""
+    """Reports that the target of the ``PingRequest`` with the same sequence has not answered."""
 
     sequence: int
 
 
 @dataclass(frozen=True, slots=True)
 class Gossip:
-    """Updates alone. The header's position makes it an announcement of a configuration change as well."""
+    """Updates without a probe.
+
+    The position in its header also announces configuration changes.
+    """
 
     updates: tuple[Update, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class SyncRequest:
-    """Digests of the sender's member table by bucket; empty: it knows nobody.
+    """Requests the records of members whose id is higher than ``cursor``.
 
-    ``cursor``: records of members with a higher id are wanted.
+    ``digests`` has a digest of each bucket of the sender's member table, or is empty if the sender does not
+    know any other member.
     """
 
     cursor: MemberId
@@ -129,7 +146,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SyncReply:
-    """Full records in the order of their ids, of buckets that differ. ``more``: ask again behind the last."""
+    """Records of the buckets that differ, ordered by member id.
+
+    ``more``: further records follow; the next request's cursor is the last id of this reply.
+    """
 
     records: tuple[MemberRecord, ...]
     more: bool
@@ -137,7 +157,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tally:
-    """A subtree's sum, sent to the parent in the zone's aggregation tree."""
+    """Sums over a subtree of a zone's aggregation tree, sent to the parent."""
 
     zone: str
     members: int
--- a/saltcourse/gossip/messages/node.py
+++ b/saltcourse/gossip/messages/node.py
@@ -1,4 +1,4 @@
-"""Events that a ``Node`` handles, and actions that it returns to its host."""
+"""Events that a ``Node`` handles, and actions that it returns to be executed by its host."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Received:
-    """A datagram, not yet authenticated."""
+    """A datagram was received; it is not authenticated yet."""
 
     source: Address
     datagram: bytes
@@ -27,14 +27,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionCount:
-    """The number of client connections of this proxy now."""
+    """The number of this proxy's client connections has changed."""
 
     connections: int
 
 
 @dataclass(frozen=True, slots=True)
 class Publish:
-    """An operator's change at a control member. ``token`` returns with the result."""
+    """An operator publishes a change.
+
+    The result, ``Published`` or ``PublishFailed``, has the same ``token``.
+    """
 
     token: int
     writes: tuple[Write, ...]
@@ -42,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Leave:
-    """The process is about to end."""
+    """The process is about to exit; the member leaves the fleet."""
 
 
 Event = Received | Tick | ConnectionCount | Publish | Leave
@@ -52,14 +55,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Persist:
-    """Must be on the disk before any later action of the same list is carried out."""
+    """Store ``state`` durably before executing any later action of the same list."""
 
     state: ReplicaState
 
 
 @dataclass(frozen=True, slots=True)
 class Transmit:
-    """Send these bytes."""
+    """Send ``datagram`` to ``destination``."""
 
     destination: Address
     datagram: bytes
@@ -67,24 +70,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Applied:
-    """The configuration in force at this member is now the one at ``position``; it only ever goes forward."""
+    """The configuration at ``position`` was applied at this member; positions only ever increase."""
 
     position: Position
-    changed: tuple[str, ...]  # keys written or deleted since the last one
+    changed: tuple[str, ...]  # keys written or deleted since the previous ``Applied``
 
 
 class PublishError(IntEnum):
-    """Why a change was not published, or is not known to be."""
+    """Reasons why a change was not published, or is not known to be published."""
 
     NOT_CONTROL = 1
-    NO_MAJORITY = 2  # not committed in time; it may still be, or never
+    NO_MAJORITY = 2  # not committed in time; it may still be committed later
     TOO_LARGE = 3
-    BUSY = 4  # too many are under way
+    BUSY = 4  # too many changes are in progress
 
 
 @dataclass(frozen=True, slots=True)
 class Published:
-    """The change of ``Publish`` with this token is committed."""
+    """The change of the ``Publish`` event with this token is committed."""
 
     token: int
     position: Position
@@ -92,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PublishFailed:
-    """The change of ``Publish`` with this token was rejected, or is not known to be committed."""
+    """The change of the ``Publish`` event with this token was rejected, or its result is not known."""
 
     token: int
     error: PublishError
@@ -100,7 +103,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberChanged:
-    """A member is new, or has another status now."""
+    """A member was added, or its status has changed."""
 
     name: str
     zone: str
@@ -109,14 +112,14 @@
 
 @dataclass(frozen=True, slots=True)
 class FreshnessChanged:
-    """This member is more or less behind than before."""
+    """The freshness of this member's configuration has changed."""
 
     freshness: Freshness
 
 
 @dataclass(frozen=True, slots=True)
 class ZoneReachability:
-    """No member of the zone answers any more, or one does again."""
+    """All members of a zone have stopped answering, or one of them answers again."""
 
     zone: str
     reachable: bool
--- a/saltcourse/gossip/messages/quorum.py
+++ b/saltcourse/gossip/messages/quorum.py
@@ -1,4 +1,4 @@
-"""Messages between the voters, which agree on changes by Multi-Paxos, and the state that a voter stores."""
+"""Messages of Multi-Paxos, by which the voters agree on changes, and the state that a voter stores."""
 
 from __future__ import annotations
 
@@ -9,16 +9,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Prepare:
-    """The sender wants to publish under ``epoch``."""
+    """Asks for the promises that the sender needs to become the publisher of ``epoch``."""
 
     epoch: int
 
 
 @dataclass(frozen=True, slots=True)
 class AcceptedChange:
-    """A change that a voter has accepted, and the publisher's epoch under which it did.
+    """A change that a voter has accepted, with the epoch of the publisher that proposed it.
 
-    That is not always ``change.position.epoch``: a later publisher proposes a change again as it is.
+    ``epoch`` may be higher than ``change.position.epoch``, because a later publisher proposes an earlier
+    change again without altering it.
     """
 
     epoch: int
@@ -27,11 +28,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Promise:
-    """The sender accepts nothing of an older epoch any more.
+    """Promises to accept no proposal of an epoch lower than ``epoch``.
 
-    ``committed`` is what it has applied, ``last_accepted`` the version up to which it has accepted changes
-    (``committed.version``: none behind it). It sends one Promise for each of those changes: what it has is
-    known when all of them have arrived.
+    ``committed`` is the position that the sender has applied, ``last_accepted`` the last version that it has
+    accepted, which equals ``committed.version`` if it has accepted no change after that. The sender sends one
+    Promise for each accepted change; the promise is complete when all of them have arrived.
     """
 
     epoch: int
@@ -42,10 +43,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Propose:
-    """Accept ``change`` under the publisher's ``epoch``.
+    """Asks the receiver to accept ``change`` from the publisher of ``epoch``.
 
-    The change keeps the position that its first publisher gave it, also where a later one proposes it again:
-    a change that was committed before is then the same one.
+    A later publisher that proposes the change again keeps the position assigned by the first one, so that a
+    change that is already committed stays identical.
     """
 
     epoch: int
@@ -54,7 +55,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """The sender has the change at ``position``, and all behind its committed ones up to it, on its disk."""
+    """Reports that the change at ``position`` is stored on the sender's disk.
+
+    So are all changes between the sender's committed position and ``position``.
+    """
 
     epoch: int
     position: Position
@@ -62,7 +66,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseRequest:
-    """The publisher asks for a renewal; a majority of grants lets it advance its heartbeat."""
+    """Requests a renewal of the publisher's lease.
+
+    The publisher advances its heartbeat when a majority of the voters has granted the renewal.
+    """
 
     epoch: int
     count: int
@@ -70,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseGrant:
-    """The sender follows the publisher of ``epoch``; ``count`` is the request's."""
+    """Grants the ``LeaseRequest`` with the same ``epoch`` and ``count``."""
 
     epoch: int
     count: int
@@ -78,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """The sender has promised ``epoch``, newer than that of the message which it rejects."""
+    """Rejects a message because the sender has promised ``epoch``, which is higher than the message's."""
 
     epoch: int
 
@@ -88,9 +95,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaState:
-    """What a voter must not forget over a restart."""
+    """State that a voter must keep across restarts."""
 
-    promised: int = 0  # the newest epoch that it has promised or published under
+    promised: int = 0  # the highest epoch that it has promised, or in which it was the publisher
     committed: Position = Position()
-    configuration: tuple[tuple[str, bytes], ...] = ()  # at ``committed``, in the order of the keys
-    accepted: tuple[AcceptedChange, ...] = ()  # consecutive versions right behind ``committed``
+    configuration: tuple[tuple[str, bytes], ...] = ()  # at position ``committed``, sorted by key
+    accepted: tuple[AcceptedChange, ...] = ()  # consecutive versions that directly follow ``committed``
--- a/saltcourse/gossip/node.py
+++ b/saltcourse/gossip/node.py
@@ -1,9 +1,9 @@
-"""One member of the fleet: joins membership, aggregation, dissemination and, at a voter, the quorum.
+"""Protocol engine of one member: combines membership, aggregation, dissemination and, at a voter, the quorum.
 
-No I/O and no clock: ``handle(now, event)`` takes what has happened and gives what is to be done, in order;
-``next_deadline()`` is when it wants to be called again although nothing happens. The parts neither know each
-other nor the bytes on the wire: the node decodes, shows each header to the parts that learn from it, passes
-the message to the part it is for, and sends what the parts want sent as far as the byte budget reaches.
+The node has no I/O and no clock. ``handle(now, event)`` returns the actions to execute, in order;
+``next_deadline()`` returns the time of the next ``Tick`` event. The protocols know neither each other nor the
+wire format: the node decodes datagrams, passes the header to the protocols that use it and the message to the
+one that handles it, and sends the resulting messages within the byte budget.
 """
 
 from __future__ import annotations
@@ -46,12 +46,16 @@
 from saltcourse.gossip.settings import NodeSettings
 from saltcourse.gossip.token_bucket import TokenBucket
 
-BURST_SECONDS = 2.0  # of the byte budget that may be spent at once
-NEVER = float("inf")
+BURST_SECONDS = 2.0  # size of the byte budget's burst, as seconds of its rate
+NO_DEADLINE = float("inf")
 
 
 class Node:
-    """``state`` is what a voter kept from an earlier process; None at its first start and for others."""
+    """Protocol engine of the member described by ``settings``.
+
+    ``state`` is the state that a voter stored in an earlier process. It is None at a voter's first start and
+    for all other members.
+    """
 
     def __init__(self, settings: NodeSettings, rng: random.Random, state: ReplicaState | None = None) -> None:
         timing = settings.timing
@@ -69,23 +73,23 @@
         self._state = state
         self._voter_ids = frozenset(v.id for v in settings.voters)
         self._codec = Codec(settings.key)
-        self._budget = TokenBucket(settings.bytes_per_s, BURST_SECONDS * settings.bytes_per_s)
-        self._waiting = SendQueue(timing.fetch_timeout)
+        self._byte_budget = TokenBucket(settings.bytes_per_s, BURST_SECONDS * settings.bytes_per_s)
+        self._send_queue = SendQueue(timing.fetch_timeout)
         self._actions: list[Action] = []
 
     # ---- events -----------------------------------------------------------------------------------
 
     def start(self, now: float) -> list[Action]:
-        """At the start of the process: restore a voter's state, and join the fleet."""
+        """Restore a voter's state, join the fleet and return the first actions."""
         if self._state is not None:
             self.dissemination.restore(now, self._state)
         self._send(now, self.membership.start(now))
         if self.quorum is not None:
-            self._carry_out(now, self.quorum.start(now))
+            self._execute(now, self.quorum.start(now))
         return self._finish(now)
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Take the event and do whatever else has become ready."""
+        """Process an event and all expired deadlines; return the resulting actions."""
         match event:
             case Received(source, datagram):
                 self._receive(now, source, datagram)
@@ -99,21 +103,21 @@
         return self._finish(now)
 
     def next_deadline(self) -> float:
-        """When ``handle`` is to be called with a ``Tick``, in seconds on the clock of ``now``."""
+        """Return when to call ``handle`` with a ``Tick``, in seconds on the clock of ``now``."""
         deadlines = [self.membership.next_deadline(), self.dissemination.next_deadline()]
         if self._is_proxy():
             deadlines.append(self.aggregation.next_deadline())
         if self.quorum is not None:
             deadlines.append(self.quorum.next_deadline())
-        deadlines.append(self._budget_deadline())
+        deadlines.append(self._send_deadline())
         return min(deadlines)
 
-    # ---- what comes in ----------------------------------------------------------------------------
+    # ---- receiving --------------------------------------------------------------------------------
 
     def _receive(self, now: float, source: Address, datagram: bytes) -> None:
         size = len(datagram) + PACKET_OVERHEAD_BYTES
         self.received_bytes += size
-        self._budget.force(now, size)
+        self._byte_budget.force(now, size)
         try:
             header, message = self._codec.decode(datagram)
         except CodecError as error:
@@ -125,7 +129,7 @@
         self._send(now, self.membership.observe(now, header))
         self._send(now, self.dissemination.observe(now, source, header))
         self._dispatch(now, source, header, message)
-        self._pass_on_sums(now)
+        self._forward_zone_sums(now)
 
     def _is_own(self, header: Header) -> bool:
         own_record = self.membership.own_record
@@ -145,9 +149,9 @@
         if self.quorum is None or header.sender not in self._voter_ids:
             self.dropped["not_voter"] += 1
             return
-        self._carry_out(now, self.quorum.handle(now, source, header, message))
+        self._execute(now, self.quorum.handle(now, source, header, message))
 
-    def _pass_on_sums(self, now: float) -> None:
+    def _forward_zone_sums(self, now: float) -> None:
         for update in self.membership.take_received():
             if self.aggregation.receive(now, update):
                 self.membership.broadcast(update)
@@ -156,9 +160,9 @@
         if self.quorum is None:
             self._actions.append(PublishFailed(event.token, PublishError.NOT_CONTROL))
         else:
-            self._carry_out(now, self.quorum.publish(now, event))
+            self._execute(now, self.quorum.publish(now, event))
 
-    # ---- time -------------------------------------------------------------------------------------
+    # ---- timers -----------------------------------------------------------------------------------
 
     def _tick(self, now: float) -> None:
         if now >= self.membership.next_deadline():
@@ -168,7 +172,7 @@
         if self._is_proxy() and now >= self.aggregation.next_deadline():
             self._tick_aggregation(now)
         if self.quorum is not None and now >= self.quorum.next_deadline():
-            self._carry_out(now, self.quorum.tick(now))
+            self._execute(now, self.quorum.tick(now))
 
     def _tick_aggregation(self, now: float) -> None:
         own_record = self.membership.own_record
@@ -182,35 +186,37 @@
 
     # ---- the quorum's actions ---------------------------------------------------------------------
 
-    def _carry_out(self, now: float, actions: Iterable[QuorumAction]) -> None:
+    def _execute(self, now: float, actions: Iterable[QuorumAction]) -> None:
         for action in actions:
             match action:
                 case Send():
                     self._send(now, [action])
                 case Commit(change):
                     self._send(now, self.dissemination.commit(now, change))
-                    self._collect(now)
+                    self._collect_dissemination_actions(now)
                 case AdvanceHeartbeat(heartbeat):
                     self.dissemination.advance_heartbeat(now, heartbeat)
                 case _:
                     self._actions.append(action)
 
-    def _collect(self, now: float) -> None:
-        """Take the dissemination's actions, and show the quorum the newest configuration in force."""
+    def _collect_dissemination_actions(self, now: float) -> None:
+        """Collect the actions of the dissemination; tell the quorum about a newly applied configuration."""
         actions = self.dissemination.take_actions()
         self._actions.extend(actions)
         if self.quorum is not None and any(isinstance(action, Applied) for action in actions):
-            part = self.dissemination
-            self._carry_out(now, self.quorum.on_applied(now, part.position, part.configuration))
+            dissemination = self.dissemination
+            self._execute(
+                now, self.quorum.on_applied(now, dissemination.position, dissemination.configuration)
+            )
 
-    # ---- what goes out ----------------------------------------------------------------------------
+    # ---- sending ----------------------------------------------------------------------------------
 
     def _finish(self, now: float) -> list[Action]:
-        self._collect(now)
+        self._collect_dissemination_actions(now)
         if self.quorum is not None:
-            newest = self.dissemination.position, self.dissemination.heartbeat
-            self._carry_out(now, self.quorum.observe(now, *newest))
-        self._send_waiting(now)
+            newest_known = self.dissemination.position, self.dissemination.heartbeat
+            self._execute(now, self.quorum.observe(now, *newest_known))
+        self._send_queued(now)
         self._actions.extend(self.membership.take_changes())
         actions, self._actions = self._actions, []
         return actions
@@ -218,20 +224,20 @@
     def _send(self, now: float, sends: Iterable[Send]) -> None:
         for send in sends:
             if send.priority is Priority.PROBE:
-                self._budget.force(now, self._transmit(send))
+                self._byte_budget.force(now, self._transmit(send))
             else:
-                self._waiting.push(now, send)
+                self._send_queue.push(now, send)
 
-    def _send_waiting(self, now: float) -> None:
-        while self._waiting and self._budget.available(now) > 0:
-            send = self._waiting.pop(now)
+    def _send_queued(self, now: float) -> None:
+        while self._send_queue and self._byte_budget.available(now) > 0:
+            send = self._send_queue.pop(now)
             if send is not None:
-                self._budget.force(now, self._transmit(send))
+                self._byte_budget.force(now, self._transmit(send))
 
     def _transmit(self, send: Send) -> int:
-        """Encode a message; return the bytes that it takes from the budget.
+        """Encode a message; return its bytes, including IP and UDP headers, for the budget.
 
-        The header has what holds now, not what held when the message was queued.
+        The datagram's header is built here, so that it has the state at sending and not at queueing.
         """
         datagram = self._codec.encode(self._header(), send.message)
         self._actions.append(Transmit(send.destination, datagram))
@@ -241,18 +247,22 @@
 
     def _header(self) -> Header:
         own_record = self.membership.own_record
-        part = self.dissemination
+        dissemination = self.dissemination
         return Header(
-            own_record.id, own_record.incarnation, own_record.process_id, part.position, part.heartbeat
+            own_record.id,
+            own_record.incarnation,
+            own_record.process_id,
+            dissemination.position,
+            dissemination.heartbeat,
         )
 
-    def _budget_deadline(self) -> float:
-        return self._budget.available_at() if self._waiting else NEVER
+    def _send_deadline(self) -> float:
+        return self._byte_budget.available_at() if self._send_queue else NO_DEADLINE
 
     # ---- metrics ----------------------------------------------------------------------------------
 
     def metrics(self, now: float) -> dict[str, int]:
-        """Whole numbers for the operators, by name."""
+        """Return the node's metrics by name."""
         by_status = Counter(member.status for member in self.membership.members.values())
         metrics = {f"members.{status.name.lower()}": by_status[status] for status in Status}
         sums = self.aggregation.sums(now)
@@ -263,10 +273,10 @@
             "freshness": int(self.dissemination.freshness),
             "bytes.sent": self.sent_bytes,
             "bytes.received": self.received_bytes,
-            "sends.dropped": self._waiting.dropped,
+            "sends.dropped": self._send_queue.dropped,
         }
         metrics |= {f"dropped.{reason}": count for reason, count in sorted(self.dropped.items())}
-        # Short names, some of which repeat values from above under another name: operators know both.
+        # Some of these metrics repeat values from above under another name; operators use both names.
         metrics |= self.membership.metrics()
         metrics |= self.dissemination.metrics()
         if self.quorum is not None:
--- a/saltcourse/gossip/store.py
+++ b/saltcourse/gossip/store.py
@@ -1,8 +1,8 @@
-"""Where a voter keeps its ``ReplicaState``: an SQLite file that this process alone has open.
+"""Storage of a voter's ``ReplicaState`` in an SQLite file, locked exclusively by this process.
 
-SQLite because it is in the standard library and, with ``synchronous=FULL``, durable against power loss. A
-save is one transaction and writes only what has changed since the last one. A file that is torn, foreign or
-another member's is an error that names it: to begin anew could mean to accept what was promised not to be.
+SQLite is part of the standard library and, with ``synchronous=FULL``, survives a power loss. A save is one
+transaction and writes only what has changed since the previous save. A file that is corrupt, has another
+format or belongs to another member is an error: starting with an empty state could break earlier promises.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from saltcourse.gossip.messages import AcceptedChange, Change, Position, ReplicaState, Write
 
 APPLICATION_ID = 0x53616C72  # PRAGMA application_id: "Salr"
-FORMAT_VERSION = 1  # PRAGMA user_version: of the tables below
+FORMAT_VERSION = 1  # PRAGMA user_version: version of the tables below
 CREATE_TABLES = (
     "CREATE TABLE replica (one INTEGER PRIMARY KEY CHECK (one = 1), member TEXT NOT NULL,"
     " promised INTEGER NOT NULL, epoch INTEGER NOT NULL, version INTEGER NOT NULL,"
@@ -29,22 +29,22 @@
 
 
 class ReplicaStore:
-    """``load`` returns None on a first start. All errors are StoreError.
+    """Replica file of one voter. The constructor, ``load`` and ``save`` raise ``StoreError``.
 
-    After a failed ``save`` nobody knows what is on the disk: the store is closed, and the voter must end.
+    A failed ``save`` closes the store, since the state on disk is then unknown; the voter must stop.
     """
 
     def __init__(self, file: Path, own_name: str) -> None:
         self.file = file
         self.own_name = own_name
-        self._saved: ReplicaState | None = None  # what the tables hold; None: not loaded yet
+        self._saved: ReplicaState | None = None  # contents of the tables; None before the first load
         try:
             self._open()
         except (OSError, sqlite3.Error) as error:
             raise self._error(str(error)) from None
 
     def load(self) -> ReplicaState | None:
-        """Return what was saved last; None on a first start."""
+        """Return the state that was saved last, or None if none was saved."""
         try:
             row = self._db.execute("SELECT member, promised, epoch, version, digest FROM replica").fetchone()
             if row is None:
@@ -56,15 +56,15 @@
         except sqlite3.Error as error:
             raise self._error(str(error)) from None
         if member != self.own_name:
-            raise self._error(f"holds the state of {member}, not of {self.own_name}")
+            raise self._error(f"file belongs to member {member!r}, expected {self.own_name!r}")
         state = ReplicaState(promised, Position(epoch, version), configuration, accepted)
         if digest != _digest(member, state):
-            raise self._error("torn: the digest does not fit")
+            raise self._error("corrupt: the digest does not match the contents")
         self._saved = state
         return state
 
     def save(self, state: ReplicaState) -> None:
-        """Write the state; it is on the disk when this returns."""
+        """Write the state and return when it is on disk."""
         if self._saved is None:
             self.load()
         saved = self._saved or ReplicaState()
@@ -90,7 +90,7 @@
         self._saved = state
 
     def close(self) -> None:
-        """Release the file."""
+        """Close the file."""
         self._db.close()
 
     # ---- the file ---------------------------------------------------------------------------------
@@ -98,7 +98,7 @@
     def _open(self) -> None:
         new = not self.file.exists() or self.file.stat().st_size == 0
         self._db = sqlite3.connect(self.file, isolation_level=None, timeout=0.0)
-        # Exclusive: two processes with one state between them would be two voters.
+        # Exclusive, since two processes that share a state would vote twice.
         self._db.execute("PRAGMA locking_mode=EXCLUSIVE")
         self._db.execute("PRAGMA synchronous=FULL")
         self._db.execute("BEGIN IMMEDIATE")
@@ -115,13 +115,13 @@
 
     def _check(self) -> None:
         if self._pragma("application_id") != APPLICATION_ID:
-            raise self._error("not a replica file of this program")
+            raise self._error(f"not a replica file: application_id is not {APPLICATION_ID:#x}")
         version = self._pragma("user_version")
         if version != FORMAT_VERSION:
-            raise self._error(f"form {version}, this program reads {FORMAT_VERSION}")
+            raise self._error(f"format version {version}, expected {FORMAT_VERSION}")
         result = self._pragma("quick_check")
         if result != "ok":
-            raise self._error(f"torn: {result}")
+            raise self._error(f"corrupt: {result}")
 
     def _pragma(self, name: str) -> int | str:
         value: int | str = self._db.execute(f"PRAGMA {name}").fetchone()[0]
@@ -176,10 +176,10 @@
 
 
 def _digest(member: str, state: ReplicaState) -> str:
-    """Return a digest of all that the tables hold.
+    """Return a digest of the contents of all tables.
 
-    Each text and value has its length before it, so that none runs into the next; -1 stands for a deleted
-    key.
+    Each string and value is preceded by its length, so that different contents can't give the same input. The
+    length -1 marks a deleted key.
     """
     digest = hashlib.sha256()
 
--- a/tests/gossip/test_processes.py
+++ b/tests/gossip/test_processes.py
@@ -75,7 +75,7 @@
         assert reply.status == status and message in reply.body
     for name in ("p0", "m0"):
         rejected = call(fleet.admin[name], path, "PUT", b'{"k": "v"}')
-        assert rejected.status == 404 and b"no control member that votes" in rejected.body
+        assert rejected.status == 404 and b"this member is not a voter" in rejected.body
     assert call(admin, path, "POST", b"").status == 405
     at_proxy = fleet.publish("p0", "k=v")
     assert at_proxy.returncode == 1 and "404" in at_proxy.stderr
--- a/tests/gossip/test_store.py
+++ b/tests/gossip/test_store.py
@@ -1,4 +1,4 @@
-"""The file of a voter: what was saved is there after a restart; a file that can't be trusted is an error."""
+"""Tests of a voter's replica file: restarts, invalid files and failed saves."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from saltcourse.gossip.store import ReplicaStore
 
 
-def entry(epoch: int, version: int, *writes: tuple[str, bytes | None]) -> AcceptedChange:
+def accepted_change(epoch: int, version: int, *writes: tuple[str, bytes | None]) -> AcceptedChange:
     return AcceptedChange(epoch, Change(Position(epoch, version), writes or (("key", b"value"),)))
 
 
@@ -22,19 +22,22 @@
     promised=7,
     committed=Position(5, 2),
     configuration=(("a", b"1"), ("b", b"\0\xff"), ("ü", b"")),
-    accepted=(AcceptedChange(6, Change(Position(5, 3), (("a", None), ("b", b""), ("a", b"x")))), entry(6, 4)),
+    accepted=(
+        AcceptedChange(6, Change(Position(5, 3), (("a", None), ("b", b""), ("a", b"x")))),
+        accepted_change(6, 4),
+    ),
 )
 
 
-def reopened(file: Path, me: str = "v0") -> ReplicaState | None:
-    store = ReplicaStore(file, me)
+def load_reopened(file: Path, own_name: str = "v0") -> ReplicaState | None:
+    store = ReplicaStore(file, own_name)
     try:
         return store.load()
     finally:
         store.close()
 
 
-def test_a_state_is_there_after_a_restart_and_for_this_member_only(tmp_path: Path) -> None:
+def test_state_is_restored_after_restart_for_the_same_member_only(tmp_path: Path) -> None:
     file = tmp_path / "replica"
     store = ReplicaStore(file, "v0")
     assert store.load() is None
@@ -42,25 +45,25 @@
     with pytest.raises(StoreError, match=r"replica: .*locked"):
         ReplicaStore(file, "v0")
     store.close()
-    assert reopened(file) == STATE
-    with pytest.raises(StoreError, match="holds the state of v0, not of v1"):
-        reopened(file, "v1")
+    assert load_reopened(file) == STATE
+    with pytest.raises(StoreError, match="file belongs to member 'v0', expected 'v1'"):
+        load_reopened(file, "v1")
 
 
-def test_a_save_without_a_load_replaces_what_an_earlier_process_saved(tmp_path: Path) -> None:
+def test_save_without_load_replaces_the_state_of_an_earlier_process(tmp_path: Path) -> None:
     file = tmp_path / "replica"
     for state in (STATE, ReplicaState(8, Position(6, 3), (("b", b"2"),))):
         store = ReplicaStore(file, "v0")
         store.save(state)
         store.close()
-        assert reopened(file) == state
+        assert load_reopened(file) == state
 
 
-def test_a_file_that_was_opened_and_never_saved_to_is_a_first_start(tmp_path: Path) -> None:
+def test_load_returns_none_for_a_file_without_saved_state(tmp_path: Path) -> None:
     ReplicaStore(tmp_path / "replica", "v0").close()
-    assert reopened(tmp_path / "replica") is None
+    assert load_reopened(tmp_path / "replica") is None
     (tmp_path / "empty").touch()
-    assert reopened(tmp_path / "empty") is None
+    assert load_reopened(tmp_path / "empty") is None
 
 
 KEYS = st.sampled_from(["a", "b", "key", "ü", "\U0001f9c2"])
@@ -68,23 +71,25 @@
 WRITES = st.lists(st.tuples(KEYS, st.none() | VALUES), max_size=3).map(tuple)
 NUMBERS = st.integers(0, 2**32 - 1)
 POSITIONS = st.builds(Position, NUMBERS, NUMBERS)
-ENTRIES = st.lists(
+ACCEPTED = st.lists(
     st.builds(AcceptedChange, NUMBERS, st.builds(Change, POSITIONS, WRITES)),
     max_size=4,
-    unique_by=lambda found: found.change.position.version,
+    unique_by=lambda accepted: accepted.change.position.version,
 )
 STATES = st.builds(
     ReplicaState,
     NUMBERS,
     POSITIONS,
     st.dictionaries(KEYS, VALUES).map(lambda items: tuple(sorted(items.items()))),
-    ENTRIES.map(lambda found: tuple(sorted(found, key=lambda one: one.change.position.version))),
+    ACCEPTED.map(
+        lambda changes: tuple(sorted(changes, key=lambda accepted: accepted.change.position.version))
+    ),
 )
 
 
 @settings(max_examples=60, deadline=None, suppress_health_check=[HealthCheck.function_scoped_fixture])
 @given(st.lists(st.tuples(STATES, st.booleans()), min_size=1, max_size=5))
-def test_the_last_state_is_there_after_any_saves_and_restarts(
+def test_last_saved_state_is_restored_after_any_saves_and_restarts(
     tmp_path: Path, saves: list[tuple[ReplicaState, bool]]
 ) -> None:
     file = tmp_path / "replica"
@@ -97,27 +102,27 @@
             store = ReplicaStore(file, "v0")
             assert store.load() == state
     store.close()
-    assert reopened(file) == saves[-1][0]
+    assert load_reopened(file) == saves[-1][0]
 
 
-def test_torn_and_foreign_files_are_errors_that_name_them_and_stay_as_they_are(tmp_path: Path) -> None:
+def test_corrupt_and_foreign_files_raise_an_error_with_the_path_and_are_not_modified(tmp_path: Path) -> None:
     file = tmp_path / "replica"
     store = ReplicaStore(file, "v0")
     store.save(STATE)
     store.close()
-    whole = file.read_bytes()
-    for torn in (
-        whole[: len(whole) // 2],
+    valid = file.read_bytes()
+    for corrupt in (
+        valid[: len(valid) // 2],
         b"not a database at all" * 300,
-        whole[:4096] + b"\0" * (len(whole) - 4096),
+        valid[:4096] + b"\0" * (len(valid) - 4096),
     ):
-        file.write_bytes(torn)
+        file.write_bytes(corrupt)
         with pytest.raises(StoreError, match=str(file)):
-            reopened(file)
-        assert file.read_bytes() == torn
+            load_reopened(file)
+        assert file.read_bytes() == corrupt
     file.unlink()
-    with sqlite3.connect(file) as other:
-        other.execute("CREATE TABLE x (y)")
+    with sqlite3.connect(file) as connection:
+        connection.execute("CREATE TABLE x (y)")
     with pytest.raises(StoreError, match="not a replica file"):
         ReplicaStore(file, "v0")
     with pytest.raises(StoreError, match="nowhere"):
@@ -137,37 +142,37 @@
         "DELETE FROM accepted_write WHERE version = 4",
     ],
 )
-def test_a_row_that_was_changed_by_another_hand_is_found_out(tmp_path: Path, statement: str) -> None:
+def test_modified_row_is_detected_by_the_digest(tmp_path: Path, statement: str) -> None:
     file = tmp_path / "replica"
     store = ReplicaStore(file, "v0")
     store.save(STATE)
     store.close()
-    other = sqlite3.connect(file)
-    with other:
-        assert other.execute(statement).rowcount == 1
-    other.close()
-    with pytest.raises(StoreError, match="the digest does not fit"):
-        reopened(file)
+    connection = sqlite3.connect(file)
+    with connection:
+        assert connection.execute(statement).rowcount == 1
+    connection.close()
+    with pytest.raises(StoreError, match="corrupt: the digest does not match"):
+        load_reopened(file)
 
 
-def test_a_file_of_a_later_form_is_an_error(tmp_path: Path) -> None:
+def test_unknown_format_version_is_an_error(tmp_path: Path) -> None:
     ReplicaStore(tmp_path / "replica", "v0").close()
-    other = sqlite3.connect(tmp_path / "replica")
-    with other:
-        other.execute("PRAGMA user_version=2")
-    other.close()
-    with pytest.raises(StoreError, match="form 2, this program reads 1"):
+    connection = sqlite3.connect(tmp_path / "replica")
+    with connection:
+        connection.execute("PRAGMA user_version=2")
+    connection.close()
+    with pytest.raises(StoreError, match="format version 2, expected 1"):
         ReplicaStore(tmp_path / "replica", "v0")
 
 
-def test_a_failed_save_closes_the_store_and_leaves_the_state_before_it(tmp_path: Path) -> None:
+def test_failed_save_closes_the_store_and_keeps_the_previous_state(tmp_path: Path) -> None:
     file = tmp_path / "replica"
     store = ReplicaStore(file, "v0")
     store.save(STATE)
-    store._db.execute("PRAGMA max_page_count=1")  # as a full disk: SQLite keeps it at the present size
+    store._db.execute("PRAGMA max_page_count=1")  # simulates a full disk: the file can't grow
     large = ReplicaState(8, Position(6, 3), (("key", bytes(200_000)),))
     with pytest.raises(StoreError, match=r"replica: .*full"):
         store.save(large)
     with pytest.raises(StoreError, match=r"replica: .*closed"):
         store.save(STATE)
-    assert reopened(file) == STATE
+    assert load_reopened(file) == STATE
