--- a/tests/gossip/golden.py
+++ b/tests/gossip/golden.py
@@ -1,7 +1,7 @@
-"""What must stay the same byte for byte: one datagram of each kind, a voter's file, and emulator histories.
+"""Inputs of the compatibility tests: one datagram of each type, a replica state, and emulator histories.
 
-The fixtures in ``fixtures/`` were written by commit bafdb7c with the functions of this file. A history is
-hashed without the names of types and fields, so that a rename leaves its digest as it is.
+The fixtures in ``fixtures/`` were written by commit bafdb7c with the functions of this module. A history's
+hash does not include the names of types and fields, so that renames do not change it.
 """
 
 from __future__ import annotations
@@ -74,7 +74,7 @@
     configuration=(("a", b"1"), ("b", b"\0\xff"), ("empty", b""), ("ü", "é".encode())),
     accepted=(m.AcceptedChange(8, CHANGE), m.AcceptedChange(9, NEXT_CHANGE)),
 )
-EARLIER_REPLICA_STATE = m.ReplicaState(  # saved first: the file has seen deletions and replacements
+EARLIER_REPLICA_STATE = m.ReplicaState(  # saved before REPLICA_STATE, so that rows were deleted and replaced
     promised=8,
     committed=m.Position(6, 41),
     configuration=(("a", b"0"), ("gone", b"x")),
@@ -86,7 +86,10 @@
 
 
 def canonical(value: Any) -> str:
-    """Values by position, without names of types and fields; a message begins with its code on the wire."""
+    """Return a text form of ``value`` without the names of types and fields.
+
+    A message starts with its code on the wire.
+    """
     if is_dataclass(value):
         schema = SCHEMA_BY_TYPE.get(type(value))
         parts = [] if schema is None else [str(schema.code)]
@@ -103,7 +106,7 @@
 
 
 class History:
-    """A running hash over what happened."""
+    """Running hash of the events of an emulator run."""
 
     def __init__(self) -> None:
         self._hash = hashlib.sha256()
@@ -116,8 +119,8 @@
 
 
 @contextmanager
-def sends_recorded(history: History) -> Iterator[None]:
-    """All that hosts send over the simulated network, with the time."""
+def record_sends(history: History) -> Iterator[None]:
+    """Add all messages sent over the simulated network to ``history``, with their times."""
     original = Network.send
 
     def send(network: Network, sender: str, receiver: str, event: Any) -> None:
@@ -131,18 +134,18 @@
         Network.send = original  # type: ignore[method-assign]
 
 
-def whole_node_history(seed: int) -> str:
-    """One random schedule of faults for whole nodes: each datagram, and what was found in the end."""
+def node_history(seed: int) -> str:
+    """Return the digest of a random fault schedule of complete nodes: all datagrams and the final state."""
     history = History()
     schedule = Schedule(seed, Node, (1, 5))
     network = schedule.world.network
     transmit = network.transmit
 
-    def recorded(sender: Any, destination: m.Address, datagram: bytes) -> None:
+    def record_and_transmit(sender: Any, destination: m.Address, datagram: bytes) -> None:
         history.add(network.now, sender.name, destination, datagram)
         transmit(sender, destination, datagram)
 
-    network.transmit = recorded  # type: ignore[method-assign]
+    network.transmit = record_and_transmit  # type: ignore[method-assign]
     schedule.form()
     schedule.disturb(10.0)
     history.add(schedule.settle(), schedule.publish_one_more())
@@ -152,18 +155,18 @@
 
 
 def quorum_history(seed: int) -> str:
-    """One random schedule of faults for voters alone: each message, and what was committed and published."""
+    """Return the digest of a random fault schedule of voters: all messages, and the committed changes."""
     history = History()
-    with sends_recorded(history):
+    with record_sends(history):
         world = quorum_schedule.play(seed)
     history.add(world.checker.changes, world.checker.results)
     return history.digest()
 
 
 def dissemination_history(seed: int) -> str:
-    """One random schedule of faults for the dissemination alone: each message, and each last state."""
+    """Return the digest of a random fault schedule of the dissemination: all messages and final states."""
     history = History()
-    with sends_recorded(history):
+    with record_sends(history):
         fleet = dissemination_schedule.Schedule(seed, FleetConfiguration).play()
     for member in fleet.live():
         history.add(member.record.name, member.applied, member.freshness, member.sent_bytes)
@@ -171,7 +174,10 @@
 
 
 def membership_history(seed: int) -> str:
-    """Membership alone, with loss, a crash, a departure and a cut of regions: each message and change."""
+    """Return the digest of a membership run with loss, a crash, a departure and a partition of regions.
+
+    It covers all messages and status changes.
+    """
     history = History()
     fleet = membership_fleet.fleet_of(24, seed, loss=0.05, double=0.05, settle=0.0)
     fleet.log = []
@@ -193,7 +199,7 @@
 
 
 HISTORIES = {
-    "whole node": whole_node_history,
+    "whole node": node_history,
     "quorum": quorum_history,
     "dissemination": dissemination_history,
     "membership": membership_history,
--- a/tests/gossip/site.py
+++ b/tests/gossip/loopback_fleet.py
@@ -1,4 +1,4 @@
-"""Members with gossip on loopback: as hosts in this process, or as processes of their own."""
+"""Fleets of gossip members on loopback: hosts in the test process, or separate processes."""
 
 from __future__ import annotations
 
@@ -27,9 +27,9 @@
 ROOT = Path(__file__).parents[2]
 EXAMPLE = ROOT / "example" / "config.json"
 KEY = b"k" * 32
-PATIENCE = 20.0  # s that a slow machine may take for what takes one
-# A fleet on one machine has no round trips to wait for: everything goes five times as fast.
-QUICK = Timing(
+WAIT_TIMEOUT = 20.0  # seconds; generous for slow machines, since the conditions usually hold within 1 s
+# Five times as fast as the defaults, since loopback has no network delay.
+FAST_TIMING = Timing(
     probe_interval=0.2,
     probe_timeout=0.1,
     gossip_interval=0.05,
@@ -43,28 +43,29 @@
 )
 
 
-async def until(true: Callable[[], bool], what: str = "") -> None:
+async def wait_until(condition: Callable[[], bool], description: str = "") -> None:
+    """Wait for a condition; raise ``AssertionError`` after ``WAIT_TIMEOUT``."""
     try:
-        async with asyncio.timeout(PATIENCE):
-            while not true():
+        async with asyncio.timeout(WAIT_TIMEOUT):
+            while not condition():
                 await asyncio.sleep(0.02)
     except TimeoutError:
-        raise AssertionError(f"not within {PATIENCE} s: {what}") from None
+        raise AssertionError(f"condition not met within {WAIT_TIMEOUT} s: {description}") from None
 
 
 def free_ports(count: int, kind: int = socket.SOCK_DGRAM) -> list[int]:
     sockets = [socket.socket(socket.AF_INET, kind) for _ in range(count)]
-    for each in sockets:
-        each.bind(("127.0.0.1", 0))
-    ports: list[int] = [each.getsockname()[1] for each in sockets]
-    for each in sockets:
-        each.close()
+    for bound in sockets:
+        bound.bind(("127.0.0.1", 0))
+    ports: list[int] = [bound.getsockname()[1] for bound in sockets]
+    for bound in sockets:
+        bound.close()
     return ports
 
 
 @dataclass
 class MemoryStore:
-    """What a voter would find on its disk after a kill."""
+    """In-memory replacement of a voter's replica file; keeps the last saved state."""
 
     state: ReplicaState | None = None
     saves: int = 0
@@ -78,18 +79,21 @@
 
 
 @dataclass
-class Site:
-    """Hosts in this process: voters c0, c1, c2 and proxies p0, p1, ... in the zones z0, z1, z2 by turns."""
+class LoopbackFleet:
+    """Hosts in the test process: voters c0, c1, ... and proxies p0, p1, ...
+
+    The member with number n is in zone z(n mod 3).
+    """
 
     proxies: int = 6
     controls: int = 3
-    timing: Timing = QUICK
+    timing: Timing = FAST_TIMING
     key: bytes = KEY
     hosts: dict[str, Host] = field(default_factory=dict)
     stores: dict[str, MemoryStore] = field(default_factory=dict)
     addresses: dict[str, Address] = field(default_factory=dict)
-    cut_off: frozenset[str] = frozenset()  # nothing passes between these and the others
-    loss: float = 0.0  # share of all datagrams that get lost
+    isolated: frozenset[str] = frozenset()  # partitioned from the other members
+    loss: float = 0.0  # share of the datagrams that are dropped
     random: Random = field(default_factory=lambda: Random(1))
 
     def __post_init__(self) -> None:
@@ -126,44 +130,46 @@
             self.hosts[name] = host
 
     def intercept(self, name: str, host: Host) -> None:
-        """Datagrams pass as the site's faults let them."""
+        """Apply the configured partition and loss to the datagrams that ``host`` sends."""
         transmit = host._transmit
 
-        def faulty(destination: Address, datagram: bytes) -> None:
-            if self.passes(name, destination):
+        def transmit_with_faults(destination: Address, datagram: bytes) -> None:
+            if self.is_delivered(name, destination):
                 transmit(destination, datagram)
 
-        host._transmit = faulty  # type: ignore[method-assign]
+        host._transmit = transmit_with_faults  # type: ignore[method-assign]
 
-    def passes(self, sender: str, destination: Address) -> bool:
+    def is_delivered(self, sender: str, destination: Address) -> bool:
         receiver = next((name for name, address in self.addresses.items() if address == destination), None)
-        if (sender in self.cut_off) != (receiver in self.cut_off):
+        if (sender in self.isolated) != (receiver in self.isolated):
             return False
         return self.random.random() >= self.loss
 
     async def kill(self, name: str) -> None:
-        """As kill -9 does: the socket is gone and nothing is said."""
+        """Close the member's socket without announcing a departure, as SIGKILL would."""
         self.hosts.pop(name).close()
-        await asyncio.sleep(0.01)  # asyncio closes a socket in the loop's next round
+        await asyncio.sleep(0.01)  # asyncio closes the socket in the next iteration of the loop
 
     def close(self) -> None:
         for host in self.hosts.values():
             host.close()
 
-    def alive(self, name: str) -> int:
-        """Members that ``name`` holds for alive, itself included."""
+    def alive_count(self, name: str) -> int:
+        """Return the number of members that ``name`` considers alive, including itself."""
         members = self.hosts[name].node.membership.members.values()
         return sum(member.status is Status.ALIVE for member in members)
 
-    async def all_know(self, count: int) -> None:
-        await until(lambda: all(self.alive(name) == count for name in self.hosts), f"{count} members alive")
+    async def wait_for_members(self, count: int) -> None:
+        await wait_until(
+            lambda: all(self.alive_count(name) == count for name in self.hosts), f"{count} members alive"
+        )
 
-    async def all_have(self, key: str, value: bytes | None) -> None:
-        await until(
+    async def wait_for_value(self, key: str, value: bytes | None) -> None:
+        await wait_until(
             lambda: all(
                 host.node.dissemination.configuration.get(key) == value for host in self.hosts.values()
             ),
-            f"{key} = {value!r} at all",
+            f"{key} = {value!r} at all members",
         )
 
     def position(self, name: str) -> Position:
@@ -186,14 +192,14 @@
 def call(admin: Address, path: str, method: str = "GET", body: bytes | None = None) -> Reply:
     request = urllib.request.Request("http://{}:{}{}".format(*admin, path), data=body, method=method)
     try:
-        with urllib.request.urlopen(request, timeout=PATIENCE) as answer:
-            return Reply(answer.status, answer.read())
+        with urllib.request.urlopen(request, timeout=WAIT_TIMEOUT) as response:
+            return Reply(response.status, response.read())
     except urllib.error.HTTPError as error:
         return Reply(error.code, error.read())
 
 
-def figure(admin: Address, name: str) -> int | None:
-    """``svc.gossip.NAME`` of /_vars."""
+def metric(admin: Address, name: str) -> int | None:
+    """Return the value of the metric ``svc.gossip.NAME`` at /_vars, or None if it is missing."""
     for line in call(admin, "/_vars").body.decode().splitlines():
         key, _, value = line.partition(":")
         if key == f"svc.gossip.{name}":
@@ -201,27 +207,30 @@
     return None
 
 
-def wait_for(true: Callable[[], bool], what: str) -> None:
-    end = time.monotonic() + PATIENCE
+def wait_for(condition: Callable[[], bool], description: str) -> None:
+    """Wait for a condition; raise ``AssertionError`` after ``WAIT_TIMEOUT``. An OSError counts as not met."""
+    end = time.monotonic() + WAIT_TIMEOUT
     while time.monotonic() < end:
         try:
-            if true():
+            if condition():
                 return
         except OSError:
             pass
         time.sleep(0.05)
-    raise AssertionError(f"not within {PATIENCE} s: {what}")
+    raise AssertionError(f"condition not met within {WAIT_TIMEOUT} s: {description}")
 
 
-FAST_KEYS = (
+FAST_TIMING_FIELDS = (
     "probe_interval_s: 0.2 probe_timeout_s: 0.1 heartbeat_interval_s: 0.2 takeover_after_s: 1 "
     "stale_after_s: 2 sync_interval_s: 0.5 publish_timeout_s: 2"
 )
 
 
-class Processes:
-    """Programs as staff would run them; each has its file, its log and its admin address. c0, c1, ... vote,
-    m0 is a control member without a vote, p0, p1, ... are proxies."""
+class ProcessFleet:
+    """Members as separate processes, each with an operator's file, a log and an admin address.
+
+    c0, c1, ... are voters, m0 is a control member that is not a voter, and p0, p1, ... are proxies.
+    """
 
     def __init__(self, folder: Path, names: list[str]) -> None:
         self.folder = folder
@@ -244,7 +253,7 @@
         file = self.folder / f"{name}.txtpb"
         file.write_text(
             f'gossip {{\n  me: "{name}" listen: "{listen}" region: "here" zone: "z0"\n  {own}\n'
-            f'{seeds}\n{voters}\n  key_file: "key"\n  {FAST_KEYS}\n}}\n'
+            f'{seeds}\n{voters}\n  key_file: "key"\n  {FAST_TIMING_FIELDS}\n}}\n'
         )
         return file
 
@@ -276,12 +285,13 @@
     def log(self, name: str) -> str:
         return (self.folder / f"{name}.log").read_text()
 
-    def end(self, name: str, number: int = signal.SIGTERM) -> int:
+    def terminate(self, name: str, signal_number: int = signal.SIGTERM) -> int:
+        """Send a signal and return the process's exit code."""
         process = self.running.pop(name)
-        process.send_signal(number)
-        return process.wait(PATIENCE)
+        process.send_signal(signal_number)
+        return process.wait(WAIT_TIMEOUT)
 
-    def stop(self) -> None:
+    def kill_all(self) -> None:
         for process in self.running.values():
             process.kill()
             process.wait()
@@ -293,9 +303,10 @@
             capture_output=True,
             text=True,
             cwd=ROOT,
-            timeout=PATIENCE,
+            timeout=WAIT_TIMEOUT,
         )
 
-    def statuses(self, seen_by: str) -> dict[str, str]:
-        reply = call(self.admin[seen_by], "/_gossip/members")
+    def statuses(self, observer: str) -> dict[str, str]:
+        """Return the status of each member as seen by ``observer``."""
+        reply = call(self.admin[observer], "/_gossip/members")
         return {member["name"]: member["status"] for member in reply.json["members"]}
--- a/tests/gossip/node_fleet.py
+++ b/tests/gossip/node_fleet.py
@@ -1,4 +1,4 @@
-"""Helpers for tests of whole nodes in virtual time."""
+"""Helpers for tests of complete nodes in the gossip emulator."""
 
 from __future__ import annotations
 
@@ -20,14 +20,15 @@
     Freshness,
 )
 
-SMALL: dict[str, Any] = {"seconds": 10.0, "proxies": (1, 5)}
-
-
-BYTES_PER_S = 21_000
+SMALL_SCHEDULE: dict[str, Any] = {"seconds": 10.0, "proxies": (1, 5)}  # arguments of ``schedule.play``
+BYTES_PER_S = 21_000  # byte budget of a proxy, sent plus received
 
 
 def cut_region(world: World, seconds: float) -> None:
-    """The south, with two voters, is cut off and knows it; the north goes on."""
+    """Cut off region south, which has two voters, for ``seconds``, and check the freshness of all members.
+
+    Members in the south must report that they are not current; those in the north must stay current.
+    """
     publisher_in(world, "north")
     world.partition(world.hosts_in(region="south"))
     world.run(seconds)
@@ -37,18 +38,21 @@
         assert world.processes[host].freshness is Freshness.CURRENT
 
 
-def deaths_of_a_cut(seed: int) -> int:
-    """Deaths reported of members alive behind a cut, with a wave of objections when it heals."""
+def false_deaths_of_partition(seed: int) -> int:
+    """Return how many deaths of live members are reported during and after a partition of the regions."""
     world = formed(seed, 15)
-    begun = world.network.now
+    started_at = world.network.now
     cut_region(world, 20.0)
     world.heal()
     within(world, AGREED_WITHIN, lambda: world.disagreement() or publishes(world), "all agree")
-    return false_alarms(world, begun, "").deaths
+    return false_alarms(world, started_at, "").deaths
 
 
 def publisher_in(world: World, region: str) -> str:
-    """A voter that is asked to publish while another one does takes over and stays the publisher."""
+    """Make a voter in ``region`` the publisher and return its name.
+
+    A voter that gets a change to publish takes over from the current publisher.
+    """
     voter = next(v.name for v in world.voters if world.members[v.name].place.region == region)
     publish_until_answered(world, voter)
     within(world, TAKEOVER_WITHIN, lambda: world.disagreement() or publishes(world), "all agree")
@@ -56,14 +60,15 @@
     return voter
 
 
-def taken_over(world: World, dead: str) -> int:
-    """Waits for the next publisher and gives it a change; its token."""
-    within(world, TAKEOVER_WITHIN, lambda: world.publisher() == dead, "another one publishes")
+def publish_after_takeover(world: World, old_publisher: str) -> int:
+    """Wait for the successor of ``old_publisher``, publish a change at it and return the change's token."""
+    within(world, TAKEOVER_WITHIN, lambda: world.publisher() == old_publisher, "another voter publishes")
     token = publish_until_answered(world, publisher_of(world))
     change_in_force(world, token)
     return token
 
 
 def has_token(world: World, token: int) -> bool:
+    """Return whether the newest configuration includes the change with this token."""
     newest = max(world.checker.versions)
     return token in world.checker.versions[newest].tokens
--- a/tests/gossip/test_codec.py
+++ b/tests/gossip/test_codec.py
@@ -1,4 +1,4 @@
-"""The bytes of gossip datagrams: every message comes back as it was, and no bytes break the reader."""
+"""Tests of the gossip codec: messages survive a round trip, and malformed input raises ``CodecError``."""
 
 import hmac
 import socket
@@ -34,7 +34,7 @@
 positions = st.builds(m.Position, u32, u32)
 heartbeats = st.builds(m.Heartbeat, u32, u32)
 headers = st.builds(m.Header, u64, u32, u32, positions, heartbeats)
-# In the system's canonical text: Python's ipaddress writes IPv4-mapped IPv6 addresses in another way.
+# Formatted by inet_ntop: Python's ipaddress formats IPv4-mapped IPv6 addresses differently.
 hosts = st.one_of(
     st.binary(min_size=4, max_size=4).map(lambda data: socket.inet_ntop(socket.AF_INET, data)),
     st.binary(min_size=16, max_size=16).map(lambda data: socket.inet_ntop(socket.AF_INET6, data)),
@@ -42,8 +42,10 @@
 addresses = st.tuples(hosts, st.integers(1, 65_535))
 
 
-def texts(most: int) -> st.SearchStrategy[str]:
-    return st.text(letters, min_size=1, max_size=most).filter(lambda text: len(text.encode()) <= most)
+def texts(max_bytes: int) -> st.SearchStrategy[str]:
+    return st.text(letters, min_size=1, max_size=max_bytes).filter(
+        lambda text: len(text.encode()) <= max_bytes
+    )
 
 
 records = st.builds(
@@ -98,7 +100,7 @@
 
 
 def signed(content: bytes) -> bytes:
-    """A datagram with a right tag over ``content``: header, type and message."""
+    """Return a datagram with a valid tag; ``content`` is header, message type and message."""
     return PREFIX + hmac.digest(KEY, content, "sha256")[:16] + content
 
 
@@ -108,13 +110,13 @@
     return caught.value.reason
 
 
-def test_there_is_a_strategy_for_every_type_of_message():
+def test_every_message_type_has_a_strategy():
     assert {schema.type for schema in SCHEMAS} == set(MESSAGES) == set(m.Message.__args__)
     assert len({schema.code for schema in SCHEMAS}) == len(SCHEMAS)
 
 
 @pytest.mark.parametrize("kind", MESSAGES, ids=lambda kind: kind.__name__)
-def test_a_message_comes_back_as_it_was(kind):
+def test_message_survives_a_round_trip(kind):
     @settings(max_examples=60, deadline=None)
     @given(headers, MESSAGES[kind])
     def check(header, message):
@@ -133,7 +135,7 @@
 
 @settings(max_examples=300, deadline=None)
 @given(st.binary(max_size=300), st.sampled_from([schema.code for schema in SCHEMAS]))
-def test_random_messages_under_the_right_tag_give_a_message_or_an_error_of_schema(body, code):
+def test_random_signed_content_is_a_message_or_a_schema_error(body, code):
     datagram = signed(HEADER_LAYOUT.pack(1, 2, 3, 4, 5, 6, 7, code) + body)
     try:
         header, message = CODEC.decode(datagram)
@@ -145,7 +147,7 @@
 
 @settings(max_examples=300, deadline=None)
 @given(any_message, st.data())
-def test_flipped_bits_under_the_right_tag_give_a_message_or_an_error_of_schema(message, data):
+def test_signed_content_with_flipped_bits_is_a_message_or_a_schema_error(message, data):
     content = bytearray(CODEC.encode(HEADER, message)[TAG_END:])
     for _ in range(data.draw(st.integers(1, 3))):
         bit = data.draw(st.integers(0, len(content) * 8 - 1))
@@ -161,7 +163,7 @@
 
 @settings(max_examples=100, deadline=None)
 @given(any_message, st.data())
-def test_a_flipped_bit_is_never_taken(message, data):
+def test_datagram_with_a_flipped_bit_is_rejected(message, data):
     datagram = bytearray(CODEC.encode(HEADER, message))
     bit = data.draw(st.integers(0, len(datagram) * 8 - 1))
     datagram[bit // 8] ^= 1 << bit % 8
@@ -170,27 +172,27 @@
 
 @settings(max_examples=60, deadline=None)
 @given(any_message, st.data())
-def test_a_message_that_is_cut_or_longer_is_rejected(message, data):
+def test_truncated_and_extended_messages_are_rejected(message, data):
     content = CODEC.encode(HEADER, message)[TAG_END:]
-    cut = data.draw(st.integers(0, len(content) - 1))
-    reason_of(signed(content[:cut]))
+    length = data.draw(st.integers(0, len(content) - 1))
+    reason_of(signed(content[:length]))
     assert reason_of(signed(content + b"\0")) is Reason.SCHEMA
 
 
-def test_reasons_are_found_in_the_order_of_their_cost():
-    good = CODEC.encode(HEADER, m.Nack(1))
+def test_datagrams_are_rejected_with_the_expected_reason():
+    valid = CODEC.encode(HEADER, m.Nack(1))
     assert reason_of(bytes(m.MAX_DATAGRAM_BYTES + 1)) is Reason.TOO_LONG
     assert reason_of(b"") is Reason.FORM
-    assert reason_of(good[: HEADER_BYTES - 1]) is Reason.FORM
-    assert reason_of(b"XX" + good[2:]) is Reason.FORM
-    assert reason_of(good[:2] + b"\x09" + good[3:]) is Reason.VERSION
-    assert reason_of(good, Codec(b"another key")) is Reason.AUTHENTICATION
+    assert reason_of(valid[: HEADER_BYTES - 1]) is Reason.FORM
+    assert reason_of(b"XX" + valid[2:]) is Reason.FORM
+    assert reason_of(valid[:2] + b"\x09" + valid[3:]) is Reason.VERSION
+    assert reason_of(valid, Codec(b"another key")) is Reason.AUTHENTICATION
     assert reason_of(signed(HEADER_LAYOUT.pack(1, 2, 3, 4, 5, 6, 7, 255))) is Reason.SCHEMA
 
 
-def test_nothing_is_read_before_the_tag_was_checked(monkeypatch):
+def test_nothing_is_parsed_before_authentication(monkeypatch):
     datagram = CODEC.encode(HEADER, m.Nack(1))
-    monkeypatch.setattr(Codec, "_read", lambda *_: pytest.fail("read without the key"))
+    monkeypatch.setattr(Codec, "_read", lambda *_: pytest.fail("parsed before authentication"))
     assert reason_of(datagram, Codec(b"another key")) is Reason.AUTHENTICATION
 
 
@@ -215,7 +217,7 @@
     ],
     ids=str,
 )
-def test_a_record_without_a_binary_form_is_the_callers_fault(change):
+def test_invalid_record_is_not_encoded(change):
     values = {field: getattr(RECORD, field) for field in RECORD.__dataclass_fields__} | change
     with pytest.raises(ValueError):
         CODEC.encode(HEADER, m.Gossip((m.MemberRecord(**values),)))
@@ -246,13 +248,13 @@
     ],
     ids=str,
 )
-def test_a_bad_record_under_the_right_tag_is_rejected(fields):
-    frame = HEADER_LAYOUT.pack(1, 2, 3, 4, 5, 6, 7, 5)
-    assert CODEC.decode(signed(frame + b"\1" + record_bytes()))
-    assert reason_of(signed(frame + b"\1" + record_bytes(**fields))) is Reason.SCHEMA
+def test_invalid_signed_record_is_rejected(fields):
+    header = HEADER_LAYOUT.pack(1, 2, 3, 4, 5, 6, 7, 5)
+    assert CODEC.decode(signed(header + b"\1" + record_bytes()))
+    assert reason_of(signed(header + b"\1" + record_bytes(**fields))) is Reason.SCHEMA
 
 
-def test_a_message_over_the_datagram_is_the_callers_fault():
+def test_oversized_message_is_not_encoded():
     with pytest.raises(ValueError):
         CODEC.encode(HEADER, m.Gossip((m.StatusUpdate(1, 1, m.Status.DEAD),) * 100))
     with pytest.raises(ValueError):
@@ -261,31 +263,33 @@
         CODEC.encode(HEADER, m.SyncRequest(0, (1, 2, 3)))
 
 
-def test_a_change_is_bounded():
-    most = m.MAX_CHANGE_BYTES - change_size(m.Change(m.Position(), (("k", b""),)))
-    fits = m.Change(m.Position(1, 1), (("k", b"v" * most),))
+def test_change_size_is_limited():
+    max_value_bytes = m.MAX_CHANGE_BYTES - change_size(m.Change(m.Position(), (("k", b""),)))
+    fits = m.Change(m.Position(1, 1), (("k", b"v" * max_value_bytes),))
     assert change_size(fits) == m.MAX_CHANGE_BYTES
     promise = m.Promise(1, m.Position(1, 1), 2, m.AcceptedChange(1, fits))
     for message in (m.Propose(1, fits), promise, m.Changes((fits,))):
         assert CODEC.decode(CODEC.encode(HEADER, message))[1] == message
     with pytest.raises(ValueError):
-        change_size(m.Change(m.Position(1, 1), (("k", b"v" * (most + 1)),)))
+        change_size(m.Change(m.Position(1, 1), (("k", b"v" * (max_value_bytes + 1)),)))
     content = CODEC.encode(HEADER, m.Propose(1, fits))[TAG_END:]
-    longer = content.replace(most.to_bytes(2, "big") + b"k", (most + 1).to_bytes(2, "big") + b"k") + b"v"
+    length_and_key = max_value_bytes.to_bytes(2, "big") + b"k"
+    longer_length_and_key = (max_value_bytes + 1).to_bytes(2, "big") + b"k"
+    longer = content.replace(length_and_key, longer_length_and_key) + b"v"
     assert reason_of(signed(longer)) is Reason.SCHEMA
 
 
 @given(updates)
-def test_the_size_of_an_update_is_what_it_adds(several):
-    bare = len(CODEC.encode(HEADER, m.Gossip()))
-    assert len(CODEC.encode(HEADER, m.Gossip(several))) == bare + sum(map(update_size, several))
+def test_update_size_is_the_encoded_size(some_updates):
+    empty = len(CODEC.encode(HEADER, m.Gossip()))
+    assert len(CODEC.encode(HEADER, m.Gossip(some_updates))) == empty + sum(map(update_size, some_updates))
 
 
 configurations = st.dictionaries(texts(m.MAX_KEY_BYTES), st.binary(max_size=100), max_size=10)
 
 
 @given(configurations, st.randoms())
-def test_a_configuration_has_one_form(configuration, random):
+def test_configuration_encoding_is_independent_of_the_order(configuration, random):
     items = list(configuration.items())
     random.shuffle(items)
     data = encode_configuration(items)
@@ -294,7 +298,7 @@
 
 
 @given(st.binary(max_size=200))
-def test_bytes_of_a_configuration_are_its_one_form_or_rejected(data):
+def test_decoded_configuration_has_exactly_one_encoding(data):
     try:
         configuration = decode_configuration(data)
     except CodecError as error:
@@ -303,7 +307,7 @@
         assert encode_configuration(configuration.items()) == data
 
 
-def test_a_configuration_is_bounded():
+def test_configuration_size_is_limited():
     items = [(f"{number:04}", bytes(1_000)) for number in range(300)]
     with pytest.raises(ValueError):
         encode_configuration(items)
@@ -314,8 +318,8 @@
         decode_configuration(twice)
 
 
-def test_a_datagram_costs_little():
-    """A guard against a slip of an order of magnitude, not a measurement: the time is the best of several."""
+def test_encoding_and_decoding_takes_less_than_1_ms():
+    """Guards against a slowdown by an order of magnitude; the best of several runs counts."""
     message = m.Ping(1, 2, tuple(m.StatusUpdate(number, 1, m.Status.SUSPECT) for number in range(10)))
     best = min(timeit.repeat(lambda: CODEC.decode(CODEC.encode(HEADER, message)), number=200, repeat=7))
     assert best / 200 < 0.001
--- a/tests/gossip/test_event_log.py
+++ b/tests/gossip/test_event_log.py
@@ -1,4 +1,4 @@
-"""The log of gossip events: many events of one kind are one line."""
+"""Tests that gossip events are aggregated into one log line per kind."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from saltcourse.gossip.event_log import LOG_INTERVAL_SECONDS, EventLog
 
 
-def test_a_wave_of_events_is_a_few_lines() -> None:
+def test_many_events_are_logged_in_one_line_per_kind() -> None:
     async def run() -> None:
         events = EventLog()
         with capture_logs() as logs:
--- a/tests/gossip/test_golden.py
+++ b/tests/gossip/test_golden.py
@@ -1,7 +1,7 @@
-"""Bytes and histories kept from commit bafdb7c: the present code reads, writes and does exactly the same.
+"""Compatibility tests against datagrams, a replica file and emulator runs recorded with commit bafdb7c.
 
-The story: members of two versions run side by side during a rollout, and a voter's file is read by the next
-version. A change of one byte would cut the fleet in two or make a voter forget what it has promised.
+During a rollout, members of two versions communicate, and a voter's replica file is read by the next version.
+A change of a single byte would split the fleet or make a voter lose its promises.
 """
 
 from __future__ import annotations
@@ -29,19 +29,19 @@
 DIGESTS: dict[str, dict[str, str]] = json.loads((FIXTURES / "emulator_digests.json").read_text())
 
 
-def test_there_is_a_datagram_of_each_kind() -> None:
+def test_every_message_type_has_a_recorded_datagram() -> None:
     assert {type(message) for message in MESSAGES.values()} == {schema.type for schema in SCHEMAS}
     assert set(DATAGRAMS) == set(MESSAGES)
 
 
 @pytest.mark.parametrize("name", MESSAGES)
-def test_a_datagram_has_the_bytes_that_it_had(name: str) -> None:
+def test_datagram_has_the_recorded_bytes(name: str) -> None:
     datagram = bytes.fromhex(DATAGRAMS[name])
     assert Codec(KEY).encode(HEADER, MESSAGES[name]).hex() == datagram.hex()
     assert Codec(KEY).decode(datagram) == (HEADER, MESSAGES[name])
 
 
-def test_a_voters_file_of_the_earlier_version_is_read(tmp_path: Path) -> None:
+def test_recorded_replica_file_is_read(tmp_path: Path) -> None:
     file = tmp_path / "replica"
     shutil.copyfile(FIXTURES / "replica-bafdb7c.sqlite", file)
     store = ReplicaStore(file, REPLICA_MEMBER)
@@ -53,5 +53,5 @@
 
 @pytest.mark.parametrize("seed", HISTORY_SEEDS)
 @pytest.mark.parametrize("emulator", HISTORIES)
-def test_an_emulator_replays_the_history_that_it_had(emulator: str, seed: int) -> None:
+def test_emulator_replays_the_recorded_history(emulator: str, seed: int) -> None:
     assert HISTORIES[emulator](seed) == DIGESTS[emulator][str(seed)]
--- a/tests/gossip/test_host.py
+++ b/tests/gossip/test_host.py
@@ -1,4 +1,4 @@
-"""The host alone, around a scripted node: what it sends, its timer, and a store that fails."""
+"""Tests of the host with a scripted node: sending, the timer, and a failing store."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class ScriptedNode:
-    """Gives the actions that a test wants for the next event."""
+    """Replacement of ``Node`` that returns predefined actions for the next event."""
 
     def __init__(self, *scripted: m.Action) -> None:
         self.scripted = list(scripted)
@@ -46,7 +46,7 @@
         self.closed = True
 
 
-def test_nothing_is_sent_after_a_state_that_could_not_be_kept() -> None:
+def test_nothing_is_sent_after_a_failed_save() -> None:
     async def run() -> None:
         receiver = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         receiver.bind(("127.0.0.1", 0))
@@ -64,7 +64,7 @@
         assert str(failures[0]) == "disk full" and store.closed and not host.is_open
         assert any("gossip state could not be stored" in line["event"] for line in logs)
         host.report_connections(2)
-        assert node.events == [m.ConnectionCount(1)]  # it has ended
+        assert node.events == [m.ConnectionCount(1)]  # the host is closed
         await asyncio.sleep(0.05)
         with pytest.raises(BlockingIOError):
             receiver.recv(100)
@@ -73,15 +73,15 @@
     asyncio.run(run())
 
 
-def test_the_timer_follows_the_nodes_deadline_and_does_not_spin() -> None:
+def test_timer_follows_the_deadline_without_a_busy_loop() -> None:
     async def run() -> None:
         node = ScriptedNode()
         now = [100.0]
         host = Host(cast(Node, node), clock=lambda: now[0])
         await host.start(("127.0.0.1", 0))
         await asyncio.sleep(0.02)
-        assert node.events == []  # nothing is due ever
-        node.deadline = 50.0  # long past, and it stays so: a node that makes no progress
+        assert node.events == []  # there is no deadline
+        node.deadline = 50.0  # stays in the past, as that of a node that makes no progress
         host.report_connections(1)
         await asyncio.sleep(0.1)
         ticks = sum(isinstance(event, m.Tick) for event in node.events)
@@ -96,9 +96,9 @@
     asyncio.run(run())
 
 
-def test_what_the_system_does_not_send_is_counted() -> None:
+def test_unsent_datagrams_are_counted() -> None:
     async def run() -> None:
-        node = ScriptedNode(m.Transmit(("::1", 9), b"an address of the other family"))
+        node = ScriptedNode(m.Transmit(("::1", 9), b"address of another family"))
         host = Host(cast(Node, node))
         await host.start(("127.0.0.1", 0))
         host.report_connections(1)
@@ -106,7 +106,7 @@
         transport = host._transport
         assert transport is not None
         transport.get_write_buffer_size = lambda: MAX_UNSENT_BYTES + 1  # type: ignore[attr-defined]
-        node.scripted = [m.Transmit(("127.0.0.1", 9), b"the socket takes no more")]
+        node.scripted = [m.Transmit(("127.0.0.1", 9), b"exceeds the send buffer")]
         host.report_connections(2)
         assert host.datagrams["unsent"] == 1
         host.close()
--- a/tests/gossip/test_host_datagrams.py
+++ b/tests/gossip/test_host_datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams from outside the fleet at a host on a real socket: dropped, counted, without effect."""
+"""Tests that datagrams from outside the fleet are dropped, counted and have no effect."""
 
 from __future__ import annotations
 
@@ -9,34 +9,36 @@
 from saltcourse.app.gossip import prefix_metric_names
 from saltcourse.gossip import messages as m
 from saltcourse.gossip.codec import Codec
-from tests.gossip.site import KEY, Site, until
+from tests.gossip.loopback_fleet import KEY, LoopbackFleet, wait_until
 
 
-def test_datagrams_of_unknown_senders_are_counted_by_reason_and_change_nothing() -> None:
+def test_invalid_datagrams_are_counted_by_reason_and_have_no_effect() -> None:
     async def run() -> None:
-        site = Site(proxies=2)
+        fleet = LoopbackFleet(proxies=2)
         outsider = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         try:
-            await site.start()
-            await site.all_know(5)
-            before = site.hosts["p0"].node.metrics(0.0)
+            await fleet.start()
+            await fleet.wait_for_members(5)
+            before = fleet.hosts["p0"].node.metrics(0.0)
             record = m.MemberRecord("evil", ("127.0.0.1", 9), "r", "z", m.Role.PROXY, 9, 9)
             header = m.Header(record.id, 9, 9, m.Position(2**32 - 1, 2**32 - 1))
-            forged = Codec(b"another key" * 3).encode(header, m.Gossip((record,)))
-            good = Codec(KEY).encode(header, m.Nack(1))
+            wrong_key = Codec(b"another key" * 3).encode(header, m.Gossip((record,)))
+            valid = Codec(KEY).encode(header, m.Nack(1))
             random = Random(7)
             sent = {
                 "form": [b"", b"hello", random.randbytes(200)],
                 "too_long": [random.randbytes(1_201), random.randbytes(9_000)],
-                "version": [good[:2] + b"\xff" + good[3:]],
-                "authentication": [forged, good[:-1] + b"\xff"],
+                "version": [valid[:2] + b"\xff" + valid[3:]],
+                "authentication": [wrong_key, valid[:-1] + b"\xff"],
             }
-            for datagram in [each for several in sent.values() for each in several]:
-                outsider.sendto(datagram, site.addresses["p0"])
-            host = site.hosts["p0"]
-            await until(lambda: sum(host.node.dropped[r] for r in sent) == 8, "eight dropped")
+            for datagram in [datagram for datagrams in sent.values() for datagram in datagrams]:
+                outsider.sendto(datagram, fleet.addresses["p0"])
+            host = fleet.hosts["p0"]
+            await wait_until(
+                lambda: sum(host.node.dropped[reason] for reason in sent) == 8, "8 datagrams dropped"
+            )
             assert {reason: host.node.dropped[reason] for reason in sent} == {
-                reason: len(several) for reason, several in sent.items()
+                reason: len(datagrams) for reason, datagrams in sent.items()
             }
             assert record.id not in host.node.membership.members
             assert host.node.dissemination.position == m.Position()
@@ -44,29 +46,29 @@
             assert after["gossip.dropped.authentication"] == 2
             assert after["gossip.datagrams.received"] >= 8
             assert after["gossip.bytes.received"] > before["bytes.received"]
-            assert site.alive("p0") == 5
+            assert fleet.alive_count("p0") == 5
         finally:
             outsider.close()
-            site.close()
+            fleet.close()
 
     asyncio.run(run())
 
 
-def test_a_member_with_another_key_stays_outside() -> None:
+def test_member_with_another_key_does_not_join() -> None:
     async def run() -> None:
-        site = Site(proxies=2)
+        fleet = LoopbackFleet(proxies=2)
         try:
-            await site.start("c0", "c1", "c2", "p0")
-            site.key = b"another key of 32 bytes ........"
-            await site.start("p1")
-            await site.hosts["c0"].publish((("k", b"v"),))
-            dropped = site.hosts["c0"].node.dropped
-            await until(lambda: dropped["authentication"] > 0, "its datagrams are dropped")
-            await until(lambda: site.alive("p0") == 4, "the others know each other")
-            assert site.alive("p1") == 1
-            assert site.hosts["p1"].node.dissemination.freshness is m.Freshness.STALE
-            assert site.position("p1") == m.Position()
+            await fleet.start("c0", "c1", "c2", "p0")
+            fleet.key = b"another key of 32 bytes ........"
+            await fleet.start("p1")
+            await fleet.hosts["c0"].publish((("k", b"v"),))
+            dropped = fleet.hosts["c0"].node.dropped
+            await wait_until(lambda: dropped["authentication"] > 0, "c0 drops datagrams of p1")
+            await wait_until(lambda: fleet.alive_count("p0") == 4, "p0 knows the other members")
+            assert fleet.alive_count("p1") == 1
+            assert fleet.hosts["p1"].node.dissemination.freshness is m.Freshness.STALE
+            assert fleet.position("p1") == m.Position()
         finally:
-            site.close()
+            fleet.close()
 
     asyncio.run(run())
--- a/tests/gossip/test_model.py
+++ b/tests/gossip/test_model.py
@@ -1,7 +1,7 @@
-"""The whole node in virtual time: random schedules of faults, and how fast and cheap it is.
+"""Tests of complete nodes in the emulator: random fault schedules, detection times and traffic.
 
-The story: any fault may meet any other one. After the last fault all members must agree within a stated time,
-and until then none may break an invariant of ``saltcourse.emulator.gossip.checker``.
+Any faults may coincide. All members must agree within a stated time after the last fault, and none may ever
+violate an invariant of ``saltcourse.emulator.gossip.checker``.
 """
 
 from __future__ import annotations
@@ -30,29 +30,29 @@
 )
 from tests.gossip.node_fleet import (
     BYTES_PER_S,
-    SMALL,
+    SMALL_SCHEDULE,
     cut_region,
-    deaths_of_a_cut,
+    false_deaths_of_partition,
 )
 
-SCHEDULES = 30  # small ones; the emulator's entry plays larger and longer ones
-MOST_GROWTH = 1.5  # of bytes per member from 20 to 60 members
-MOST_FALSE_SUSPICIONS = 1  # in 45 s with 1 in 200 datagrams lost and one process starved for 5 s
-MOST_WAKES_PER_S = 50  # of a member that hears nothing
-CUT_SECONDS = 120.0
+SCHEDULES = 30  # small schedules; the emulator's command plays larger and longer ones
+MAX_GROWTH = 1.5  # ratio of the bytes per member in fleets of 60 and 20 members
+MAX_FALSE_SUSPICIONS = 1  # within 45 s, with 0.5% loss and one process stopped for 5 s
+MAX_EVENTS_PER_S = 50  # at a member that receives nothing
+PARTITION_SECONDS = 120.0
 
 
 @pytest.mark.parametrize("seed", range(SCHEDULES))
-def test_a_random_schedule_of_faults_breaks_no_property(seed: int) -> None:
-    play(seed, **SMALL)
+def test_random_fault_schedule_violates_no_invariant(seed: int) -> None:
+    play(seed, **SMALL_SCHEDULE)
 
 
-def test_a_schedule_gives_the_same_result_every_time() -> None:
-    assert play(3, **SMALL) == play(3, **SMALL)
+def test_schedules_are_deterministic() -> None:
+    assert play(3, **SMALL_SCHEDULE) == play(3, **SMALL_SCHEDULE)
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_a_change_is_everywhere_in_5_s_with_loss_and_two_failures(seed: int) -> None:
+def test_change_reaches_all_members_in_5_s_with_loss_and_two_failures(seed: int) -> None:
     world = formed(seed, 15)
     publisher = publisher_of(world)
     control = next(v.name for v in world.voters if v.name != publisher)
@@ -64,70 +64,73 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_a_killed_member_is_known_everywhere_within_the_stated_time(seed: int) -> None:
+def test_killed_member_is_detected_by_all_within_the_stated_time(seed: int) -> None:
     kill_and_detect(formed(seed, 15), "proxy-4")
 
 
-def test_after_a_region_cut_of_120_s_all_agree_within_10_s() -> None:
+def test_all_members_agree_10_s_after_a_partition_of_120_s() -> None:
     world = formed(1, 3)
-    cut_region(world, CUT_SECONDS)
+    cut_region(world, PARTITION_SECONDS)
     token = publish_until_answered(world, publisher_of(world))
     world.heal()
-    healed = world.network.now
+    healed_at = world.network.now
     within(world, AGREED_WITHIN, lambda: world.disagreement() or publishes(world), "all agree")
     change_in_force(world, token, 0.0)
     world.run(AGREED_WITHIN)
-    alarms = false_alarms(world, healed, "")
-    assert alarms.deaths == 0 and alarms.suspicions <= MOST_FALSE_SUSPICIONS
+    alarms = false_alarms(world, healed_at, "")
+    assert alarms.deaths == 0 and alarms.suspicions <= MAX_FALSE_SUSPICIONS
 
 
 @pytest.mark.parametrize("seed", range(1, 4))
-def test_a_region_cut_off_is_no_heap_of_dead_members(seed: int) -> None:
-    assert deaths_of_a_cut(seed) == 0
+def test_partition_of_regions_causes_no_false_deaths(seed: int) -> None:
+    assert false_deaths_of_partition(seed) == 0
 
 
-def test_loss_and_a_starved_process_cause_no_false_deaths_and_few_suspicions() -> None:
+def test_loss_and_a_stopped_process_cause_no_false_deaths_and_few_suspicions() -> None:
     world = formed(2, 15, Faults(loss=0.005, double=0.0))
-    begun = world.network.now
+    started_at = world.network.now
     world.run(10.0)
     world.stop("proxy-7")
     world.run(5.0)
     world.resume("proxy-7")
     world.run(30.0)
-    alarms = false_alarms(world, begun, except_for="proxy-7")
+    alarms = false_alarms(world, started_at, except_for="proxy-7")
     assert alarms.deaths == 0
-    assert alarms.suspicions <= MOST_FALSE_SUSPICIONS
+    assert alarms.suspicions <= MAX_FALSE_SUSPICIONS
 
 
-def ordinary_bytes(proxies: int, seconds: float = 8.0) -> float:
-    """The most that one member sent and received a second, with one change and counts that move."""
+def max_traffic_per_s(proxies: int, seconds: float = 8.0) -> float:
+    """Return the highest traffic of a member, in bytes sent and received per second.
+
+    One change is published, and the proxies' connection counts change every second.
+    """
     world = formed(5, proxies)
-    counts = random.Random(5)
+    rng = random.Random(5)
 
-    def count() -> None:
+    def report_connections() -> None:
         for host in world.hosts_in():
             if host.startswith("proxy"):
-                world.send_event(host, ConnectionCount(counts.randrange(100_000)))
-        world.network.at(world.network.now + 1.0, count)
+                world.send_event(host, ConnectionCount(rng.randrange(100_000)))
+        world.network.at(world.network.now + 1.0, report_connections)
 
-    count()
+    report_connections()
     world.run(3.0)
     world.publish(publisher_of(world), (("limits/proxy", b"x" * 300),))
     return max(traffic_per_s(world, seconds).values())
 
 
-def test_bytes_of_a_member_are_within_the_budget_and_hardly_grow_with_the_fleet() -> None:
-    small, large = ordinary_bytes(15), ordinary_bytes(55)
+def test_traffic_stays_within_the_budget_and_grows_little_with_the_fleet() -> None:
+    small, large = max_traffic_per_s(15), max_traffic_per_s(55)
     assert small < BYTES_PER_S and large < BYTES_PER_S
-    assert large / small < MOST_GROWTH
+    assert large / small < MAX_GROWTH
 
 
-def test_a_stale_member_does_not_wake_without_end() -> None:
+def test_stale_member_has_no_busy_loop() -> None:
     world = formed(6, 0, Faults(loss=0.0, double=0.0))
     world.partition(["control-4"])
     world.run(world.timing.stale_after + 2.0)
     process = world.processes["control-4"]
     assert process.freshness is Freshness.STALE
-    before = process.events.total()
+    events_before = process.events.total()
     world.run(10.0)
-    assert process.events.total() - before < 10 * MOST_WAKES_PER_S
+    assert process.events.total() - events_before < 10 * MAX_EVENTS_PER_S
--- a/tests/gossip/test_model_broken_nodes.py
+++ b/tests/gossip/test_model_broken_nodes.py
@@ -1,4 +1,4 @@
-"""Nodes that are broken on purpose: each check of the model must find what it is there for."""
+"""Tests of the emulator's checks with deliberately broken nodes: each check must detect its fault."""
 
 from __future__ import annotations
 
@@ -39,50 +39,50 @@
 from saltcourse.gossip.settings import NodeSettings
 from saltcourse.gossip.zone_silence import ZoneSilence
 from tests.gossip.node_fleet import (
-    SMALL,
+    SMALL_SCHEDULE,
     cut_region,
-    deaths_of_a_cut,
+    false_deaths_of_partition,
     has_token,
+    publish_after_takeover,
     publisher_in,
-    taken_over,
 )
 
-MOST_SEEDS = 10  # of random schedules in which a broken node has to be found
+MAX_SEEDS = 10  # random schedules within which a broken node must be detected
 
 
-def caught_by_schedules() -> None:
+def expect_invariant_error_in_schedules() -> None:
     with pytest.raises(InvariantError):
-        for seed in range(MOST_SEEDS):
-            play(seed, **SMALL)
+        for seed in range(MAX_SEEDS):
+            play(seed, **SMALL_SCHEDULE)
 
 
-def patched_outcomes(monkeypatch: pytest.MonkeyPatch, outcome: ApplyOutcome) -> None:
-    """Changes that are to be rejected for this reason are applied."""
+def apply_rejected_changes(monkeypatch: pytest.MonkeyPatch, outcome: ApplyOutcome) -> None:
+    """Make nodes apply changes that should be rejected with ``outcome``."""
     outcome_of = FleetConfiguration.outcome_of
 
     def broken(self: FleetConfiguration, change: Change) -> ApplyOutcome:
-        found = outcome_of(self, change)
+        correct = outcome_of(self, change)
         older = change.position < self.position
-        applies = found is outcome and (older or outcome is not ApplyOutcome.DUPLICATE)
-        return ApplyOutcome.APPLIED if applies else found
+        is_broken = correct is outcome and (older or outcome is not ApplyOutcome.DUPLICATE)
+        return ApplyOutcome.APPLIED if is_broken else correct
 
     monkeypatch.setattr(FleetConfiguration, "outcome_of", broken)
 
 
-def test_schedules_find_a_node_that_goes_back(monkeypatch: pytest.MonkeyPatch) -> None:
-    patched_outcomes(monkeypatch, ApplyOutcome.DUPLICATE)
-    caught_by_schedules()
+def test_schedules_detect_a_node_that_applies_older_changes(monkeypatch: pytest.MonkeyPatch) -> None:
+    apply_rejected_changes(monkeypatch, ApplyOutcome.DUPLICATE)
+    expect_invariant_error_in_schedules()
 
 
-def offer(world: World, host: str, changes: tuple[Change, ...]) -> None:
-    """As a datagram of a member would that knows no better."""
+def inject_changes(world: World, host: str, changes: tuple[Change, ...]) -> None:
+    """Inject a datagram with ``changes``, as if sent by proxy-1."""
     header = Header(member_id("proxy-1"), 0, 1)
     datagram = Codec(KEY).encode(header, Changes(changes))
     world.network.inject(host, world.members["proxy-1"].address, datagram)
 
 
-def offer_a_change_over_a_gap() -> None:
-    """The newest change comes to a member that lacks the one before."""
+def deliver_change_after_a_gap() -> None:
+    """Deliver the newest change to a member that lacks the preceding ones."""
     world = formed(30, 5, Faults(loss=0.0, double=0.0))
     world.stop("proxy-0")
     position = world.processes["proxy-0"].position
@@ -91,46 +91,49 @@
     newest = max(world.checker.versions.values(), key=lambda version: version.position.version).position
     assert newest.version == position.version + 3
     world.network.fleet["proxy-0"].waiting.clear()
-    offer(world, "proxy-0", (Change(newest, (("a", b"b"),)),))
+    inject_changes(world, "proxy-0", (Change(newest, (("a", b"b"),)),))
     world.resume("proxy-0")
     world.run(5.0)
     assert not world.disagreement()
 
 
-def test_a_change_over_a_gap_is_not_applied_and_what_lacks_is_fetched() -> None:
-    offer_a_change_over_a_gap()
+def test_change_after_a_gap_is_not_applied_and_missing_changes_are_fetched() -> None:
+    deliver_change_after_a_gap()
 
 
-def test_a_node_that_applies_a_change_over_a_gap_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    patched_outcomes(monkeypatch, ApplyOutcome.GAP)
+def test_node_that_applies_a_change_after_a_gap_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
+    apply_rejected_changes(monkeypatch, ApplyOutcome.GAP)
     with pytest.raises(InvariantError, match="another configuration"):
-        offer_a_change_over_a_gap()
+        deliver_change_after_a_gap()
 
 
-def offer_change_of_an_older_epoch() -> None:
-    """Behind a change of the second publisher, one that the first one might have made."""
+def deliver_change_of_an_older_epoch() -> None:
+    """Deliver a change of the first publisher's epoch that follows a change of the second publisher."""
     world = formed(31, 5)
-    first = world.processes["proxy-0"].node.dissemination.heartbeat.epoch
+    first_epoch = world.processes["proxy-0"].node.dissemination.heartbeat.epoch
     publisher_in(world, "south")
     position = world.processes["proxy-0"].position
-    assert position.epoch > first
-    offer(world, "proxy-0", (Change(Position(first, position.version + 1), (("a", b"b"),)),))
+    assert position.epoch > first_epoch
+    inject_changes(world, "proxy-0", (Change(Position(first_epoch, position.version + 1), (("a", b"b"),)),))
     world.run(2.0)
     assert not world.disagreement()
 
 
-def test_a_change_of_an_older_epoch_is_rejected_behind_a_newer_one() -> None:
-    offer_change_of_an_older_epoch()
+def test_change_of_an_older_epoch_is_rejected_after_a_newer_one() -> None:
+    deliver_change_of_an_older_epoch()
 
 
-def test_a_node_that_takes_a_change_of_an_older_epoch_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    patched_outcomes(monkeypatch, ApplyOutcome.STALE_EPOCH)
+def test_node_that_applies_a_change_of_an_older_epoch_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
+    apply_rejected_changes(monkeypatch, ApplyOutcome.STALE_EPOCH)
     with pytest.raises(InvariantError, match="goes from"):
-        offer_change_of_an_older_epoch()
+        deliver_change_of_an_older_epoch()
 
 
-def publisher_dies_and_the_others_restart(node_class: NodeClass) -> None:
-    """A change is published, no other member has received that; those who accepted it restart."""
+def crash_publisher_and_restart_other_voters(node_class: NodeClass) -> None:
+    """Crash the publisher right after it reports a change as published, and restart the other voters.
+
+    The commit is not known to any other member yet.
+    """
     world = formed(32, 5, Faults(loss=0.0, double=0.0), node_class)
     publisher = publisher_of(world)
     token = world.publish(publisher)
@@ -140,48 +143,48 @@
     for voter in world.voters:
         if voter.name != publisher:
             world.restart(voter.name)
-    taken_over(world, publisher)
+    publish_after_takeover(world, publisher)
     world.start(publisher)
     within(world, TAKEOVER_WITHIN, lambda: world.disagreement() or publishes(world), "all agree")
     assert has_token(world, token)
 
 
-def forgetful(settings: NodeSettings, source: random.Random, state: ReplicaState | None) -> Node:
-    """A voter that does not keep what it has promised and accepted."""
-    kept = None if state is None else replace(state, promised=state.committed.epoch, accepted=())
-    return Node(settings, source, kept)
+def without_stored_promises(settings: NodeSettings, rng: random.Random, state: ReplicaState | None) -> Node:
+    """Create a voter that loses its promises and accepted changes at a restart."""
+    restored = None if state is None else replace(state, promised=state.committed.epoch, accepted=())
+    return Node(settings, rng, restored)
 
 
-def test_a_published_change_outlives_the_restart_of_all_voters() -> None:
-    publisher_dies_and_the_others_restart(Node)
+def test_published_change_survives_the_restart_of_all_voters() -> None:
+    crash_publisher_and_restart_other_voters(Node)
 
 
-def test_a_voter_that_forgets_its_promises_over_a_restart_is_found() -> None:
+def test_voter_that_loses_its_promises_at_a_restart_is_detected() -> None:
     with pytest.raises(InvariantError):
-        publisher_dies_and_the_others_restart(forgetful)
+        crash_publisher_and_restart_other_voters(without_stored_promises)
 
 
-def test_a_node_that_never_reports_stale_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    reported = FreshnessMonitor.freshness
+def test_node_that_never_reports_stale_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
+    correct_freshness = FreshnessMonitor.freshness
 
     def never_stale(self: FreshnessMonitor, now: float, behind: bool) -> Freshness:
-        found = reported(self, now, behind)
-        return Freshness.CURRENT if found is Freshness.STALE else found
+        correct = correct_freshness(self, now, behind)
+        return Freshness.CURRENT if correct is Freshness.STALE else correct
 
     monkeypatch.setattr(FreshnessMonitor, "freshness", never_stale)
     with pytest.raises(InvariantError, match="without a majority"):
         cut_region(formed(33, 5), 30.0)
 
 
-def test_a_failure_detector_that_never_suspects_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_failure_detector_that_never_suspects_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Membership, "_end_probes", lambda self, now: self._detector.take_failed(now))
     with pytest.raises(InvariantError, match="believed dead"):
         kill_and_detect(formed(0, 5), "proxy-4")
 
 
-def test_without_the_rule_of_silent_zones_a_cut_is_a_heap_of_dead_members(
+def test_partition_causes_false_deaths_without_zone_silence(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(ZoneSilence, "evaluate", lambda self, now: ([], []))
     monkeypatch.setattr(ZoneSilence, "next_deadline", lambda self: float("inf"))
-    assert deaths_of_a_cut(1) > 100  # of 192 pairs of members that the cut parts
+    assert false_deaths_of_partition(1) > 100  # of 192 pairs of members that the partition separates
--- a/tests/gossip/test_model_changes.py
+++ b/tests/gossip/test_model_changes.py
@@ -1,7 +1,7 @@
-"""Changes of the configuration in hard cases: the publisher dies at the worst moment, or regions are cut.
+"""Tests of configuration changes while the publisher crashes or the regions are partitioned.
 
-The story: an operator publishes, and a process dies or a link is cut just then. The change is either in force
-everywhere in the end, or its operator was not notified that it is published.
+A process may crash or a link fail at any point while a change is published. A change that was reported to the
+operator as published must in the end be applied by all members.
 """
 
 from __future__ import annotations
@@ -31,43 +31,43 @@
 )
 from tests.gossip.node_fleet import (
     has_token,
+    publish_after_takeover,
     publisher_in,
-    taken_over,
 )
 
-LARGE_BURST_WITHIN = 15.0  # s; the least that the budget allows is about 4
+LARGE_BURST_WITHIN = 15.0  # seconds; the byte budget alone takes about 4
 
 
 @pytest.mark.parametrize("sent", [1, 4])
-def test_publisher_dies_between_propose_and_commit(sent: int) -> None:
+def test_publisher_crashes_between_propose_and_commit(sent: int) -> None:
     world = formed(11, 5, Faults(loss=0.0, double=0.0))
     publisher = publisher_of(world)
     world.crash_at(publisher, transmits(Propose, sent - 1), after=True)
     token = world.publish(publisher)
     world.run(1.0)
     assert publisher not in world.processes
-    taken_over(world, publisher)
-    if sent == 4:  # all others accepted it: whoever takes over finds it
+    publish_after_takeover(world, publisher)
+    if sent == 4:  # all other voters accepted it, so that every successor finds it
         assert has_token(world, token)
     world.start(publisher)
     within(world, TAKEOVER_WITHIN, world.disagreement, "all agree")
 
 
 @pytest.mark.parametrize("after", [False, True])
-def test_publisher_dies_between_commit_and_announcement(after: bool) -> None:
+def test_publisher_crashes_between_commit_and_announcement(after: bool) -> None:
     world = formed(12, 5, Faults(loss=0.0, double=0.0))
     publisher = publisher_of(world)
     world.crash_at(publisher, lambda action: isinstance(action, Published | Applied), after)
     token = world.publish(publisher)
     world.run(1.0)
     assert publisher not in world.processes
-    taken_over(world, publisher)
-    assert has_token(world, token)  # a majority has accepted it
+    publish_after_takeover(world, publisher)
+    assert has_token(world, token)  # a majority of the voters has accepted it
     world.start(publisher)
     within(world, TAKEOVER_WITHIN, world.disagreement, "all agree")
 
 
-def test_region_cut_with_conflicting_changes_and_the_publisher_on_the_larger_side() -> None:
+def test_conflicting_changes_in_a_partition_with_the_publisher_in_the_majority() -> None:
     world = formed(13, 5)
     publisher = publisher_in(world, "north")
     world.partition(world.hosts_in(region="south"))
@@ -81,11 +81,11 @@
 
 
 @pytest.mark.parametrize("seed", range(14, 17))
-def test_region_cut_with_conflicting_changes_and_the_publisher_on_the_smaller_side(seed: int) -> None:
+def test_conflicting_changes_in_a_partition_with_the_publisher_in_the_minority(seed: int) -> None:
     world = formed(seed, 5, Faults(loss=0.0, double=0.01))
     old = publisher_in(world, "south")
     world.partition(world.hosts_in(region="south"))
-    lost = world.publish(old)  # its neighbour accepts it, no majority does
+    lost = world.publish(old)  # accepted by the other voter in the south, but by no majority
     world.run(TAKEOVER_WITHIN)
     assert world.checker.failed[lost] is PublishError.NO_MAJORITY
     new = publish_until_answered(
@@ -102,25 +102,25 @@
 
 
 @pytest.mark.parametrize("kind", ["proxy", "publisher"])
-def test_a_process_stopped_for_60_s_resumes_with_old_state(kind: str) -> None:
+def test_process_resumes_with_old_state_after_60_s(kind: str) -> None:
     world = formed(18, 4)
     host = "proxy-3" if kind == "proxy" else publisher_of(world)
     world.stop(host)
     world.run(25.0)
     publish_until_answered(world, north_publisher(world))
     world.run(35.0)
-    stopped_until = world.network.now
+    resumed_at = world.network.now
     world.resume(host)
     within(world, AGREED_WITHIN, lambda: world.disagreement() or publishes(world), "all agree")
     assert not [
         e
         for e in world.checker.member_events
-        if e.at >= stopped_until and e.observer == host and e.change.status is Status.DEAD
+        if e.at >= resumed_at and e.observer == host and e.change.status is Status.DEAD
     ]
     change_in_force(world, publish_until_answered(world, publisher_of(world)))
 
 
-def test_a_whole_zone_restarts_at_once() -> None:
+def test_all_members_of_a_zone_restart_together() -> None:
     world = formed(19, 15)
     zone = world.hosts_in(zone="n2")
     for host in zone:
@@ -133,7 +133,7 @@
 
 
 @pytest.mark.parametrize("region", ["north", "south"])
-def test_a_burst_of_50_changes_while_a_control_member_is_lost(region: str) -> None:
+def test_burst_of_50_changes_while_a_voter_crashes(region: str) -> None:
     world = formed(20, 10)
     publisher = publisher_in(world, region)
     lost = next(v.name for v in world.voters if v.name != publisher)
@@ -145,7 +145,7 @@
     change_in_force(world, tokens[-1])
 
 
-def test_50_changes_given_at_once_are_published_or_rejected_and_end_everywhere() -> None:
+def test_50_simultaneous_changes_are_published_or_rejected_and_reach_all_members() -> None:
     world = formed(21, 10)
     publisher = publisher_of(world)
     tokens = [world.publish(publisher, ((f"burst/{i}", b"v" * 60),)) for i in range(50)]
@@ -157,8 +157,11 @@
     within(world, CHANGE_WITHIN, world.disagreement, "all agree")
 
 
-def test_a_burst_of_50_large_changes_is_spread_by_all_and_not_by_the_publisher_alone() -> None:
-    """45 KB for each member; twice that passes it, at 21 KB/s after two seconds' worth in its bucket."""
+def test_burst_of_50_large_changes_is_spread_by_all_members() -> None:
+    """Each member receives 45 KB and forwards about as much, within a budget of 21 KB/s and a burst of 2 s.
+
+    The publisher alone could not send the changes to all members in time.
+    """
     world = formed(23, 10)
     publisher = publisher_of(world)
     token = 0
--- a/tests/gossip/test_model_members.py
+++ b/tests/gossip/test_model_members.py
@@ -1,4 +1,4 @@
-"""Members in hard cases: addresses and names used again, late joiners, bad datagrams, clocks that jump."""
+"""Tests of reused addresses, duplicate names, late joiners, damaged datagrams and clock jumps."""
 
 from __future__ import annotations
 
@@ -31,11 +31,12 @@
     BYTES_PER_S,
 )
 
-BURST_SLACK = 2 * (MAX_DATAGRAM_BYTES + PACKET_OVERHEAD_BYTES)  # probes beyond the budget, a last answer
-HOUR = 3_600.0
+# Bytes beyond the budget: probes, which are not limited by it, and the datagram that exhausts it.
+BURST_SLACK = 2 * (MAX_DATAGRAM_BYTES + PACKET_OVERHEAD_BYTES)
+HOUR = 3_600.0  # seconds
 
 
-def test_an_address_is_used_again_by_another_member() -> None:
+def test_address_is_reused_by_another_member() -> None:
     world = formed(22, 5)
     old = world.members["proxy-4"]
     world.crash("proxy-4")
@@ -46,7 +47,7 @@
     change_in_force(world, publish_until_answered(world, publisher_of(world)))
 
 
-def test_a_late_joiner_gets_a_large_configuration_paced_and_then_the_changes_behind_it() -> None:
+def test_late_joiner_fetches_a_large_configuration_within_the_budget_and_later_changes() -> None:
     world = World(23, 5)
     values = tuple((f"large/{i:02}", bytes([i]) * 800) for i in range(75))
     state = ReplicaState(promised=5, committed=Position(5, 200), configuration=values)
@@ -57,21 +58,21 @@
     publisher = publisher_of(world)
     world.add("late", Member("late", world.members["proxy-1"].place, ("10.9.0.1", PORT), Role.PROXY))
     world.start("late")
-    begun = world.network.now
+    started_at = world.network.now
     for second in range(20):
         world.run(1.0)
-        elapsed = world.network.now - begun
+        elapsed = world.network.now - started_at
         assert world.network.records["late"].total < BYTES_PER_S * (BURST_SECONDS + elapsed) + BURST_SLACK
         if second in (2, 5):
             world.publish(publisher)
         if not world.disagreement() and second > 5:
             break
     assert not world.disagreement()
-    assert 4.0 < world.network.now - begun < 20.0  # paced, and done
+    assert 4.0 < world.network.now - started_at < 20.0  # limited by the budget, but completed
     assert world.processes["late"].freshness is Freshness.CURRENT
 
 
-def test_datagrams_doubled_reordered_cut_short_and_changed_do_no_harm() -> None:
+def test_duplicated_reordered_truncated_and_altered_datagrams_do_no_harm() -> None:
     faults = Faults(delay=(0.0, 0.5), loss=0.02, double=0.3, truncate=0.03, flip=0.03)
     world = formed(24, 5, faults)
     for _ in range(8):
@@ -82,15 +83,15 @@
     within(world, AGREED_WITHIN, lambda: world.disagreement() or publishes(world), "all agree")
 
 
-def test_senders_with_another_key_or_version_are_counted_and_stay_unknown() -> None:
+def test_senders_with_another_key_or_version_are_counted_and_not_added() -> None:
     world = formed(25, 5)
     world.add("stranger", Member("stranger", world.members["proxy-1"].place, ("10.9.0.2", PORT), Role.PROXY))
     world.start("stranger", key=b"another key")
-    good = Codec(KEY).encode(Header(member_id("proxy-1"), 1, 1), Gossip())
-    for place in range(4):
-        other = bytearray(good)
-        other[place] += 1
-        world.network.inject("proxy-0", ("192.0.2.7", 9), bytes(other))
+    valid = Codec(KEY).encode(Header(member_id("proxy-1"), 1, 1), Gossip())
+    for offset in range(4):
+        altered = bytearray(valid)
+        altered[offset] += 1
+        world.network.inject("proxy-0", ("192.0.2.7", 9), bytes(altered))
     world.run(15.0)
     world.crash("stranger")
     world.members.pop("stranger")
@@ -99,23 +100,27 @@
     assert dropped["version"] + dropped["form"] + dropped["authentication"] >= 4
 
 
-def test_a_monotonic_clock_that_jumps_by_hours_at_a_restart() -> None:
+def test_clock_jumps_by_hours_at_a_restart() -> None:
     world = formed(26, 5)
-    for host, jump in (("proxy-3", 5 * HOUR), (publisher_of(world), -3 * HOUR), ("control-3", 9 * HOUR)):
+    for host, clock_jump in (
+        ("proxy-3", 5 * HOUR),
+        (publisher_of(world), -3 * HOUR),
+        ("control-3", 9 * HOUR),
+    ):
         clock = world.network.fleet[host].offset
-        world.restart(host, clock_offset=clock + jump)
+        world.restart(host, clock_offset=clock + clock_jump)
         within(world, 20.0, lambda: world.disagreement() or publishes(world), "all agree")
     change_in_force(world, publish_until_answered(world, publisher_of(world)))
 
 
-def test_two_live_processes_of_one_name_end_in_one() -> None:
+def test_fleet_agrees_after_a_duplicate_name_is_removed() -> None:
     world = formed(27, 7)
-    twin = world.members["proxy-2"]
-    world.add("twin", Member("proxy-2", twin.place, ("10.9.0.3", PORT), twin.role))
-    world.start("twin")
+    original = world.members["proxy-2"]
+    world.add("second-proxy-2", Member("proxy-2", original.place, ("10.9.0.3", PORT), original.role))
+    world.start("second-proxy-2")
     busiest = max(traffic_per_s(world, 20.0).values())
     assert busiest < BYTES_PER_S
     change_in_force(world, publish_until_answered(world, publisher_of(world)))
-    world.crash("twin")
-    world.members.pop("twin")
+    world.crash("second-proxy-2")
+    world.members.pop("second-proxy-2")
     within(world, 20.0, lambda: world.disagreement() or publishes(world), "all agree")
