--- a/saltcourse/gossip/codec/configuration.py
+++ b/saltcourse/gossip/codec/configuration.py
@@ -123,7 +123,7 @@
     last = ""
     while reader.offset < len(data):
         key_length, value_length = reader.unpack(CONFIGURATION_ITEM)
-        key = reader.read_string(key_length, MAX_KEY_BYTES)
+        key = reader.read_text(key_length, MAX_KEY_BYTES)
         if key <= last or value_length > MAX_VALUE_BYTES:
             raise CodecError(
                 Reason.SCHEMA, f"key {key!r} not after {last!r}, or its value too long: {value_length}"
--- a/saltcourse/gossip/codec/membership.py
+++ b/saltcourse/gossip/codec/membership.py
@@ -50,8 +50,8 @@
     if isinstance(update, StatusUpdate):
         return STATUS_UPDATE.size
     if isinstance(update, MemberRecord):
-        texts = len(update.name.encode()) + len(update.region.encode()) + len(update.zone.encode())
-        return MEMBER_RECORD.size + texts + len(encode_address(update.address[0]))
+        text_bytes = len(update.name.encode()) + len(update.region.encode()) + len(update.zone.encode())
+        return MEMBER_RECORD.size + text_bytes + len(encode_address(update.address[0]))
     return ZONE_SUM.size + len(update.zone.encode())
 
 
@@ -134,7 +134,7 @@
 
 def _read_tally(reader: Reader) -> Tally:
     members, connections, length = reader.unpack(TALLY)
-    return Tally(reader.read_string(length, MAX_LABEL_BYTES), members, connections)
+    return Tally(reader.read_text(length, MAX_LABEL_BYTES), members, connections)
 
 
 MEMBERSHIP_SCHEMAS: tuple[Schema[Any], ...] = (
--- a/saltcourse/gossip/fields.py
+++ b/saltcourse/gossip/fields.py
@@ -98,7 +98,7 @@
         self.offset = end
         return self.data[start:end]
 
-    def read_string(self, length: int, max_bytes: int) -> str:
+    def read_text(self, length: int, max_bytes: int) -> str:
         """Read a UTF-8 string of ``length`` bytes, 1 to ``max_bytes``, without control characters."""
         if not 0 < length <= max_bytes:
             raise CodecError(Reason.SCHEMA, f"string of {length} bytes, expected 1 to {max_bytes}")
@@ -267,9 +267,9 @@
     if kind != MEMBER_RECORD_KIND or role >= len(ROLES) or status >= len(STATUSES):
         raise CodecError(Reason.SCHEMA, f"invalid member record: kind {kind}, role {role}, status {status}")
     return MemberRecord(
-        name=reader.read_string(name, MAX_NAME_BYTES),
-        region=reader.read_string(region, MAX_LABEL_BYTES),
-        zone=reader.read_string(zone, MAX_LABEL_BYTES),
+        name=reader.read_text(name, MAX_NAME_BYTES),
+        region=reader.read_text(region, MAX_LABEL_BYTES),
+        zone=reader.read_text(zone, MAX_LABEL_BYTES),
         address=reader.read_address(address, port),
         role=ROLES[role],
         incarnation=incarnation,
@@ -281,13 +281,13 @@
 def read_zone_sum(reader: Reader) -> ZoneSum:
     """Read an update of kind ``ZONE_SUM_KIND``."""
     _, sequence, members, connections, length = reader.unpack(ZONE_SUM)
-    return ZoneSum(reader.read_string(length, MAX_LABEL_BYTES), sequence, members, connections)
+    return ZoneSum(reader.read_text(length, MAX_LABEL_BYTES), sequence, members, connections)
 
 
 def read_write(reader: Reader) -> Write:
     """Read a write encoded by ``encode_write``."""
     key_length, value_length = reader.unpack(WRITE)
-    key = reader.read_string(key_length, MAX_KEY_BYTES)
+    key = reader.read_text(key_length, MAX_KEY_BYTES)
     if value_length == DELETED:
         return key, None
     return key, reader.read_bytes(value_length)
