--- a/benchmarks/scale_real.py
+++ b/benchmarks/scale_real.py
@@ -1,6 +1,6 @@
 """Real ``saltcourse serve`` processes that take part in a scale run, with push servers and clients.
 
-One additional process runs without gossip, as the control for the cost of gossip. All of them are observed
+One additional process runs without gossip, as the baseline for the cost of gossip. All of them are observed
 from outside, through their admin addresses and ``/proc``.
 """
 
@@ -27,7 +27,7 @@
 from toy import Platform, open_line  # noqa: E402
 
 from saltcourse.emulator.scale.records import (  # noqa: E402
-    CONTROL_PROCESS,
+    BASELINE_PROCESS,
     ConfigurationSeen,
     Load,
     ProcessSample,
@@ -36,7 +36,7 @@
 )
 from saltcourse.emulator.scale.runner import RealProcesses  # noqa: E402
 from saltcourse.emulator.scale.sockets import LOOPBACK  # noqa: E402
-from saltcourse.emulator.scale.topology import Place, Topology  # noqa: E402
+from saltcourse.emulator.scale.topology import MemberSpec, Topology  # noqa: E402
 from saltcourse.gossip.messages import Address, Role  # noqa: E402
 
 CLIENTS_PER_PROXY = 4
@@ -51,9 +51,9 @@
 
 @dataclass(slots=True)
 class RunningProxy:
-    """A proxy process and the values last read from it; ``place`` is None for the control without gossip."""
+    """A proxy process and the values last read from it; ``spec`` is None for the baseline without gossip."""
 
-    place: Place | None
+    spec: MemberSpec | None
     admin: int
     listen: int
     process: subprocess.Popen[bytes]
@@ -64,7 +64,7 @@
 
     @property
     def member(self) -> int:
-        return CONTROL_PROCESS if self.place is None else self.place.index
+        return BASELINE_PROCESS if self.spec is None else self.spec.index
 
 
 class RealFleet(RealProcesses):
@@ -82,7 +82,7 @@
         self._topology = topology
         ports = free_ports(socket.SOCK_DGRAM, len(topology.real))
         self._gossip_addresses = {
-            place.index: (LOOPBACK, port) for place, port in zip(topology.real, ports, strict=True)
+            spec.index: (LOOPBACK, port) for spec, port in zip(topology.real, ports, strict=True)
         }
         return self._gossip_addresses
 
@@ -94,10 +94,10 @@
         key_file.chmod(0o600)
         ports = free_ports(socket.SOCK_STREAM, 2 * (len(self._topology.real) + 1))
         discovery = self._start_platform()
-        places: list[Place | None] = [*self._topology.real, None]
-        for place in places:
+        specs: list[MemberSpec | None] = [*self._topology.real, None]
+        for spec in specs:
             self._proxies.append(
-                self._start_proxy(folder, place, addresses, ports.pop(), ports.pop(), discovery)
+                self._start_proxy(folder, spec, addresses, ports.pop(), ports.pop(), discovery)
             )
         self._start_thread(self._poll, begin, records)
 
@@ -125,13 +125,13 @@
     def _start_proxy(
         self,
         folder: Path,
-        place: Place | None,
+        spec: MemberSpec | None,
         addresses: tuple[Address, ...],
         listen: int,
         admin: int,
         discovery: int,
     ) -> RunningProxy:
-        name = "without" if place is None else place.name
+        name = "without" if spec is None else spec.name
         config = json.loads((ROOT / "example" / "config.json").read_text())
         config |= {
             "name": name,
@@ -143,26 +143,26 @@
         config_path = folder / f"{name}.json"
         config_path.write_text(json.dumps(config))
         command = [sys.executable, "-m", "saltcourse", "serve", "--config", str(config_path)]
-        if place is not None:
+        if spec is not None:
             operator_path = folder / f"{name}.txtpb"
-            operator_path.write_text(self._operator_file(place, addresses))
+            operator_path.write_text(self._operator_file(spec, addresses))
             command += ["--operator", str(operator_path)]
         environment = os.environ | {"EDGE_CONFIG": "", "PYTHONPATH": str(ROOT)}
         with (folder / f"{name}.log").open("wb") as log:
             process = subprocess.Popen(command, env=environment, cwd=folder, stderr=log)
-        return RunningProxy(place, admin, listen, process)
+        return RunningProxy(spec, admin, listen, process)
 
-    def _operator_file(self, place: Place, addresses: tuple[Address, ...]) -> str:
+    def _operator_file(self, spec: MemberSpec, addresses: tuple[Address, ...]) -> str:
         assert self._topology is not None
         lines = [
-            f'me: "{place.name}"',
-            f'listen: "{address_text(self._gossip_addresses[place.index])}"',
-            f'region: "{place.region}"',
-            f'zone: "{place.zone}"',
+            f'me: "{spec.name}"',
+            f'listen: "{address_text(self._gossip_addresses[spec.index])}"',
+            f'region: "{spec.region}"',
+            f'zone: "{spec.zone}"',
             'key_file: "key"',
         ]
-        control = [other for other in self._topology.places if other.role is Role.CONTROL]
-        lines += [f'seed: "{address_text(addresses[other.index])}"' for other in control]
+        control_members = [other for other in self._topology.members if other.role is Role.CONTROL]
+        lines += [f'seed: "{address_text(addresses[other.index])}"' for other in control_members]
         lines += [
             f'voter {{ name: "{voter.name}" address: "{address_text(addresses[voter.index])}" }}'
             for voter in self._topology.voters
@@ -215,7 +215,7 @@
         with contextlib.suppress(OSError, ValueError, http.client.HTTPException):
             metrics = admin_metrics(proxy.admin)
             at = time.monotonic() - begin
-            if proxy.place is not None:
+            if proxy.spec is not None:
                 self._record_metrics(proxy, at, metrics, record_load, records)
             if record_load:
                 cpu, memory = process_usage(proxy.process.pid)
--- a/saltcourse/emulator/scale/recorder.py
+++ b/saltcourse/emulator/scale/recorder.py
@@ -1,4 +1,4 @@
-"""Writes down what the members of a worker observe and spend."""
+"""Records the observations, load and views of a worker's members."""
 
 from __future__ import annotations
 
@@ -7,7 +7,6 @@
 from collections.abc import Collection
 from pathlib import Path
 
-from saltcourse.emulator.scale.hollow import ConfigurationObserved, FreshnessObserved, StatusObserved
 from saltcourse.emulator.scale.hosted_member import HostedMember
 from saltcourse.emulator.scale.records import (
     ConfigurationSeen,
@@ -19,83 +18,90 @@
     View,
     WorkerUsage,
 )
-from saltcourse.emulator.scale.timeline import Act
+from saltcourse.emulator.scale.simulated_member import (
+    ConfigurationObserved,
+    FreshnessObserved,
+    StatusObserved,
+)
+from saltcourse.emulator.scale.timeline import FaultAction
 from saltcourse.emulator.scale.timer_queue import LagSample
 from saltcourse.emulator.scale.topology import Topology
 from saltcourse.gossip.messages import Status
 
-EVERYONE = -1  # the member of a partition's records
+ALL_MEMBERS = -1  # member index in the records of partitions
 
 
 class Recorder:
-    """Records of one worker, stamped with seconds since the begin of the run."""
+    """Writes the records of one worker, with times in seconds since the start of the run."""
 
     def __init__(self, path: Path, topology: Topology) -> None:
         self._writer = RecordWriter(path)
-        self._index_by_name = {place.name: place.index for place in topology.places}
-        self.begin = 0.0  # CLOCK_MONOTONIC of the run's begin
+        self._index_by_name = {spec.name: spec.index for spec in topology.members}
+        self.run_start = 0.0  # start of the run, CLOCK_MONOTONIC
 
     def close(self) -> None:
-        """Closes the file of records."""
+        """Flush and close the record file."""
         self._writer.close()
 
-    def lifecycle(self, act: Act, member: int = EVERYONE) -> None:
-        """An act that was carried out on one member, or on the links of all."""
-        self._writer.write(Lifecycle(self._now(), member, act.value))
+    def record_lifecycle(self, action: FaultAction, member: int = ALL_MEMBERS) -> None:
+        """Record an action that was carried out on one member, or on the links of all members."""
+        self._writer.write(Lifecycle(self._now(), member, action.value))
 
-    def freshness(self, hosted: HostedMember, seen: FreshnessObserved) -> None:
-        """The member knows that it may be stale, or no longer is."""
-        self._writer.write(FreshnessSeen(self._now(), hosted.place.index, seen.stale))
+    def record_freshness(self, hosted: HostedMember, observation: FreshnessObserved) -> None:
+        """Record that the member's configuration became possibly stale or current."""
+        self._writer.write(FreshnessSeen(self._now(), hosted.spec.index, observation.stale))
 
-    def configuration(self, hosted: HostedMember, seen: ConfigurationObserved) -> None:
-        """A version came into force at the member."""
+    def record_configuration(self, hosted: HostedMember, observation: ConfigurationObserved) -> None:
+        """Record a configuration version that came into force at the member."""
         self._writer.write(
             ConfigurationSeen(
                 self._now(),
-                hosted.place.index,
-                seen.epoch,
-                seen.version,
-                seen.digest,
-                list(seen.changes),
-                list(seen.torn),
+                hosted.spec.index,
+                observation.epoch,
+                observation.version,
+                observation.digest,
+                list(observation.changes),
+                list(observation.torn),
             )
         )
 
-    def status(self, hosted: HostedMember, seen: StatusObserved) -> None:
-        """The member changed its view of another one.
+    def record_status(self, hosted: HostedMember, observation: StatusObserved) -> None:
+        """Record that the member changed its view of another member.
 
-        Only faults and the end of faults are recorded, not that members learn of each other at the start.
+        Only failures and recoveries are recorded; the discovery of members at the start of the run is not.
         """
-        other = self._index_by_name.get(seen.name)
-        if other is None or hosted.not_alive.get(seen.name, Status.ALIVE) == seen.status:
+        other = self._index_by_name.get(observation.name)
+        if other is None or hosted.not_alive.get(observation.name, Status.ALIVE) == observation.status:
             return
-        if seen.status is Status.ALIVE:
-            del hosted.not_alive[seen.name]
+        if observation.status is Status.ALIVE:
+            del hosted.not_alive[observation.name]
         else:
-            hosted.not_alive[seen.name] = seen.status
-        self._writer.write(StatusSeen(self._now(), hosted.place.index, other, int(seen.status)))
+            hosted.not_alive[observation.name] = observation.status
+        self._writer.write(StatusSeen(self._now(), hosted.spec.index, other, int(observation.status)))
 
-    def loads(self, members: Collection[HostedMember]) -> None:
-        """What each member sent, received and computed since the last call."""
+    def record_loads(self, members: Collection[HostedMember]) -> None:
+        """Record the bytes and CPU time of each member since the previous call, and flush the file."""
         at = self._now()
         for hosted in members:
-            self._writer.write(Load(at, hosted.place.index, hosted.sent, hosted.received, hosted.take_cpu()))
+            self._writer.write(Load(at, hosted.spec.index, hosted.sent, hosted.received, hosted.cpu_delta()))
             hosted.sent = hosted.received = 0
         self._writer.flush()
 
-    def views(self, members: Collection[HostedMember]) -> None:
-        """Which members each running one considers alive, where that has changed."""
+    def record_views(self, members: Collection[HostedMember]) -> None:
+        """Record the view of each running member whose view has changed."""
         at = self._now()
         for hosted in members:
-            if hosted.core is None or hosted.stopped:
+            if hosted.process is None or hosted.stopped:
                 continue
-            view = hosted.core.view()
+            view = hosted.process.view()
             if view != hosted.view:
                 hosted.view = view
-                self._writer.write(View(at, hosted.place.index, view.count, view.digest))
+                self._writer.write(View(at, hosted.spec.index, view.count, view.digest))
 
-    def usage(self, members: int, memory_before: int, cpu: float, lag: LagSample, dropped: int) -> None:
-        """Resources of the process: bytes of memory, seconds of CPU, datagrams that the kernel dropped."""
+    def record_usage(
+        self, members: int, memory_before: int, cpu: float, lag: LagSample, dropped: int
+    ) -> None:
+        """Record the worker's resources: memory in bytes, CPU in seconds, datagrams dropped by the kernel."""
         self._writer.write(
             WorkerUsage(
                 members=members,
@@ -109,10 +115,10 @@
         )
 
     def _now(self) -> float:
-        return time.monotonic() - self.begin
+        return time.monotonic() - self.run_start
 
 
 def resident_memory() -> int:
-    """Bytes of this process, as the kernel counts them."""
+    """Return the resident memory of this process in bytes."""
     with open("/proc/self/statm") as file:
         return int(file.read().split()[1]) * os.sysconf("SC_PAGE_SIZE")
