--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -37,7 +37,8 @@
 CONNECTIONS_PER_S = 2.75  # new connections of one proxy: 11 per second at four proxies
 CONNECTION_LIFETIME = 36.5  # seconds; the mean of 22 to 51
 SERVERS_PER_PROXY = 3.4  # 13.5 servers at 4 proxies
-STEP = 0.1  # seconds between two turns of one proxy
+STEP = 0.1  # seconds of virtual time between two sends of one proxy
+MAX_KEPT_TEXTS = 20_000  # received messages that the control decodes
 
 
 class ConnectionCount:
@@ -75,7 +76,7 @@
         ]
         self.sent = self.bytes = self.received_messages = 0
         self.cpu = 0.0  # seconds spent receiving messages
-        self.texts: list[str] = []
+        self.texts: list[str] = []  # received messages, for the control
         for i in range(size):
             self.net.hosts[str(i)].alive = True
             self.net.at(STEP * self.random.random(), partial(self.step, i))
@@ -121,7 +122,7 @@
         receiver.receive(self.net.now, sender, text)
         self.cpu += time.process_time() - begin
         self.received_messages += 1
-        if len(self.texts) < 20_000:
+        if len(self.texts) < MAX_KEPT_TEXTS:
             self.texts.append(text)
 
     def stale_replicas(self) -> int:
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -51,7 +51,7 @@
     """The result of one run of one day."""
 
     score: float
-    g: float
+    g: float  # the value of this name in the report
     broken_rules: str
     windows: list[tuple[float, float, float]]  # (start in seconds, worth offered, worth served)
     limits: dict[str, Counter[str]]  # how often each limit was logged, by backend, over all proxies
--- a/example/demo.py
+++ b/example/demo.py
@@ -39,24 +39,24 @@
             stream, writer = await asyncio.open_connection(HOST, port)
             writer.write(open_line())
             first = (await stream.readline()).decode().split()
-            word = first[0] if first else "CUT"
-            outcomes[word] += 1
-            if word == "BUSY":
+            answer = first[0] if first else "CUT"
+            outcomes[answer] += 1
+            if answer == "BUSY":
                 await asyncio.sleep(int(first[1]) / 1000 if len(first) > 1 else DEFAULT_RETRY_AFTER)
                 continue
             disconnect_at = asyncio.get_running_loop().time() + random_source.uniform(2.0, 6.0)
-            while word == "UP":
+            while answer == "UP":
                 time_left = disconnect_at - asyncio.get_running_loop().time()
                 try:
                     line = await asyncio.wait_for(stream.readline(), max(0.01, time_left))
                 except TimeoutError:
                     outcomes["disconnected"] += 1
                     break
-                word_received = line.split()[:1]
-                if word_received == [b"HEADLINE"]:
+                keyword = line.split()[:1]
+                if keyword == [b"HEADLINE"]:
                     outcomes["HEADLINE"] += 1
-                elif word_received != [b"HEARD"]:
-                    outcomes["MOVE" if word_received == [b"MOVE"] else "CUT"] += 1
+                elif keyword != [b"HEARD"]:
+                    outcomes["MOVE" if keyword == [b"MOVE"] else "CUT"] += 1
                     break
             writer.close()
         except OSError:
