--- a/saltcourse/codec/__init__.py
+++ b/saltcourse/codec/__init__.py
@@ -1,1 +1,1 @@
-"""Parsers and encoders of what goes over sockets. Pure: no sockets, no clock, no log."""
+"""Parsers and encoders of the wire formats. They are pure: they use no sockets, clock or log."""
--- a/saltcourse/codec/bgp.py
+++ b/saltcourse/codec/bgp.py
@@ -1,7 +1,7 @@
-"""BGP-4 messages (RFC 4271) and their encoding, for a speaker that announces host routes and learns none.
+"""BGP-4 messages (RFC 4271) and their encoding, for a speaker that announces host routes and accepts none.
 
-``bgp_decoder`` reads them. Also here: capabilities (RFC 5492), four-octet AS numbers (RFC 6793), IPv6 routes
-(RFC 4760), the text of a shutdown (RFC 9003).
+``bgp_decoder`` decodes them. Capabilities (RFC 5492), four-octet AS numbers (RFC 6793), IPv6 routes
+(RFC 4760) and the shutdown communication (RFC 9003) are supported.
 """
 
 from __future__ import annotations
@@ -14,21 +14,21 @@
 HEADER_LENGTH, MAX_MESSAGE_LENGTH = 19, 4096  # bytes
 VERSION = 4
 MAX_U32 = 2**32 - 1
-AS_TRANS = 23456  # stands in a two-octet field for a larger AS number
+AS_TRANS = 23456  # sent in a two-octet field in place of a larger AS number (RFC 6793)
 
 # Message types.
 OPEN, UPDATE, NOTIFICATION, KEEPALIVE = 1, 2, 3, 4
-# The optional parameter of an OPEN that holds capabilities, and the capabilities used.
+# The optional parameter of an OPEN message that carries capabilities, and the capabilities that are used.
 PARAMETER_CAPABILITIES = 2
 CAPABILITY_MULTIPROTOCOL, CAPABILITY_FOUR_OCTET_ASN = 1, 65
 AFI_IPV4, AFI_IPV6, SAFI_UNICAST = 1, 2, 1
-# Path attributes, their flags, and the type of a segment of AS_PATH.
+# Path attributes, their flags, and the segment type that is used in AS_PATH.
 ORIGIN, AS_PATH, NEXT_HOP, MED, LOCAL_PREF, MP_REACH_NLRI, MP_UNREACH_NLRI = 1, 2, 3, 4, 5, 14, 15
 OPTIONAL, TRANSITIVE, EXTENDED_LENGTH = 0x80, 0x40, 0x10
 AS_SEQUENCE = 2
 ORIGIN_IGP = b"\0"
 
-# Codes of a NOTIFICATION, and the subcodes used of each.
+# Error codes of a NOTIFICATION message, and the subcodes that are used of each code.
 HEADER_ERROR, OPEN_ERROR, UPDATE_ERROR, HOLD_TIMER_EXPIRED, FSM_ERROR, CEASE = 1, 2, 3, 4, 5, 6
 NOT_SYNCHRONIZED, BAD_LENGTH, BAD_TYPE = 1, 2, 3
 BAD_VERSION, BAD_PEER_AS, BAD_IDENTIFIER, BAD_PARAMETER, BAD_HOLD_TIME = 1, 2, 3, 4, 6
@@ -40,7 +40,10 @@
 
 
 class BgpError(Exception):
-    """A peer broke RFC 4271; ``code``, ``subcode`` and ``data`` are for the NOTIFICATION that answers."""
+    """A message violates RFC 4271.
+
+    ``code``, ``subcode`` and ``data`` are those of the NOTIFICATION message to send to the peer.
+    """
 
     def __init__(self, code: int, subcode: int, text: str, data: bytes = b"") -> None:
         super().__init__(text)
@@ -51,7 +54,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Open:
-    """``hold_time`` in seconds, 0 for none; ``families`` are (AFI, SAFI) pairs."""
+    """An OPEN message.
+
+    ``hold_time`` is in seconds, 0 disables the hold timer; ``families`` holds (AFI, SAFI) pairs.
+    """
 
     asn: int
     hold_time: int
@@ -62,19 +68,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Keepalive:
-    """The peer is alive."""
+    """A KEEPALIVE message."""
 
 
 @dataclass(frozen=True, slots=True)
 class Notification:
-    """The peer closes the session, and why."""
+    """A NOTIFICATION message: the peer closes the session because of the error ``code``."""
 
     code: int
     subcode: int
     data: bytes = b""
 
     def describe(self) -> str:
-        """For logs, with the text that a peer gives as it shuts down."""
+        """Return the code and subcode for logs, and the peer's shutdown communication if it sent one."""
         text = ""
         if (
             self.code == CEASE
@@ -87,7 +93,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """A host route. ``local_pref`` counts within an AS (higher is better), ``med`` between two (lower is)."""
+    """A host route.
+
+    ``local_pref`` ranks routes within one AS (the highest wins), ``med`` between two ASes (the lowest wins).
+    """
 
     address: Address
     next_hop: Address
@@ -98,7 +107,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Update:
-    """Routes announced and addresses withdrawn; ``other_prefixes`` counts those that are no host routes."""
+    """An UPDATE message; ``other_prefixes`` counts the prefixes in it that are not host routes."""
 
     announced: tuple[Route, ...] = ()
     withdrawn: tuple[Address, ...] = ()
@@ -109,23 +118,26 @@
 
 
 def encode_keepalive() -> bytes:
-    """A KEEPALIVE."""
+    """Return the bytes of a KEEPALIVE message."""
     return _frame(KEEPALIVE, b"")
 
 
 def encode_notification(code: int, subcode: int, data: bytes = b"") -> bytes:
-    """A NOTIFICATION; data that does not fit is cut off."""
+    """Return the bytes of a NOTIFICATION message; data beyond the maximum message length is truncated."""
     return _frame(NOTIFICATION, bytes((code, subcode)) + data[: MAX_MESSAGE_LENGTH - HEADER_LENGTH - 2])
 
 
 def encode_shutdown(text: str) -> bytes:
-    """The NOTIFICATION of an administrative shutdown, with a text for the peer's operators (RFC 9003)."""
+    """Return the bytes of the NOTIFICATION message of an administrative shutdown (RFC 9003).
+
+    ``text`` is for the peer's operators; bytes beyond ``MAX_SHUTDOWN_TEXT`` are truncated.
+    """
     data = text.encode()[:MAX_SHUTDOWN_TEXT]
     return encode_notification(CEASE, ADMINISTRATIVE_SHUTDOWN, bytes((len(data),)) + data)
 
 
 def encode_open(message: Open) -> bytes:
-    """An OPEN with the capabilities that the message names."""
+    """Return the bytes of an OPEN message with its capabilities."""
     capabilities = b"".join(
         struct.pack("!BBHBB", CAPABILITY_MULTIPROTOCOL, 4, afi, 0, safi)
         for afi, safi in sorted(message.families)
@@ -142,7 +154,10 @@
 
 
 def encode_announcement(route: Route, four_octet_asn: bool = True) -> bytes:
-    """An UPDATE that announces one host route; ``four_octet_asn`` as both ends' OPENs agreed."""
+    """Return the bytes of an UPDATE message that announces one host route.
+
+    ``four_octet_asn`` is true if both ends sent the capability in their OPEN messages.
+    """
     is_ipv4 = route.address.version == 4
     attributes = _attribute(TRANSITIVE, ORIGIN, ORIGIN_IGP)
     attributes += _attribute(TRANSITIVE, AS_PATH, _encode_as_path(route.as_path, four_octet_asn))
@@ -160,7 +175,7 @@
 
 
 def encode_withdrawal(address: Address) -> bytes:
-    """An UPDATE that withdraws one host route."""
+    """Return the bytes of an UPDATE message that withdraws one host route."""
     prefix = _prefix(address)
     if address.version == 4:
         return _frame(UPDATE, struct.pack("!H", len(prefix)) + prefix + struct.pack("!H", 0))
--- a/saltcourse/codec/bgp_decoder.py
+++ b/saltcourse/codec/bgp_decoder.py
@@ -1,7 +1,7 @@
-"""Decoding of BGP-4 messages (RFC 4271): a buffer that cuts the stream, and pure functions.
+"""Decodes BGP-4 messages (RFC 4271): a buffer that splits the stream into messages, and pure functions.
 
-Any bytes give a message of ``bgp`` or a ``BgpError``, whose code and subcode are those of the NOTIFICATION
-that answers it (RFC 4271, section 4.5).
+Any input gives either a message of ``bgp`` or a ``BgpError``, whose code and subcode are those of the
+NOTIFICATION message to send to the peer (RFC 4271, section 4.5).
 """
 
 from __future__ import annotations
@@ -14,12 +14,13 @@
 from saltcourse.codec import bgp
 from saltcourse.codec.bgp import Address, BgpError, Message, Route
 
-MIN_LENGTHS = {bgp.OPEN: 29, bgp.UPDATE: 23, bgp.NOTIFICATION: 21, bgp.KEEPALIVE: 19}  # bytes
+# Message type -> shortest valid message in bytes, header included.
+MIN_LENGTHS = {bgp.OPEN: 29, bgp.UPDATE: 23, bgp.NOTIFICATION: 21, bgp.KEEPALIVE: 19}
 
 
 @dataclass(frozen=True, slots=True)
 class Frame:
-    """A whole message that is not decoded yet."""
+    """A complete message whose body is not decoded yet."""
 
     message_type: int
     body: bytes
@@ -27,16 +28,19 @@
 
 @dataclass(slots=True)
 class MessageBuffer:
-    """Cuts a stream into messages; holds what one read gave and one message at most."""
+    """Splits a byte stream into messages; buffers at most one message and the data of one read."""
 
     _bytes: bytearray = field(default_factory=bytearray)
 
     def feed(self, data: bytes) -> None:
-        """Add what was read from the connection."""
+        """Append bytes read from the connection."""
         self._bytes += data
 
     def next(self) -> Frame | None:
-        """The next whole message, None until more was read. Raises BgpError."""
+        """Remove and return the next complete message, or None if more bytes are needed.
+
+        Raises ``BgpError`` if the header is invalid.
+        """
         self._check_marker()
         if len(self._bytes) < bgp.HEADER_LENGTH:
             return None
@@ -50,22 +54,26 @@
 
     def _check_marker(self) -> None:
         if not bgp.MARKER.startswith(bytes(self._bytes[: len(bgp.MARKER)])):
-            raise BgpError(bgp.HEADER_ERROR, bgp.NOT_SYNCHRONIZED, "no marker")
+            raise BgpError(bgp.HEADER_ERROR, bgp.NOT_SYNCHRONIZED, "header: marker is not 16 bytes of 0xff")
 
 
 def _check_header(length: int, message_type: int) -> None:
     min_length = MIN_LENGTHS.get(message_type)
     if min_length is None:
-        unknown = f"a message of type {message_type}"
-        raise BgpError(bgp.HEADER_ERROR, bgp.BAD_TYPE, unknown, bytes((message_type,)))
+        reason = f"header: unknown message type {message_type}"
+        raise BgpError(bgp.HEADER_ERROR, bgp.BAD_TYPE, reason, bytes((message_type,)))
     max_length = min_length if message_type == bgp.KEEPALIVE else bgp.MAX_MESSAGE_LENGTH
     if not min_length <= length <= max_length:
         data = struct.pack("!H", length)
-        raise BgpError(bgp.HEADER_ERROR, bgp.BAD_LENGTH, f"{length} bytes long", data)
+        reason = f"header: length must be from {min_length} to {max_length} bytes, not {length}"
+        raise BgpError(bgp.HEADER_ERROR, bgp.BAD_LENGTH, reason, data)
 
 
 def decode(frame: Frame, four_octet_asn: bool = True) -> Message:
-    """A message; ``four_octet_asn`` as both ends' OPENs agreed. Raises BgpError."""
+    """Decode the body of a message.
+
+    ``four_octet_asn`` is true if both ends sent the capability in their OPEN messages. Raises ``BgpError``.
+    """
     body = frame.body
     if frame.message_type == bgp.OPEN:
         return _decode_open(body)
@@ -82,25 +90,27 @@
 @dataclass(slots=True)
 class _Capabilities:
     families: set[tuple[int, int]] = field(default_factory=set)
-    asn: int | None = None  # of four octets; None where the peer knows only two
+    asn: int | None = None  # the four-octet AS number; None if the peer does not send the capability
 
 
 def _decode_open(body: bytes) -> bgp.Open:
     version, two_octet_asn, hold_time, identifier, length = struct.unpack_from("!BHH4sB", body)
     if version != bgp.VERSION:
         data = struct.pack("!H", bgp.VERSION)
-        raise BgpError(bgp.OPEN_ERROR, bgp.BAD_VERSION, f"version {version}", data)
+        raise BgpError(bgp.OPEN_ERROR, bgp.BAD_VERSION, f"OPEN: version must be 4, not {version}", data)
     if hold_time in (1, 2):
-        raise BgpError(bgp.OPEN_ERROR, bgp.BAD_HOLD_TIME, f"a hold time of {hold_time} s")
+        reason = f"OPEN: hold time must be 0 or at least 3 s, not {hold_time}"
+        raise BgpError(bgp.OPEN_ERROR, bgp.BAD_HOLD_TIME, reason)
     if identifier == b"\0\0\0\0":
-        raise BgpError(bgp.OPEN_ERROR, bgp.BAD_IDENTIFIER, "an identifier of 0.0.0.0")
+        raise BgpError(bgp.OPEN_ERROR, bgp.BAD_IDENTIFIER, "OPEN: BGP identifier must not be 0.0.0.0")
     parameters = body[10:]
     if len(parameters) != length:
-        raise BgpError(bgp.OPEN_ERROR, bgp.BAD_PARAMETER, "parameters of another length than announced")
+        reason = f"OPEN: optional parameters must have {length} bytes, not {len(parameters)}"
+        raise BgpError(bgp.OPEN_ERROR, bgp.BAD_PARAMETER, reason)
     capabilities = _decode_capabilities(parameters)
     asn = two_octet_asn if capabilities.asn is None else capabilities.asn
     if asn == 0:
-        raise BgpError(bgp.OPEN_ERROR, bgp.BAD_PEER_AS, "AS 0")
+        raise BgpError(bgp.OPEN_ERROR, bgp.BAD_PEER_AS, "OPEN: AS number must not be 0")
     return bgp.Open(
         asn,
         hold_time,
@@ -114,7 +124,7 @@
     found = _Capabilities()
     for parameter, capabilities in _split_fields(parameters):
         if parameter != bgp.PARAMETER_CAPABILITIES:
-            raise BgpError(bgp.OPEN_ERROR, bgp.BAD_PARAMETER, f"parameter {parameter}")
+            raise BgpError(bgp.OPEN_ERROR, bgp.BAD_PARAMETER, f"OPEN: unknown optional parameter {parameter}")
         for capability, value in _split_fields(capabilities):
             if capability == bgp.CAPABILITY_MULTIPROTOCOL and len(value) == 4:
                 afi, _, safi = struct.unpack("!HBB", value)
@@ -125,11 +135,11 @@
 
 
 def _split_fields(data: bytes) -> list[tuple[int, bytes]]:
-    """Pairs of type and value, of fields with a type and a length of one octet each."""
+    """Split fields with a one-octet type and a one-octet length into pairs of type and value."""
     fields = []
     while data:
         if len(data) < 2 or len(data) < 2 + data[1]:
-            raise BgpError(bgp.OPEN_ERROR, bgp.BAD_PARAMETER, "a parameter that is cut short")
+            raise BgpError(bgp.OPEN_ERROR, bgp.BAD_PARAMETER, "OPEN: optional parameter is truncated")
         end = 2 + data[1]
         fields.append((data[0], data[2:end]))
         data = data[end:]
@@ -141,7 +151,7 @@
 
 @dataclass(slots=True)
 class _Prefixes:
-    """The host routes of a list of prefixes, and how many shorter prefixes stood beside them."""
+    """The host routes in a list of prefixes, and the number of shorter prefixes."""
 
     hosts: list[Address] = field(default_factory=list)
     other_count: int = 0
@@ -149,7 +159,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _RouteTemplate:
-    """What all routes of one UPDATE share."""
+    """The path attributes that all routes of one UPDATE message share."""
 
     as_path: tuple[int, ...]
     med: int | None
@@ -181,10 +191,10 @@
 
 
 def _split_counted(data: bytes, min_rest: int) -> tuple[bytes, bytes]:
-    """A part with its length of two octets before it, and the rest of at least ``min_rest`` bytes."""
+    """Split off a part that follows its two-octet length; the rest must have ``min_rest`` bytes or more."""
     end = 2 + struct.unpack_from("!H", data)[0]
     if len(data) < end + min_rest:
-        raise BgpError(bgp.UPDATE_ERROR, bgp.MALFORMED_ATTRIBUTES, "lengths that do not fit")
+        raise BgpError(bgp.UPDATE_ERROR, bgp.MALFORMED_ATTRIBUTES, "UPDATE: length field exceeds the message")
     return data[2:end], data[end:]
 
 
@@ -194,7 +204,7 @@
     while data:
         bits, end = data[0], 1 + (data[0] + 7) // 8
         if bits > host_bits or len(data) < end:
-            raise BgpError(bgp.UPDATE_ERROR, bgp.BAD_NETWORK, "a prefix that is too long or cut short")
+            raise BgpError(bgp.UPDATE_ERROR, bgp.BAD_NETWORK, "UPDATE: prefix is truncated or too long")
         if bits == host_bits:
             found.hosts.append(address_type(data[1:end]))
         else:
@@ -208,21 +218,21 @@
         return []
     next_hop = attributes.get(bgp.NEXT_HOP, b"")
     if len(next_hop) != 4:
-        raise BgpError(bgp.UPDATE_ERROR, bgp.ATTRIBUTE_LENGTH, "no next hop of four octets")
+        raise BgpError(bgp.UPDATE_ERROR, bgp.ATTRIBUTE_LENGTH, "UPDATE: NEXT_HOP must have 4 bytes")
     return [template.route(address, ipaddress.IPv4Address(next_hop)) for address in announced.hosts]
 
 
 def _decode_reachable(value: bytes | None) -> _Prefixes:
-    """IPv6 prefixes of MP_REACH_NLRI; none of another address family."""
+    """Return the IPv6 prefixes of MP_REACH_NLRI; prefixes of other address families are skipped."""
     if value is None:
         return _Prefixes()
     if len(value) < 5 or len(value) < 5 + value[3]:
-        raise BgpError(bgp.UPDATE_ERROR, bgp.ATTRIBUTE_LENGTH, "MP_REACH_NLRI that is cut short")
+        raise BgpError(bgp.UPDATE_ERROR, bgp.ATTRIBUTE_LENGTH, "UPDATE: MP_REACH_NLRI is truncated")
     if not _is_ipv6_unicast(value):
         return _Prefixes()
     next_hop_length = value[3]
     if next_hop_length not in (16, 32):  # a link-local address may follow the global one
-        raise BgpError(bgp.UPDATE_ERROR, bgp.ATTRIBUTE_LENGTH, "a next hop of neither 16 nor 32 octets")
+        raise BgpError(bgp.UPDATE_ERROR, bgp.ATTRIBUTE_LENGTH, "UPDATE: IPv6 next hop must be 16 or 32 bytes")
     return _decode_prefixes(value[5 + next_hop_length :], ipaddress.IPv6Address)
 
 
@@ -231,11 +241,11 @@
 
 
 def _decode_unreachable(value: bytes | None) -> _Prefixes:
-    """IPv6 prefixes of MP_UNREACH_NLRI; none of another address family."""
+    """Return the IPv6 prefixes of MP_UNREACH_NLRI; prefixes of other address families are skipped."""
     if value is None:
         return _Prefixes()
     if len(value) < 3:
-        raise BgpError(bgp.UPDATE_ERROR, bgp.ATTRIBUTE_LENGTH, "MP_UNREACH_NLRI that is cut short")
+        raise BgpError(bgp.UPDATE_ERROR, bgp.ATTRIBUTE_LENGTH, "UPDATE: MP_UNREACH_NLRI is truncated")
     if not _is_ipv6_unicast(value):
         return _Prefixes()
     return _decode_prefixes(value[3:], ipaddress.IPv6Address)
@@ -246,19 +256,20 @@
 
 
 def _split_attributes(data: bytes) -> dict[int, bytes]:
-    """The values of path attributes by their type."""
+    """Map the type of each path attribute to its value."""
     found: dict[int, bytes] = {}
     while data:
         is_extended = data[0] & bgp.EXTENDED_LENGTH
         start = 4 if is_extended else 3
         if len(data) < start:
-            raise BgpError(bgp.UPDATE_ERROR, bgp.MALFORMED_ATTRIBUTES, "an attribute that is cut short")
+            raise BgpError(bgp.UPDATE_ERROR, bgp.MALFORMED_ATTRIBUTES, "UPDATE: truncated attribute header")
         length = struct.unpack_from("!H", data, 2)[0] if is_extended else data[2]
         attribute_type, end = data[1], start + length
         if len(data) < end:
-            raise BgpError(bgp.UPDATE_ERROR, bgp.ATTRIBUTE_LENGTH, "an attribute that is cut short")
+            raise BgpError(bgp.UPDATE_ERROR, bgp.ATTRIBUTE_LENGTH, "UPDATE: path attribute is truncated")
         if attribute_type in found:
-            raise BgpError(bgp.UPDATE_ERROR, bgp.MALFORMED_ATTRIBUTES, f"attribute {attribute_type} twice")
+            reason = f"UPDATE: duplicate path attribute {attribute_type}"
+            raise BgpError(bgp.UPDATE_ERROR, bgp.MALFORMED_ATTRIBUTES, reason)
         found[attribute_type] = data[start:end]
         data = data[end:]
     return found
@@ -270,7 +281,7 @@
     while data:
         end = 2 + data[1] * size if len(data) >= 2 else len(data) + 1
         if len(data) < end:
-            raise BgpError(bgp.UPDATE_ERROR, bgp.MALFORMED_ATTRIBUTES, "an AS path that is cut short")
+            raise BgpError(bgp.UPDATE_ERROR, bgp.MALFORMED_ATTRIBUTES, "UPDATE: AS_PATH is truncated")
         found += struct.unpack_from(f"!{data[1]}{octets}", data, 2)
         data = data[end:]
     return tuple(found)
@@ -283,5 +294,5 @@
 
 def _decode_u32(value: bytes) -> int:
     if len(value) != 4:
-        raise BgpError(bgp.UPDATE_ERROR, bgp.ATTRIBUTE_LENGTH, "a number that is not of four octets")
+        raise BgpError(bgp.UPDATE_ERROR, bgp.ATTRIBUTE_LENGTH, "a four-octet number must have 4 bytes")
     return int(struct.unpack("!I", value)[0])
--- a/saltcourse/codec/errors.py
+++ b/saltcourse/codec/errors.py
@@ -1,27 +1,27 @@
-"""Errors of the decoders: the bytes are another program's, so each says what was wrong with them."""
+"""Errors of the decoders. The input comes from other programs, so each text says what is invalid in it."""
 
 from __future__ import annotations
 
 
 class DecodeError(Exception):
-    """Received bytes do not have the promised form; the text says what is wrong."""
+    """The input does not have the expected format; the text says what is invalid."""
 
 
 class ProtocolError(DecodeError):
-    """A client or backend sent a line that the line protocol does not allow."""
+    """A client or backend sent a line that violates the line protocol."""
 
 
 class HttpResponseError(DecodeError):
-    """Discovery's HTTP response cannot be used."""
+    """Discovery's HTTP response is invalid, incomplete or too large."""
 
 
 class EndpointListError(DecodeError):
-    """The endpoint list is not what discovery promises."""
+    """The endpoint list does not have the expected format."""
 
 
 class AddressError(DecodeError, ValueError):
-    """An address is not of the form ``host:port``."""
+    """An address does not have the form ``host:port``."""
 
 
 class InvalidObjectError(DecodeError):
-    """An object parsed from JSON does not have the promised fields; the text names the one at fault."""
+    """An object parsed from JSON has a missing or invalid field; the text names the field."""
--- a/saltcourse/codec/http.py
+++ b/saltcourse/codec/http.py
@@ -1,4 +1,4 @@
-"""As much of HTTP/1.1 as discovery needs: one GET on a connection of its own, and its response.
+"""The subset of HTTP/1.1 that discovery needs: one GET request on its own connection, and its response.
 
 The response passes through three states:
 
@@ -10,55 +10,55 @@
 from saltcourse.codec.errors import HttpResponseError
 
 MAX_HEAD_BYTES = 16 * 1024
-MAX_BODY_BYTES = 8 * 1024 * 1024  # tens of thousands of backends
+MAX_BODY_BYTES = 8 * 1024 * 1024  # enough for tens of thousands of backends
 LINE_END = b"\r\n"
 HEAD_END = LINE_END + LINE_END
 
 
 def get_request(host: str, target: str) -> bytes:
-    """A GET request for ``target`` after which the server is to close the connection."""
+    """Return a GET request for ``target`` that asks the server to close the connection."""
     return (
         f"GET {target} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\nConnection: close\r\n\r\n"
     ).encode()
 
 
 class ResponseParser:
-    """Collects a response from the bytes fed to it until ``done``; then ``body`` is complete."""
+    """Parses a response from the bytes fed to it; ``body`` is complete once ``done`` is true."""
 
     def __init__(self) -> None:
         self.status = 0
         self.body = bytearray()
         self.done = False
-        self._received = bytearray()  # not parsed yet
+        self._received = bytearray()  # bytes that are not parsed yet
         self._content_length: int | None = None
         self._is_chunked = False
         self._in_body = False
 
     def feed(self, data: memoryview | bytes) -> None:
-        """Parse received bytes; raises ``HttpResponseError``."""
+        """Parse received bytes. Raises ``HttpResponseError``."""
         self._received += data
         if not self._in_body:
             self._parse_head()
         if self._in_body and not self.done:
             self._parse_body()
         if len(self.body) + len(self._received) > MAX_BODY_BYTES + MAX_HEAD_BYTES:
-            raise HttpResponseError("a response that is too long")
+            raise HttpResponseError(f"response exceeds {MAX_BODY_BYTES + MAX_HEAD_BYTES} bytes")
 
     def feed_eof(self) -> None:
-        """The connection has ended, which completes only a body that has no other mark of its end.
+        """Handle the end of the connection, which completes a body without Content-Length or chunks.
 
-        Raises ``HttpResponseError`` when the response is incomplete.
+        Raises ``HttpResponseError`` if the response is incomplete.
         """
         if self._in_body and self._content_length is None and not self._is_chunked:
             self.done = True
         if not self.done:
-            raise HttpResponseError("the connection ended within a response")
+            raise HttpResponseError("connection closed before the end of the response")
 
     def _parse_head(self) -> None:
         stop = self._received.find(HEAD_END)
         if stop < 0:
             if len(self._received) > MAX_HEAD_BYTES:
-                raise HttpResponseError("a head that is too long")
+                raise HttpResponseError(f"response head exceeds {MAX_HEAD_BYTES} bytes")
             return
         status_line, *headers = bytes(self._received[:stop]).split(LINE_END)
         del self._received[: stop + len(HEAD_END)]
@@ -70,7 +70,7 @@
     def _parse_status_line(self, line: bytes) -> None:
         words = line.split(b" ", 2)
         if len(words) < 2 or not words[0].startswith(b"HTTP/1.") or not words[1].isdigit():
-            raise HttpResponseError("not an HTTP/1.1 status line")
+            raise HttpResponseError("invalid HTTP/1.1 status line")
         self.status = int(words[1])
 
     def _parse_header(self, line: bytes) -> None:
@@ -78,7 +78,7 @@
         name, value = name.strip().lower(), value.strip()
         if name == b"content-length":
             if not value.isdigit():
-                raise HttpResponseError("a Content-Length that is no number")
+                raise HttpResponseError("Content-Length is not a number")
             self._content_length = int(value)
         elif name == b"transfer-encoding":
             self._is_chunked = value.lower() == b"chunked"
@@ -112,7 +112,7 @@
     try:
         size = int(line.split(b";")[0], 16)
     except ValueError:
-        raise HttpResponseError("a chunk without a size") from None
+        raise HttpResponseError("chunk size is not a hexadecimal number") from None
     if size < 0:
-        raise HttpResponseError("a chunk of negative size")
+        raise HttpResponseError("chunk size is negative")
     return size
--- a/saltcourse/codec/json_fields.py
+++ b/saltcourse/codec/json_fields.py
@@ -1,6 +1,6 @@
-"""Checked access to the fields of an object as parsed from JSON; each error names the field.
+"""Checked access to the fields of an object parsed from JSON; each error names the field.
 
-An absent field and one of null count alike.
+A field of value null is treated like an absent field.
 """
 
 from __future__ import annotations
@@ -12,22 +12,22 @@
 
 
 def field(message: dict[str, Any], key: str, kind: type | tuple[type, ...], default: Any = None) -> Any:
-    """Return the value of a field, of one of the types ``kind``.
+    """Return the value of a field, which must be of a type in ``kind``; ``default`` if it is absent.
 
-    Raises ``InvalidObjectError`` when it is of another type, or absent and there is no default.
+    Raises ``InvalidObjectError`` if the value has another type, or is absent and there is no default.
     """
     value = message.get(key)
     if value is None:
         if default is None:
-            raise InvalidObjectError(f"{message.get('msg', 'message')}: no '{key}'")
+            raise InvalidObjectError(f"{message.get('msg', 'message')}: '{key}' is missing")
         return default
     if not isinstance(value, kind) or (isinstance(value, bool) and kind is not bool):
-        raise InvalidObjectError(f"{message.get('msg', 'message')}: '{key}' is of the wrong type: {value!r}")
+        raise InvalidObjectError(f"{message.get('msg', 'message')}: '{key}' has the wrong type: {value!r}")
     return value
 
 
 def number(message: dict[str, Any], key: str, default: float | None = None) -> float:
-    """Return the value of a field as a finite number. Raises ``InvalidObjectError``."""
+    """Return the value of a field, which must be a finite number. Raises ``InvalidObjectError``."""
     value = field(message, key, (int, float), default)
     if not is_finite_number(value):
         raise InvalidObjectError(f"{message.get('msg', 'message')}: '{key}' is not a finite number")
@@ -35,7 +35,7 @@
 
 
 def is_finite_number(value: object) -> bool:
-    """Whether the value is a number, and one that a float can hold."""
+    """Return whether the value is a number that a float can hold, and neither infinite nor NaN."""
     if isinstance(value, bool) or not isinstance(value, (int, float)):
         return False
     try:
@@ -45,9 +45,9 @@
 
 
 def lookup(message: dict[str, Any], key: str, table: dict[Any, Any]) -> Any:
-    """Return what ``table`` has for the value of a field.
+    """Return the entry of ``table`` for the value of a field.
 
-    Raises ``InvalidObjectError`` when it has nothing.
+    Raises ``InvalidObjectError`` if the table has no such entry.
     """
     value = message.get(key)
     try:
@@ -59,7 +59,10 @@
 
 
 def choice(kind: Any, value: str, name: str) -> Any:
-    """Return the member of the enumeration ``kind`` that has this value. Raises ``InvalidObjectError``."""
+    """Return the member of the enumeration ``kind`` with this value; ``name`` is the field for the error.
+
+    Raises ``InvalidObjectError`` if there is no such member.
+    """
     try:
         return kind(value)
     except ValueError:
@@ -67,7 +70,7 @@
 
 
 def objects(message: dict[str, Any], key: str, default: list[Any] | None = None) -> list[dict[str, Any]]:
-    """Return the value of a field that is a list of objects. Raises ``InvalidObjectError``."""
+    """Return the value of a field, which must be a list of objects. Raises ``InvalidObjectError``."""
     values: list[dict[str, Any]] = field(message, key, list, default)
     for index, value in enumerate(values):
         if not isinstance(value, dict):
@@ -76,21 +79,21 @@
 
 
 def texts(message: dict[str, Any], key: str) -> tuple[str, ...]:
-    """Return the value of a field that is a list of texts, empty if it is absent.
+    """Return the value of a field, which must be a list of strings; an empty tuple if it is absent.
 
     Raises ``InvalidObjectError``.
     """
     values = field(message, key, list, [])
     for index, value in enumerate(values):
         if not isinstance(value, str):
-            raise InvalidObjectError(f"'{key}[{index}]' is not a text: {value!r}")
+            raise InvalidObjectError(f"'{key}[{index}]' is not a string: {value!r}")
     return tuple(values)
 
 
 def optional_amounts(message: dict[str, Any], key: str, count: int) -> list[float]:
-    """Return ``count`` values of a list of numbers of 0 or more; 0 where it is shorter, or has null.
+    """Return the first ``count`` values of a field, which must be a list of numbers of 0 or more.
 
-    Raises ``InvalidObjectError``.
+    Missing entries and entries of null are 0. Raises ``InvalidObjectError``.
     """
     values = field(message, key, list, [])
     for index, value in enumerate(values):
--- a/saltcourse/codec/lines.py
+++ b/saltcourse/codec/lines.py
@@ -1,25 +1,25 @@
-"""The line protocol of clients and backends: CRLF lines of at most 4 KiB, and what they mean.
+"""The line protocol of clients and backends: CRLF-terminated lines of at most 4 KiB.
 
-The protocol's words are mapped to the terms of the code here and nowhere else; ``REPORT_FIELDS`` maps the
-fields of load reports, also for the simulator's wire:
+Only this module maps the protocol's names to the terms of the code. ``REPORT_FIELDS`` maps the fields of load
+reports, including those of the simulator protocol:
 
     OPEN id key fields     a request                        OpenRequest
       c=, t=, g=             request class, tenant, group
       d=                     ms until the client gives up   time_left
       h=                     expected load                  load_hint
-      r=1, again=1           a retry; came back after BUSY or MOVE (passed on, not read)
-      at=                    established at this backend before the proxy's start
-    UP receipt             the backend takes the connection
-    BUSY [ms]              rejected, with a Retry-After in ms
-    ERR                    failed
-    MOVE                   the client is to reconnect: the connection is migrated
-    BYE                    the backend ends the connection in good order
+      r=1, again=1           a retry; a reconnect after BUSY or MOVE (forwarded, not parsed)
+      at=                    backend of a connection established before the proxy's start
+    UP receipt             the backend accepts the connection
+    BUSY [ms]              the request is rejected, with an optional Retry-After in ms
+    ERR                    the request failed
+    MOVE                   the client must reconnect: the connection is migrated
+    BYE                    the backend closes the connection normally
     LOAD x                 the connection's load, in microseconds of work per second
-    PING, STATS            health check, the latter asks for a load report
-    PONG [fields], NO      healthy, perhaps with a load report; no health check is answered now
+    PING, STATS            health checks; STATS also requests a load report
+    PONG [fields], NO      healthy, with an optional load report; health checks are not answered now
 
-A ``LineBuffer`` is read into directly and hands out slices of itself; whoever needs a line beyond
-the next read copies it.
+Sockets are read directly into a ``LineBuffer``. The lines that it returns are slices of the buffer, valid
+until the next read; a caller that needs a line for longer must copy it.
 """
 
 from __future__ import annotations
@@ -30,10 +30,10 @@
 from saltcourse.balancing.events import LoadReport
 from saltcourse.codec.errors import ProtocolError
 
-MICROSECONDS = 1e-6  # s; LOAD is in microseconds of work per second
-MAX_LINE_BYTES = 4096  # CRLF included
-MAX_TIMEOUT_MILLISECONDS = 60_000  # no client waits longer for UP: a larger `d` is a mistake
-MAX_RESUME_TIMEOUT_MILLISECONDS = 86_400_000  # of a connection from before the proxy's start
+MICROSECONDS = 1e-6  # seconds; LOAD is in microseconds of work per second
+MAX_LINE_BYTES = 4096  # including CRLF
+MAX_TIMEOUT_MILLISECONDS = 60_000  # `d` of a new request: no client waits longer for UP
+MAX_RESUME_TIMEOUT_MILLISECONDS = 86_400_000  # `d` with `at`: the connection was established earlier
 MAX_TIMEOUT_DIGITS = 12
 LINE_END = b"\r\n"
 OPEN_PREFIX = b"OPEN "
@@ -43,7 +43,8 @@
 MOVE_LINE = MOVE + LINE_END
 FAIL_LINE = ERR + LINE_END
 PONG_LINE = PONG + LINE_END
-REPORT_FIELDS = {  # the simulator's name of a field and the sockets' own, where they differ
+# Field of a load report, as the simulator or the line protocol names it -> field of LoadReport.
+REPORT_FIELDS = {
     "rif": "inflight",
     "inflight": "inflight",
     "q": "queue",
@@ -56,7 +57,7 @@
 
 
 class LineBuffer:
-    """A fixed buffer of what has been read and not yet passed on."""
+    """A buffer of fixed size for received bytes that have not been consumed yet."""
 
     __slots__ = ("_bytes", "_start", "_end", "_searched")
 
@@ -66,7 +67,7 @@
         self._searched = 0  # there is no line end before this index
 
     def free_space(self) -> memoryview:
-        """Where the next bytes are to be read into; empty when the buffer is full."""
+        """Return the free part of the buffer, to read the next bytes into; empty if the buffer is full."""
         if self._start:
             kept = self._end - self._start
             self._bytes[:kept] = self._bytes[self._start : self._end]
@@ -75,34 +76,34 @@
         return memoryview(self._bytes)[self._end :]
 
     def commit(self, count: int) -> None:
-        """Count in the bytes that were read into the free space."""
+        """Mark ``count`` bytes of the free space as received."""
         self._end += count
 
     @property
     def has_data(self) -> bool:
-        """Whether anything has been read and not yet taken out."""
+        """Whether the buffer holds bytes that have not been consumed yet."""
         return self._end > self._start
 
     def next_line(self) -> memoryview | None:
-        """Take out the first whole line, with its CRLF; None when there is none yet.
+        """Remove and return the first complete line with its CRLF, or None if more bytes are needed.
 
-        Raises ``ProtocolError`` for a line over ``MAX_LINE_BYTES``.
+        Raises ``ProtocolError`` if the line exceeds ``MAX_LINE_BYTES``.
         """
         found = self._bytes.find(LINE_END, max(self._start, self._searched - 1), self._end)
         if found < 0:
             self._searched = self._end
             if self._end - self._start >= MAX_LINE_BYTES:
-                raise ProtocolError("a line over 4 KiB")
+                raise ProtocolError("line exceeds 4096 bytes")
             return None
         stop = found + len(LINE_END)
         if stop - self._start > MAX_LINE_BYTES:
-            raise ProtocolError("a line over 4 KiB")
+            raise ProtocolError("line exceeds 4096 bytes")
         line = memoryview(self._bytes)[self._start : stop]
         self._start = self._searched = stop
         return line
 
     def take_remaining(self) -> memoryview:
-        """Take out all that is left, perhaps a part of a line."""
+        """Remove and return all remaining bytes, which may end with an incomplete line."""
         remaining = memoryview(self._bytes)[self._start : self._end]
         self._start = self._searched = self._end
         return remaining
@@ -110,9 +111,9 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenRequest:
-    """A client's OPEN line: what it asks for, and the line itself, cut around the figure of ``d``.
+    """A client's OPEN line: its fields, and the parts of the line before and after the value of ``d``.
 
-    ``time_left`` is in seconds; ``key`` is the same with each of the client's retries. ``resume_backend`` is
+    ``time_left`` is in seconds; ``key`` is the same for all retries of a request. ``resume_backend`` is
     empty, or names the backend at which the connection was established before this proxy's start.
     """
 
@@ -120,7 +121,7 @@
     key: str
     request_class: str
     time_left: float
-    tenant: str  # no rule reads it
+    tenant: str  # not used for decisions
     group: str
     load_hint: float
     resume_backend: str
@@ -128,30 +129,30 @@
     after_timeout: bytes
 
     def with_timeout(self, seconds: float) -> bytes:
-        """The line for a backend: as the client sent it, but for how long the proxy will wait."""
+        """Return the client's line for a backend, with ``d`` set to the time that the proxy will wait."""
         milliseconds = max(1, math.floor(seconds * 1000))
         return b"%s%d%s" % (self.before_timeout, milliseconds, self.after_timeout)
 
 
 def parse_open(line: memoryview) -> OpenRequest:
-    """Parse a whole OPEN line; it is copied, for it is sent with every attempt.
+    """Parse a complete OPEN line; the line is copied, because it is sent with every attempt.
 
     Raises ``ProtocolError``.
     """
     raw = bytes(line)
-    if not raw.startswith(OPEN_PREFIX):  # what floods in is mostly no OPEN line at all
-        raise ProtocolError("not an OPEN line")
+    if not raw.startswith(OPEN_PREFIX):  # cheap check first: floods mostly consist of other lines
+        raise ProtocolError("expected an OPEN line")
     try:
         text = raw.decode()
     except UnicodeDecodeError:
-        raise ProtocolError("a line that is not UTF-8") from None
+        raise ProtocolError("OPEN: line is not valid UTF-8") from None
     words = text[:-2].split(" ")
     if len(words) != 4 or not all(words):
-        raise ProtocolError("not an OPEN line of four words")
+        raise ProtocolError("OPEN: line must have four words")
     fields = _parse_fields(words[3])
     timeout = _timeout_digits(fields)
     if "c" not in fields:
-        raise ProtocolError("OPEN: no 'c'")
+        raise ProtocolError("OPEN: 'c' is missing")
     load_hint = _parse_load_hint(fields)
     timeout_start = _timeout_index(raw)
     return OpenRequest(
@@ -169,39 +170,39 @@
 
 
 def _parse_fields(text: str) -> dict[str, str]:
-    """``name=value`` pairs with commas between them; raises ``ProtocolError``."""
+    """Parse comma-separated ``name=value`` pairs. Raises ``ProtocolError``."""
     fields: dict[str, str] = {}
     for pair in text.split(","):
         name, equals, value = pair.partition("=")
         if not equals or name in fields:
-            raise ProtocolError(f"OPEN: '{name[:20]}' has no value or stands twice")
+            raise ProtocolError(f"OPEN: '{name[:20]}' has no value or is duplicate")
         fields[name] = value
     return fields
 
 
 def _timeout_digits(fields: dict[str, str]) -> str:
-    """The figure of ``d`` as it is in the line; raises ``ProtocolError``."""
+    """Return the value of ``d`` as it is written in the line. Raises ``ProtocolError`` if it is invalid."""
     digits = fields.get("d", "")
     longest = MAX_RESUME_TIMEOUT_MILLISECONDS if fields.get("at") else MAX_TIMEOUT_MILLISECONDS
     is_number = digits.isascii() and digits.isdigit() and len(digits) <= MAX_TIMEOUT_DIGITS
     if not is_number or not 0 < int(digits) <= longest:
-        raise ProtocolError("OPEN: 'd' is not a sound number of milliseconds")
+        raise ProtocolError(f"OPEN: 'd' must be an integer from 1 to {longest} (milliseconds)")
     return digits
 
 
 def _parse_load_hint(fields: dict[str, str]) -> float:
-    """The figure of ``h``, 0 where there is none; raises ``ProtocolError``."""
+    """Return the value of ``h``, 0 if it is absent. Raises ``ProtocolError`` if it is invalid."""
     try:
         hint = float(fields.get("h", "0"))
     except ValueError:
         hint = math.nan
     if not (math.isfinite(hint) and hint >= 0):
-        raise ProtocolError("OPEN: 'h' is not a number of 0 or more")
+        raise ProtocolError("OPEN: 'h' must be a number of 0 or more")
     return hint
 
 
 def _timeout_index(raw: bytes) -> int:
-    """Where the figure of ``d`` begins in a line that is known to have one."""
+    """Return the index of the value of ``d`` in a line that contains this field."""
     fields_start = raw.rindex(b" ") + 1
     if raw.startswith(b"d=", fields_start):
         return fields_start + len(b"d=")
@@ -209,17 +210,17 @@
 
 
 def busy_line(retry_after: float) -> bytes:
-    """A rejection; its Retry-After goes out in whole milliseconds (``retry_after`` in s)."""
+    """Return a BUSY line; ``retry_after`` is in seconds and is sent rounded to milliseconds."""
     return b"BUSY %d\r\n" % round(retry_after * 1000) if retry_after > 0 else b"BUSY\r\n"
 
 
 def word_of(line: memoryview) -> bytes:
-    """The first word of a line, by which its kind is known."""
+    """Return the first word of a line, which identifies its kind."""
     return bytes(line[:-2]).split(b" ", 1)[0]
 
 
 def parse_load(line: memoryview) -> float | None:
-    """The figure of a ``LOAD X`` line; None when it is another line or X is no figure."""
+    """Return the value of a ``LOAD X`` line; None for another line, or if X is not a number of 0 or more."""
     if bytes(line[: len(LOAD_PREFIX)]) != LOAD_PREFIX:
         return None
     try:
@@ -230,15 +231,15 @@
 
 
 def parse_load_report(line: memoryview) -> LoadReport | None:
-    """The load report behind a line's first word, ``PONG q=2,x0=0.61``; None where none follows.
+    """Return the load report that follows the first word of a line, as in ``PONG q=2,x0=0.61``.
 
-    A field of another name, or a value that is no figure, is passed over: the others still count.
+    Unknown fields and invalid values are skipped. Return None if no valid field remains.
     """
     values: dict[str, float] = {}
     for pair in bytes(line[:-2]).partition(b" ")[2].decode("latin-1").split(","):
-        name, _, figure = pair.partition("=")
+        name, _, text = pair.partition("=")
         try:
-            value = float(figure)
+            value = float(text)
         except ValueError:
             continue
         if name in REPORT_FIELDS and math.isfinite(value) and value >= 0:
