--- a/saltcourse/admin/__init__.py
+++ b/saltcourse/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' address: HTTP/1.1, one request a connection, apart from the clients' port."""
+"""The admin server at the operators' address: HTTP/1.1, one request per connection, on its own port."""
--- a/saltcourse/admin/commands.py
+++ b/saltcourse/admin/commands.py
@@ -1,4 +1,4 @@
-"""Carries out an operator's command at the program, and says with which status."""
+"""Executes an operator's command and returns the HTTP response."""
 
 from __future__ import annotations
 
@@ -9,40 +9,40 @@
 
 
 class GossipHandler(Protocol):
-    """Answers the commands about the fleet: a member of it."""
+    """Executes the commands about the fleet; implemented by a gossip member."""
 
     def members(self) -> Response:
-        """Return the members that this one knows."""
+        """Return the members that this member knows."""
 
     def configuration(self) -> Response:
-        """Return the fleet's configuration as this member has it."""
+        """Return this member's copy of the fleet's configuration."""
 
     async def publish(self, body: bytes) -> Response:
-        """Change the configuration; takes as long as the control members need to agree, or to give up."""
+        """Change the configuration, and return once the control members have committed it or timed out."""
 
 
 class AdminTarget(Protocol):
-    """The program that the commands are about."""
+    """The program that the commands act on."""
 
     def supports(self, command: Command) -> bool:
-        """Whether the program has what the command is about; its path is unknown otherwise."""
+        """Return whether the program supports the command; the path of others is answered with 404."""
 
     @property
     def gossip_handler(self) -> GossipHandler | None:
-        """None unless the program is a member of a fleet."""
+        """The handler of commands about the fleet; None unless the program is a member of one."""
 
     def ready(self) -> bool:
-        """Whether it can serve now."""
+        """Return whether the program can serve now."""
 
     def metrics_text(self) -> bytes:
-        """Return the metrics, one a line."""
+        """Return the metrics, one per line."""
 
     def lameduck(self, on: bool) -> bool:
-        """Drain the program, or take it back into service; False once it is leaving for good."""
+        """Drain the program, or return it to service; return False if it is shutting down."""
 
 
 async def execute(command: Command, body: bytes, target: AdminTarget) -> Response:
-    """Carry out a command; ``body`` is that of its request."""
+    """Execute a command and return its response; ``body`` is the body of the request."""
     if not target.supports(command):
         return NO_SUCH_PATH
     if command is Command.READY:
@@ -58,7 +58,7 @@
 
 def _set_lameduck(target: AdminTarget, on: bool) -> Response:
     if not target.lameduck(on):
-        return Response(409, b"the proxy is leaving\n")
+        return Response(409, b"the proxy is shutting down\n")
     return Response(200, b"lameduck on\n" if on else b"lameduck off\n")
 
 
--- a/saltcourse/admin/publish_client.py
+++ b/saltcourse/admin/publish_client.py
@@ -1,4 +1,4 @@
-"""A client of the operators' address that publishes one change and waits for the response."""
+"""A client of the admin server that publishes one change and waits for the response."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from saltcourse.codec.endpoint_list import Address
 
 PATH = "/_gossip/configuration"
-# A control member gives up after its publish_timeout_s, 60 s at most, and responds then.
+# A control member responds with an error after its publish_timeout_s, which is at most 60 s.
 RESPONSE_TIMEOUT_SECONDS = 65.0
 
 
 class PublishingError(Exception):
-    """The change was not published, or it is not known; the text says which."""
+    """The change was not published, or the result is unknown; the text says which."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,7 +27,7 @@
 
 
 def publish_change(admin: Address, writes: Mapping[str, str | None]) -> PublishedAt:
-    """Publish new values by key; None deletes a key.
+    """Publish new values by key; the value None deletes a key.
 
     Raises ``PublishingError``.
     """
@@ -35,7 +35,9 @@
     try:
         connection.connect()
     except OSError as error:
-        raise PublishingError(f"not published: {admin[0]}:{admin[1]}: {error.strerror or error}") from None
+        raise PublishingError(
+            f"not published: cannot connect to {admin[0]}:{admin[1]}: {error.strerror or error}"
+        ) from None
     try:
         return _send(connection, json.dumps(writes, ensure_ascii=False).encode())
     finally:
@@ -48,7 +50,7 @@
         response = connection.getresponse()
         body = response.read()
     except (OSError, http.client.HTTPException) as error:
-        raise PublishingError(f"no answer; it may have been published: {error}") from None
+        raise PublishingError(f"no response, the change may have been published: {error}") from None
     if response.status != http.client.OK:
         text = body.decode(errors="replace").strip()
         raise PublishingError(f"{response.status} {response.reason}: {text}")
@@ -56,4 +58,4 @@
         position = json.loads(body)
         return PublishedAt(int(position["epoch"]), int(position["version"]))
     except (ValueError, KeyError, TypeError):
-        raise PublishingError(f"published, but the answer can't be read: {body[:100]!r}") from None
+        raise PublishingError(f"published, but the response is invalid: {body[:100]!r}") from None
--- a/saltcourse/admin/requests.py
+++ b/saltcourse/admin/requests.py
@@ -1,17 +1,19 @@
-r"""Requests at the operators' address, parsed with h11: bytes in, a command out. No sockets, no clock.
+r"""Parses requests to the admin server with h11: bytes in, a command out. It uses no sockets and no clock.
 
 Rules:
 
-- One request a connection: what follows the first is not read, and every response closes the connection.
-- A request is bounded: head and body together have at most ``MAX_REQUEST_BYTES``.
-- Every request gets one response. One that is no command gets it from here: 404 for an unknown path, 405 for
-  a method that the path does not take, 413 for a change that is too large, 400 for malformed bytes.
+- One request per connection: bytes after the first request are ignored, and every response closes the
+  connection.
+- A request is limited: its head and body together have at most ``MAX_REQUEST_BYTES``.
+- Every request gets one response. This module creates the responses to invalid requests: 404 for an unknown
+  path, 405 for a method that the path does not support, 413 for a change that is too large, 400 for
+  malformed, incomplete or otherwise too large requests.
 
-A connection's reader is in one of these states::
+The reader of a connection is in one of these states::
 
-    head --Request--> body --EndOfMessage--> done: a Command, or the Response of a wrong route
+    head --Request--> body --EndOfMessage--> done: a Command, or the Response to an unknown route
        \                \
-        \----------------\--malformed, too large, cut short--> done: a Response
+        \----------------\--malformed, too large, incomplete--> done: a Response
 """
 
 from __future__ import annotations
@@ -22,13 +24,13 @@
 
 from saltcourse.admin.responses import Response
 
-MAX_REQUEST_BYTES = 8 * 1024  # a line and a few headers, or a small change in JSON
+MAX_REQUEST_BYTES = 8 * 1024  # enough for a request line, a few headers and a small change in JSON
 NO_SUCH_PATH = Response(404, b"no such path\n")
-TRUNCATED = Response(400, b"call cut short\n")
+INCOMPLETE = Response(400, b"incomplete request\n")
 
 
 class Command(Enum):
-    """What an operator may ask for."""
+    """A command that an operator can send."""
 
     READY = "ready"
     VARS = "vars"
@@ -53,7 +55,7 @@
 
 
 def route(method: bytes, target: bytes) -> Command | Response:
-    """Return the command of a method and target, or the response to a wrong one."""
+    """Return the command for a method and target, or the error response if there is none."""
     path = target.split(b"?", 1)[0]
     methods = ROUTES.get(path)
     if methods is None:
@@ -65,41 +67,42 @@
 
 
 class RequestReader:
-    """Reads the one request of a connection."""
+    """Parses the single request of a connection."""
 
     def __init__(self) -> None:
         self._connection = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_REQUEST_BYTES)
-        self._routed: Command | Response | None = None  # once the head is complete
+        self._routed: Command | Response | None = None  # set once the head is complete
         self._size = 0
         self._body = bytearray()
 
     @property
     def body(self) -> bytes:
-        """The body of a complete request."""
+        """The body of the request, once that is complete."""
         return bytes(self._body)
 
     def feed(self, data: bytes) -> Command | Response | None:
-        """Take the next bytes, or ``b""`` at the end of the stream.
+        """Parse the next bytes; ``b""`` marks the end of the stream.
 
-        Returns the command once its request is complete, the response to a wrong one, else None.
+        Return the command once its request is complete, an error response if the request is invalid, and None
+        if more bytes are needed.
         """
         self._size += len(data)
         if self._size > MAX_REQUEST_BYTES:
             status = 413 if self._routed is Command.GOSSIP_PUBLISH else 400
-            return Response(status, b"call too large\n")
+            return Response(status, b"request too large\n")
         self._connection.receive_data(data)
         try:
             return self._handle_events(is_end=not data)
         except h11.RemoteProtocolError as error:
-            return Response(400, f"malformed call: {error}\n".encode())
+            return Response(400, f"malformed request: {error}\n".encode())
 
     def _handle_events(self, is_end: bool) -> Command | Response | None:
         while True:
             event = self._connection.next_event()
             if event is h11.NEED_DATA:
-                return TRUNCATED if is_end else None
+                return INCOMPLETE if is_end else None
             if isinstance(event, h11.ConnectionClosed):
-                return TRUNCATED
+                return INCOMPLETE
             if isinstance(event, h11.EndOfMessage):
                 return self._routed
             if isinstance(event, h11.Request):
--- a/saltcourse/admin/responses.py
+++ b/saltcourse/admin/responses.py
@@ -1,4 +1,4 @@
-"""Responses at the operators' address, and their bytes."""
+"""Responses of the admin server, and their encoding."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """A status with a body; ``allow`` lists the methods that the path takes, for a status of 405."""
+    """A status and a body; ``allow`` lists the methods that the path supports, for status 405."""
 
     status: int
     body: bytes = b""
@@ -31,9 +31,9 @@
 
 
 def encode_response(response: Response) -> bytes:
-    """Return the bytes of a response, which always closes the connection."""
+    """Return the bytes of a response, whose headers announce that the connection closes."""
     connection = h11.Connection(h11.SERVER)
-    # h11 writes a response only after it has read a request; this one stands for whatever was received.
+    # h11 sends a response only after a request, so a placeholder replaces the request that was received.
     connection.receive_data(b"GET / HTTP/1.1\r\nhost: admin\r\n\r\n")
     connection.next_event()
     headers = [
--- a/saltcourse/admin/server.py
+++ b/saltcourse/admin/server.py
@@ -1,9 +1,9 @@
-"""The operators' listener: sockets and time only.
+"""The admin server: its sockets and timeouts.
 
-A response is owed within a second whatever the clients' side of the program does, so the operators' address
-has a listener of its own, a bound on its connections and a time limit for each request. A caller that holds
-a connection without completing its request is closed after ``REQUEST_TIMEOUT_SECONDS``; when
-``MAX_CONNECTIONS`` are open, the oldest is closed for a new one, which must not wait for slow callers.
+Operators must get a response within a second regardless of the load from clients, so the admin server has its
+own listener, a limit on its connections and a timeout for each request. A connection without a complete
+request is closed after ``REQUEST_TIMEOUT_SECONDS``. If ``MAX_CONNECTIONS`` are open, the oldest is closed for
+a new one, so that slow callers do not delay others.
 """
 
 from __future__ import annotations
@@ -20,18 +20,18 @@
 from saltcourse.codec.endpoint_list import Address
 from saltcourse.proxy.sockets import start_listening
 
-REQUEST_TIMEOUT_SECONDS = 2.0  # for a complete request; operators' tools send it at once
+REQUEST_TIMEOUT_SECONDS = 2.0  # time to receive a complete request; operators' tools send it at once
 WRITE_TIMEOUT_SECONDS = 0.5
 MAX_CONNECTIONS = 32
 READ_BYTES = 4096
-BACKLOG = 64  # connections that wait to be accepted; operators' tools make one at a time
-ACCEPTS_AT_ONCE = 16  # before other work has its turn
+BACKLOG = 64  # connections waiting to be accepted; operators' tools open one at a time
+MAX_ACCEPTS_PER_EVENT = 16  # bounds the time that a burst of connections blocks the event loop
 
 log = structlog.get_logger("saltcourse")
 
 
 class AdminServer:
-    """Listens at ``address`` and answers for ``target``."""
+    """Listens on ``address`` and executes commands on ``target``."""
 
     def __init__(self, address: Address, target: AdminTarget) -> None:
         self._address = address
@@ -40,11 +40,11 @@
         self._connections: dict[asyncio.Task[None], IOStream] = {}  # oldest first
 
     def start(self) -> None:
-        """Listen. ``OSError`` when the address cannot be bound."""
+        """Start to listen. Raises ``OSError`` if the address cannot be bound."""
         self._listener = start_listening(self._address, BACKLOG, self._accept_waiting)
 
     def bound_address(self) -> Address:
-        """Return the address, with the port that the system chose where 0 was given."""
+        """Return the bound address, with the port chosen by the system if port 0 was configured."""
         assert self._listener is not None
         host, port = self._listener.getsockname()[:2]
         return host, port
@@ -59,21 +59,21 @@
             task.cancel()
 
     def _accept_waiting(self) -> None:
-        for _ in range(ACCEPTS_AT_ONCE):
+        for _ in range(MAX_ACCEPTS_PER_EVENT):
             if self._listener is None:
                 return
             try:
                 connection, _ = self._listener.accept()
             except (BlockingIOError, ConnectionAbortedError):
                 return
-            except OSError as error:  # short of descriptors: the caller is left in the backlog
+            except OSError as error:  # out of file descriptors: the connection stays in the backlog
                 log.warning("admin connection not accepted", reason=error.strerror)
                 return
             self._close_oldest()
             self._start_serving(connection)
 
     def _close_oldest(self) -> None:
-        """Make room for one more connection."""
+        """Close the oldest connections until one more is within the limit."""
         while len(self._connections) >= MAX_CONNECTIONS:
             oldest = next(iter(self._connections))
             self._connections.pop(oldest).close()
@@ -90,7 +90,7 @@
         self._connections.pop(task, None)
 
     async def _serve(self, stream: IOStream) -> None:
-        """Answer the one request of a connection; a caller that leaves or is too slow gets no response."""
+        """Answer the request of a connection; a caller that disconnects or times out gets no response."""
         try:
             reader = RequestReader()
             request = await self._read_request(stream, reader)
@@ -107,7 +107,7 @@
 
     @staticmethod
     async def _read_request(stream: IOStream, reader: RequestReader) -> Command | Response:
-        """Read until the request is complete. ``TimeoutError`` when that takes too long."""
+        """Read a complete request. Raises ``TimeoutError`` after ``REQUEST_TIMEOUT_SECONDS``."""
         async with asyncio.timeout(REQUEST_TIMEOUT_SECONDS):
             while True:
                 try:
--- a/saltcourse/app/__init__.py
+++ b/saltcourse/app/__init__.py
@@ -1,6 +1,6 @@
-"""The programs: composes what the configuration switches on; the one package that knows all hosts.
+"""The programs, composed from the features that the configuration enables.
 
-``proxy``, ``witness`` and ``control_member`` are the programs. ``address_failover`` and ``gossip`` compose a
-member of each subsystem, and run it beside the proxy where the operator's file has its section. A module of a
-feature that is off is not imported.
+``proxy``, ``witness`` and ``control_member`` are the programs. ``address_failover`` and ``gossip`` create a
+member of their subsystem, and run it in the proxy's process if the operator's file has the section. Modules
+of disabled features are not imported. Only this package depends on all subsystems.
 """
--- a/saltcourse/app/address_failover.py
+++ b/saltcourse/app/address_failover.py
@@ -1,4 +1,4 @@
-"""Composes a member of the election for the service address, and runs it beside a proxy."""
+"""Creates a member of the election for the service address, and runs it in the proxy's process."""
 
 from __future__ import annotations
 
@@ -29,25 +29,25 @@
 
 SEED_BITS = 32
 NANOSECONDS_PER_MICROSECOND = 1000
-RELOADED_FIELDS = ("keys", "key_file")  # taken over by a reload; all else needs a restart
+RELOADED_FIELDS = ("keys", "key_file")  # applied by a reload; other fields require a restart
 
 log = structlog.get_logger("saltcourse")
 
 
 def create_election_host(settings: AddressFailoverSettings) -> ElectionHost:
-    """Compose a member, which is not started yet. ``VoteStoreError`` when its stored vote can't be used."""
-    boot = time.time_ns() // NANOSECONDS_PER_MICROSECOND
+    """Create a member without starting it. Raises ``VoteStoreError`` if its stored vote is unusable."""
+    boot_time_us = time.time_ns() // NANOSECONDS_PER_MICROSECOND
     others = {name: address for name, address in settings.addresses.items() if name != settings.own_name}
-    seed = secrets.randbits(SEED_BITS)  # drawn anew by each process: members must not draw alike
+    seed = secrets.randbits(SEED_BITS)  # random per process: equal seeds would give members equal delays
     announcer = _create_announcer(settings, seed)
     store = VoteStore(settings.store_file, settings.own_name) if settings.store_file is not None else None
-    authenticator = DatagramAuthenticator(settings.own_name, boot, list(settings.keys), others)
+    authenticator = DatagramAuthenticator(settings.own_name, boot_time_us, list(settings.keys), others)
     config = ElectionConfig(settings.voters, settings.own_name, settings.timing)
     return ElectionHost(config, authenticator, seed, announcer, store)
 
 
 def _create_announcer(settings: AddressFailoverSettings, seed: int) -> AddressAnnouncer | None:
-    """None for a witness, which never holds the address."""
+    """Return the announcer; None for a witness, which never holds the address."""
     if settings.is_witness:
         return None
     bgp, command = settings.bgp, settings.command
@@ -60,9 +60,9 @@
 
 
 class AddressFailoverService:
-    """The member beside a proxy: starts when the proxy serves, hands the address over before it drains.
+    """The member in a proxy's process: it starts once the proxy serves, and leaves before the proxy drains.
 
-    ``reread`` reads the section again when the program reloads.
+    ``reread`` reads the section again on a reload.
     """
 
     def __init__(self, settings: AddressFailoverSettings, reread: Reread[AddressFailoverSettings]) -> None:
@@ -73,7 +73,7 @@
     async def start(self) -> None:
         """Join the election.
 
-        ``AddressFailoverStartError`` when the vote file cannot be used or the address cannot be bound.
+        Raises ``AddressFailoverStartError`` if the vote file is unusable or the address cannot be bound.
         """
         try:
             self._member = create_election_host(self._settings)
@@ -87,17 +87,17 @@
             ) from None
 
     async def leave(self) -> None:
-        """Hand the address over, if this member holds it, and leave the election."""
+        """Hand over the address if this member holds it, and leave the election."""
         if self._member is not None:
             await self._member.leave()
 
     def reload(self) -> None:
-        """Take changed keys over, so that they can be replaced member by member; log the other changes."""
+        """Apply changed keys, so that they can be rotated member by member, and log all other changes."""
         if self._member is None:
             return
         new = reread_section(SECTION, self._reread)
         if new is None:
             return
         self._member.authenticator.change_keys(list(new.keys))
-        log.info("reloaded", key=KEY_FILE, keys=len(new.keys))
+        log.info("authentication keys reloaded", key=KEY_FILE, keys=len(new.keys))
         warn_of_changes(SECTION, self._settings, new, RELOADED_FIELDS, FILE_KEYS)
--- a/saltcourse/app/control_member.py
+++ b/saltcourse/app/control_member.py
@@ -1,7 +1,7 @@
-"""A control member alone in its process: a voter, or one that only follows and answers operators.
+"""Runs a control member in its own process: a voter, or a follower that only answers operators.
 
-It runs until SIGTERM or SIGINT, or until a voter's state can't be stored: a voter that may forget what it has
-agreed to must not vote on.
+It runs until SIGTERM or SIGINT. A voter also stops when its state can't be stored, because it must not vote
+without a record of its earlier votes.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 
 class ControlMember:
-    """The program, which also answers at the operators' address."""
+    """The program: the gossip member and its admin server."""
 
     def __init__(self, settings: GossipSettings, reread: Reread[GossipSettings]) -> None:
         self._settings = settings
@@ -48,15 +48,15 @@
     async def run(self, admin: Address | None) -> None:
         """Run until SIGTERM or SIGINT.
 
-        Raises ``ListenError`` when an address cannot be bound, ``ControlMemberError`` when the state of a
-        voter can't be stored any more.
+        Raises ``ListenError`` if an address cannot be bound, and ``ControlMemberError`` if the state of a
+        voter can't be stored.
         """
         self._handle_signals()
         await start_host(self._host, self._settings)
         server = self._serve_admin(admin)
         try:
             await self._stop.wait()
-            signals.ignore()  # the program ends by itself in a moment
+            signals.ignore()  # the program is already shutting down
             await self._leave()
         finally:
             if server is not None:
@@ -103,8 +103,8 @@
         if not self._host.is_open:
             return
         self._host.leave()
-        log.info("gossip left", member=self._settings.own_name)
-        # The member still answers meanwhile, so that others learn of its departure though a datagram is lost.
+        log.info("gossip member left", member=self._settings.own_name)
+        # The member keeps answering, so that others learn of its departure even if a datagram is lost.
         await asyncio.sleep(LEAVE_GRACE_SECONDS)
         self._host.close()
 
@@ -112,26 +112,26 @@
 
     @property
     def gossip_handler(self) -> GossipHandler | None:
-        """The member's answers to commands about the fleet."""
+        """The handler of commands about the fleet."""
         return self._gossip_handler
 
     def supports(self, command: Command) -> bool:
-        """A control member has no clients, so it can't be drained."""
+        """Return whether the command is supported; a control member has no clients and can't be drained."""
         return command not in LAMEDUCK_COMMANDS
 
     def ready(self) -> bool:
-        """Whether a voter knows a majority of the voters to be alive; other members, any voter."""
+        """Return whether enough voters are known to be alive: a majority for a voter, one for others."""
         members = self._host.node.membership.members
         alive = [voter for voter in self._settings.voters if _is_alive(members.get(voter.id))]
         needed = len(self._settings.voters) // 2 + 1 if self._settings.is_voter else 1
         return self._host.is_open and len(alive) >= needed
 
     def metrics_text(self) -> bytes:
-        """Return the metrics, one a line."""
+        """Return the metrics, one per line."""
         return self._metrics.text()
 
     def lameduck(self, on: bool) -> bool:
-        """Never drained, see ``supports``."""
+        """Return False: a control member can't be drained, see ``supports``."""
         return False
 
     def _gauges(self) -> dict[str, int]:
@@ -145,9 +145,9 @@
 def run_control_member(
     settings: GossipSettings, reread: Reread[GossipSettings], admin: Address | None
 ) -> None:
-    """Run a control member, which answers operators at ``admin`` if that is given.
+    """Run a control member, with an admin server at ``admin`` if that is given.
 
-    Raises ``ConfigError``, ``ListenError`` or ``ControlMemberError`` when it can't start or go on.
+    Raises ``ConfigError``, ``ListenError`` or ``ControlMemberError`` if it can't start or continue.
     """
     asyncio.run(_run(settings, reread, admin))
 
--- a/saltcourse/app/gossip.py
+++ b/saltcourse/app/gossip.py
@@ -1,4 +1,4 @@
-"""Composes a member of the fleet, and runs it beside a proxy."""
+"""Creates a gossip member of the fleet, and runs it in the proxy's process."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
 from saltcourse.proxy.background_service import HostProgram
 from saltcourse.proxy.errors import ListenError
 
-REPORT_INTERVAL_SECONDS = 1.0  # between a proxy's reports of its connection count
-PROCESS_BITS = 32
+REPORT_INTERVAL_SECONDS = 1.0  # interval of a proxy's reports of its connection count
+PROCESS_ID_BITS = 32
 SEED_BITS = 64
-NOT_IN_A_NAME = re.compile(r"[^A-Za-z0-9_.-]")  # a zone's name is part of names in statsd's line format
+INVALID_METRIC_CHARACTER = re.compile(r"[^A-Za-z0-9_.-]")  # statsd names contain names of zones
 
 log = structlog.get_logger("saltcourse")
 
 
 def node_settings(settings: GossipSettings) -> NodeSettings:
-    """Return the node's part of the settings, with a number drawn anew for this process."""
+    """Return the settings of the node, with a random identifier of this process."""
     own_record = MemberRecord(
         name=settings.own_name,
         address=settings.advertise,
@@ -39,7 +39,7 @@
         zone=settings.zone,
         role=settings.role,
         incarnation=0,
-        process_id=secrets.randbits(PROCESS_BITS),
+        process_id=secrets.randbits(PROCESS_ID_BITS),
     )
     return NodeSettings(
         own_record=own_record,
@@ -58,13 +58,13 @@
     on_applied: Callable[[Applied], None] | None = None,
     on_failure: Callable[[StoreError], None] | None = None,
 ) -> Host:
-    """Compose a member, which is not started yet; ``state`` and ``store`` are a voter's."""
+    """Create a member without starting it; only a voter has ``state`` and ``store``."""
     node = Node(node_settings(settings), random.Random(secrets.randbits(SEED_BITS)), state)
     return Host(node, store, on_applied, on_failure)
 
 
 async def start_host(host: Host, settings: GossipSettings) -> None:
-    """Bind the member's address and join the fleet. ``ListenError`` when the address cannot be bound."""
+    """Bind the member's address and join the fleet. Raises ``ListenError`` if the address cannot be bound."""
     try:
         await host.start(settings.listen)
     except OSError as error:
@@ -73,21 +73,21 @@
 
 
 def reload_section(old: GossipSettings, reread: Reread[GossipSettings]) -> None:
-    """Log what a restart would change: the section is read at the start only."""
+    """Read the section again and log its changes, which only a restart applies."""
     new = reread_section(SECTION, reread)
     if new is not None:
         warn_of_changes(SECTION, old, new, file_keys=FILE_KEYS)
 
 
 def prefix_metric_names(metrics: dict[str, int]) -> dict[str, int]:
-    """Return the member's metrics under the names that they have among those of the program."""
-    return {f"{SECTION}.{NOT_IN_A_NAME.sub('_', name)}": value for name, value in metrics.items()}
+    """Return the member's metrics with the prefix and valid characters of the program's metric names."""
+    return {f"{SECTION}.{INVALID_METRIC_CHARACTER.sub('_', name)}": value for name, value in metrics.items()}
 
 
 class GossipService:
-    """The member beside a proxy: reports its connections, and applies the fleet's configuration to it.
+    """The member in a proxy's process: reports connections, and applies the fleet's configuration.
 
-    ``source`` is the proxy's configuration, ``reread`` reads the section again when the program reloads.
+    ``source`` is the proxy's configuration; ``reread`` reads the section again on a reload.
     """
 
     def __init__(
@@ -102,29 +102,29 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def attach(self, program: HostProgram) -> None:
-        """Set the proxy that this member runs beside; before its start."""
+        """Set the proxy that this member runs with. To be called before ``start``."""
         self._program = program
 
     async def start(self) -> None:
-        """Join the fleet. ``ListenError`` when the address cannot be bound."""
+        """Join the fleet. Raises ``ListenError`` if the address cannot be bound."""
         self.host = create_host(self._settings, on_applied=self._on_applied)
         await start_host(self.host, self._settings)
         self.gossip_handler = GossipAdminHandler(self.host)
         self._report_connections()
 
     async def leave(self) -> None:
-        """Tell the fleet that this member leaves."""
+        """Notify the fleet that this member leaves."""
         if self._timer is not None:
             self._timer.cancel()
         if self.host is not None:
             self.host.leave()
 
     def reload(self) -> None:
-        """Log what a restart would change."""
+        """Log the changes of the section, which only a restart applies."""
         reload_section(self._settings, self._reread)
 
     def gauges(self) -> dict[str, int]:
-        """Return the member's metrics and those of the configuration; none before the start."""
+        """Return the metrics of the member and of rejected configuration values; none before ``start``."""
         if self.host is None:
             return {}
         metrics = self.host.metrics()
--- a/saltcourse/app/proxy.py
+++ b/saltcourse/app/proxy.py
@@ -1,4 +1,4 @@
-"""Composes the proxy with what its own file and the operator's file switch on, and runs it."""
+"""Runs the proxy with the features that its own file and the operator's file enable."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from saltcourse.config.overlay import ConfigurationSource
 from saltcourse.proxy.server import serve
 
-if TYPE_CHECKING:  # nothing of it is imported without an operator's file
+if TYPE_CHECKING:  # imported at run time only if there is an operator's file
     from saltcourse.config.operator import OperatorSettings
     from saltcourse.proxy.background_service import BackgroundService, MembershipService
 
 
 class ProxyProgram:
-    """The proxy and its background services, composed from the configuration as it is at the start.
+    """The proxy and its background services, created from the configuration read at the start.
 
-    ``config_path`` and ``operator_path`` are None where the environment names the files; there may be no
-    operator's file. Raises ``ConfigError``, and ``MissingExtraError`` when protobuf is not installed.
+    If ``config_path`` or ``operator_path`` is None, the environment names the file; the operator's file is
+    optional. Raises ``ConfigError``, and ``MissingExtraError`` if protobuf is not installed.
     """
 
     def __init__(
@@ -36,9 +36,9 @@
         self.config: Config = self._with_shared_state(config)
 
     def run(self) -> None:
-        """Serve until SIGTERM; SIGHUP has the configuration read again.
+        """Serve until SIGTERM; SIGHUP reloads the configuration.
 
-        Raises ``ConfigError`` and ``ListenError``, and ``AddressFailoverStartError`` for that service.
+        Raises ``ConfigError``, ``ListenError``, or ``AddressFailoverStartError`` from that service.
         """
         source = ConfigurationSource(self.config, self._reread)
         background_services = self._create_background_services()
@@ -49,10 +49,9 @@
         return self._with_shared_state(load_config(self._config_path, self._environment, reloading=True))
 
     def _with_shared_state(self, config: Config) -> Config:
-        """Put the operator's terms of shared state into the settings that the decisions are made under.
+        """Return the configuration with the operator's shared-state settings.
 
-        They are those of the section ``fleet`` as read at the start; a reload neither takes a change of the
-        section over nor logs it.
+        They are those of the section ``fleet`` at the start; a reload neither applies nor logs its changes.
         """
         if self.operator is None or self.operator.shared_state is None:
             return config
@@ -76,16 +75,16 @@
 
         if settings.role is not Role.PROXY:
             raise ConfigError(
-                "gossip.role: must be PROXY for a proxy; a control member runs alone, by saltcourse control"
+                "gossip.role: must be PROXY for a proxy; run a control member with saltcourse control"
             )
         return GossipService(settings, source, self._operator_source.read_gossip)
 
 
 def _check_peers_allowed(config: Config, operator: OperatorSettings) -> None:
-    """Every section of the operator's file lets proxies talk to each other."""
+    """Raise ``ConfigError`` if the file has a section but the deployment forbids traffic between proxies."""
     sections = operator.sections()
     if sections and not config.settings.peers_allowed:
         raise ConfigError(
-            f"{sections[0]}: the deployment's settings say that proxies may not talk to each other "
-            "('settings.limits.peers')"
+            f"{sections[0]}: not allowed, because the deployment's settings forbid traffic between proxies "
+            "('settings.limits.peers' is not true)"
         )
--- a/saltcourse/app/reloading.py
+++ b/saltcourse/app/reloading.py
@@ -1,4 +1,4 @@
-"""Reads a section of the operator's file again in a running program, and logs what only a restart changes."""
+"""Reloads a section of the operator's file, and logs changes that only a restart applies."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
     from _typeshed import DataclassInstance
 
 Section = TypeVar("Section", bound="DataclassInstance")
-Reread = Callable[[], Section | None]  # reads a section again; None where it is left out now
+Reread = Callable[[], Section | None]  # reads a section again; None if it is absent
 
 log = structlog.get_logger("saltcourse")
 
 
 def reread_section(section: str, reread: Reread[Section]) -> Section | None:
-    """Read a section again; None, and a log line, where it can't be used or is left out now."""
+    """Read a section again; if it is invalid or absent, log this and return None."""
     try:
         settings = reread()
     except ConfigError as error:
-        log.error("the old operator's file is kept", reason=str(error))
+        log.error("operator file rejected, keeping previous settings", reason=str(error))
         return None
     if settings is None:
-        log.warning(f"{section} is switched off at the next restart")
+        log.warning("section removed from operator file, restart required", section=section)
     return settings
 
 
@@ -38,9 +38,10 @@
     applied: Collection[str] = (),
     file_keys: Mapping[str, str] | None = None,
 ) -> None:
-    """Log which keys differ and are read at the start only.
+    """Log the keys whose changes require a restart.
 
-    ``applied`` are fields that are in force already; ``file_keys`` maps a field to its key where they differ.
+    ``applied`` lists the fields that a reload has applied; ``file_keys`` maps a field to its key in the file
+    if they differ.
     """
     names = [
         field.name
@@ -49,4 +50,4 @@
     ]
     keys = dict.fromkeys(f"{section}.{(file_keys or {}).get(name, name)}" for name in names)
     if keys:
-        log.warning("changed keys that a restart will read", keys=",".join(keys))
+        log.warning("configuration changes require a restart", keys=",".join(keys))
--- a/saltcourse/app/witness.py
+++ b/saltcourse/app/witness.py
@@ -1,4 +1,4 @@
-"""A witness alone in its process: it votes in the election for the service address, and never holds it."""
+"""Runs a witness in its own process: it votes in the election for the service address but never holds it."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 
 def run_witness(settings: AddressFailoverSettings, reread: Reread[AddressFailoverSettings]) -> None:
-    """Vote until SIGTERM or SIGINT; SIGHUP has the keys read again.
+    """Vote until SIGTERM or SIGINT; SIGHUP reloads the keys.
 
-    Raises ``AddressFailoverStartError`` when it can't start.
+    Raises ``AddressFailoverStartError`` if the member can't start.
     """
     asyncio.run(_run(settings, reread))
 
--- a/saltcourse/cli/__init__.py
+++ b/saltcourse/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line: one module for each group of commands.
+"""The command line, with one module per group of commands.
 
-It parses options, calls ``saltcourse.app``, and turns errors into exit codes.
+It parses options, calls ``saltcourse.app`` and converts errors to exit codes.
 """
--- a/saltcourse/cli/errors.py
+++ b/saltcourse/cli/errors.py
@@ -1,9 +1,9 @@
-"""Errors of the programs as exit codes: one line on standard error, and no traceback.
+"""Converts errors of the programs to exit codes and one line on standard error, without a traceback.
 
 ::
 
     exit code  error
-    1          any other AppError, among them a membership address or a vote file that cannot be used;
+    1          any other AppError, such as an unusable membership address or vote file;
                a change that could not be published
     2          ConfigError, MissingExtraError, click's usage errors
     3          ListenError: the address of clients, of operators or of gossip cannot be bound
@@ -27,14 +27,14 @@
 
 
 def fail(code: int, message: str) -> NoReturn:
-    """End the program with an exit code, and one line on standard error."""
+    """Print one line to standard error, and end the program with an exit code."""
     click.echo(f"saltcourse: {message}", err=True)
     raise SystemExit(code) from None
 
 
 @contextmanager
 def exit_on_error() -> Iterator[None]:
-    """End the program with the exit code of the error that the body raises."""
+    """End the program with the exit code of an error that is raised in the body."""
     try:
         yield
     except ConfigError as error:
--- a/saltcourse/cli/gossip.py
+++ b/saltcourse/cli/gossip.py
@@ -1,4 +1,4 @@
-"""The commands of a control member and of those who publish at one."""
+"""The commands that run a control member and publish configuration changes."""
 
 from __future__ import annotations
 
@@ -13,19 +13,21 @@
 
 @click.command()
 @operator_option
-@click.option("--admin", type=AddressType(), default=None, help="The operators' address; default: none.")
+@click.option(
+    "--admin", type=AddressType(), default=None, help="Address of the admin server; default: no admin server."
+)
 @name_option
 def control(operator: str | None, admin: Address | None, name: str | None) -> None:
-    """Run a control member of the fleet alone, until SIGTERM.
+    """Run a control member of the fleet, without a proxy, until SIGTERM.
 
-    A voter takes part in the agreement on configuration changes; others only follow and answer operators.
+    Voters vote on configuration changes; other members only follow them and answer operators.
     """
     with exit_on_error():
         source = operator_source(operator, name)
         settings = source.read_gossip()
         if settings is None:
-            raise ConfigError("a control member needs an operator's file with gossip")
-        from saltcourse.app.control_member import run_control_member  # needs protobuf, as the file does
+            raise ConfigError("a control member needs an operator's file with a section gossip")
+        from saltcourse.app.control_member import run_control_member  # imported late: it needs protobuf
         from saltcourse.gossip.messages import Role
 
         if settings.role is not Role.CONTROL:
@@ -35,13 +37,13 @@
 
 
 @click.command()
-@click.option("--admin", type=AddressType(), required=True, help="The admin address of a control member.")
-@click.option("--delete", "deleted", metavar="KEY", multiple=True, help="A key to delete; can be repeated.")
+@click.option("--admin", type=AddressType(), required=True, help="Admin address of a control member.")
+@click.option("--delete", "deleted", metavar="KEY", multiple=True, help="Key to delete; can be repeated.")
 @click.argument("assignments", metavar="KEY=VALUE", nargs=-1)
 def publish(admin: Address, deleted: tuple[str, ...], assignments: tuple[str, ...]) -> None:
-    """Change the fleet's configuration: all keys given are written together.
+    """Publish a change of the fleet's configuration, with all given keys in one atomic write.
 
-    Prints the position of the change once a majority of the voters has it on disk.
+    Print the position of the change once a majority of the voters has stored it on disk.
     """
     writes = _parse_writes(assignments, deleted)
     from saltcourse.admin.publish_client import PublishingError, publish_change
@@ -54,12 +56,12 @@
 
 
 def _parse_writes(assignments: tuple[str, ...], deleted: tuple[str, ...]) -> dict[str, str | None]:
-    """New value by key; None deletes the key."""
+    """Return the new values by key; the value None deletes the key."""
     writes: dict[str, str | None] = {}
     for assignment in assignments:
         key, equals, value = assignment.partition("=")
         if not key or not equals:
-            raise click.UsageError(f"must be KEY=VALUE, not {assignment!r}")
+            raise click.UsageError(f"argument must be KEY=VALUE, not {assignment!r}")
         _add_write(writes, key, value)
     for key in deleted:
         _add_write(writes, key, None)
@@ -70,5 +72,5 @@
 
 def _add_write(writes: dict[str, str | None], key: str, value: str | None) -> None:
     if key in writes:
-        raise click.UsageError(f"{key!r} stands twice")
+        raise click.UsageError(f"duplicate key {key!r}")
     writes[key] = value
--- a/saltcourse/cli/logging.py
+++ b/saltcourse/cli/logging.py
@@ -1,4 +1,4 @@
-"""The log of the programs that run until a signal ends them."""
+"""Sets up the log of the long-running programs."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def set_up_logging() -> None:
-    """Write one line an event to standard error, time first; no colours, for it ends up in files."""
+    """Write one line per event to standard error, timestamp first; no colours, since logs go to files."""
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
--- a/saltcourse/cli/main.py
+++ b/saltcourse/cli/main.py
@@ -1,4 +1,4 @@
-"""The group of all commands. Without a sub-command it serves."""
+"""The command group ``saltcourse``; it runs ``serve`` if no subcommand is given."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from saltcourse.cli.proxy import check_config, serve
 from saltcourse.cli.witness import witness
 
-HANDLE_SIGNALS_THEMSELVES = (None, serve.name, control.name)  # None: no sub-command, which serves
+SIGNAL_HANDLING_COMMANDS = (None, serve.name, control.name)  # None: no subcommand, which runs serve
 
 
 @click.group(invoke_without_command=True)
 @click.pass_context
 def main(context: click.Context) -> None:
-    """A balancing proxy for long-lived connections."""
-    if context.invoked_subcommand not in HANDLE_SIGNALS_THEMSELVES:
+    """A load-balancing proxy for long-lived connections."""
+    if context.invoked_subcommand not in SIGNAL_HANDLING_COMMANDS:
         signals.release()
     if context.invoked_subcommand is None:
         context.invoke(serve, config_path=None, operator=None)
--- a/saltcourse/cli/options.py
+++ b/saltcourse/cli/options.py
@@ -1,4 +1,4 @@
-"""Options that several commands have."""
+"""Options that several commands share."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 from saltcourse.codec.endpoint_list import Address, read_address
 
 config_option = click.option(
-    "--config", "config_path", metavar="FILE", help="Configuration file; default $EDGE_CONFIG."
+    "--config", "config_path", metavar="FILE", help="Configuration file; default: $EDGE_CONFIG."
 )
 operator_option = click.option(
-    "--operator", metavar="FILE", help="The operator's own file; default $SALTCOURSE_OPERATOR, else none."
+    "--operator", metavar="FILE", help="Operator's file; default: $SALTCOURSE_OPERATOR, or none."
 )
 name_option = click.option(
-    "--name", default=None, help="Which member this is; default $EDGE_NAME, or the file's me."
+    "--name", default=None, help="Name of this member if the section does not set me; default: $EDGE_NAME."
 )
 
 
 class AddressType(click.ParamType[Address]):
-    """``HOST:PORT``."""
+    """An address ``HOST:PORT``."""
 
     name = "HOST:PORT"
 
     def convert(self, value: object, param: click.Parameter | None, ctx: click.Context | None) -> Address:
-        """Parse the option's value; a wrong one ends the program as a usage error."""
+        """Parse the value of the option; an invalid value is a usage error."""
         try:
             return read_address(value)
         except ValueError:
@@ -34,5 +34,5 @@
 
 
 def operator_source(path: str | None, name: str | None) -> OperatorSource:
-    """Return the operator's file for a program that has no proxy's configuration to name it."""
+    """Return the source of the operator's file for a program without a proxy configuration."""
     return OperatorSource(path, os.environ, name or os.environ.get("EDGE_NAME") or "")
--- a/saltcourse/cli/proxy.py
+++ b/saltcourse/cli/proxy.py
@@ -1,4 +1,4 @@
-"""The commands of the proxy."""
+"""The commands that run the proxy and check its configuration."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from saltcourse.cli.options import config_option, operator_option
 from saltcourse.config import Config
 
-if TYPE_CHECKING:  # nothing of it is imported without an operator's file
+if TYPE_CHECKING:  # imported at run time only if there is an operator's file
     from saltcourse.config.operator_address_failover import AddressFailoverSettings
     from saltcourse.config.operator_gossip import GossipSettings
 
@@ -22,7 +22,7 @@
 @config_option
 @operator_option
 def serve(config_path: str | None, operator: str | None) -> None:
-    """Run the proxy until SIGTERM. SIGHUP has it read its configuration again."""
+    """Run the proxy until SIGTERM. SIGHUP reloads its configuration."""
     with exit_on_error():
         program = ProxyProgram(config_path, operator, os.environ)
         set_up_logging()
@@ -33,7 +33,7 @@
 @config_option
 @operator_option
 def check_config(config_path: str | None, operator: str | None) -> None:
-    """Read the configuration, say what is in it, and exit."""
+    """Check the configuration and print a summary of it."""
     with exit_on_error():
         program = ProxyProgram(config_path, operator, os.environ)
     click.echo(_proxy_summary(program.config))
@@ -46,17 +46,17 @@
 
 def _proxy_summary(config: Config) -> str:
     return (
-        f"{config.name}: listens on {config.listen[0]}:{config.listen[1]}, asks discovery at "
+        f"{config.name}: listens on {config.listen[0]}:{config.listen[1]}, discovery at "
         f"{config.discovery[0]}:{config.discovery[1]}; {len(config.settings.classes)} classes, "
-        f"{len(config.known.endpoints)} known providers, {config.limits.sockets} sockets"
+        f"{len(config.known.endpoints)} known backends, {config.limits.sockets} sockets"
     )
 
 
 def _address_failover_summary(settings: AddressFailoverSettings) -> str:
     announcer = "bgp" if settings.bgp else "command" if settings.command else "nobody (witness)"
     return (
-        f"membership: {settings.own_name} of {len(settings.voters)}, service address "
-        f"{settings.service_address}, announced by {announcer}, vote kept in "
+        f"membership: {settings.own_name} of {len(settings.voters)} members, service address "
+        f"{settings.service_address}, announced by {announcer}, vote stored in "
         f"{settings.store_file or 'memory only'}, {len(settings.keys)} keys"
     )
 
--- a/saltcourse/cli/witness.py
+++ b/saltcourse/cli/witness.py
@@ -1,4 +1,4 @@
-"""The command of a member that only votes in the election for the service address."""
+"""The command that runs a witness, which only votes in the election for the service address."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 @operator_option
 @name_option
 def witness(operator: str | None, name: str | None) -> None:
-    """Vote in the election of the service address's holder, and hold nothing.
+    """Vote in the election for the service address, and never hold it.
 
-    Ends on SIGTERM; SIGHUP has it read its keys again.
+    Runs until SIGTERM. SIGHUP reloads the keys.
     """
     with exit_on_error():
         source = operator_source(operator, name)
         settings = source.read_address_failover()
         if settings is None:
-            raise ConfigError("a witness needs an operator's file with membership")
+            raise ConfigError("a witness needs an operator's file with a section membership")
         if not settings.is_witness:
-            raise ConfigError(f"membership.member: {settings.own_name!r} is no witness")
+            raise ConfigError(f"membership.member: {settings.own_name!r} must have witness: true")
         set_up_logging()
-        from saltcourse.app.witness import run_witness  # needs protobuf, as the file does
+        from saltcourse.app.witness import run_witness  # imported late: it needs protobuf
 
         run_witness(settings, source.read_address_failover)
--- a/saltcourse/schema/__init__.py
+++ b/saltcourse/schema/__init__.py
@@ -1,1 +1,1 @@
-"""Protobuf schemas and what ``./dev schema`` makes of them. Imported only by what is switched on."""
+"""Protobuf schemas, and the modules that ``./dev schema`` generates. Only enabled features import them."""
--- a/tests/admin/test_commands.py
+++ b/tests/admin/test_commands.py
@@ -1,4 +1,4 @@
-"""Commands at a program that is ready or not, leaving or not, and a member of a fleet or not."""
+"""Responses to commands, depending on the state of the program and its membership in a fleet."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class FakeFleetMember:
-    """Answers with what it was asked."""
+    """Responds with the name of the command, and the body of a published change."""
 
     def members(self) -> Response:
         return Response(200, b"members")
@@ -60,7 +60,7 @@
         (Command.VARS, FakeProgram(), (200, b"svc.concurrent:0|g\n")),
         (Command.LAMEDUCK_ON, FakeProgram(), (200, b"lameduck on\n")),
         (Command.LAMEDUCK_OFF, FakeProgram(), (200, b"lameduck off\n")),
-        (Command.LAMEDUCK_ON, FakeProgram(is_leaving=True), (409, b"the proxy is leaving\n")),
+        (Command.LAMEDUCK_ON, FakeProgram(is_leaving=True), (409, b"the proxy is shutting down\n")),
         (Command.LAMEDUCK_ON, FakeProgram(unsupported=LAMEDUCK_COMMANDS), (404, b"no such path\n")),
         (Command.GOSSIP_MEMBERS, FakeProgram(gossip_handler=FakeFleetMember()), (200, b"members")),
         (
@@ -71,19 +71,19 @@
         (Command.GOSSIP_PUBLISH, FakeProgram(gossip_handler=FakeFleetMember()), (200, b"published {}")),
     ],
 )
-def test_each_command_gets_the_status_that_the_program_deserves(
+def test_each_command_gets_the_response_for_the_state_of_the_program(
     command: Command, program: FakeProgram, expected: tuple[int, bytes]
 ) -> None:
     assert run(command, program, b"{}") == expected
 
 
 @pytest.mark.parametrize("command", sorted(GOSSIP_COMMANDS, key=lambda command: command.value))
-def test_without_a_fleet_its_paths_are_unknown(command: Command) -> None:
-    """A member that has not started yet supports the commands and has no handler: nothing may be awaited."""
+def test_fleet_commands_without_a_handler_get_404(command: Command) -> None:
+    """A member that has not started supports the commands but has no handler, so none may be awaited."""
     assert run(command, FakeProgram()) == (404, b"no such path\n")
 
 
-def test_a_command_that_is_not_supported_changes_nothing() -> None:
+def test_an_unsupported_command_is_not_executed() -> None:
     program = FakeProgram(unsupported=LAMEDUCK_COMMANDS)
     run(Command.LAMEDUCK_ON, program)
     assert program.lameduck_calls == []
--- a/tests/admin/test_requests.py
+++ b/tests/admin/test_requests.py
@@ -1,4 +1,4 @@
-"""Requests at the operators' address as bytes, cut at every place."""
+"""Parsing of requests to the admin server, fed byte by byte."""
 
 from __future__ import annotations
 
@@ -37,25 +37,25 @@
         ),
     ],
 )
-def test_a_request_is_read_whole_and_every_wrong_one_gets_its_status(
+def test_valid_requests_give_a_command_and_invalid_requests_a_status(
     data: bytes, expected: Command | int
 ) -> None:
-    reader, got = RequestReader(), None
-    for at in range(len(data)):  # cut at every byte: nothing is decided before the request is complete
-        got = reader.feed(data[at : at + 1])
-        if got is not None:
+    reader, result = RequestReader(), None
+    for index in range(len(data)):  # there must be no command before the request is complete
+        result = reader.feed(data[index : index + 1])
+        if result is not None:
             break
     if isinstance(expected, Command):
-        assert got is expected and at == len(data) - 1
+        assert result is expected and index == len(data) - 1
     else:
-        assert isinstance(got, Response) and got.status == expected
+        assert isinstance(result, Response) and result.status == expected
 
 
-def test_a_request_cut_short_is_malformed_and_a_response_closes() -> None:
-    """A caller half-closes in the middle of its request: it gets an error, and the connection ends."""
+def test_an_incomplete_request_gets_400_and_responses_close_the_connection() -> None:
+    """A caller half-closes the connection in the middle of its request."""
     reader = RequestReader()
     assert reader.feed(b"GET /_ready HT") is None
-    cut = reader.feed(b"")
-    assert isinstance(cut, Response) and cut.status == 400
+    result = reader.feed(b"")
+    assert isinstance(result, Response) and result.status == 400
     head = encode_response(Response(405, b"", b"GET")).lower()
     assert head.startswith(b"http/1.1 405 ") and b"connection: close" in head and b"allow: get" in head
--- a/tests/admin/test_server.py
+++ b/tests/admin/test_server.py
@@ -1,4 +1,4 @@
-"""The operators' address, called over loopback beside a running proxy."""
+"""The admin server of a running proxy, called over loopback."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
     started = loop.time()
     reader, writer = await asyncio.open_connection(*address)
     writer.write(f"{method} {path} HTTP/1.1\r\nHost: admin\r\nContent-Length: 0\r\n\r\n".encode())
-    response = await reader.read()  # until the proxy closes: one request a connection
+    response = await reader.read()  # until the proxy closes: one request per connection
     writer.close()
     head, _, body = response.partition(b"\r\n\r\n")
     return int(head.split()[1]), body, loop.time() - started
@@ -61,21 +61,21 @@
         writer.close()
 
 
-async def call_beside_slow_callers(**changes: Any) -> None:
+async def call_with_slow_connections_open(**changes: Any) -> None:
     proxy = ProxyServer(read_config(values(**changes), {}))
     running = asyncio.get_running_loop().create_task(proxy.run())
     while proxy.phase is not Phase.SERVING:
         await asyncio.sleep(0.01)
     assert proxy.admin is not None
     admin, clients = proxy.admin.bound_address(), proxy.address()
-    # Callers that hold connections without a complete request must not delay the others.
-    slow = [socket.create_connection(admin) for _ in range(40)]
-    for each in slow:
-        each.sendall(b"GET /_rea")
+    # Connections without a complete request must not delay other callers.
+    slow_connections = [socket.create_connection(admin) for _ in range(40)]
+    for connection in slow_connections:
+        connection.sendall(b"GET /_rea")
     status, body, elapsed = await call(admin, "GET", "/_ready")
     assert (status, body) == (200, b"yes\n") and elapsed < 1.0
     status, body, _ = await call(admin, "GET", "/_vars")
-    assert {b"svc.targets:2|g", b"svc.targets_disabled:1|g"} <= set(body.split())  # one of them drains
+    assert {b"svc.targets:2|g", b"svc.targets_disabled:1|g"} <= set(body.split())  # s2 is draining
     assert await ping(clients) == b"PONG\r\n"
     assert (await call(admin, "PUT", "/_lameduck/on"))[0] == 200
     assert await ping(clients) != b"PONG\r\n"
@@ -83,18 +83,18 @@
     assert (await call(admin, "PUT", "/_lameduck/off"))[0] == 200
     assert await ping(clients) == b"PONG\r\n"
     assert (await call(admin, "GET", "/_ready"))[0] == 200
-    for each in slow:
-        each.close()
+    for connection in slow_connections:
+        connection.close()
     proxy.stop_requested.set()
     await asyncio.wait_for(running, 5.0)
     assert proxy.phase is Phase.STOPPED
-    with pytest.raises(ConnectionRefusedError):  # the admin address ends with the program
+    with pytest.raises(ConnectionRefusedError):  # the admin server stops with the program
         await call(admin, "GET", "/_ready")
 
 
-def test_the_admin_address_answers_beside_slow_callers_and_empties_the_proxy() -> None:
-    """Forty callers send half a request and wait, more than the server has connections for.
+def test_the_admin_server_responds_within_a_second_despite_slow_callers() -> None:
+    """Forty callers send half a request and wait, which exceeds the limit of admin connections.
 
-    Operators must still get their responses within a second, drain the proxy, and take it back into service.
+    Operators must still get responses within a second, drain the proxy and return it to service.
     """
-    asyncio.run(call_beside_slow_callers())
+    asyncio.run(call_with_slow_connections_open())
--- a/tests/app/test_address_failover.py
+++ b/tests/app/test_address_failover.py
@@ -1,4 +1,4 @@
-"""The member of the election beside a proxy: how its start fails, and what a reload changes."""
+"""Address failover in the proxy's process: errors at the start, and reloads."""
 
 from __future__ import annotations
 
@@ -20,21 +20,21 @@
 
 
 def settings(folder: Path, port: int, more: str = "", keys: str = "ab" * 32) -> AddressFailoverSettings:
-    """Those of the witness, which needs no announcer."""
+    """Return the settings of the witness, which needs no announcer."""
     text = GOOD.replace('me: "a"', f'me: "w" {more}', 1).replace("[::1]:7001", f"127.0.0.1:{port}")
-    found = read_operator(write_operator_file(folder, text, keys), "p").address_failover
-    assert found is not None
-    return found
+    section = read_operator(write_operator_file(folder, text, keys), "p").address_failover
+    assert section is not None
+    return section
 
 
-def free_udp_socket() -> socket.socket:
+def bound_udp_socket() -> socket.socket:
     bound = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     bound.bind(("127.0.0.1", 0))
     return bound
 
 
 def free_udp_port() -> int:
-    with free_udp_socket() as bound:
+    with bound_udp_socket() as bound:
         port: int = bound.getsockname()[1]
         return port
 
@@ -44,10 +44,10 @@
     await service.leave()
 
 
-def test_an_address_that_is_taken_is_a_typed_error(tmp_path: Path) -> None:
-    """Another process has the member's port: the program has to end with a line that says so."""
-    with free_udp_socket() as taken:
-        port = taken.getsockname()[1]
+def test_start_fails_with_a_typed_error_if_the_address_is_in_use(tmp_path: Path) -> None:
+    """Another process uses the member's port: the program must exit with a message that names the address."""
+    with bound_udp_socket() as used:
+        port = used.getsockname()[1]
         service = AddressFailoverService(settings(tmp_path, port), lambda: None)
         with pytest.raises(
             AddressFailoverStartError, match=rf"^membership\.member: cannot listen on .*:{port}: "
@@ -55,17 +55,17 @@
             asyncio.run(start_and_leave(service))
 
 
-def test_a_stored_vote_that_is_damaged_is_a_typed_error(tmp_path: Path) -> None:
-    """Without its vote a member could vote twice in one term, so it must not start."""
-    (tmp_path / "vote.db").write_bytes(b"damaged" * 100)
-    damaged = settings(tmp_path, free_udp_port(), 'store_file: "vote.db"')
+def test_start_fails_with_a_typed_error_if_the_stored_vote_is_corrupt(tmp_path: Path) -> None:
+    """Without its stored vote a member could vote twice in one term, so it must not start."""
+    (tmp_path / "vote.db").write_bytes(b"corrupt" * 100)
+    corrupt = settings(tmp_path, free_udp_port(), 'store_file: "vote.db"')
     with pytest.raises(AddressFailoverStartError, match=r"^membership\.store_file: .*vote\.db"):
-        asyncio.run(start_and_leave(AddressFailoverService(damaged, lambda: None)))
+        asyncio.run(start_and_leave(AddressFailoverService(corrupt, lambda: None)))
 
 
 @pytest.fixture
 def logger(monkeypatch: pytest.MonkeyPatch) -> CapturingLogger:
-    """What the modules of the reload log."""
+    """Capture the log lines of a reload."""
     capturing = CapturingLogger()
     monkeypatch.setattr(address_failover, "log", capturing)
     monkeypatch.setattr(reloading, "log", capturing)
@@ -73,7 +73,7 @@
 
 
 def reload(running: AddressFailoverSettings, reread: AddressFailoverSettings | ConfigError | None) -> None:
-    """Reload a running member, whose section is ``reread`` by then."""
+    """Reload a running member; ``reread`` is the new section, or the error of reading it."""
 
     def read() -> AddressFailoverSettings | None:
         if isinstance(reread, ConfigError):
@@ -82,7 +82,7 @@
 
     async def run() -> None:
         service = AddressFailoverService(running, read)
-        service.reload()  # before the start there is nothing to change
+        service.reload()  # has no effect before the start
         await service.start()
         service.reload()
         await service.leave()
@@ -91,21 +91,27 @@
 
 
 def logged(logger: CapturingLogger) -> list[str]:
-    """Event and keys of each line, which are then forgotten."""
-    lines = [f"{call.args[0]} {call.kwargs.get('keys', '')}".strip() for call in logger.calls]
+    """Return the event and the keys or section of each captured line, and clear the capture."""
+    lines = [
+        f"{call.args[0]} {call.kwargs.get('keys', call.kwargs.get('section', ''))}".strip()
+        for call in logger.calls
+    ]
     logger.calls.clear()
     return lines
 
 
-def test_a_reload_takes_keys_over_and_names_what_needs_a_restart(
+def test_a_reload_applies_keys_and_logs_changes_that_require_a_restart(
     tmp_path: Path, logger: CapturingLogger
 ) -> None:
     running = settings(tmp_path, free_udp_port())
     reload(running, replace(running, keys=(b"c" * 32, *running.keys)))
-    assert logged(logger) == ["reloaded 2"]
+    assert logged(logger) == ["authentication keys reloaded 2"]
     reload(running, settings(tmp_path, free_udp_port()))
-    assert logged(logger) == ["reloaded 1", "changed keys that a restart will read membership.member"]
+    assert logged(logger) == [
+        "authentication keys reloaded 1",
+        "configuration changes require a restart membership.member",
+    ]
     reload(running, None)
-    assert logged(logger) == ["membership is switched off at the next restart"]
+    assert logged(logger) == ["section removed from operator file, restart required membership"]
     reload(running, ConfigError("broken"))
-    assert logged(logger) == ["the old operator's file is kept"]
+    assert logged(logger) == ["operator file rejected, keeping previous settings"]
--- a/tests/app/test_gossip.py
+++ b/tests/app/test_gossip.py
@@ -1,4 +1,4 @@
-"""Gossip beside a proxy: nothing of it is imported where it is switched off."""
+"""A proxy without gossip does not import its modules."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from tests.cli.gossip_commands import ROOT, write_config
 from tests.config.operator_files import write_operator_file
 
-MODULES = """
+PRINT_MODULES_AT_EXIT = """
 import atexit, sys
 atexit.register(lambda: print(*sorted(sys.modules)))
 from saltcourse.cli.main import main
@@ -23,11 +23,11 @@
 """
 
 
-def test_a_proxy_without_the_section_imports_nothing_of_it(tmp_path: Path) -> None:
+def test_a_proxy_without_the_gossip_section_imports_no_gossip_modules(tmp_path: Path) -> None:
     operator = write_operator_file(tmp_path, "fleet { term_s: 3 }")
     arguments = ["serve", "--config", str(write_config(tmp_path)), "--operator", str(operator)]
     process = subprocess.Popen(
-        [sys.executable, "-c", MODULES, *arguments],
+        [sys.executable, "-c", PRINT_MODULES_AT_EXIT, *arguments],
         stdout=subprocess.PIPE,
         stderr=subprocess.PIPE,
         text=True,
@@ -47,5 +47,5 @@
         process.kill()
         process.wait()
     assert "saltcourse.proxy.server" in modules and "saltcourse.config.operator" in modules
-    switched_off = ("saltcourse.gossip", "saltcourse.config.operator_gossip", "sqlite3")
-    assert [name for name in modules if name.startswith(switched_off)] == []
+    disabled = ("saltcourse.gossip", "saltcourse.config.operator_gossip", "sqlite3")
+    assert [name for name in modules if name.startswith(disabled)] == []
--- a/tests/app/test_proxy.py
+++ b/tests/app/test_proxy.py
@@ -1,4 +1,4 @@
-"""What of the configuration's two files the proxy is composed of."""
+"""How the proxy is created from its own file and the operator's file."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
   voter { name: "v" address: "127.0.0.1:7003" }
 }
 """
-IMPORTED = """
+PRINT_MODULES = """
 import sys
 from saltcourse.app.proxy import ProxyProgram
 ProxyProgram(sys.argv[1], None, {})
@@ -25,18 +25,18 @@
 """
 
 
-def test_without_an_operators_file_nothing_of_it_is_composed(tmp_path: Path) -> None:
+def test_without_an_operators_file_no_optional_module_is_imported(tmp_path: Path) -> None:
     path = write_proxy_config(tmp_path, peers=False)
     program = ProxyProgram(path, None, {})
     assert program.operator is None
     ran = subprocess.run(
-        [sys.executable, "-c", IMPORTED, path],
+        [sys.executable, "-c", PRINT_MODULES, path],
         capture_output=True,
         text=True,
         check=True,
         cwd=EXAMPLE.parent.parent,
     )
-    switched_off = (
+    optional = (
         "google",
         "pathlib",
         "sqlite3",
@@ -44,10 +44,10 @@
         "saltcourse.address_failover",
         "saltcourse.admin",
     )
-    assert [name for name in ran.stdout.split() if name.startswith(switched_off)] == []
+    assert [name for name in ran.stdout.split() if name.startswith(optional)] == []
 
 
-def test_the_terms_of_shared_state_stand_in_the_settings(tmp_path: Path) -> None:
+def test_the_shared_state_section_is_part_of_the_settings(tmp_path: Path) -> None:
     path = write_proxy_config(tmp_path, peers=True)
     operator = write_operator_file(tmp_path, "fleet { term_s: 3 }")
     assert ProxyProgram(path, None, {}).config.settings.shared_state.lease_term == 12
@@ -57,14 +57,16 @@
 @pytest.mark.parametrize(
     ("text", "section"), [("fleet {}", "fleet"), (GOSSIP, "gossip"), ("fleet {}\n" + GOSSIP, "fleet")]
 )
-def test_no_section_may_be_on_where_proxies_may_not_talk(text: str, section: str, tmp_path: Path) -> None:
+def test_sections_are_rejected_if_the_deployment_forbids_traffic_between_proxies(
+    text: str, section: str, tmp_path: Path
+) -> None:
     path = write_proxy_config(tmp_path, peers=False)
     operator = write_operator_file(tmp_path, text)
     with pytest.raises(ConfigError, match=rf"^{section}: .*'settings\.limits\.peers'"):
         ProxyProgram(path, str(operator), {})
 
 
-def test_a_control_member_does_not_run_beside_a_proxy(tmp_path: Path) -> None:
+def test_a_proxy_rejects_the_role_of_a_control_member(tmp_path: Path) -> None:
     path = write_proxy_config(tmp_path, peers=True)
     program = ProxyProgram(path, str(write_operator_file(tmp_path, GOSSIP)), {})
     with pytest.raises(ConfigError, match="gossip.role: must be PROXY for a proxy"):
--- a/tests/app/test_reloading.py
+++ b/tests/app/test_reloading.py
@@ -1,4 +1,4 @@
-"""A section of the operator's file that is read again: what is logged, and under which keys."""
+"""Reloading a section of the operator's file: the log lines and the keys that they name."""
 
 from __future__ import annotations
 
@@ -31,39 +31,40 @@
     return [call.method_name for call in logger.calls]
 
 
-def test_a_section_that_can_be_read_is_returned_and_nothing_is_logged(logger: CapturingLogger) -> None:
+def test_a_valid_section_is_returned_and_nothing_is_logged(logger: CapturingLogger) -> None:
     assert reread_section("gossip", Section) == Section()
     assert logger.calls == []
 
 
-def test_a_section_that_can_not_be_used_is_logged_and_the_old_one_stays(logger: CapturingLogger) -> None:
-    """An operator saves a file with a mistake and reloads: the program must go on, and say which mistake."""
+def test_an_invalid_section_is_logged_and_the_previous_one_kept(logger: CapturingLogger) -> None:
+    """An operator saves an invalid file and reloads: the program must keep running and log the error."""
 
-    def broken() -> Section:
+    def invalid() -> Section:
         raise ConfigError("operator.txtpb:2: gossip.zone: missing")
 
-    assert reread_section("gossip", broken) is None
+    assert reread_section("gossip", invalid) is None
     assert levels(logger) == ["error"]
     assert logger.calls[0].kwargs == {"reason": "operator.txtpb:2: gossip.zone: missing"}
 
 
-def test_a_section_that_is_gone_is_switched_off_at_the_next_restart_only(logger: CapturingLogger) -> None:
+def test_a_removed_section_is_logged_as_requiring_a_restart(logger: CapturingLogger) -> None:
     assert reread_section("gossip", lambda: None) is None
     assert levels(logger) == ["warning"]
-    assert logger.calls[0].args == ("gossip is switched off at the next restart",)
+    assert logger.calls[0].args == ("section removed from operator file, restart required",)
+    assert logger.calls[0].kwargs == {"section": "gossip"}
 
 
 @pytest.mark.parametrize(
     ("new", "keys"),
     [
         (Section(), None),
-        (Section(key="new"), None),  # applied already
+        (Section(key="new"), None),  # applied by the reload
         (Section(name="b", key="new"), "gossip.name"),
-        (Section(peers=("b",), addresses=("h:1",)), "gossip.peer"),  # two fields of one key
+        (Section(peers=("b",), addresses=("h:1",)), "gossip.peer"),  # two fields with the same key
         (Section(name="b", addresses=("h:1",)), "gossip.name,gossip.peer"),
     ],
 )
-def test_changed_keys_that_need_a_restart_are_named_once(
+def test_each_changed_key_that_requires_a_restart_is_logged_once(
     new: Section, keys: str | None, logger: CapturingLogger
 ) -> None:
     warn_of_changes("gossip", Section(), new, ("key",), {"peers": "peer", "addresses": "peer"})
--- a/tests/cli/gossip_commands.py
+++ b/tests/cli/gossip_commands.py
@@ -1,4 +1,4 @@
-"""Commands with gossip for the tests: their files, and processes that run them."""
+"""Helpers for tests of commands with gossip: files, ports and processes."""
 
 from __future__ import annotations
 
--- a/tests/cli/test_errors.py
+++ b/tests/cli/test_errors.py
@@ -1,4 +1,4 @@
-"""Which exit code each error of the programs gives, and that no traceback is shown."""
+"""The exit code and message of each error of the programs; no traceback is shown."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from saltcourse.config.errors import InvalidValueError, OperatorFileError
 from saltcourse.proxy.errors import ListenError
 
-TAKEN = OSError(errno.EADDRINUSE, "Address already in use")
+ADDRESS_IN_USE = OSError(errno.EADDRINUSE, "Address already in use")
 
 
 @pytest.mark.parametrize(
@@ -32,11 +32,11 @@
             "--operator: No module named 'google': install saltcourse[membership] or saltcourse[gossip]",
         ),
         (
-            ListenError("listen", "127.0.0.1:1", TAKEN),
+            ListenError("listen", "127.0.0.1:1", ADDRESS_IN_USE),
             3,
             "'listen': cannot listen on 127.0.0.1:1: Address already in use",
         ),
-        (AddressFailoverStartError("membership.member: taken"), 1, "membership.member: taken"),
+        (AddressFailoverStartError("membership.member: in use"), 1, "membership.member: in use"),
         (ControlMemberError("gossip.store_file: disk full"), 1, "gossip.store_file: disk full"),
         (AppError("anything else"), 1, "anything else"),
     ],
@@ -50,6 +50,6 @@
     assert capsys.readouterr().err == f"saltcourse: {line}\n"
 
 
-def test_a_fault_of_the_program_keeps_its_traceback() -> None:
+def test_unexpected_exceptions_keep_their_traceback() -> None:
     with pytest.raises(KeyError), exit_on_error():
-        raise KeyError("a fault")
+        raise KeyError("unexpected")
--- a/tests/cli/test_gossip.py
+++ b/tests/cli/test_gossip.py
@@ -1,4 +1,4 @@
-"""The commands with gossip, as an operator meets them: exit codes, and the line that says why."""
+"""Commands with gossip from an operator's view: exit codes and error messages."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
         (PROXY_SECTION, False, ["check-config"], "gossip: .*'settings.limits.peers'"),
         (GOSSIP_SECTION, True, ["serve"], "gossip.role: must be PROXY for a proxy"),
         (PROXY_SECTION, True, ["control"], "gossip.role: must be CONTROL for a control member"),
-        ("fleet {}", True, ["control"], "a control member needs an operator's file with gossip"),
+        ("fleet {}", True, ["control"], "a control member needs an operator's file with a section gossip"),
         (
             GOSSIP_SECTION.replace("n1", "z" * 17),
             True,
@@ -33,7 +33,7 @@
         ),
     ],
 )
-def test_commands_end_with_code_2_and_a_clear_line(
+def test_configuration_errors_exit_with_code_2_and_one_line(
     text: str, peers: bool, arguments: list[str], named: str, tmp_path: Path
 ) -> None:
     full = [*arguments, "--operator", str(write_operator_file(tmp_path, text))]
@@ -44,7 +44,7 @@
     assert len(result.output.splitlines()) == 1 and re.search(named, result.output)
 
 
-def test_check_config_reports_gossip(tmp_path: Path) -> None:
+def test_check_config_summarizes_gossip(tmp_path: Path) -> None:
     result = CliRunner().invoke(
         main,
         [
@@ -67,18 +67,18 @@
         (["--admin", "127.0.0.1:1"], "nothing to publish"),
         (["--admin", "127.0.0.1:1", "novalue"], "must be KEY=VALUE"),
         (["--admin", "127.0.0.1:1", "=v"], "must be KEY=VALUE"),
-        (["--admin", "127.0.0.1:1", "k=v", "--delete", "k"], "stands twice"),
+        (["--admin", "127.0.0.1:1", "k=v", "--delete", "k"], "duplicate key 'k'"),
     ],
 )
-def test_publish_ends_with_code_2_on_bad_usage(arguments: list[str], named: str) -> None:
+def test_publish_exits_with_code_2_on_usage_errors(arguments: list[str], named: str) -> None:
     result = CliRunner().invoke(main, ["publish", *arguments])
     assert result.exit_code == 2 and named in result.output
 
 
-def test_an_address_that_is_taken_ends_with_code_3(tmp_path: Path) -> None:
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as taken:
-        taken.bind(("127.0.0.1", 0))
-        port = taken.getsockname()[1]
+def test_an_address_in_use_exits_with_code_3(tmp_path: Path) -> None:
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as used:
+        used.bind(("127.0.0.1", 0))
+        port = used.getsockname()[1]
         control = run_command(
             "control", "--operator", str(write_operator_file(tmp_path, on_loopback(GOSSIP_SECTION, port)))
         )
@@ -89,32 +89,38 @@
             "--operator",
             str(write_operator_file(tmp_path, on_loopback(PROXY_SECTION, port))),
         )
-    with socket.socket() as taken:
-        taken.bind(("127.0.0.1", 0))
-        taken.listen()
-        admin = "{}:{}".format(*taken.getsockname())
+    with socket.socket() as used:
+        used.bind(("127.0.0.1", 0))
+        used.listen()
+        admin = "{}:{}".format(*used.getsockname())
         file = write_operator_file(tmp_path, on_loopback(GOSSIP_SECTION, free_port()))
-        at_admin = run_command("control", "--operator", str(file), "--admin", admin)
-    for ended, named in ((control, "'gossip.listen'"), (serve, "'gossip.listen'"), (at_admin, "'--admin'")):
-        assert ended.returncode == 3, ended.stderr
-        assert f"{named}: cannot listen on 127.0.0.1:" in ended.stderr
-        assert "Address already in use" in ended.stderr and "Traceback" not in ended.stderr
-
-
-def test_a_store_that_can_not_be_used_ends_with_code_2(tmp_path: Path) -> None:
-    (tmp_path / "c0.store").write_text("this is no store" * 1_000)
-    ended = run_command(
+        control_admin = run_command("control", "--operator", str(file), "--admin", admin)
+    for process, key in (
+        (control, "'gossip.listen'"),
+        (serve, "'gossip.listen'"),
+        (control_admin, "'--admin'"),
+    ):
+        assert process.returncode == 3, process.stderr
+        assert f"{key}: cannot listen on 127.0.0.1:" in process.stderr
+        assert "Address already in use" in process.stderr and "Traceback" not in process.stderr
+
+
+def test_a_corrupt_store_exits_with_code_2(tmp_path: Path) -> None:
+    (tmp_path / "c0.store").write_text("not a database" * 1_000)
+    process = run_command(
         "control", "--operator", str(write_operator_file(tmp_path, on_loopback(GOSSIP_SECTION, free_port())))
     )
-    assert ended.returncode == 2 and "gossip.store_file: " in ended.stderr
-    assert "c0.store" in ended.stderr and "Traceback" not in ended.stderr
+    assert process.returncode == 2 and "gossip.store_file: " in process.stderr
+    assert "c0.store" in process.stderr and "Traceback" not in process.stderr
 
 
-def test_a_voter_whose_disk_fails_ends_with_code_1(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    def full(store: ReplicaStore, state: ReplicaState) -> None:
+def test_a_voter_that_can_not_store_its_state_exits_with_code_1(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    def fail_to_save(store: ReplicaStore, state: ReplicaState) -> None:
         raise StoreError("c0.store: database or disk is full")
 
-    monkeypatch.setattr(ReplicaStore, "save", full)
+    monkeypatch.setattr(ReplicaStore, "save", fail_to_save)
     text = re.sub(r"  voter .*c[12].*\n", "", on_loopback(GOSSIP_SECTION, free_port()))
     text = text.replace("probe_interval_s: 2", "heartbeat_interval_s: 0.1 takeover_after_s: 0.2")
     result = CliRunner().invoke(main, ["control", "--operator", str(write_operator_file(tmp_path, text))])
--- a/tests/cli/test_main.py
+++ b/tests/cli/test_main.py
@@ -1,4 +1,4 @@
-"""What the command line imports before a command needs it."""
+"""The command line imports optional modules only when a command needs them."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 import sys
 
 
-def test_without_an_operators_file_nothing_of_it_is_imported() -> None:
+def test_importing_the_command_line_loads_no_optional_module() -> None:
     code = (
-        "import sys, saltcourse.cli.main; print([m for m in sys.modules if any(w in m for w in "
+        "import sys, saltcourse.cli.main; print([m for m in sys.modules if any(part in m for part in "
         "('protobuf', 'membership', 'address_failover', 'emulator', 'sqlite3', 'config.operator'))])"
     )
     found = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
--- a/tests/cli/test_proxy.py
+++ b/tests/cli/test_proxy.py
@@ -1,4 +1,4 @@
-"""The commands of the proxy, as an operator meets them."""
+"""The commands of the proxy from an operator's view."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 
 @pytest.mark.parametrize("arguments", [["serve"], ["check-config"], []])
-def test_a_wrong_configuration_ends_without_a_traceback(arguments: list[str], tmp_path: Path) -> None:
-    broken = tmp_path / "config.json"
-    broken.write_text("{")
-    result = CliRunner().invoke(main, arguments, env={"EDGE_CONFIG": str(broken)})
+def test_invalid_json_exits_without_a_traceback(arguments: list[str], tmp_path: Path) -> None:
+    invalid = tmp_path / "config.json"
+    invalid.write_text("{")
+    result = CliRunner().invoke(main, arguments, env={"EDGE_CONFIG": str(invalid)})
     assert result.exit_code == 2 and "not valid JSON" in result.stderr and "Traceback" not in result.output
 
 
@@ -42,18 +42,18 @@
         ({"EDGE_ADMIN": "nowhere"}, "'admin': must be host:port", 2),
         ({"EDGE_LISTEN_FD": "three"}, "EDGE_LISTEN_FD: must be the number of a file descriptor", 2),
         ({"EDGE_LISTEN_FD": "987"}, "'EDGE_LISTEN_FD': cannot listen on descriptor 987", 3),
-        ({"EDGE_ADMIN": "TAKEN"}, "'admin': cannot listen on 127.0.0.1:", 3),
+        ({"EDGE_ADMIN": "IN_USE"}, "'admin': cannot listen on 127.0.0.1:", 3),
     ],
 )
-def test_a_second_address_or_descriptor_that_cannot_be_had_is_named(
+def test_an_unusable_address_or_descriptor_is_named(
     environment: dict[str, str], named: str, code: int, tmp_path: Path
 ) -> None:
-    taken = socket.create_server(("127.0.0.1", 0))
+    used = socket.create_server(("127.0.0.1", 0))
     values = json.loads(EXAMPLE.read_text()) | {"listen": f"127.0.0.1:{free_port()}"}
     path = tmp_path / "config.json"
     path.write_text(json.dumps(values))
-    where = f"127.0.0.1:{taken.getsockname()[1]}"
-    variables = {key: value.replace("TAKEN", where) for key, value in environment.items()}
+    used_address = f"127.0.0.1:{used.getsockname()[1]}"
+    variables = {key: value.replace("IN_USE", used_address) for key, value in environment.items()}
     ran = subprocess.run(
         [sys.executable, "-m", "saltcourse", "serve", "--config", str(path)],
         capture_output=True,
@@ -61,12 +61,12 @@
         timeout=20,
         cwd=EXAMPLE.parent.parent,
     )
-    taken.close()
+    used.close()
     assert ran.returncode == code and named in ran.stderr.decode() and b"Traceback" not in ran.stderr
 
 
 @pytest.mark.parametrize("command", ["check-config", "serve"])
-def test_a_wrong_quota_ends_the_program_with_code_2_and_no_traceback(command: str, tmp_path: Path) -> None:
+def test_an_invalid_quota_exits_with_code_2_and_no_traceback(command: str, tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(CONFIG | {"settings": with_quotas(["many"])}))
     ran = subprocess.run(
@@ -80,7 +80,7 @@
     assert b"Traceback" not in ran.stderr
 
 
-def test_check_config_reports_address_failover(tmp_path: Path) -> None:
+def test_check_config_summarizes_address_failover(tmp_path: Path) -> None:
     result = CliRunner().invoke(
         main,
         [
@@ -91,4 +91,8 @@
             str(write_operator_file(tmp_path)),
         ],
     )
-    assert result.exit_code == 0 and "membership: a of 3" in result.output and "memory only" in result.output
+    assert (
+        result.exit_code == 0
+        and "membership: a of 3 members" in result.output
+        and "memory only" in result.output
+    )
--- a/tests/cli/test_witness.py
+++ b/tests/cli/test_witness.py
@@ -1,4 +1,4 @@
-"""The command of a witness, and how all commands that read the operator's file end where it can't be used."""
+"""The witness command, and errors of all commands that read the operator's file."""
 
 from __future__ import annotations
 
@@ -20,25 +20,25 @@
     [
         (["check-config", "--operator", "none.txtpb"], "none.txtpb: No such file"),
         (["serve", "--operator", "FILE"], "'settings.limits.peers'"),
-        (["witness", "--operator", "FILE"], "'a' is no witness"),
-        (["witness"], "needs an operator's file"),
+        (["witness", "--operator", "FILE"], "'a' must have witness: true"),
+        (["witness"], "needs an operator's file with a section membership"),
     ],
 )
-def test_the_commands_end_with_code_2_and_a_clear_line(
+def test_configuration_errors_exit_with_code_2_and_name_the_cause(
     arguments: list[str], named: str, tmp_path: Path
 ) -> None:
     file = write_operator_file(tmp_path)
-    full = [str(file) if a == "FILE" else a for a in arguments]
+    full = [str(file) if argument == "FILE" else argument for argument in arguments]
     if arguments[0] != "witness":
         full += ["--config", write_proxy_config(tmp_path, peers=False)]
     result = CliRunner().invoke(main, full)
     assert result.exit_code == 2 and named in result.output and "Traceback" not in result.output
 
 
-def test_a_witness_takes_changed_keys_over_on_sighup_and_ends_on_sigterm(tmp_path: Path) -> None:
-    """Keys are replaced member by member: the new one is put before the old one, and SIGHUP takes both over.
+def test_a_witness_reloads_keys_on_sighup_and_exits_on_sigterm(tmp_path: Path) -> None:
+    """Keys are rotated member by member: the new key is put before the old one, and SIGHUP loads both.
 
-    A mistake in the file must not end the member: it stays with the keys that it has.
+    An invalid key file must not end the process, which keeps its previous keys.
     """
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as free:
         free.bind(("127.0.0.1", 0))
@@ -60,7 +60,7 @@
         assert "keys=2" in process.stderr.readline()
         (tmp_path / "key").write_text("short")
         process.send_signal(signal.SIGHUP)
-        assert "the old operator's file is kept" in process.stderr.readline()
+        assert "operator file rejected, keeping previous settings" in process.stderr.readline()
         process.send_signal(signal.SIGTERM)
         assert process.wait(10) == 0
     finally:
