--- a/tests/codec/test_bgp.py
+++ b/tests/codec/test_bgp.py
@@ -1,4 +1,4 @@
-"""The BGP codec: bytes as the RFC has them, and what peers do wrong."""
+"""The BGP codec: encoded bytes as the RFC specifies them, and malformed messages."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 def decode_all(data: bytes, four_octet_asn: bool = True) -> list[bgp.Message]:
     buffer = MessageBuffer()
     buffer.feed(data)
-    found = []
+    messages = []
     while (frame := buffer.next()) is not None:
-        found.append(decode(frame, four_octet_asn))
-    return found
+        messages.append(decode(frame, four_octet_asn))
+    return messages
 
 
 @pytest.mark.parametrize("route", [V4, V6])
-def test_routes_and_their_withdrawal_come_out_as_they_went_in(route: bgp.Route) -> None:
+def test_announcements_and_withdrawals_round_trip(route: bgp.Route) -> None:
     assert decode_all(bgp.encode_announcement(route) + bgp.encode_withdrawal(route.address)) == [
         bgp.Update(announced=(route,)),
         bgp.Update(withdrawn=(route.address,)),
@@ -34,7 +34,7 @@
 
 
 def test_an_update_has_the_bytes_that_the_rfc_specifies() -> None:
-    want = (
+    expected = (
         "ff" * 16
         + "0031"
         + "02"
@@ -47,10 +47,10 @@
         + "40050400000009"
         + "20c0000207"
     )
-    assert bgp.encode_announcement(V4).hex() == want
+    assert bgp.encode_announcement(V4).hex() == expected
 
 
-def test_a_large_as_number_goes_through_two_octets_where_the_peer_is_old() -> None:
+def test_a_large_as_number_is_sent_as_as_trans_to_a_peer_without_the_capability() -> None:
     assert decode_all(bgp.encode_announcement(V6, four_octet_asn=False), four_octet_asn=False)[0].announced[
         0
     ].as_path == (bgp.AS_TRANS,)  # type: ignore
@@ -59,8 +59,10 @@
 
 
 @given(st.binary(max_size=200), st.sampled_from([1, 2, 3, 4, 5]), st.booleans())
-def test_any_bytes_give_a_message_or_a_named_error(junk: bytes, kind: int, four_octet_asn: bool) -> None:
-    framed = bgp.MARKER + (19 + len(junk)).to_bytes(2, "big") + bytes((kind,)) + junk
+def test_random_bytes_give_messages_or_a_bgp_error(
+    junk: bytes, message_type: int, four_octet_asn: bool
+) -> None:
+    framed = bgp.MARKER + (19 + len(junk)).to_bytes(2, "big") + bytes((message_type,)) + junk
     for data in (junk, framed):
         try:
             decode_all(data, four_octet_asn)
@@ -69,9 +71,9 @@
 
 
 @given(st.integers(0, 2000), st.integers(1, 255))
-def test_any_changed_byte_of_real_messages_is_borne(at: int, flip: int) -> None:
+def test_a_corrupted_byte_gives_messages_or_a_bgp_error(index: int, bit_mask: int) -> None:
     data = bytearray(bgp.encode_open(THEIRS) + bgp.encode_announcement(V6) + bgp.encode_announcement(V4))
-    data[at % len(data)] ^= flip
+    data[index % len(data)] ^= bit_mask
     try:
         decode_all(bytes(data))
     except bgp.BgpError as error:
--- a/tests/codec/test_endpoint_list.py
+++ b/tests/codec/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""Endpoint updates from discovery, sound and faulty."""
+"""Valid and invalid endpoint updates from discovery."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from saltcourse.codec.errors import EndpointListError
 
 
-def test_an_endpoint_update_and_its_faults() -> None:
+def test_valid_updates_are_decoded_and_invalid_updates_rejected() -> None:
     entry = b'{"id":"s","addr":"10.0.0.1:81","state":"DRAINING","started_ms":1500,"weight":2}'
     update = decode_endpoint_update(b'{"version":4,"full":false,"servers":[%s]}' % entry)
     endpoint = update.endpoints[0]
@@ -17,7 +17,7 @@
     assert update.addresses == {"s": ("10.0.0.1", 81)}
     removed = decode_endpoint_update(b'{"version":4,"full":false,"servers":[{"id":"s","state":"DELETED"}]}')
     assert removed.endpoints[0].state is BackendState.REMOVED and not removed.addresses
-    for broken in (
+    for invalid in (
         b"",
         b"[]",
         b'{"version":1,"full":true}',
@@ -26,4 +26,4 @@
         b'{"version":1,"full":true,"servers":[{"id":1,"state":"SERVING","addr":"x:1"}]}',
     ):
         with pytest.raises(EndpointListError):
-            decode_endpoint_update(broken)
+            decode_endpoint_update(invalid)
--- a/tests/codec/test_lines.py
+++ b/tests/codec/test_lines.py
@@ -1,4 +1,4 @@
-"""The line protocol: the buffer, OPEN lines, loads and load reports."""
+"""The line protocol: the buffer, OPEN, BUSY and LOAD lines, and load reports."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
     buffer.commit(len(data))
 
 
-def test_lines_come_out_whole_however_they_came_in() -> None:
-    buffer, text, found = LineBuffer(16), b"one\r\ntwo\r\n\r\nthree\r\nfo", []
+def test_lines_fed_byte_by_byte_are_returned_complete() -> None:
+    buffer, text, lines = LineBuffer(16), b"one\r\ntwo\r\n\r\nthree\r\nfo", []
     for i in range(len(text)):
         fill(buffer, text[i : i + 1])
         while (line := buffer.next_line()) is not None:
-            found.append(bytes(line))
-    assert found == [b"one\r\n", b"two\r\n", b"\r\n", b"three\r\n"]
+            lines.append(bytes(line))
+    assert lines == [b"one\r\n", b"two\r\n", b"\r\n", b"three\r\n"]
     assert bytes(buffer.take_remaining()) == b"fo"
 
 
-def test_a_line_may_have_4096_bytes_and_no_more() -> None:
+def test_a_line_may_have_at_most_4096_bytes() -> None:
     buffer = LineBuffer()
     fill(buffer, b"x" * 4094 + b"\r\n")
     line = buffer.next_line()
@@ -37,7 +37,7 @@
         buffer.next_line()
 
 
-def test_the_open_line_is_forwarded_unchanged_but_for_d() -> None:
+def test_an_open_line_is_forwarded_with_only_d_changed() -> None:
     opened = parse_open(memoryview(OPEN))
     fields = (opened.request_class, opened.tenant, opened.group, opened.time_left)
     assert fields == ("live-feed", "acme", "5c0f", 2.0)
@@ -46,7 +46,7 @@
     assert first.with_timeout(1) == b"OPEN a b d=1000,c=q\r\n"
 
 
-def test_busy_lines_and_load_lines() -> None:
+def test_busy_lines_are_encoded_and_load_lines_parsed() -> None:
     assert busy_line(0.25) == b"BUSY 250\r\n" and busy_line(0) == b"BUSY\r\n"
     assert parse_load(memoryview(b"LOAD 65000.5\r\n")) == 65000.5
     assert parse_load(memoryview(b"LOAD much\r\n")) is None
@@ -54,7 +54,7 @@
 
 
 @pytest.mark.parametrize(
-    ("line", "want"),
+    ("line", "expected"),
     [
         (b"PONG q=3,x0=0.61\r\n", LoadReport(queue=3, load=0.61)),
         (b"BYE inflight=7,queue=2,util=0.61\r\n", LoadReport(inflight=7, queue=2, utilisation=0.61)),
@@ -64,7 +64,5 @@
         (b"BYE \r\n", None),
     ],
 )
-def test_a_load_report_is_read_and_what_is_no_figure_is_passed_over(
-    line: bytes, want: LoadReport | None
-) -> None:
-    assert parse_load_report(memoryview(line)) == want
+def test_load_reports_are_parsed_and_invalid_fields_skipped(line: bytes, expected: LoadReport | None) -> None:
+    assert parse_load_report(memoryview(line)) == expected
--- a/tests/config/operator_files.py
+++ b/tests/config/operator_files.py
@@ -1,4 +1,4 @@
-"""Operator's files and proxy's configurations for the tests."""
+"""Operator's files and proxy configurations for the tests."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 def write_operator_file(folder: Path, text: str = GOOD, keys: str = "ab" * 32, mode: int = 0o600) -> Path:
-    """The file's path; its key file lies beside it."""
+    """Write an operator's file and its key file to a directory, and return the path of the former."""
     (folder / "key").write_text(keys)
     (folder / "key").chmod(mode)
     file = folder / "operator.txtpb"
@@ -52,7 +52,7 @@
 
 
 def write_proxy_config(folder: Path, peers: bool) -> str:
-    """The path of a configuration whose deployment lets proxies talk to each other, or not."""
+    """Write a proxy configuration and return its path; ``peers`` allows traffic between proxies."""
     values = json.loads(EXAMPLE.read_text())
     values["settings"]["limits"]["peers"] = peers
     (folder / "config.json").write_text(json.dumps(values))
--- a/tests/config/test_deployment_settings.py
+++ b/tests/config/test_deployment_settings.py
@@ -1,6 +1,7 @@
-"""A wrong value in any place of settings and configuration: they stay valid, or a named error says why.
+"""Arbitrary values in any place of the configuration give a valid configuration or a typed error.
 
-A list element of null used to pass ``check-config`` and then end the program in a traceback at its start.
+Otherwise an invalid value, such as null in a list, could pass ``check-config`` and cause a traceback at
+start-up.
 """
 
 from __future__ import annotations
@@ -120,7 +121,7 @@
 
 
 def paths(value: Any, above: JsonPath = ()) -> Iterator[JsonPath]:
-    """Every place in a value as parsed from JSON, the whole value first."""
+    """Yield the path of each place in a value parsed from JSON, starting with the value itself."""
     yield above
     if isinstance(value, (dict, list)):
         for key, inner in value.items() if isinstance(value, dict) else enumerate(value):
@@ -128,7 +129,7 @@
 
 
 def replaced(value: Any, path: JsonPath, new: Any) -> Any:
-    """A copy of the value with another one in that place."""
+    """Return a copy of the value with ``new`` at ``path``."""
     if not path:
         return new
     changed = copy.deepcopy(value)
@@ -143,7 +144,7 @@
     return replaced(SETTINGS, ("extra", "tenant_quota_connections"), quotas)  # type: ignore[no-any-return]
 
 
-def test_the_values_that_the_property_starts_from_are_valid() -> None:
+def test_the_unmodified_configuration_is_valid() -> None:
     config = read_config(CONFIG, {})
     assert config.settings == read_settings(SETTINGS) and config.peers is not None
     assert [tenant.connection_quota for tenant in config.settings.tenants] == [87.0, 45]
@@ -171,7 +172,7 @@
 
 
 @pytest.mark.parametrize("path", list(paths(CONFIG)))
-def test_null_in_any_place_gives_a_configuration_or_the_named_error(path: JsonPath) -> None:
+def test_null_in_any_place_gives_a_configuration_or_a_config_error(path: JsonPath) -> None:
     try:
         config = read_config(replaced(CONFIG, path, None), {})
     except ConfigError:
@@ -189,10 +190,8 @@
         ([1, 2, 9], [1, 2]),
     ],
 )
-def test_a_quota_of_null_counts_as_absent_like_the_end_of_a_shorter_list(
-    quotas: list[Any], read: list[float]
-) -> None:
-    """A list element of null used to pass ``check-config`` and then end the program in a traceback."""
+def test_null_quotas_and_missing_quotas_are_0(quotas: list[Any], read: list[float]) -> None:
+    """A quota of null once passed ``check-config`` and then caused a traceback at start-up."""
     settings = read_settings(with_quotas(quotas))
     assert [tenant.connection_quota for tenant in settings.tenants] == read
     Balancer(settings, 1)
@@ -214,7 +213,7 @@
         (("parties", 1), "south", r"parties\[1\]"),
     ],
 )
-def test_an_element_that_makes_no_sense_is_named_with_its_index(path: JsonPath, new: Any, named: str) -> None:
+def test_an_invalid_element_is_named_with_its_index(path: JsonPath, new: Any, named: str) -> None:
     settings = replaced(SETTINGS, path, new)
     with pytest.raises(InvalidObjectError, match=named):
         read_settings(settings)
--- a/tests/config/test_operator.py
+++ b/tests/config/test_operator.py
@@ -1,4 +1,4 @@
-"""The operator's file as an operator meets it: every mistake is named with its line and the key's path."""
+"""The operator's file: valid sections, and errors that name the line and the path of the key."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 def address_failover(file: Path) -> AddressFailoverSettings:
-    found = read_operator(file, "p").address_failover
-    assert found is not None
-    return found
+    section = read_operator(file, "p").address_failover
+    assert section is not None
+    return section
 
 
-def test_a_good_file_is_read_and_an_empty_one_switches_nothing_on(tmp_path: Path) -> None:
+def test_a_valid_file_is_read_and_an_empty_file_enables_nothing(tmp_path: Path) -> None:
     settings = address_failover(write_operator_file(tmp_path))
     assert settings.addresses["w"] == ("::1", 7001) and settings.timing.renewal_interval == pytest.approx(0.1)
     assert not settings.is_witness
@@ -60,9 +60,7 @@
         ("witness: true", "witness: yes", 9, "yes"),
     ],
 )
-def test_mistakes_are_named_with_line_and_key(
-    old: str, new: str, line: int, named: str, tmp_path: Path
-) -> None:
+def test_errors_name_the_line_and_the_key(old: str, new: str, line: int, named: str, tmp_path: Path) -> None:
     assert GOOD.count(old) >= 1
     file = write_operator_file(tmp_path, GOOD.replace(old, new, 1))
     with pytest.raises(ConfigError, match=rf"operator\.txtpb:{line}: .*{named}"):
--- a/tests/config/test_operator_gossip.py
+++ b/tests/config/test_operator_gossip.py
@@ -1,4 +1,4 @@
-"""The operator's section ``gossip``: what it switches on, its defaults, and its mistakes by line and key."""
+"""The section ``gossip`` of the operator's file: values, defaults, and errors with line and key."""
 
 from __future__ import annotations
 
@@ -15,25 +15,25 @@
 
 
 def gossip(file: Path, me: str = "p") -> GossipSettings:
-    found = read_operator(file, me).gossip
-    assert found is not None
-    return found
+    section = read_operator(file, me).gossip
+    assert section is not None
+    return section
 
 
-def test_a_good_section_is_read_and_one_left_out_is_off(tmp_path: Path) -> None:
+def test_a_valid_section_is_read_and_an_absent_section_is_none(tmp_path: Path) -> None:
     settings = gossip(write_operator_file(tmp_path, GOSSIP_SECTION))
     assert (settings.own_name, settings.region, settings.zone) == ("c0", "north", "n1")
     assert settings.listen == ("0.0.0.0", 7500) and settings.advertise == ("10.0.0.1", 7500)
     assert settings.role is Role.CONTROL and settings.is_voter
-    assert settings.seeds == (("10.0.0.2", 7500),)  # without its own
-    assert settings.voters[2].address == ("2001:db8::3", 7500)  # as the system writes it
+    assert settings.seeds == (("10.0.0.2", 7500),)  # its own address is removed
+    assert settings.voters[2].address == ("2001:db8::3", 7500)  # in canonical form
     assert settings.key == b"\xab" * 32 and settings.store_file == tmp_path / "c0.store"
-    assert settings.bytes_per_s == 250_000  # a control member's
+    assert settings.bytes_per_s == 250_000  # default of a control member
     assert settings.timing == Timing(probe_interval=2.0)
     assert read_operator(write_operator_file(tmp_path, "fleet {}"), "p").gossip is None
 
 
-def test_what_is_left_out_has_its_default(tmp_path: Path) -> None:
+def test_absent_keys_have_defaults(tmp_path: Path) -> None:
     text = GOSSIP_SECTION.replace('  me: "c0"\n', "").replace("  role: CONTROL\n", "")
     text = text.replace('  advertise: "10.0.0.1:7500"\n', "").replace("0.0.0.0", "10.0.0.9")
     settings = gossip(write_operator_file(tmp_path, text), "proxy-7")
@@ -103,16 +103,14 @@
         ("probe_interval_s: 2", "bytes_per_s: 100", 14, "gossip.bytes_per_s: must be from 2000"),
     ],
 )
-def test_mistakes_are_named_with_line_and_key(
-    old: str, new: str, line: int, named: str, tmp_path: Path
-) -> None:
+def test_errors_name_the_line_and_the_key(old: str, new: str, line: int, named: str, tmp_path: Path) -> None:
     assert GOSSIP_SECTION.count(old) >= 1
     file = write_operator_file(tmp_path, GOSSIP_SECTION.replace(old, new, 1))
     with pytest.raises(ConfigError, match=rf"operator\.txtpb:{line}: .*{named}"):
         read_operator(file, "p")
 
 
-def test_no_voter_is_a_mistake(tmp_path: Path) -> None:
+def test_a_section_without_voters_is_rejected(tmp_path: Path) -> None:
     text = "\n".join(line for line in GOSSIP_SECTION.splitlines() if "voter {" not in line)
     with pytest.raises(
         ConfigError, match=r"operator\.txtpb:1: gossip.voter: must have from 1 to 9 voters, not 0"
--- a/tests/config/test_overlay.py
+++ b/tests/config/test_overlay.py
@@ -1,4 +1,4 @@
-"""Values of the fleet's configuration over a proxy's own file."""
+"""Values of the fleet's configuration that override a proxy's own file."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
     return load_config(write_proxy_config(folder, peers=True), {})
 
 
-def test_an_overlay_overrides_the_file_until_its_key_is_deleted(tmp_path: Path) -> None:
+def test_values_override_the_file_until_their_keys_are_deleted(tmp_path: Path) -> None:
     own = proxy_config(tmp_path)
     source = ConfigurationSource(own, lambda: own)
     assert source.overlay.update({DISCOVERY_KEY: b"10.0.0.7:80", SOCKETS_KEY: b"128", "x": b"\xff"}, 1)
     assert source.current().discovery == ("10.0.0.7", 80) and source.current().limits.sockets == 128
-    assert source.reread() == source.current()  # SIGHUP reads the file; the overlay stays
+    assert source.reread() == source.current()  # SIGHUP rereads the file and keeps the overlay
     assert not source.overlay.update({DISCOVERY_KEY: b"10.0.0.7:80", SOCKETS_KEY: b"128", "x": b"2"}, 2)
     assert source.overlay.update({SOCKETS_KEY: b"128"}, 3)
     assert source.current().discovery == own.discovery and source.current().limits.sockets == 128
@@ -29,7 +29,7 @@
 
 
 @pytest.mark.parametrize(
-    "key, bad",
+    "key, invalid",
     [
         (DISCOVERY_KEY, b"nowhere"),
         (DISCOVERY_KEY, b"h:0"),
@@ -43,24 +43,26 @@
         (SOCKETS_KEY, b"128.5"),
     ],
 )
-def test_a_bad_value_is_named_counted_and_leaves_the_old_one(key: str, bad: bytes, tmp_path: Path) -> None:
+def test_an_invalid_value_is_logged_and_counted_and_the_previous_value_kept(
+    key: str, invalid: bytes, tmp_path: Path
+) -> None:
     own = proxy_config(tmp_path)
     source = ConfigurationSource(own, lambda: own)
     overlay = source.overlay
-    good = {DISCOVERY_KEY: b"10.0.0.7:80", SOCKETS_KEY: b"128"}
-    overlay.update(good, 1)
+    valid = {DISCOVERY_KEY: b"10.0.0.7:80", SOCKETS_KEY: b"128"}
+    overlay.update(valid, 1)
     before = source.current()
     with capture_logs() as logs:
-        overlay.update(good | {key: bad}, 2)
-        overlay.update(good | {key: bad, "other": b"1"}, 3)  # the same value: logged once
+        overlay.update(valid | {key: invalid}, 2)
+        overlay.update(valid | {key: invalid, "other": b"1"}, 3)  # unchanged value: not logged again
     assert [(line["key"], line["version"]) for line in logs] == [(key, 2)]
     assert source.current() == before
     assert (overlay.rejected_version, overlay.rejections) == (2, 1)
-    overlay.update(good, 4)
+    overlay.update(valid, 4)
     assert overlay.rejected_version == 0
 
 
-def test_a_file_that_can_not_be_read_leaves_the_overlay_working(tmp_path: Path) -> None:
+def test_the_overlay_still_applies_after_a_failed_reread(tmp_path: Path) -> None:
     own = proxy_config(tmp_path)
 
     def unreadable() -> Config:
--- a/tests/config/test_proxy_config.py
+++ b/tests/config/test_proxy_config.py
@@ -1,4 +1,4 @@
-"""The proxy's own file: what is read from it, and how each mistake is named."""
+"""The proxy's own file: values that are read from it, and errors that name the key."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     return values
 
 
-def test_the_example_is_sound_and_the_environment_overrides_it() -> None:
+def test_the_example_is_valid_and_the_environment_overrides_it() -> None:
     config = read_config(example(), {"EDGE_LISTEN": "127.0.0.2:99", "EDGE_NAME": "n3"})
     assert (config.name, config.listen, config.discovery) == ("n3", ("127.0.0.2", 99), ("127.0.0.1", 8500))
     assert config.settings.classes[0].message_latency_objective == 0.05 and config.measures_message_latency
@@ -58,12 +58,12 @@
         ({"peer_listen": "h:0"}, "'peer_listen'"),
     ],
 )
-def test_peers_are_read_where_proxies_may_talk_and_errors_name_the_key(
+def test_peers_are_read_if_the_deployment_allows_them_and_errors_name_the_key(
     changes: dict[str, Any], named: str
 ) -> None:
     values = example(peer_listen="h:9", peers=["h:1", "h:2", "h:3"], peers_all="h:8") | changes
     values["settings"] = values["settings"] | {"balancers": 3, "self_index": 1}
-    assert read_config(values, {}).peers is None  # its settings say that proxies share nothing
+    assert read_config(values, {}).peers is None  # the settings forbid traffic between proxies
     values["settings"]["limits"] = values["settings"]["limits"] | {"peers": True}
     if named:
         with pytest.raises(ConfigError, match=named):
@@ -85,7 +85,7 @@
     ("balancers", "read"),
     [(0, None), (-3, None), (2.5, None), ("2", None), (True, None), (40, 40), (None, 1)],
 )
-def test_a_number_of_proxies_that_makes_no_sense_is_named(balancers: Any, read: int | None) -> None:
+def test_an_invalid_number_of_proxies_is_named(balancers: Any, read: int | None) -> None:
     values = example()
     values["settings"] |= {"balancers": balancers}
     if read is None:
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -1,6 +1,6 @@
-"""How the modules of saltcourse may import each other: downwards between floors, and never in a cycle.
+"""Import rules: a module imports only modules of its own or a lower layer, and imports form no cycle.
 
-The source is parsed, not imported: imports inside functions and those for type checking alone count as well.
+The source is parsed, not imported, so imports inside functions and under TYPE_CHECKING count as well.
 """
 
 from __future__ import annotations
@@ -11,66 +11,66 @@
 import pytest
 
 PACKAGE = Path(__file__).parent.parent / "saltcourse"
-ENTRY, WIRING, HOSTS, CHOICES, TYPES = 4, 3, 2, 1, 0  # floors, the lowest is 0
-BESIDE = 5  # may import everything; nothing on the floors imports it
-FLOORS = {  # of a module, or of all of a package; the longest name that fits counts
-    "saltcourse": ENTRY,  # the package's own file: the version, and the module when it is asked for
-    "saltcourse.__main__": ENTRY,
-    "saltcourse.cli": ENTRY,
-    "saltcourse.simulator_adapter": ENTRY,
-    "saltcourse.app": WIRING,
-    "saltcourse.proxy": HOSTS,
-    "saltcourse.admin": HOSTS,
-    "saltcourse.address_failover": HOSTS,
-    "saltcourse.gossip.admin": HOSTS,
-    "saltcourse.gossip.event_log": HOSTS,
-    "saltcourse.gossip.host": HOSTS,
-    "saltcourse.gossip.store": HOSTS,
-    "saltcourse.balancing": CHOICES,
-    "saltcourse.shared_state": CHOICES,
-    "saltcourse.gossip": CHOICES,
-    "saltcourse.address_failover.bgp_session": CHOICES,
-    "saltcourse.address_failover.election": CHOICES,
-    "saltcourse.address_failover.grants": CHOICES,
-    "saltcourse.address_failover.promises": CHOICES,
-    "saltcourse.balancing.actions": TYPES,
-    "saltcourse.balancing.events": TYPES,
-    "saltcourse.balancing.settings": TYPES,
-    "saltcourse.config": TYPES,
-    "saltcourse.codec": TYPES,
-    "saltcourse.schema": TYPES,
-    "saltcourse.boottime": TYPES,
-    "saltcourse.signals": TYPES,
-    "saltcourse.metrics": TYPES,
-    "saltcourse.shared_state.codec": TYPES,
-    "saltcourse.shared_state.errors": TYPES,
-    "saltcourse.shared_state.messages": TYPES,
-    "saltcourse.shared_state.short_names": TYPES,
-    "saltcourse.gossip.errors": TYPES,
-    "saltcourse.gossip.fields": TYPES,  # the codec of records
-    "saltcourse.gossip.messages": TYPES,
-    "saltcourse.gossip.settings": TYPES,
-    "saltcourse.address_failover.actions": TYPES,
-    "saltcourse.address_failover.authentication": TYPES,  # the codec of signed messages and keys
-    "saltcourse.address_failover.errors": TYPES,
-    "saltcourse.address_failover.events": TYPES,
-    "saltcourse.address_failover.message_codec": TYPES,
-    "saltcourse.address_failover.messages": TYPES,
-    "saltcourse.address_failover.replay_window": TYPES,
-    "saltcourse.address_failover.roles": TYPES,
-    "saltcourse.address_failover.terms": TYPES,
-    "saltcourse.address_failover.timing": TYPES,
-    "saltcourse.address_failover.vote": TYPES,
-    "saltcourse.address_failover.voters": TYPES,
-    "saltcourse.emulator": BESIDE,
+ENTRY_POINT, COMPOSITION, IO, LOGIC, BASE = 4, 3, 2, 1, 0  # layers, 0 is the lowest
+TOOLING = 5  # may import all layers; no other layer imports it
+LAYERS = {  # layer of a module or of all modules in a package; the longest matching name wins
+    "saltcourse": ENTRY_POINT,  # only saltcourse/__init__.py
+    "saltcourse.__main__": ENTRY_POINT,
+    "saltcourse.cli": ENTRY_POINT,
+    "saltcourse.simulator_adapter": ENTRY_POINT,
+    "saltcourse.app": COMPOSITION,
+    "saltcourse.proxy": IO,
+    "saltcourse.admin": IO,
+    "saltcourse.address_failover": IO,
+    "saltcourse.gossip.admin": IO,
+    "saltcourse.gossip.event_log": IO,
+    "saltcourse.gossip.host": IO,
+    "saltcourse.gossip.store": IO,
+    "saltcourse.balancing": LOGIC,
+    "saltcourse.shared_state": LOGIC,
+    "saltcourse.gossip": LOGIC,
+    "saltcourse.address_failover.bgp_session": LOGIC,
+    "saltcourse.address_failover.election": LOGIC,
+    "saltcourse.address_failover.grants": LOGIC,
+    "saltcourse.address_failover.promises": LOGIC,
+    "saltcourse.balancing.actions": BASE,
+    "saltcourse.balancing.events": BASE,
+    "saltcourse.balancing.settings": BASE,
+    "saltcourse.config": BASE,
+    "saltcourse.codec": BASE,
+    "saltcourse.schema": BASE,
+    "saltcourse.boottime": BASE,
+    "saltcourse.signals": BASE,
+    "saltcourse.metrics": BASE,
+    "saltcourse.shared_state.codec": BASE,
+    "saltcourse.shared_state.errors": BASE,
+    "saltcourse.shared_state.messages": BASE,
+    "saltcourse.shared_state.short_names": BASE,
+    "saltcourse.gossip.errors": BASE,
+    "saltcourse.gossip.fields": BASE,  # the codec of records
+    "saltcourse.gossip.messages": BASE,
+    "saltcourse.gossip.settings": BASE,
+    "saltcourse.address_failover.actions": BASE,
+    "saltcourse.address_failover.authentication": BASE,  # the codec of signed messages and keys
+    "saltcourse.address_failover.errors": BASE,
+    "saltcourse.address_failover.events": BASE,
+    "saltcourse.address_failover.message_codec": BASE,
+    "saltcourse.address_failover.messages": BASE,
+    "saltcourse.address_failover.replay_window": BASE,
+    "saltcourse.address_failover.roles": BASE,
+    "saltcourse.address_failover.terms": BASE,
+    "saltcourse.address_failover.timing": BASE,
+    "saltcourse.address_failover.vote": BASE,
+    "saltcourse.address_failover.voters": BASE,
+    "saltcourse.emulator": TOOLING,
 }
-ROOT = "saltcourse"  # its floor is its own file's alone: a new module or package below it names its own
+ROOT = "saltcourse"  # its layer is not inherited: every module or package directly in it needs an entry
 
 Imports = dict[str, set[str]]  # module -> modules of the same package that it imports
 
 
 def modules_of(package: Path) -> dict[str, Path]:
-    """The package's modules by their dotted names; a package's own file has the package's name."""
+    """Map the dotted name of each module to its path; ``__init__.py`` has the name of its package."""
     found = {}
     for path in package.rglob("*.py"):
         parts = path.relative_to(package.parent).with_suffix("").parts
@@ -79,7 +79,7 @@
 
 
 def imported_names(module: str, path: Path) -> set[str]:
-    """Dotted names that a module imports, each with the names taken from it as if they were modules."""
+    """Return the dotted names that a module imports, including ``a.b`` for ``from a import b``."""
     names = set()
     package = module.split(".") if path.name == "__init__.py" else module.split(".")[:-1]
     for node in ast.walk(ast.parse(path.read_text())):
@@ -108,52 +108,52 @@
 
 
 def import_cycles(imports: Imports) -> list[list[str]]:
-    """Groups of modules of which each imports every other one, directly or not."""
-    reach: Imports = {module: set(targets) for module, targets in imports.items()}
-    grown = True
-    while grown:
-        grown = False
-        for targets in reach.values():
-            further = set().union(*[reach[target] for target in targets]) - targets
-            targets |= further
-            grown = grown or bool(further)
+    """Return the groups of modules that import each other, directly or indirectly."""
+    reachable: Imports = {module: set(targets) for module, targets in imports.items()}
+    changed = True
+    while changed:
+        changed = False
+        for targets in reachable.values():
+            added = set().union(*[reachable[target] for target in targets]) - targets
+            targets |= added
+            changed = changed or bool(added)
     groups = {
-        frozenset([module, *[other for other in targets if module in reach[other]]])
-        for module, targets in reach.items()
+        frozenset([module, *[other for other in targets if module in reachable[other]]])
+        for module, targets in reachable.items()
         if module in targets
     }
     return sorted(sorted(group) for group in groups)
 
 
-def floor_of(module: str) -> int | None:
-    if module in FLOORS:
-        return FLOORS[module]
+def layer_of(module: str) -> int | None:
+    if module in LAYERS:
+        return LAYERS[module]
     package = module.rpartition(".")[0]
-    return floor_of(package) if package and package != ROOT else None
+    return layer_of(package) if package and package != ROOT else None
 
 
 def upward_imports(imports: Imports) -> list[str]:
-    """Imports of a higher floor from a lower one, and modules that stand on no floor."""
-    found = [f"{module} stands on no floor" for module in imports if floor_of(module) is None]
+    """Return the imports of a higher layer by a lower one, and the modules without a layer."""
+    found = [f"{module} has no layer" for module in imports if layer_of(module) is None]
     for module, targets in imports.items():
         for target in targets:
-            low, high = floor_of(module), floor_of(target)
-            if low is not None and high is not None and low < high:
+            layer, target_layer = layer_of(module), layer_of(target)
+            if layer is not None and target_layer is not None and layer < target_layer:
                 found.append(f"{module} imports {target}")
     return sorted(found)
 
 
-def test_no_modules_import_each_other() -> None:
+def test_imports_form_no_cycle() -> None:
     assert import_cycles(imports_of(PACKAGE)) == []
 
 
-def test_imports_run_downwards_between_floors() -> None:
+def test_no_layer_imports_a_higher_layer() -> None:
     assert upward_imports(imports_of(PACKAGE)) == []
 
 
-def test_each_entry_of_the_floors_names_a_module() -> None:
-    """So that the table keeps up with renames."""
-    assert set(FLOORS) <= set(modules_of(PACKAGE))
+def test_each_entry_of_the_layers_names_a_module() -> None:
+    """Entries of renamed or removed modules must be updated."""
+    assert set(LAYERS) <= set(modules_of(PACKAGE))
 
 
 @pytest.mark.parametrize(
@@ -191,10 +191,10 @@
             [],
             ["saltcourse.proxy.a imports saltcourse.emulator.simnet"],
         ),
-        ({"attic.py": ""}, [], ["saltcourse.attic stands on no floor"]),
+        ({"attic.py": ""}, [], ["saltcourse.attic has no layer"]),
     ],
 )
-def test_what_breaks_the_rules_is_found(
+def test_cycles_upward_imports_and_missing_layers_are_found(
     tmp_path: Path, sources: dict[str, str], cycles: list[list[str]], upward: list[str]
 ) -> None:
     package = tmp_path / "saltcourse"
--- a/tests/test_package.py
+++ b/tests/test_package.py
@@ -1,4 +1,4 @@
-"""The installed package: a wheel from this checkout, in a fresh environment, used outside the checkout."""
+"""The installed package: a wheel of this checkout, installed in a new environment outside the checkout."""
 
 from __future__ import annotations
 
@@ -28,8 +28,8 @@
     ".*_cache",
     ".hypothesis",
 )
-EXTRAS = "membership,gossip"  # those that modules of the package need
-NEED_AN_EXTRA = (
+EXTRAS = "membership,gossip"  # extras that modules of the package need
+NEEDS_EXTRA = (
     "saltcourse.schema.",
     "saltcourse.app.address_failover.",
     "saltcourse.app.control_member.",
@@ -40,9 +40,9 @@
     "saltcourse.gossip.",
     "saltcourse.emulator.scale.scenario_file.",
 )
-DEPENDENCY_OF_THE_EXTRAS = "google"  # the package that they need
-NOT_IN_THE_DAEMON = ("matplotlib", "psutil", "hdrh", "rich")  # modules of the extra 'scale'
-STEP_TIMEOUT_SECONDS = 300.0  # the longest step fetches packages from the index
+DEPENDENCY_OF_THE_EXTRAS = "google"  # top-level package that they need
+SCALE_MODULES = ("matplotlib", "psutil", "hdrh", "rich")  # modules of the extra 'scale'
+STEP_TIMEOUT_SECONDS = 300.0  # the longest step downloads packages from the index
 
 IMPORT_EVERYTHING = """
 import importlib, json, pkgutil, saltcourse
@@ -65,15 +65,15 @@
             yield from paths(command.get_command(context, name), [*path, name])
 print(json.dumps(list(paths(main, []))))
 """
-WATCH_HOLD = """
+RECORD_HOLD_CALLS = """
 import json, sys
 from saltcourse import signals
 held_before_imports = []
 hold = signals.hold
-def watched():
+def recording_hold():
     held_before_imports.append("click" not in sys.modules)
     hold()
-signals.hold = watched
+signals.hold = recording_hold
 sys.argv = ["saltcourse", "version"]
 try:
     {start}
@@ -90,13 +90,13 @@
 
 @dataclass(frozen=True)
 class Installed:
-    """A virtual environment that holds the package and nothing of the checkout."""
+    """A virtual environment with the installed package, outside the checkout."""
 
-    folder: Path  # where its commands are run, outside the checkout
+    folder: Path  # working directory of commands, outside the checkout
     wheel: Path
 
     def run(self, *command: str) -> str:
-        """Standard output of a command of the environment; it has to succeed."""
+        """Run a command of the environment, which must succeed, and return its standard output."""
         environment = {
             name: value
             for name, value in os.environ.items()
@@ -114,7 +114,7 @@
         return ran.stdout
 
     def imports(self) -> dict[str, str]:
-        """Modules that do not import, and the module that each of them misses."""
+        """Map each module that cannot be imported to the missing module."""
         origin, failed = json.loads(self.run("python", "-c", IMPORT_EVERYTHING))
         assert Path(origin).is_relative_to(self.folder)
         return dict(failed)
@@ -131,7 +131,7 @@
 
 
 def install(folder: Path, wheel: Path, extras: str) -> None:
-    """The package with its dependencies, in the versions that the checkout is tested with."""
+    """Install the package with its dependencies, in the versions that this checkout is tested with."""
     pins = [
         line
         for name in ("requirements.txt", "requirements-dev.txt")
@@ -153,7 +153,7 @@
 
 @pytest.fixture(scope="module")
 def plain(tmp_path_factory: pytest.TempPathFactory) -> Installed:
-    """Without any extra."""
+    """An installation without extras."""
     folder = tmp_path_factory.mktemp("plain")
     source = folder / "source"
     shutil.copytree(ROOT, source, ignore=NOT_COPIED)
@@ -166,14 +166,14 @@
 
 @pytest.fixture(scope="module")
 def extended(plain: Installed, tmp_path_factory: pytest.TempPathFactory) -> Installed:
-    """With the extras."""
+    """An installation with the extras."""
     folder = tmp_path_factory.mktemp("extended")
     venv.create(folder / "venv")
     install(folder, plain.wheel, f"[{EXTRAS}]")
     return Installed(folder, plain.wheel)
 
 
-def test_the_wheel_holds_every_module_of_the_checkout_and_nothing_else(plain: Installed) -> None:
+def test_the_wheel_contains_exactly_the_modules_of_the_checkout(plain: Installed) -> None:
     wanted = {str(path.relative_to(ROOT)) for path in (ROOT / "saltcourse").rglob("*.py")}
     with zipfile.ZipFile(plain.wheel) as wheel:
         found = {name for name in wheel.namelist() if ".dist-info/" not in name}
@@ -181,14 +181,14 @@
     assert all(name.startswith("saltcourse/") for name in found)
 
 
-def test_every_module_imports_and_only_an_extra_may_be_missing(plain: Installed, extended: Installed) -> None:
+def test_every_module_can_be_imported_unless_it_needs_an_extra(plain: Installed, extended: Installed) -> None:
     failed = plain.imports()
     assert set(failed.values()) <= {DEPENDENCY_OF_THE_EXTRAS}
-    assert [name for name in failed if not (name + ".").startswith(NEED_AN_EXTRA)] == []
+    assert [name for name in failed if not (name + ".").startswith(NEEDS_EXTRA)] == []
     assert extended.imports() == {}
 
 
-def test_version_by_command_and_by_module(plain: Installed) -> None:
+def test_the_command_and_the_module_print_the_same_version(plain: Installed) -> None:
     by_command = plain.run("saltcourse", "version")
     assert by_command.startswith("saltcourse ")
     assert by_command == plain.run("python", "-m", "saltcourse", "version")
@@ -201,21 +201,21 @@
         assert "Usage: saltcourse" in extended.run("saltcourse", *path, "--help")
 
 
-def test_the_example_is_checked_without_any_extra(plain: Installed) -> None:
+def test_check_config_accepts_the_example_without_extras(plain: Installed) -> None:
     example = shutil.copy(ROOT / "example" / "config.json", plain.folder)
     assert "listens on" in plain.run("saltcourse", "check-config", "--config", str(example))
 
 
 @pytest.mark.parametrize("start", [START_COMMAND, START_MODULE], ids=["command", "module"])
 def test_signals_are_held_before_the_long_imports(plain: Installed, start: str) -> None:
-    output = plain.run("python", "-c", WATCH_HOLD.replace("{start}", start))
+    output = plain.run("python", "-c", RECORD_HOLD_CALLS.replace("{start}", start))
     assert json.loads(output.splitlines()[-1]) == [True]
 
 
-def test_the_daemon_imports_nothing_of_the_lab() -> None:
+def test_the_proxy_does_not_import_modules_of_the_scale_extra() -> None:
     script = "import sys, saltcourse.cli.main, saltcourse.proxy.server; print(*sys.modules)"
     ran = subprocess.run(
         [sys.executable, "-c", script], capture_output=True, text=True, cwd=ROOT, timeout=STEP_TIMEOUT_SECONDS
     )
     assert ran.returncode == 0, ran.stderr
-    assert not {name.partition(".")[0] for name in ran.stdout.split()} & set(NOT_IN_THE_DAEMON)
+    assert not {name.partition(".")[0] for name in ran.stdout.split()} & set(SCALE_MODULES)
