--- a/saltcourse/admin/server.py
+++ b/saltcourse/admin/server.py
@@ -84,9 +84,9 @@
         stream = IOStream(connection)
         task = asyncio.get_running_loop().create_task(self._serve(stream))
         self._connections[task] = stream
-        task.add_done_callback(self._forget)
+        task.add_done_callback(self._remove_connection)
 
-    def _forget(self, task: asyncio.Task[None]) -> None:
+    def _remove_connection(self, task: asyncio.Task[None]) -> None:
         self._connections.pop(task, None)
 
     async def _serve(self, stream: IOStream) -> None:
--- a/saltcourse/codec/bgp_decoder.py
+++ b/saltcourse/codec/bgp_decoder.py
@@ -200,17 +200,17 @@
 
 def _decode_prefixes(data: bytes, address_type: Callable[[bytes], Address]) -> _Prefixes:
     host_bits = 32 if address_type is ipaddress.IPv4Address else 128
-    found = _Prefixes()
+    prefixes = _Prefixes()
     while data:
         bits, end = data[0], 1 + (data[0] + 7) // 8
         if bits > host_bits or len(data) < end:
             raise BgpError(bgp.UPDATE_ERROR, bgp.BAD_NETWORK, "UPDATE: prefix is truncated or too long")
         if bits == host_bits:
-            found.hosts.append(address_type(data[1:end]))
+            prefixes.hosts.append(address_type(data[1:end]))
         else:
-            found.other_count += 1
+            prefixes.other_count += 1
         data = data[end:]
-    return found
+    return prefixes
 
 
 def _ipv4_routes(announced: _Prefixes, attributes: dict[int, bytes], template: _RouteTemplate) -> list[Route]:
@@ -257,7 +257,7 @@
 
 def _split_attributes(data: bytes) -> dict[int, bytes]:
     """Map the type of each path attribute to its value."""
-    found: dict[int, bytes] = {}
+    attributes: dict[int, bytes] = {}
     while data:
         is_extended = data[0] & bgp.EXTENDED_LENGTH
         start = 4 if is_extended else 3
@@ -267,24 +267,24 @@
         attribute_type, end = data[1], start + length
         if len(data) < end:
             raise BgpError(bgp.UPDATE_ERROR, bgp.ATTRIBUTE_LENGTH, "UPDATE: path attribute is truncated")
-        if attribute_type in found:
+        if attribute_type in attributes:
             reason = f"UPDATE: duplicate path attribute {attribute_type}"
             raise BgpError(bgp.UPDATE_ERROR, bgp.MALFORMED_ATTRIBUTES, reason)
-        found[attribute_type] = data[start:end]
+        attributes[attribute_type] = data[start:end]
         data = data[end:]
-    return found
+    return attributes
 
 
 def _decode_as_path(data: bytes, four_octet_asn: bool) -> tuple[int, ...]:
-    found: list[int] = []
+    as_path: list[int] = []
     octets, size = ("I", 4) if four_octet_asn else ("H", 2)
     while data:
         end = 2 + data[1] * size if len(data) >= 2 else len(data) + 1
         if len(data) < end:
             raise BgpError(bgp.UPDATE_ERROR, bgp.MALFORMED_ATTRIBUTES, "UPDATE: AS_PATH is truncated")
-        found += struct.unpack_from(f"!{data[1]}{octets}", data, 2)
+        as_path += struct.unpack_from(f"!{data[1]}{octets}", data, 2)
         data = data[end:]
-    return tuple(found)
+    return tuple(as_path)
 
 
 def _optional_u32(attributes: dict[int, bytes], attribute_type: int) -> int | None:
--- a/tests/app/test_address_failover.py
+++ b/tests/app/test_address_failover.py
@@ -16,12 +16,14 @@
 from saltcourse.config import ConfigError
 from saltcourse.config.operator import read_operator
 from saltcourse.config.operator_address_failover import AddressFailoverSettings
-from tests.config.operator_files import GOOD, write_operator_file
+from tests.config.operator_files import ADDRESS_FAILOVER_SECTION, write_operator_file
 
 
 def settings(folder: Path, port: int, more: str = "", keys: str = "ab" * 32) -> AddressFailoverSettings:
     """Return the settings of the witness, which needs no announcer."""
-    text = GOOD.replace('me: "a"', f'me: "w" {more}', 1).replace("[::1]:7001", f"127.0.0.1:{port}")
+    text = ADDRESS_FAILOVER_SECTION.replace('me: "a"', f'me: "w" {more}', 1).replace(
+        "[::1]:7001", f"127.0.0.1:{port}"
+    )
     section = read_operator(write_operator_file(folder, text, keys), "p").address_failover
     assert section is not None
     return section
--- a/tests/app/test_proxy.py
+++ b/tests/app/test_proxy.py
@@ -29,7 +29,7 @@
     path = write_proxy_config(tmp_path, peers=False)
     program = ProxyProgram(path, None, {})
     assert program.operator is None
-    ran = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-c", PRINT_MODULES, path],
         capture_output=True,
         text=True,
@@ -44,7 +44,7 @@
         "saltcourse.address_failover",
         "saltcourse.admin",
     )
-    assert [name for name in ran.stdout.split() if name.startswith(optional)] == []
+    assert [name for name in process.stdout.split() if name.startswith(optional)] == []
 
 
 def test_the_shared_state_section_is_part_of_the_settings(tmp_path: Path) -> None:
--- a/tests/cli/test_gossip.py
+++ b/tests/cli/test_gossip.py
@@ -18,7 +18,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, peers, arguments, named",
+    "text, peers, arguments, message",
     [
         (PROXY_SECTION, False, ["serve"], "gossip: .*'settings.limits.peers'"),
         (PROXY_SECTION, False, ["check-config"], "gossip: .*'settings.limits.peers'"),
@@ -34,14 +34,14 @@
     ],
 )
 def test_configuration_errors_exit_with_code_2_and_one_line(
-    text: str, peers: bool, arguments: list[str], named: str, tmp_path: Path
+    text: str, peers: bool, arguments: list[str], message: str, tmp_path: Path
 ) -> None:
     full = [*arguments, "--operator", str(write_operator_file(tmp_path, text))]
     if arguments[0] != "control":
         full += ["--config", str(write_config(tmp_path, peers))]
     result = CliRunner().invoke(main, full)
     assert result.exit_code == 2 and "Traceback" not in result.output
-    assert len(result.output.splitlines()) == 1 and re.search(named, result.output)
+    assert len(result.output.splitlines()) == 1 and re.search(message, result.output)
 
 
 def test_check_config_summarizes_gossip(tmp_path: Path) -> None:
@@ -60,7 +60,7 @@
 
 
 @pytest.mark.parametrize(
-    "arguments, named",
+    "arguments, message",
     [
         ([], "--admin"),
         (["--admin", "127.0.0.1"], "must be HOST:PORT"),
@@ -70,9 +70,9 @@
         (["--admin", "127.0.0.1:1", "k=v", "--delete", "k"], "duplicate key 'k'"),
     ],
 )
-def test_publish_exits_with_code_2_on_usage_errors(arguments: list[str], named: str) -> None:
+def test_publish_exits_with_code_2_on_usage_errors(arguments: list[str], message: str) -> None:
     result = CliRunner().invoke(main, ["publish", *arguments])
-    assert result.exit_code == 2 and named in result.output
+    assert result.exit_code == 2 and message in result.output
 
 
 def test_an_address_in_use_exits_with_code_3(tmp_path: Path) -> None:
--- a/tests/cli/test_main.py
+++ b/tests/cli/test_main.py
@@ -11,5 +11,5 @@
         "import sys, saltcourse.cli.main; print([m for m in sys.modules if any(part in m for part in "
         "('protobuf', 'membership', 'address_failover', 'emulator', 'sqlite3', 'config.operator'))])"
     )
-    found = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
-    assert found.stdout.strip() == "[]"
+    process = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
+    assert process.stdout.strip() == "[]"
--- a/tests/cli/test_proxy.py
+++ b/tests/cli/test_proxy.py
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize(
-    ("environment", "named", "code"),
+    ("environment", "message", "code"),
     [
         ({"EDGE_ADMIN": "nowhere"}, "'admin': must be host:port", 2),
         ({"EDGE_LISTEN_FD": "three"}, "EDGE_LISTEN_FD: must be the number of a file descriptor", 2),
@@ -46,7 +46,7 @@
     ],
 )
 def test_an_unusable_address_or_descriptor_is_named(
-    environment: dict[str, str], named: str, code: int, tmp_path: Path
+    environment: dict[str, str], message: str, code: int, tmp_path: Path
 ) -> None:
     used = socket.create_server(("127.0.0.1", 0))
     values = json.loads(EXAMPLE.read_text()) | {"listen": f"127.0.0.1:{free_port()}"}
@@ -54,7 +54,7 @@
     path.write_text(json.dumps(values))
     used_address = f"127.0.0.1:{used.getsockname()[1]}"
     variables = {key: value.replace("IN_USE", used_address) for key, value in environment.items()}
-    ran = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-m", "saltcourse", "serve", "--config", str(path)],
         capture_output=True,
         env=os.environ | variables,
@@ -62,22 +62,26 @@
         cwd=EXAMPLE.parent.parent,
     )
     used.close()
-    assert ran.returncode == code and named in ran.stderr.decode() and b"Traceback" not in ran.stderr
+    assert (
+        process.returncode == code
+        and message in process.stderr.decode()
+        and b"Traceback" not in process.stderr
+    )
 
 
 @pytest.mark.parametrize("command", ["check-config", "serve"])
 def test_an_invalid_quota_exits_with_code_2_and_no_traceback(command: str, tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(CONFIG | {"settings": with_quotas(["many"])}))
-    ran = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-m", "saltcourse", command, "--config", str(path)],
         capture_output=True,
         env=os.environ,
         timeout=20,
         cwd=EXAMPLE.parent.parent,
     )
-    assert ran.returncode == 2 and "tenant_quota_connections[0]" in ran.stderr.decode()
-    assert b"Traceback" not in ran.stderr
+    assert process.returncode == 2 and "tenant_quota_connections[0]" in process.stderr.decode()
+    assert b"Traceback" not in process.stderr
 
 
 def test_check_config_summarizes_address_failover(tmp_path: Path) -> None:
--- a/tests/cli/test_witness.py
+++ b/tests/cli/test_witness.py
@@ -12,11 +12,16 @@
 from click.testing import CliRunner
 
 from saltcourse.cli.main import main
-from tests.config.operator_files import EXAMPLE, GOOD, write_operator_file, write_proxy_config
+from tests.config.operator_files import (
+    ADDRESS_FAILOVER_SECTION,
+    EXAMPLE,
+    write_operator_file,
+    write_proxy_config,
+)
 
 
 @pytest.mark.parametrize(
-    "arguments, named",
+    "arguments, message",
     [
         (["check-config", "--operator", "none.txtpb"], "none.txtpb: No such file"),
         (["serve", "--operator", "FILE"], "'settings.limits.peers'"),
@@ -25,14 +30,14 @@
     ],
 )
 def test_configuration_errors_exit_with_code_2_and_name_the_cause(
-    arguments: list[str], named: str, tmp_path: Path
+    arguments: list[str], message: str, tmp_path: Path
 ) -> None:
     file = write_operator_file(tmp_path)
     full = [str(file) if argument == "FILE" else argument for argument in arguments]
     if arguments[0] != "witness":
         full += ["--config", write_proxy_config(tmp_path, peers=False)]
     result = CliRunner().invoke(main, full)
-    assert result.exit_code == 2 and named in result.output and "Traceback" not in result.output
+    assert result.exit_code == 2 and message in result.output and "Traceback" not in result.output
 
 
 def test_a_witness_reloads_keys_on_sighup_and_exits_on_sigterm(tmp_path: Path) -> None:
@@ -44,7 +49,8 @@
         free.bind(("127.0.0.1", 0))
         port = free.getsockname()[1]
     file = write_operator_file(
-        tmp_path, GOOD.replace('me: "a"', 'me: "w"', 1).replace("[::1]:7001", f"127.0.0.1:{port}")
+        tmp_path,
+        ADDRESS_FAILOVER_SECTION.replace('me: "a"', 'me: "w"', 1).replace("[::1]:7001", f"127.0.0.1:{port}"),
     )
     process = subprocess.Popen(
         [sys.executable, "-m", "saltcourse", "witness", "--operator", str(file)],
--- a/tests/config/operator_files.py
+++ b/tests/config/operator_files.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 EXAMPLE = Path(__file__).parents[2] / "example" / "config.json"
-GOOD = """membership {
+ADDRESS_FAILOVER_SECTION = """membership {
   me: "a"
   service_address: "192.0.2.7"
   member { name: "a" address: "127.0.0.1:7001" priority: 2 }
@@ -42,7 +42,9 @@
 """
 
 
-def write_operator_file(folder: Path, text: str = GOOD, keys: str = "ab" * 32, mode: int = 0o600) -> Path:
+def write_operator_file(
+    folder: Path, text: str = ADDRESS_FAILOVER_SECTION, keys: str = "ab" * 32, mode: int = 0o600
+) -> Path:
     """Write an operator's file and its key file to a directory, and return the path of the former."""
     (folder / "key").write_text(keys)
     (folder / "key").chmod(mode)
--- a/tests/config/test_deployment_settings.py
+++ b/tests/config/test_deployment_settings.py
@@ -198,7 +198,7 @@
 
 
 @pytest.mark.parametrize(
-    ("path", "new", "named"),
+    ("path", "new", "message"),
     [
         (("extra", "tenant_quota_connections"), [1, "7"], r"tenant_quota_connections\[1\]"),
         (("extra", "tenant_quota_connections"), [-3], r"tenant_quota_connections\[0\]"),
@@ -213,9 +213,9 @@
         (("parties", 1), "south", r"parties\[1\]"),
     ],
 )
-def test_an_invalid_element_is_named_with_its_index(path: JsonPath, new: Any, named: str) -> None:
+def test_an_invalid_element_is_named_with_its_index(path: JsonPath, new: Any, message: str) -> None:
     settings = replaced(SETTINGS, path, new)
-    with pytest.raises(InvalidObjectError, match=named):
+    with pytest.raises(InvalidObjectError, match=message):
         read_settings(settings)
-    with pytest.raises(ConfigError, match=named):
+    with pytest.raises(ConfigError, match=message):
         read_config(CONFIG | {"settings": settings}, {})
--- a/tests/config/test_operator.py
+++ b/tests/config/test_operator.py
@@ -9,7 +9,7 @@
 from saltcourse.config import ConfigError
 from saltcourse.config.operator import read_operator
 from saltcourse.config.operator_address_failover import AddressFailoverSettings
-from tests.config.operator_files import GOOD, write_operator_file
+from tests.config.operator_files import ADDRESS_FAILOVER_SECTION, write_operator_file
 
 
 def address_failover(file: Path) -> AddressFailoverSettings:
@@ -36,7 +36,7 @@
 
 
 @pytest.mark.parametrize(
-    "old, new, line, named",
+    "old, new, line, message",
     [
         ("  me:", "  my:", 2, 'no field named "my"'),
         ('me: "a"', "me: 3", 2, "3"),
@@ -60,15 +60,17 @@
         ("witness: true", "witness: yes", 9, "yes"),
     ],
 )
-def test_errors_name_the_line_and_the_key(old: str, new: str, line: int, named: str, tmp_path: Path) -> None:
-    assert GOOD.count(old) >= 1
-    file = write_operator_file(tmp_path, GOOD.replace(old, new, 1))
-    with pytest.raises(ConfigError, match=rf"operator\.txtpb:{line}: .*{named}"):
+def test_errors_name_the_line_and_the_key(
+    old: str, new: str, line: int, message: str, tmp_path: Path
+) -> None:
+    assert ADDRESS_FAILOVER_SECTION.count(old) >= 1
+    file = write_operator_file(tmp_path, ADDRESS_FAILOVER_SECTION.replace(old, new, 1))
+    with pytest.raises(ConfigError, match=rf"operator\.txtpb:{line}: .*{message}"):
         read_operator(file, "p")
 
 
 @pytest.mark.parametrize(
-    "text, named",
+    "text, message",
     [
         ("term_s: 0", "fleet.term_s: must be from 1 to 300"),
         ("drift: 0.5", "fleet.drift: must be from 0 to 0.05"),
@@ -77,13 +79,13 @@
         ("probes: 3", 'no field named "probes"'),
     ],
 )
-def test_invalid_settings_of_shared_state_are_rejected(text: str, named: str, tmp_path: Path) -> None:
-    with pytest.raises(ConfigError, match=rf":2: .*{named}"):
+def test_invalid_settings_of_shared_state_are_rejected(text: str, message: str, tmp_path: Path) -> None:
+    with pytest.raises(ConfigError, match=rf":2: .*{message}"):
         read_operator(write_operator_file(tmp_path, "fleet {\n  " + text + "\n}\n"), "p")
 
 
 @pytest.mark.parametrize(
-    "keys, mode, named",
+    "keys, mode, message",
     [
         ("ab" * 32, 0o640, "accessible to its group or to others"),
         ("abcd", 0o600, "at least 16 bytes"),
@@ -92,6 +94,6 @@
         (("ab" * 32 + "\n") * 2, 0o600, "duplicate key"),
     ],
 )
-def test_invalid_keys_are_rejected(keys: str, mode: int, named: str, tmp_path: Path) -> None:
-    with pytest.raises(ConfigError, match=rf":10: membership.key_file: .*{named}"):
+def test_invalid_keys_are_rejected(keys: str, mode: int, message: str, tmp_path: Path) -> None:
+    with pytest.raises(ConfigError, match=rf":10: membership.key_file: .*{message}"):
         read_operator(write_operator_file(tmp_path, keys=keys, mode=mode), "p")
--- a/tests/config/test_operator_gossip.py
+++ b/tests/config/test_operator_gossip.py
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize(
-    "old, new, line, named",
+    "old, new, line, message",
     [
         ("  me:", "  mi:", 2, 'no field named "mi"'),
         ('me: "c0"', 'me: "c0\\n"', 2, "gossip.me: must be 1 to 64 bytes"),
@@ -103,10 +103,12 @@
         ("probe_interval_s: 2", "bytes_per_s: 100", 14, "gossip.bytes_per_s: must be from 2000"),
     ],
 )
-def test_errors_name_the_line_and_the_key(old: str, new: str, line: int, named: str, tmp_path: Path) -> None:
+def test_errors_name_the_line_and_the_key(
+    old: str, new: str, line: int, message: str, tmp_path: Path
+) -> None:
     assert GOSSIP_SECTION.count(old) >= 1
     file = write_operator_file(tmp_path, GOSSIP_SECTION.replace(old, new, 1))
-    with pytest.raises(ConfigError, match=rf"operator\.txtpb:{line}: .*{named}"):
+    with pytest.raises(ConfigError, match=rf"operator\.txtpb:{line}: .*{message}"):
         read_operator(file, "p")
 
 
@@ -119,7 +121,7 @@
 
 
 @pytest.mark.parametrize(
-    "keys, mode, named",
+    "keys, mode, message",
     [
         ("ab" * 32, 0o640, "accessible to its group or to others"),
         ("abcd", 0o600, "at least 16 bytes"),
@@ -128,6 +130,6 @@
         ("ab" * 32 + "\n" + "cd" * 32, 0o600, "one key, not 2"),
     ],
 )
-def test_invalid_keys_are_rejected(keys: str, mode: int, named: str, tmp_path: Path) -> None:
-    with pytest.raises(ConfigError, match=rf":12: gossip.key_file: .*{named}"):
+def test_invalid_keys_are_rejected(keys: str, mode: int, message: str, tmp_path: Path) -> None:
+    with pytest.raises(ConfigError, match=rf":12: gossip.key_file: .*{message}"):
         read_operator(write_operator_file(tmp_path, GOSSIP_SECTION, keys=keys, mode=mode), "p")
--- a/tests/config/test_proxy_config.py
+++ b/tests/config/test_proxy_config.py
@@ -25,7 +25,7 @@
 
 
 @pytest.mark.parametrize(
-    ("changes", "named"),
+    ("changes", "message"),
     [
         ({"listen": "nowhere"}, "'listen'"),
         ({"listen": "h:70000"}, "'listen'"),
@@ -41,13 +41,13 @@
         ({"settings": {"limits": {}, "obligations": {}, "discovery": "x", "classes": []}}, "'discovery'"),
     ],
 )
-def test_errors_name_the_key(changes: dict[str, Any], named: str) -> None:
-    with pytest.raises(ConfigError, match=named):
+def test_errors_name_the_key(changes: dict[str, Any], message: str) -> None:
+    with pytest.raises(ConfigError, match=message):
         read_config(example(**changes), {})
 
 
 @pytest.mark.parametrize(
-    ("changes", "named"),
+    ("changes", "message"),
     [
         ({}, ""),
         ({"peers": None}, "'peers'"),
@@ -59,14 +59,14 @@
     ],
 )
 def test_peers_are_read_if_the_deployment_allows_them_and_errors_name_the_key(
-    changes: dict[str, Any], named: str
+    changes: dict[str, Any], message: str
 ) -> None:
     values = example(peer_listen="h:9", peers=["h:1", "h:2", "h:3"], peers_all="h:8") | changes
     values["settings"] = values["settings"] | {"balancers": 3, "self_index": 1}
     assert read_config(values, {}).peers is None  # the settings forbid traffic between proxies
     values["settings"]["limits"] = values["settings"]["limits"] | {"peers": True}
-    if named:
-        with pytest.raises(ConfigError, match=named):
+    if message:
+        with pytest.raises(ConfigError, match=message):
             read_config(values, {})
         return
     peers = read_config(values, {}).peers
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -71,11 +71,11 @@
 
 def modules_of(package: Path) -> dict[str, Path]:
     """Map the dotted name of each module to its path; ``__init__.py`` has the name of its package."""
-    found = {}
+    modules = {}
     for path in package.rglob("*.py"):
         parts = path.relative_to(package.parent).with_suffix("").parts
-        found[".".join(parts[:-1] if parts[-1] == "__init__" else parts)] = path
-    return found
+        modules[".".join(parts[:-1] if parts[-1] == "__init__" else parts)] = path
+    return modules
 
 
 def imported_names(module: str, path: Path) -> set[str]:
@@ -134,13 +134,13 @@
 
 def upward_imports(imports: Imports) -> list[str]:
     """Return the imports of a higher layer by a lower one, and the modules without a layer."""
-    found = [f"{module} has no layer" for module in imports if layer_of(module) is None]
+    violations = [f"{module} has no layer" for module in imports if layer_of(module) is None]
     for module, targets in imports.items():
         for target in targets:
             layer, target_layer = layer_of(module), layer_of(target)
             if layer is not None and target_layer is not None and layer < target_layer:
-                found.append(f"{module} imports {target}")
-    return sorted(found)
+                violations.append(f"{module} imports {target}")
+    return sorted(violations)
 
 
 def test_imports_form_no_cycle() -> None:
--- a/tests/test_package.py
+++ b/tests/test_package.py
@@ -102,7 +102,7 @@
             for name, value in os.environ.items()
             if not name.startswith(("PYTHON", "EDGE_", "SALTCOURSE"))
         }
-        ran = subprocess.run(
+        process = subprocess.run(
             [str(self.folder / "venv" / "bin" / command[0]), *command[1:]],
             cwd=self.folder,
             env=environment,
@@ -110,8 +110,8 @@
             text=True,
             timeout=STEP_TIMEOUT_SECONDS,
         )
-        assert ran.returncode == 0, f"{command}: exit {ran.returncode}: {ran.stderr}"
-        return ran.stdout
+        assert process.returncode == 0, f"{command}: exit {process.returncode}: {process.stderr}"
+        return process.stdout
 
     def imports(self) -> dict[str, str]:
         """Map each module that cannot be imported to the missing module."""
@@ -121,13 +121,13 @@
 
 
 def pip(*arguments: str) -> None:
-    ran = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-m", "pip", "--disable-pip-version-check", *arguments],
         capture_output=True,
         text=True,
         timeout=STEP_TIMEOUT_SECONDS,
     )
-    assert ran.returncode == 0, ran.stderr
+    assert process.returncode == 0, process.stderr
 
 
 def install(folder: Path, wheel: Path, extras: str) -> None:
@@ -214,8 +214,8 @@
 
 def test_the_proxy_does_not_import_modules_of_the_scale_extra() -> None:
     script = "import sys, saltcourse.cli.main, saltcourse.proxy.server; print(*sys.modules)"
-    ran = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-c", script], capture_output=True, text=True, cwd=ROOT, timeout=STEP_TIMEOUT_SECONDS
     )
-    assert ran.returncode == 0, ran.stderr
-    assert not {name.partition(".")[0] for name in ran.stdout.split()} & set(SCALE_MODULES)
+    assert process.returncode == 0, process.stderr
+    assert not {name.partition(".")[0] for name in process.stdout.split()} & set(SCALE_MODULES)
