--- a/saltcourse/codec/lines.py
+++ b/saltcourse/codec/lines.py
@@ -81,7 +81,7 @@
 
     @property
     def has_data(self) -> bool:
-        """Whether the buffer holds bytes that have not been consumed yet."""
+        """True if the buffer holds bytes that have not been consumed yet."""
         return self._end > self._start
 
     def next_line(self) -> memoryview | None:
--- a/saltcourse/config/operator_address_failover.py
+++ b/saltcourse/config/operator_address_failover.py
@@ -85,7 +85,7 @@
 
     @property
     def is_witness(self) -> bool:
-        """Whether this instance only votes and never holds the address."""
+        """True if this instance only votes and never holds the address."""
         return any(voter.witness for voter in self.voters if voter.name == self.own_name)
 
     @property
--- a/saltcourse/config/operator_gossip.py
+++ b/saltcourse/config/operator_gossip.py
@@ -69,7 +69,7 @@
 
     @property
     def is_voter(self) -> bool:
-        """Whether this instance votes on configuration changes."""
+        """True if this instance votes on configuration changes."""
         return any(voter.name == self.own_name for voter in self.voters)
 
 
