--- a/tests/config/test_operator.py
+++ b/tests/config/test_operator.py
@@ -1,4 +1,4 @@
-"""The operator's file as an operator meets it: every mistake is named with its line and the key's path."""
+"""The operator's file: valid sections, and errors that name the line and the path of the key."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 from saltcourse.config import ConfigError
 from saltcourse.config.operator import read_operator
 from saltcourse.config.operator_address_failover import AddressFailoverSettings
-from tests.config.operator_files import GOOD, write_operator_file
+from tests.config.operator_files import ADDRESS_FAILOVER_SECTION, write_operator_file
 
 
 def address_failover(file: Path) -> AddressFailoverSettings:
-    found = read_operator(file, "p").address_failover
-    assert found is not None
-    return found
+    section = read_operator(file, "p").address_failover
+    assert section is not None
+    return section
 
 
-def test_a_good_file_is_read_and_an_empty_one_switches_nothing_on(tmp_path: Path) -> None:
+def test_a_valid_file_is_read_and_an_empty_file_enables_nothing(tmp_path: Path) -> None:
     settings = address_failover(write_operator_file(tmp_path))
     assert settings.addresses["w"] == ("::1", 7001) and settings.timing.renewal_interval == pytest.approx(0.1)
     assert not settings.is_witness
@@ -36,36 +36,41 @@
 
 
 @pytest.mark.parametrize(
-    "old, new, line, named",
+    "old, new, line, message",
     [
         ("  me:", "  my:", 2, 'no field named "my"'),
         ('me: "a"', "me: 3", 2, "3"),
-        ('me: "a"', 'me: "z"', 2, "membership.me: 'z' is none of the members"),
+        ('me: "a"', 'me: "z"', 2, "membership.me: 'z' is not the name of a member"),
         ('"192.0.2.7"', '"somewhere"', 3, "membership.service_address: must be an IP address"),
-        ('name: "b"', 'name: "a"', 6, r"membership.member\[1\].name: 'a' stands twice"),
-        ("127.0.0.2:7001", "127.0.0.1:7001", 7, r"membership.member\[1\].address: is a's address too"),
+        ('name: "b"', 'name: "a"', 6, r"membership.member\[1\].name: duplicate member name 'a'"),
+        (
+            "127.0.0.2:7001",
+            "127.0.0.1:7001",
+            7,
+            r"membership.member\[1\].address: '127.0.0.1:7001' is also the address of 'a'",
+        ),
         ("127.0.0.2:7001", "proxy-b:7001", 7, r"membership.member\[1\].address: must be ADDRESS:PORT"),
         ("priority: 2", "priority: -2", 4, "-2"),
         ("lease_s: 0.5", "lease_s: 90", 11, "from 0.2 to 30, not 90"),
-        ("lease_s: 0.5", "lease_s: 0.5 renew_s: 0.4", 11, "membership.timing.renew_s: under half"),
+        ("lease_s: 0.5", "lease_s: 0.5 renew_s: 0.4", 11, "membership.timing.renew_s: must be .*half"),
         ('"key"', '"nokey"', 10, "membership.key_file: .*nokey: No such file"),
         ("asn: 64512 p", "asn: 0 p", 13, "membership.bgp.asn: must be from 1"),
         ('next_hop: "10.0.0.1"', 'next_hop: "::1"', 14, "membership.bgp.next_hop: must be an IPv4 address"),
-        ("  bgp {", "  command { }\n  bgp {", 12, "membership.command: beside bgp"),
+        ("  bgp {", "  command { }\n  bgp {", 12, "membership.command: must not be set together with bgp"),
         ("witness: true", "witness: yes", 9, "yes"),
     ],
 )
-def test_mistakes_are_named_with_line_and_key(
-    old: str, new: str, line: int, named: str, tmp_path: Path
+def test_errors_name_the_line_and_the_key(
+    old: str, new: str, line: int, message: str, tmp_path: Path
 ) -> None:
-    assert GOOD.count(old) >= 1
-    file = write_operator_file(tmp_path, GOOD.replace(old, new, 1))
-    with pytest.raises(ConfigError, match=rf"operator\.txtpb:{line}: .*{named}"):
+    assert ADDRESS_FAILOVER_SECTION.count(old) >= 1
+    file = write_operator_file(tmp_path, ADDRESS_FAILOVER_SECTION.replace(old, new, 1))
+    with pytest.raises(ConfigError, match=rf"operator\.txtpb:{line}: .*{message}"):
         read_operator(file, "p")
 
 
 @pytest.mark.parametrize(
-    "text, named",
+    "text, message",
     [
         ("term_s: 0", "fleet.term_s: must be from 1 to 300"),
         ("drift: 0.5", "fleet.drift: must be from 0 to 0.05"),
@@ -74,21 +79,21 @@
         ("probes: 3", 'no field named "probes"'),
     ],
 )
-def test_invalid_settings_of_shared_state_are_rejected(text: str, named: str, tmp_path: Path) -> None:
-    with pytest.raises(ConfigError, match=rf":2: .*{named}"):
+def test_invalid_settings_of_shared_state_are_rejected(text: str, message: str, tmp_path: Path) -> None:
+    with pytest.raises(ConfigError, match=rf":2: .*{message}"):
         read_operator(write_operator_file(tmp_path, "fleet {\n  " + text + "\n}\n"), "p")
 
 
 @pytest.mark.parametrize(
-    "keys, mode, named",
+    "keys, mode, message",
     [
-        ("ab" * 32, 0o640, "read by others"),
-        ("abcd", 0o600, "under 16 bytes"),
+        ("ab" * 32, 0o640, "accessible to its group or to others"),
+        ("abcd", 0o600, "at least 16 bytes"),
         ("", 0o600, "not 0"),
         ("xy" * 32, 0o600, "hexadecimal"),
-        (("ab" * 32 + "\n") * 2, 0o600, "same key twice"),
+        (("ab" * 32 + "\n") * 2, 0o600, "duplicate key"),
     ],
 )
-def test_invalid_keys_are_rejected(keys: str, mode: int, named: str, tmp_path: Path) -> None:
-    with pytest.raises(ConfigError, match=rf":10: membership.key_file: .*{named}"):
+def test_invalid_keys_are_rejected(keys: str, mode: int, message: str, tmp_path: Path) -> None:
+    with pytest.raises(ConfigError, match=rf":10: membership.key_file: .*{message}"):
         read_operator(write_operator_file(tmp_path, keys=keys, mode=mode), "p")
