--- a/saltcourse/balancing/admission.py
+++ b/saltcourse/balancing/admission.py
@@ -5,15 +5,15 @@
 - The proxy counts failed and successful attempts over all backends, and reduces both counts by a fifth each
   second. A connection that is reset within seconds counts as a failure. Errors, cancelled attempts and
   attempts that were not sent are not counted. The proxy is overloaded while failures exceed successes by
-  more than four: new requests are rejected without an attempt, and nothing is retried. Without new attempts
-  the overload ends through the decay of the counts and the outcomes of attempts still in flight.
+  more than four: new requests are rejected without an attempt, and nothing is retried. The overload ends as
+  the counts decay, and as attempts that are still in flight succeed.
 - A request that cannot be placed is rejected if it is safe to retry and no attempt is in flight. Its
   Retry-After is a random 50 to 100% of the maximum. Any other request fails, without advice to retry.
 
 Inputs: outcomes of attempts, the request and its class. Output: ``RejectRequest`` or ``FailRequest``.
 
-Why: when clients overload all backends, retries and new attempts make set-ups even slower, while rejected
-clients retry at different times.
+Why: when clients overload all backends, retries and new attempts make connection setup even slower, while
+rejected clients retry at different times.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
 
     @property
     def is_failing(self) -> bool:
-        """Whether more attempts have failed than succeeded in the last seconds."""
+        """Whether more attempts have failed than succeeded within the last few seconds."""
         return self.failures > self.successes
 
     def attempt_failed(self, status: AttemptStatus) -> None:
@@ -61,13 +61,13 @@
         self.successes += 1
 
     def connection_finished(self, now: float, established_at: float, status: AttemptStatus) -> None:
-        """Turn the success of a connection into a failure if it was reset soon after its set-up."""
+        """Turn the success of a connection into a failure if it was reset soon after its setup."""
         if status is AttemptStatus.RESET and now < established_at + EARLY_RESET_SECONDS:
             self.successes -= 1
             self.failures += 1
 
     def decay(self, elapsed: float) -> None:
-        """Reduce both counts for ``elapsed`` seconds."""
+        """Reduce both counts by their decay over ``elapsed`` seconds."""
         self.failures *= max(0.0, 1 - elapsed / OUTCOME_MEMORY_SECONDS)
         self.successes = max(0.0, self.successes * (1 - elapsed / OUTCOME_MEMORY_SECONDS))
 
--- a/saltcourse/balancing/backend_report.py
+++ b/saltcourse/balancing/backend_report.py
@@ -1,4 +1,4 @@
-"""Reports on single backends for log lines and metrics; no decision depends on them."""
+"""Reports on individual backends for log lines and metrics; no decision depends on them."""
 
 from __future__ import annotations
 
@@ -43,6 +43,6 @@
         state=backend.state,
         occupancy=backend.occupancy,
         ceiling=backend.ceiling,
-        reasons=tuple(reason for reason, holds in reasons.items() if holds),
+        reasons=tuple(reason for reason, applies in reasons.items() if applies),
         is_avoided=not is_ready or health in AVOIDED_STATES,
     )
--- a/saltcourse/balancing/balancer.py
+++ b/saltcourse/balancing/balancer.py
@@ -168,7 +168,7 @@
 
     @property
     def is_failing(self) -> bool:
-        """Whether more attempts have failed than succeeded in the last seconds."""
+        """Whether more attempts have failed than succeeded within the last few seconds."""
         return self.overload.is_failing
 
     # ---- endpoint list and timers ------------------------------------------------------------------
@@ -242,7 +242,7 @@
         return request
 
     def _request_of(self, event: ConnectionEstablished | AttemptFinished) -> Request | None:
-        """Return the event's request, or None if the event belongs to an earlier attempt or is unknown."""
+        """Return the event's request, or None if it is unknown or the event belongs to an earlier attempt."""
         request = self.requests.get(event.request)
         if request is None or request.backend is None or event.attempt != request.attempts - 1:
             return None
--- a/saltcourse/balancing/capacity_estimate.py
+++ b/saltcourse/balancing/capacity_estimate.py
@@ -18,7 +18,8 @@
 from saltcourse.balancing.state import Backend
 from saltcourse.shared_state.state import SharedState
 
-MIN_USEFUL_LOAD = 0.02  # Reports at or below this load are ignored, because their quotient is mostly noise.
+# Reports at or below this load are ignored: occupancy divided by so small a load is mostly noise.
+MIN_USEFUL_LOAD = 0.02
 PRIOR_LOAD = 3  # Number of fully loaded mean backends that are added to each machine type.
 INITIAL_MEAN_LOAD = 0.5  # Assumed until reports have been received.
 
@@ -39,11 +40,11 @@
         reporting = [
             b for b in candidates if b.report.received_at > oldest and b.report.load > MIN_USEFUL_LOAD
         ]
-        own = sum([b.occupancy for b in reporting])
+        occupancy = sum([b.occupancy for b in reporting])
         reported = sum([b.report.load for b in reporting])
-        if own <= 0:
+        if occupancy <= 0:
             return
-        self.slots_at_full_load = own / reported
+        self.slots_at_full_load = occupancy / reported
         self._shared_state.set_capacity_scale(self.slots_at_full_load)
         self.mean_reported_load = reported / len(reporting)
         capacities = {
--- a/saltcourse/balancing/drain_schedule.py
+++ b/saltcourse/balancing/drain_schedule.py
@@ -1,7 +1,7 @@
-"""The drain schedule: spreads the migrations of a draining proxy evenly over the duration of the drain.
+"""Drain schedule: spreads the migrations of a draining proxy evenly over the duration of the drain.
 
 Migrated clients reconnect to the other proxies, or to the process that replaces this one. If all reconnected
-at once, connection set-ups would be slow, ceilings would grow by only one slot at a time, and many clients
+at once, connection setup would be slow, ceilings would grow by only one slot at a time, and many clients
 would be rejected. Therefore each check migrates connections in proportion to the check interval over the
 time left, and the last check migrates the rest.
 
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainSchedule:
-    """Spreads migrations between ``begin`` and ``end`` (s, on the clock of the ``now`` that is passed)."""
+    """Spreads migrations between ``begin`` and ``end`` (s, on the caller's clock)."""
 
     begin: float  # Time of the first migrations.
     end: float  # Time by which all connections have been migrated.
--- a/saltcourse/balancing/endpoint_list.py
+++ b/saltcourse/balancing/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list: applies its updates to the pool of backends, and schedules the calls to discovery.
+"""Endpoint list: applies updates of the list to the pool of backends, and schedules the calls to discovery.
 
 The rules:
 
@@ -9,16 +9,16 @@
 - When a backend drains, or an update removes it explicitly, its connections are migrated before it closes
   them. When it is only missing from a complete list, nothing is migrated, because the list may be stale.
 - If the list is polled, discovery is first called after a random delay, so that proxies that start together
-  do not call at once. A failed call is retried with a backoff that doubles from 1 s to at most 2 s, less the
-  duration of the call, multiplied by a random factor from 0.5 to 1. Every second retry fetches the complete
-  list instead of watching it, because a fetch may succeed while a watch fails. After a fetch the list is
-  watched again.
+  do not call at the same time. A failed call is retried with a backoff that doubles from 1 s to at most 2 s,
+  less the duration of the call, multiplied by a random factor from 0.5 to 1. Every second retry fetches the
+  complete list instead of watching it, because a fetch may succeed while a watch fails. After a fetch the
+  list is watched again.
 
 Inputs: ``EndpointsUpdated`` events, start times and the current time in seconds. Output: the backends of the
 pool, and the actions ``SetTimer``, ``WatchEndpoints``, ``FetchEndpoints`` and ``MigrateConnection``.
 
 Why: a list that is stale by more than a few seconds sends clients to backends that no longer exist, and a
-discovery service that all proxies call at once answers none of them.
+discovery service that all proxies call at the same time answers none of them.
 """
 
 from __future__ import annotations
@@ -127,9 +127,9 @@
         return has_changed
 
     def _remove_missing(self, endpoints: tuple[Endpoint, ...]) -> None:
-        named = {endpoint.backend for endpoint in endpoints}
+        listed = {endpoint.backend for endpoint in endpoints}
         for backend in self.pool.backends.values():
-            if backend.name not in named:
+            if backend.name not in listed:
                 backend.state = BackendState.REMOVED
 
     def _add(self, now: float, endpoint: Endpoint) -> Backend:
--- a/saltcourse/balancing/events.py
+++ b/saltcourse/balancing/events.py
@@ -41,7 +41,7 @@
 
 
 NEVER_RAN = frozenset({AttemptStatus.FULL, AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_SENT})
-"""Statuses that prove that the request was not run by the backend."""
+"""Statuses that prove that the backend did not run the request."""
 
 
 @dataclass(slots=True)
@@ -99,7 +99,7 @@
 
 @dataclass(slots=True)
 class ConnectionEstablished:
-    """The attempt's connection is established; it has no deadline from now on.
+    """The attempt's connection is established; the deadline does not apply to it.
 
     The connection ends with ``AttemptFinished``. ``latency`` is the time (s) since the attempt's start.
     """
--- a/saltcourse/balancing/failure_attribution.py
+++ b/saltcourse/balancing/failure_attribution.py
@@ -2,20 +2,21 @@
 
 The rules:
 
-1. A failed connect, or no answer before the time-out, is the backend's fault.
+1. A failed connect, or no answer before the timeout, is the backend's fault.
 2. A rejection shows that the backend is alive, and that it is full.
 3. An error, or a reset before the connection is established, only makes the backend a suspect. If the
    request is then established at another backend, the suspect was at fault. If the request fails in this way
-   there too, the request itself is at fault, and the suspect is cleared. A backend that fails the requests
-   of a single client flow only is not at fault either. An error by the backend's fault raises its error
-   rate, and the backend is ejected above ``MAX_ERROR_RATE``. A reset is handled as in rule 4. Either one
-   ejects a backend that was eligible for a probe.
+   at a second backend too, the request itself is at fault, and the suspect is cleared. A backend that only
+   fails the requests of a single client flow is not at fault either. An error that is the backend's fault
+   raises its error rate, and the backend is ejected above ``MAX_ERROR_RATE``. A reset that is its fault is
+   handled as in rule 4. Either one ejects a backend that was eligible for a probe.
 4. A reset of an established connection ejects no backend. If a second one follows within a second, the
    backend's ceiling is cut: networks and clients reset single connections, while a backend that drops
    connections resets several.
 5. An attempt that was started before the backend's process started has no effect on the new process.
 
-Inputs: how attempts ended, and the time in seconds. Output: health events and ceiling cuts.
+Inputs: the outcomes of attempts and health checks, and the time in seconds. Output: health events and ceiling
+cuts.
 
 Why: otherwise clients whose requests fail everywhere would eject one backend after another, until the
 remaining ones carried all load.
@@ -43,7 +44,10 @@
         self._ceilings = ceilings
 
     def attempt_finished(self, now: float, request: Request, backend: Backend, status: AttemptStatus) -> None:
-        """Update the backend's health by the status; a cancelled or unsent attempt only ends its probe."""
+        """Update the backend's health for an attempt that ended with ``status``.
+
+        A cancelled or unsent attempt only ends its probe.
+        """
         if backend.health.probe is request:
             # This must precede all other handling: a probe that is not ended together with its attempt would
             # exclude the backend permanently.
--- a/saltcourse/balancing/group_affinity.py
+++ b/saltcourse/balancing/group_affinity.py
@@ -31,14 +31,14 @@
 from saltcourse.balancing.state import Backend
 from saltcourse.shared_state.state import SharedState
 
-GROUP_IMBALANCE_SLOTS = 5.0  # Maximum excess over the mean occupancy of a backend that gets more of a group.
-ADDITIONAL_BACKEND_FREE_SHARE = 0.36  # Minimum free share of its full load, to take on an additional group.
+GROUP_IMBALANCE_SLOTS = 5.0  # A backend this far above the mean occupancy gets no connections of groups.
+ADDITIONAL_BACKEND_FREE_SHARE = 0.36  # Free share of a backend's full load that an additional group requires.
 LIGHT_LOAD = 0.45  # Below this mean reported load, crossing zones costs more than an additional backend.
 DIGEST_BYTES = 6
 
 
 def group_occupancy_limit(backends: Sequence[Backend]) -> float:
-    """Return the occupancy (slots) up to which a backend of mean capacity gets more of a group it serves."""
+    """Return the occupancy (slots) up to which a backend of mean capacity gets connections of groups."""
     occupancy = sum([b.occupancy for b in backends])
     return occupancy / max(1.0, sum([b.current_capacity for b in backends])) + GROUP_IMBALANCE_SLOTS
 
--- a/saltcourse/balancing/load_reports.py
+++ b/saltcourse/balancing/load_reports.py
@@ -20,10 +20,11 @@
 from saltcourse.balancing.state import Backend
 from saltcourse.shared_state.state import SharedState
 
-TARGET_LOAD = 0.8  # A backend with this reported load has no free slot; loads fluctuate by 1/7 around it.
+TARGET_LOAD = 0.8  # A backend with this reported load has no free slot; loads vary by 1/7 around it.
 MAX_REPORT_AGE_SECONDS = 5.0
 FULL_REPORT_AGE_SECONDS = 1.0  # The report of a full backend is renewed after this time.
-BUSY_LOAD = TARGET_LOAD / 2  # From this load on, a placement requires a report of at most the next age.
+# At or above this load, a placement requires a report that is not older than ``BUSY_REPORT_AGE_SECONDS``.
+BUSY_LOAD = TARGET_LOAD / 2
 BUSY_REPORT_AGE_SECONDS = 0.5
 
 
--- a/saltcourse/balancing/load_shedding.py
+++ b/saltcourse/balancing/load_shedding.py
@@ -2,17 +2,18 @@
 
 The rules:
 
-- A message is slow if its latency exceeds a third of the shortest message latency objective. The backend's
-  ceiling is cut. Above 1.5 times that latency a share of its connections is migrated if another backend has
-  free slots; above 3 times, which is the objective itself, even if none has. A latency of 0.7 s migrates all
-  connections of the backend.
+- A message is slow if its latency exceeds a limit, a third of the shortest message latency objective. It cuts
+  the backend's ceiling. Above 1.5 times the limit, a share of the backend's connections is migrated if
+  another backend has free slots. Above 3 times the limit, which is the objective itself, the share is
+  migrated even if no other backend has free slots. At a latency of 0.7 s or more, all connections of the
+  backend are migrated.
 - If loads are reported, only a message over its objective has an effect, and fewer connections are migrated.
   A single very long latency is treated as a short stall. After several late messages, two consecutive
   reports above 1 are trusted, and the connections in excess of the target load are migrated.
-- A connection set-up that takes 2.5 times the typical set-up latency has waited behind queued work, and is
-  treated like a slow message.
+- A connection setup that takes more than 2.5 times the typical setup latency has waited behind queued work,
+  and is treated like a slow message.
 
-Inputs: message latencies and set-up latencies in seconds, reported loads. Output: cut ceilings and
+Inputs: message latencies and setup latencies in seconds, reported loads. Output: cut ceilings and
 ``MigrateConnection`` actions.
 
 Why: an overloaded backend misses the deadlines of all its connections. Migrating some of them lets the rest
@@ -32,9 +33,9 @@
 # The slowness of a message is its latency divided by ``Settings.slow_message_latency``.
 SLOWNESS_TO_SHED = 1.5
 SLOWNESS_AT_OBJECTIVE = 3.0
-SLOW_SETUP_FACTOR = 2.5  # Latency of a slow set-up over the typical set-up latency.
-SETUP_LATENCY_GAIN = 0.05  # Weight of the last set-up in the typical set-up latency.
-SHED_SHARE = 0.2  # Share of this proxy's connections to the backend, migrated once a second.
+SLOW_SETUP_FACTOR = 2.5  # Latency of a slow setup, as a multiple of the typical setup latency.
+SETUP_LATENCY_GAIN = 0.05  # Weight of the last setup in the typical setup latency.
+SHED_SHARE = 0.2  # Share of this proxy's connections to the backend that is migrated once a second.
 SHED_SHARE_WITH_REPORTS = 0.1  # Lower if loads are reported, because a short stall looks like queued work.
 LATE_MESSAGES_TO_TRUST_REPORTS = 3  # Consecutive late messages after which reports above 1 are trusted.
 
@@ -66,7 +67,7 @@
         self._shared_state = shared_state
         self._uses_load_reports = settings.uses_load_reports
         self._slow_message_latency = settings.slow_message_latency  # seconds
-        # Moving average (s) over all backends; 0 until the first set-up.
+        # Moving average (s) over all backends; 0 until the first setup.
         self._typical_setup_latency = 0.0
 
     def message_latency_measured(self, now: float, backend: Backend, latency: float) -> None:
@@ -84,7 +85,8 @@
     def _react_with_reports(self, now: float, backend: Backend, latency: float) -> None:
         # A report shows the load better than a latency does, but it does not show queued work.
         self._reports.request_if_older(now, backend, BUSY_REPORT_AGE_SECONDS)
-        # A first late message with so long a latency means a stall: queued work builds up gradually.
+        # If the first late message has such a long latency, the backend has stalled: queued work builds up
+        # gradually.
         if latency < HUNG_AFTER_SECONDS or backend.late_messages > 1:
             self._ceilings.cut(now, backend, blocks_overflow=True)
             self._shed(backend, SHED_SHARE_WITH_REPORTS)
@@ -98,10 +100,11 @@
             self._shed(backend, SHED_SHARE)
 
     def setup_latency_measured(self, now: float, backend: Backend, latency: float) -> None:
-        """React to a connection whose set-up took ``latency`` seconds."""
+        """React to a connection whose setup took ``latency`` seconds."""
         if latency > SLOW_SETUP_FACTOR * self._typical_setup_latency > 0:
             self._ceilings.cut(now, backend, blocks_overflow=False)
-            # One overload can slow down many set-ups in a burst. Only the one that cut the ceiling sheds.
+            # One overload can slow down many setups in a burst. Only the setup that cut the ceiling sheds
+            # connections.
             if self._ceilings.largest_free_slots > 0 and backend.ceiling_record.cut_at == now:
                 self._shed(backend, SHED_SHARE_WITH_REPORTS if self._uses_load_reports else SHED_SHARE)
         typical = self._typical_setup_latency or latency
--- a/saltcourse/balancing/occupancy.py
+++ b/saltcourse/balancing/occupancy.py
@@ -1,7 +1,7 @@
-"""Occupancy: counts in slots the load that this proxy puts on each backend.
+"""Occupancy: measures the load that this proxy puts on each backend, in slots.
 
 The rule: each attempt in flight and each connection counts with its load. One slot is the mean of the loads
-that were reported. Each group with at least one attempt or connection at a backend adds ``GROUP_SLOTS``.
+that have been reported. Each group with at least one attempt or connection at a backend adds ``GROUP_SLOTS``.
 
 Inputs: loads in seconds of work per second, 0 if unknown. Output: ``Backend.occupancy`` in slots.
 
@@ -27,7 +27,7 @@
     def __init__(self, ceilings: SlotCeilings, shared_state: SharedState) -> None:
         self._ceilings = ceilings
         self._shared_state = shared_state
-        self._mean_load = 0.0  # Load of one slot (seconds of work per second); 0 until a load was reported.
+        self._mean_load = 0.0  # Load of one slot (seconds of work per second); 0 before the first load.
         self._loads_in_mean = 0
 
     def slots_of(self, load: float) -> float:
--- a/saltcourse/balancing/outlier_ejection.py
+++ b/saltcourse/balancing/outlier_ejection.py
@@ -26,7 +26,7 @@
 Inputs: health events of a backend and the time in seconds. Output: ``Backend.health`` and the pool's
 candidates.
 
-Why: an attempt at a dead backend costs its client the attempt's time-out. A backend that fails quickly holds
+Why: an attempt at a dead backend costs its client the attempt's timeout. A backend that fails quickly holds
 no connections, so it would be chosen for most new ones. The module ``failure_attribution`` decides which
 events are a backend's fault.
 """
@@ -53,7 +53,7 @@
     ATTEMPT_STARTED = 1
     PROBE_INCONCLUSIVE = 2  # The probe has ended without showing whether the backend is healthy.
     SUCCESS = 3  # The backend accepted a connection, or rejected one and so showed that it is alive.
-    FAILURE = 4  # An attempt or health check failed by the backend's fault.
+    FAILURE = 4  # An attempt or health check failed, and the backend is at fault.
     EJECTION_EXPIRED = 5
     PEER_EJECTED = 6  # Another proxy has ejected the backend.
 
--- a/saltcourse/balancing/placement.py
+++ b/saltcourse/balancing/placement.py
@@ -71,7 +71,7 @@
                 self._check_load_or_place(now, request)
 
     def timer_fired(self, now: float, request: Request) -> None:
-        """Continue after a time-out of a health check, or give the final answer at the deadline."""
+        """Place the request after the wait for a health check, or give the final answer at the deadline."""
         if request.is_answered or request.is_established:
             return
         if request.awaited_backend is not None:
--- a/saltcourse/balancing/rebalancing.py
+++ b/saltcourse/balancing/rebalancing.py
@@ -1,4 +1,4 @@
-"""Rebalancing: migrates a few established connections on each tick to where new ones would be placed.
+"""Rebalancing: on each tick, migrates a few established connections to the backends that new ones would get.
 
 Both rules apply only if loads are not reported:
 
@@ -31,7 +31,7 @@
 
 FAILBACK_SHARE_PER_SECOND = 0.05  # Share of the connections in other zones.
 MAX_CUT_SHARE = 0.1  # No failback at or above this share of local backends with a cut ceiling.
-MAX_STRAGGLERS = 2  # Maximum size of a backend's part of a group that is migrated to join a larger part.
+MAX_SMALL_PART = 2  # Connections; a part of a group up to this size is migrated to join a larger part.
 MIN_CAPACITY = 0.1  # Lower bound, so that one connection does not make a warming backend the fullest one.
 
 
@@ -70,7 +70,7 @@
         excess = self._excess_slots(fullest)
         if excess > 0:
             self._migration.migrate(_connections_of(fullest, largest)[:excess])
-        elif smallest_count <= MAX_STRAGGLERS and self._has_better_backend(fullest, smallest, smallest_count):
+        elif smallest_count <= MAX_SMALL_PART and self._has_better_backend(fullest, smallest, smallest_count):
             self._migration.migrate(_connections_of(fullest, smallest))
 
     def _excess_slots(self, fullest: Backend) -> int:
--- a/saltcourse/balancing/response_latency.py
+++ b/saltcourse/balancing/response_latency.py
@@ -1,8 +1,8 @@
 """Response latency: measures the latency of each backend from the lines of its connections.
 
-The balancer detects slow backends by latency reports. A backend is reported once a second while a message on
-one of its connections takes longer than a third of the shortest message latency objective, and once more when
-its latency is back below that.
+The balancer detects slow backends by latency reports. A backend is reported once a second while the median
+latency of the lines on its connections is above a third of the shortest message latency objective, and once
+more when it is back below that.
 
 Latency has two sources:
 
@@ -10,8 +10,8 @@
    load; only the size of the value shows which one it is. A latency that is mistaken for a load makes an
    overloaded backend look empty.
 2. The time from a client's line to the next line of the backend. The age of an unanswered line is a lower
-   bound for it. If a backend's echo does not queue behind its work, this does not show an overload. It does
-   show a hung backend, which leaves lines unanswered.
+   bound for it. If a backend's echo does not queue behind its work, this time does not show an overload, but
+   it shows a hung backend, which leaves lines unanswered.
 
 The module does no I/O and reads no clock. ``silent_connections``, ``hung_backends`` and ``latency_reports``
 take time linear in the number of connections.
@@ -27,7 +27,7 @@
 # within milliseconds. ``load_shedding`` uses the same time to migrate all connections of a backend: with a
 # longer one there, a hung backend that is reported here would keep its connections.
 HUNG_AFTER_SECONDS = 0.7
-HUNG_CONNECTIONS = 2  # Connections with unanswered lines on a hung backend, or all if it has fewer.
+HUNG_CONNECTIONS = 2  # Minimum connections with unanswered lines on a hung backend, or all if it has fewer.
 # A smaller value in a LOAD line is a latency: loads are in microseconds of work per second, 1,900 and more.
 MAX_LATENCY_MILLISECONDS = 1000.0
 # A connection is silent if a line stays unanswered for this time. Clients send a line every 2 s, and may wait
@@ -162,7 +162,7 @@
         return reports
 
     def _collect_round_trips(self, now: float) -> dict[str, list[float]]:
-        """Return the round trips since the last reports, and the ages of unanswered lines that are slow."""
+        """Return the round trips since the last reports and the ages of slow unanswered lines, by backend."""
         round_trips, self.round_trips = self.round_trips, {}
         for request, backend in self.backend_by_connection.items():
             age = now - self.unanswered_since.get(request, now)
--- a/saltcourse/balancing/retries.py
+++ b/saltcourse/balancing/retries.py
@@ -1,4 +1,4 @@
-"""Retries: decides whether and where a request may be retried, and sets the time-outs of attempts.
+"""Retries: decides whether and where a request may be retried, and sets the timeouts of attempts.
 
 The rules:
 
@@ -9,11 +9,11 @@
 - A request that may have run is retried only where it cannot take effect twice. An idempotent request may be
   retried on any backend. A request with an idempotency key may be retried on backends within the
   deduplication scope, until the deduplication window ends. Any other request is not retried.
-- The time-out of an attempt is the longer of the class's latency objective and the connect time-out. It is
-  all the remaining time if that would leave too little for another attempt, if the attempt is the last one,
-  or if the request is not idempotent.
+- The timeout of an attempt is the longer of the class's latency objective and the connect timeout. It is all
+  the remaining time if that would leave too little for another attempt, if the attempt is the last one, or if
+  the request is not idempotent.
 
-Inputs: the request and its class, the time in seconds. Output: whether to retry, and time-outs in seconds.
+Inputs: the request and its class, the time in seconds. Output: whether to retry, and timeouts in seconds.
 
 Why: retries must neither run a request twice nor amplify an overload, and an attempt that may use all the
 remaining time leaves none for a retry.
@@ -58,7 +58,7 @@
 
 
 def record_attempt(request: Request, backend: Backend, status: AttemptStatus, started_at: float) -> None:
-    """Record a failed attempt; the first one that may have run the request restricts its retries."""
+    """Record a failed attempt. The first one that may have run the request restricts its retries."""
     if status not in NEVER_RAN and request.may_have_run_on is None:
         request.may_have_run_on = backend
         request.may_have_run_at = started_at
@@ -88,11 +88,11 @@
         self._budget -= 1
 
     def attempt_timeout(self, now: float, request: Request) -> float:
-        """Return the time-out (s) of an attempt that starts now and is counted in ``request.attempts``."""
+        """Return the timeout (s) of an attempt that starts now and is counted in ``request.attempts``."""
         time_left = request.deadline - now
         request_class = request.request_class
         is_last = request.attempts >= self._max_attempts
         if is_last or request_class.idempotency is Idempotency.NOT_IDEMPOTENT:
             return time_left
-        wanted = max(request_class.latency_objective, self._connect_timeout)
-        return time_left if time_left < wanted + MIN_ATTEMPT_SECONDS else wanted
+        timeout = max(request_class.latency_objective, self._connect_timeout)
+        return time_left if time_left < timeout + MIN_ATTEMPT_SECONDS else timeout
--- a/saltcourse/balancing/selection.py
+++ b/saltcourse/balancing/selection.py
@@ -2,7 +2,7 @@
 
 The rule follows "Insensitive Load Balancing" (Bonald, Jonckheere, Proutière 2004):
 
-- The free slots of a candidate are its ceiling minus its occupancy. In another zone each counts as 1/20.
+- The free slots of a candidate are its ceiling minus its occupancy. A slot in another zone counts as 1/20.
 - If no candidate has a free slot, a backend that has not recently rejected may overflow by one slot. If no
   backend may overflow, the request is not placed.
 - Three kinds of backend are never drawn: one that the request has already tried, one where a retry could run
--- a/saltcourse/balancing/slot_ceilings.py
+++ b/saltcourse/balancing/slot_ceilings.py
@@ -6,7 +6,7 @@
   load.
 - Otherwise the ceiling is the common ceiling, scaled by the backend's capacity. The common ceiling is the
   mean occupancy of the local backends, or of the remote ones, plus a few slots; it decays slowly.
-- If a backend rejects, drops connections or is slow, its ceiling is cut: its learned limit is set near its
+- If a backend rejects or drops connections, or is slow, its ceiling is cut: its learned limit is set near its
   present occupancy, and it gets no new connections for some time. For rejections and drops that time grows
   with exponential backoff. The limit recovers a little with each tick, and by one slot when the backend
   accepts a connection into its last free slot.
@@ -30,20 +30,21 @@
 
 TICK_SECONDS = 1.0  # Interval between refreshes of a small fleet; short compared to a connection's life.
 HEADROOM_SLOTS = 2.0  # Common ceiling minus mean occupancy, for a backend of mean capacity.
-EXPECTED_HEADROOM_SLOTS = 0.5  # The same for the occupancy that slow start expects.
-# Decay time of the common ceiling, long enough for clients to return within a connection's life. It holds for
-# one refresh a second: the decay is slower with more than 150 candidates, which are refreshed less often, and
-# faster while the endpoint list changes.
+EXPECTED_HEADROOM_SLOTS = 0.5  # The same for the slots that slow start expects to fill on a backend.
+# Decay time of the common ceiling, long enough for clients that left to return: they do so within a
+# connection's life. It applies to one refresh a second. The decay is slower with more than 150 candidates,
+# which are refreshed less often, and faster while the endpoint list changes.
 COMMON_CEILING_MEMORY_SECONDS = 60.0
-CUT_FACTOR = 0.9  # Learned limit over occupancy, after a rejection or drop.
-MIN_LIMIT_FACTOR = 0.5  # Minimum limit over common ceiling: a low occupancy says little about capacity.
+CUT_FACTOR = 0.9  # Learned limit relative to the occupancy, after a rejection or drop.
+# Minimum limit relative to the common ceiling: a low occupancy says little about capacity.
+MIN_LIMIT_FACTOR = 0.5
 MIN_LIMIT_SLOTS = 0.5
 CUT_INTERVAL_SECONDS = 1.0  # One overload drops many connections at once and must cut the limit only once.
 REJECTION_BACKOFF_INITIAL_SECONDS = 2.0  # Time without new connections after the first rejection; doubles.
 REJECTION_BACKOFF_MAX_SECONDS = 8.0
 CUT_WITH_REPORTS_SECONDS = 1.0  # Replaces the backoff if loads are reported: the next report shows the load.
-LIMIT_RECOVERY_FACTOR = 0.05  # Recovery of the learned limit per tick, over the common ceiling.
-MIN_EXPECTED_SLOTS = 0.25  # Lower bound for slow start while little has been learned.
+LIMIT_RECOVERY_FACTOR = 0.05  # Recovery of the learned limit per tick, relative to the common ceiling.
+MIN_EXPECTED_SLOTS = 0.25  # Lower bound of the slots that slow start expects, while little has been learned.
 
 
 def may_overflow(now: float, backend: Backend) -> bool:
@@ -146,7 +147,7 @@
         record = backend.ceiling_record
         ceiling = self._unlimited_ceiling(now, backend)
         if record.learned_limit > 0:
-            # The limit applies with load reports too: connection set-up can overload a backend that reports
+            # The limit applies with load reports too: connection setup can overload a backend that reports
             # a low load.
             is_cut = record.cut_until > now
             ceiling = min(ceiling, backend.occupancy if is_cut else record.learned_limit)
@@ -158,8 +159,8 @@
         if report.load < 0:
             # Without a learned limit there is no sign that the backend is full, so the connections that it
             # already holds must not make it appear full.
-            held = 0.0 if backend.ceiling_record.learned_limit > 0 else backend.occupancy
-            return max(self.common_ceiling(backend) * backend.current_capacity, held)
+            occupied = 0.0 if backend.ceiling_record.learned_limit > 0 else backend.occupancy
+            return max(self.common_ceiling(backend) * backend.current_capacity, occupied)
         is_fresh = report.received_at > now - MAX_REPORT_AGE_SECONDS
         load = report.load if is_fresh else self._capacity.mean_reported_load
         mean_slots = max(HEADROOM_SLOTS, self._capacity.slots_at_full_load, self._shared_state.minimum_scale)
@@ -169,7 +170,7 @@
     def cut(self, now: float, backend: Backend, blocks_overflow: bool) -> None:
         """Cut the backend's ceiling for some time.
 
-        With ``blocks_overflow`` (the backend rejected, dropped connections or missed the message latency
+        With ``blocks_overflow`` (the backend rejected or dropped connections, or missed the message latency
         objective) it gets no new connection until the cut ends. Otherwise it is only slow and may still
         overflow by one slot.
         """
@@ -193,9 +194,9 @@
     def _cut_limit(self, now: float, backend: Backend, blocks_overflow: bool) -> None:
         record = backend.ceiling_record
         record.cut_at = now
-        least = MIN_LIMIT_FACTOR * backend.current_capacity * self.common_ceiling(backend)
+        minimum = MIN_LIMIT_FACTOR * backend.current_capacity * self.common_ceiling(backend)
         factor = CUT_FACTOR if blocks_overflow else 1.0
-        record.learned_limit = max(backend.occupancy * factor, least, MIN_LIMIT_SLOTS)
+        record.learned_limit = max(backend.occupancy * factor, minimum, MIN_LIMIT_SLOTS)
         if blocks_overflow:
             record.consecutive_rejections += 1
 
@@ -209,7 +210,7 @@
         backend.ceiling_record.learned_limit = backend.occupancy * TARGET_LOAD / load
 
     def connection_accepted(self, now: float, backend: Backend) -> None:
-        """Record that the backend accepted a connection, and add a slot if it filled the last free one."""
+        """Record that the backend accepted a connection, and add a slot if this filled its last free one."""
         record = backend.ceiling_record
         if may_overflow(now, backend):
             record.consecutive_rejections = 0
@@ -224,7 +225,7 @@
         self.raise_largest_free_slots(backend)
 
     def raise_largest_free_slots(self, backend: Backend) -> None:
-        """Raise the upper bound if the backend has more free slots than it allows."""
+        """Raise ``largest_free_slots`` if the backend has more free slots."""
         free_slots = (backend.ceiling - backend.occupancy) * backend.zone_factor
         self.largest_free_slots = max(self.largest_free_slots, free_slots)
 
--- a/saltcourse/balancing/slow_start.py
+++ b/saltcourse/balancing/slow_start.py
@@ -52,7 +52,8 @@
     def delay_first_attempt(self, now: float, backend: Backend, expected_slots: float, draw: float) -> None:
         """Set the earliest time of the first attempt at a backend; ``draw`` is uniform in [0, 1).
 
-        The random delay spreads the first attempts of all proxies, which learn of a new backend at once.
+        The random delay spreads the first attempts of all proxies, which learn of a new backend at the same
+        time.
         """
         backend.next_attempt_at = now + draw * self.attempt_interval(now, expected_slots)
 
--- a/saltcourse/balancing/state.py
+++ b/saltcourse/balancing/state.py
@@ -27,14 +27,18 @@
 
 @dataclass(slots=True, eq=False)
 class HealthRecord:
-    """Health of a backend, written by ``outlier_ejection``; errors and resets by ``failure_attribution``."""
+    """Health of a backend.
+
+    ``failure_attribution`` writes ``error_rate``, ``last_error_flow`` and ``last_reset_at``;
+    ``outlier_ejection`` writes the other fields.
+    """
 
     state: HealthState = HealthState.HEALTHY
     probe: Request | None = None  # The request whose attempt is the probe; None unless PROBING.
     ejected_until: float = 0.0  # seconds
     consecutive_ejections: int = 0  # Ejections since the last success.
-    error_rate: float = 0.0  # Moving average share of attempts that failed by the backend's fault.
-    last_error_flow: str = ""  # Client flow of the last failure by the backend's fault.
+    error_rate: float = 0.0  # Moving average share of attempts that failed with an error of the backend.
+    last_error_flow: str = ""  # Client flow of the last error or reset that was the backend's fault.
     last_reset_at: float = LONG_AGO  # seconds
 
 
@@ -43,7 +47,7 @@
     """Limits and cuts of a backend's ceiling, written by ``slot_ceilings``."""
 
     learned_limit: float = 0.0  # Slots that the backend could handle when its ceiling was cut; 0 until a cut.
-    # Until this time (s) the backend gets no attempt, because it rejected, dropped connections or was late.
+    # Until this time (s) the backend gets no attempt, because it rejected or dropped connections or was late.
     no_overflow_until: float = 0.0
     # Until this time (s) the backend gets at most overflow attempts, and its limit does not recover.
     cut_until: float = 0.0
@@ -54,9 +58,10 @@
 
 @dataclass(slots=True, eq=False)
 class LoadReportRecord:
-    """Load reports of a backend, written by ``load_reports``; ``waiting_requests`` by ``placement``.
+    """Load reports of a backend, written by ``load_reports``.
 
-    Reported loads are load over capacity, or -1 if none has been received.
+    ``waiting_requests`` is written by ``placement``. Reported loads are load over capacity, or -1 if none has
+    been received.
     """
 
     load: float = -1.0
@@ -111,7 +116,7 @@
         # Capacity in units of the mean backend's.
         self.relative_capacity = 1.0  # after the warm-up
         self.current_capacity = 1.0  # at present
-        self.slots_at_full_load = 1.0  # This proxy's slots; only used if loads are reported.
+        self.slots_at_full_load = 1.0  # This proxy's slots at the backend's full load, if loads are reported.
         self.reset(LONG_AGO)
 
     def update(self, endpoint: Endpoint) -> None:
@@ -154,8 +159,9 @@
 class Request:
     """A request, from its arrival to its final answer or to the end of its connection.
 
-    ``deadline`` is the time (s) at which the client gives up. ``slots`` is the request's load. ``group`` is
-    empty if the deployment has no groups. ``flow`` identifies the client and is the same for all its retries.
+    ``deadline`` is the time (s) at which the client gives up. ``slots`` is the request's load in slots.
+    ``group`` is empty if the deployment has no groups. ``flow`` identifies the client and is the same for all
+    its retries.
     """
 
     id: str
--- a/saltcourse/shared_state/ejections.py
+++ b/saltcourse/shared_state/ejections.py
@@ -55,7 +55,7 @@
         self.pending: list[EjectionNotice] = []  # this proxy's notices that have not been broadcast yet
 
     def announce(self, backend: EntryKey, until: float) -> None:
-        """Queue a notice that this proxy has ejected the backend until ``until`` (seconds, own clock)."""
+        """Queue a notice that this proxy has ejected the backend until ``until`` (seconds on its clock)."""
         self.pending.append(EjectionNotice(backend, int(until / CLOCK_UNIT_SECONDS)))
 
     def pop_pending(self, now: float) -> list[Record]:
@@ -76,14 +76,20 @@
             self.offsets[sender] = ClockOffset(sample, now)
 
     def _is_less_delayed(self, now: float, sample: float, known: ClockOffset) -> bool:
-        """Compare offsets, allowing for the drift of both clocks since the known one was measured."""
-        later = _wrapped_difference((sample - known.difference) / CLOCK_UNIT_SECONDS) * CLOCK_UNIT_SECONDS
-        return later <= 2 * self.clock_drift * (now - known.measured_at)
+        """Return whether the sample's message was less delayed than that of the known offset.
+
+        Allows for the drift of both clocks since the known offset was measured.
+        """
+        extra_delay = (
+            _wrapped_difference((sample - known.difference) / CLOCK_UNIT_SECONDS) * CLOCK_UNIT_SECONDS
+        )
+        return extra_delay <= 2 * self.clock_drift * (now - known.measured_at)
 
     def receive_notice(self, now: float, sender: int, notice: EjectionNotice) -> None:
         """Store a peer's ejection.
 
-        Ignored if the sender's clock offset is unknown, because the notice's age cannot be determined then.
+        The notice is ignored if the sender's clock offset is unknown, because the notice's age cannot be
+        determined then, and if there are ``MAX_EJECTIONS`` ejections already.
         """
         if sender in self.offsets and len(self.peer_ejections) < MAX_EJECTIONS:
             self.peer_ejections[notice.backend, sender] = PeerEjection(notice.end, now + MAX_EJECTION_SECONDS)
@@ -91,7 +97,7 @@
     def _remaining(self, now: float, origin: int, end: int) -> float:
         """Return the seconds until an ejection ends.
 
-        Uses the current offset, which is at least as accurate as the one when the notice arrived.
+        Uses the current clock offset, which is at least as accurate as the one when the notice arrived.
         """
         offset = self.offsets[origin].difference
         return _wrapped_difference(end - (now - offset) / CLOCK_UNIT_SECONDS) * CLOCK_UNIT_SECONDS
--- a/saltcourse/shared_state/health_check_budget.py
+++ b/saltcourse/shared_state/health_check_budget.py
@@ -6,7 +6,7 @@
 
 from saltcourse.shared_state.quota import QuotaLeases
 
-BURST_PER_PROXY = 2.0  # health checks; the smallest share, half an equal part, then still allows one
+BURST_PER_PROXY = 2.0  # health checks; the smallest share, which is half an equal part, still allows one
 
 
 @dataclass(slots=True)
@@ -54,7 +54,7 @@
     def _new_bucket(self, started_at: float) -> SharedTokenBucket:
         """Return a full bucket for an isolated proxy, otherwise an empty one.
 
-        An earlier process of this proxy may have spent the tokens.
+        The bucket is empty because an earlier process of this proxy may have spent the tokens.
         """
         burst = BURST_PER_PROXY * self.leases.proxy_count
         tokens = burst if self.leases.isolated else 0.0
--- a/saltcourse/shared_state/messages.py
+++ b/saltcourse/shared_state/messages.py
@@ -62,14 +62,17 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseRequest:
-    """Requests renewal of the lease that the receiver grants on one of the sender's portions (``quota``)."""
+    """Requests renewal of the lease that the receiver grants on one of the sender's portions.
+
+    ``quota`` defines leases and portions. ``number`` is the request's number.
+    """
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseGrant:
-    """Renews the lease; its term is counted from when the request with this number was sent."""
+    """Renews a lease; its term is counted from when the request with this ``number`` was sent."""
 
     number: int
 
@@ -83,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EjectionNotice:
-    """The sender has ejected a backend until ``end`` on its own clock (``ejections``)."""
+    """The sender has ejected a backend until ``end`` on the sender's clock (see ``ejections``)."""
 
     backend: EntryKey
     end: int
--- a/saltcourse/shared_state/peer.py
+++ b/saltcourse/shared_state/peer.py
@@ -1,4 +1,4 @@
-"""State about one peer: its message sequence, the replica of its table, and its last known connections."""
+"""State of one peer: its message sequence, the replica of its table, and its last known connections."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from saltcourse.shared_state.messages import EntryKey, Message, ResendRequest, SnapshotRequest
 from saltcourse.shared_state.table import Replica, is_pair
 
-MISMATCH_GRACE_SECONDS = 1.0  # time to let delayed messages arrive before requesting a repair
+MISMATCH_GRACE_SECONDS = 1.0  # time to let delayed messages arrive before a repair is requested
 RETRY_INTERVAL_SECONDS = 1.5  # minimum time between repair requests to the same peer
 LOST_PEER_HALF_LIFE_SECONDS = 30.0  # half-life of a lost peer's connection counts
 
@@ -27,8 +27,8 @@
     received_at: float = 0.0  # when its last message arrived
     synchronized_at: float = 0.0  # when the digests last matched
     synchronized_sequence: int | None = None  # sequence number of the newest message at that time
-    retry_at: float = 0.0  # when the next repair may be requested; 0: none requested since the last match
-    scale: float = 0.0  # capacity scale that it has reported; 0: none
+    retry_at: float = 0.0  # when the next repair may be requested; 0 if none was since the last match
+    scale: float = 0.0  # capacity scale that it has reported; 0 if none
 
     def begin_message(self, now: float, message: Message) -> int:
         """Process a message's header; return its sequence number, unwrapped."""
--- a/saltcourse/shared_state/peers.py
+++ b/saltcourse/shared_state/peers.py
@@ -19,7 +19,7 @@
         self.peers: dict[int, Peer] = {}
         self.lost: dict[int, LostPeer] = {}
         self.peers_by_key: dict[EntryKey, set[int]] = {}  # the peers that have each entry
-        self._incarnations: dict[int, int] = {}  # by peer, including lost ones
+        self._incarnations: dict[int, int] = {}  # of each peer, including the lost ones
 
     def has_restarted(self, sender: int, message: Message) -> bool:
         """Return whether the message is the first one from a new process of its sender."""
@@ -52,20 +52,20 @@
         reported = [peer.scale for peer in self.peers.values() if peer.scale > 0]
         return MIN_SCALE_RATIO * sum(reported) / len(reported) if reported else 0.0
 
-    def connections(self, now: float, backend: EntryKey, own: int) -> float:
+    def connections(self, now: float, backend: EntryKey, own_count: int) -> float:
         """Return the estimated number of connections of all proxies to a backend.
 
-        ``own`` is this proxy's count. The counts of lost peers decay.
+        ``own_count`` is this proxy's count. The counts of lost peers decay.
         """
-        known = [own, *[peer.replica.entries.get(backend, 0) for peer in self.peers.values()]]
-        mean = sum(known) / len(known)
-        total = float(sum(known))
+        counts = [own_count, *[peer.replica.entries.get(backend, 0) for peer in self.peers.values()]]
+        mean = sum(counts) / len(counts)
+        total = float(sum(counts))
         for peer in self.lost.values():
             total += peer.remaining(now, backend, mean)
         return total
 
     def expire(self, now: float) -> None:
-        """Move the peers that have been silent for longer than ``silence_timeout`` to the lost ones."""
+        """Move the peers that have been silent for longer than ``silence_timeout`` to the lost peers."""
         silent = [
             sender for sender, peer in self.peers.items() if now > peer.received_at + self.silence_timeout
         ]
--- a/saltcourse/shared_state/quota.py
+++ b/saltcourse/shared_state/quota.py
@@ -1,6 +1,6 @@
 """Quota leases: the share of a fleet-wide budget that this proxy may spend. All shares add up to 1 at most.
 
-The budget is divided into ``proxy_count`` equal parts, one for each configured proxy. A proxy always owns
+The budget is divided into ``proxy_count`` equal parts, one for each configured proxy. A proxy may always use
 half of its part. The other half is divided into portions, one for each of the next proxies by index, up to
 ``MAX_SUCCESSORS``; that proxy is the portion's *successor*. The owner may use a portion only while it holds a
 lease on it, which it requests and the successor grants. A lease lasts ``lease_term``: the owner counts it
@@ -29,7 +29,7 @@
 
 
 class QuotaLeases:
-    """The leases on one proxy's portions, and those that it grants. Times are seconds on its own clock.
+    """The leases on one proxy's portions, and the leases that it grants. Times are seconds on its clock.
 
     ``isolated``: this proxy exchanges no messages with the others, so it may only use its equal part.
     """
@@ -42,10 +42,10 @@
         self.isolated = isolated or proxy_count < 2
         distances = range(1, min(MAX_SUCCESSORS, proxy_count - 1) + 1)
         self.successors = [(index + distance) % proxy_count for distance in distances]
-        # The proxies of whose portions this one is the successor.
+        # The proxies that have a portion whose successor is this proxy.
         self.predecessors = [(index - distance) % proxy_count for distance in distances]
-        self.leased_until = dict.fromkeys(self.successors, -math.inf)  # end of each own portion's lease
-        self.granted_until: dict[int, float] = {}  # end of each predecessor's lease
+        self.leased_until = dict.fromkeys(self.successors, -math.inf)  # end of the lease from each successor
+        self.granted_until: dict[int, float] = {}  # end of the lease of each predecessor
         self.open_requests: dict[int, float] = {}  # send time of each recent request, by request number
         self.last_request_number = 0
         self.last_request_at = -math.inf
@@ -72,7 +72,10 @@
         return (1 + (leased + inherited) / len(self.successors)) / 2 / self.proxy_count
 
     def request(self, now: float) -> list[LeaseRequest]:
-        """Return a lease request to broadcast if it is time for one; only successors answer it."""
+        """Return a lease request to broadcast, or an empty list if it is too early for one.
+
+        Only successors answer it.
+        """
         self._ensure_inheritance_delay(now)
         if now < self.last_request_at + self.settings.lease_term / HEARTBEATS_PER_TERM:
             return []
--- a/saltcourse/shared_state/state.py
+++ b/saltcourse/shared_state/state.py
@@ -1,7 +1,7 @@
-"""State shared with the other proxies of the tier. No I/O; the caller passes the time.
+"""State shared with the other proxies of the tier. The module does no I/O and reads no clock.
 
 ``receive`` processes a received message, ``outgoing_messages`` returns the messages to send now. Times are
-seconds on this proxy's clock. The answers are either hints (which peer serves a group, the capacity scale,
+seconds on this proxy's clock. The balancer gets either hints (which peer serves a group, the capacity scale,
 the ejected backends, the connections of a backend) or bounds that hold even if messages are lost (the share
 of a budget). The balancer makes the decisions.
 """
@@ -42,7 +42,7 @@
 STALL_THRESHOLD_SECONDS = 3.0  # time without any event after which this process must have been stopped
 STALL_RECOVERY_SECONDS = 0.5  # time to process the messages that were queued in the socket during a stall
 SCALE_CHANGE_RATIO = 0.2  # minimum relative change of the capacity scale to announce it again
-DISTANT_PAST = -1e9  # initial value of timestamps, seconds
+LONG_AGO = -1e9  # initial value of timestamps, seconds
 
 
 class BackendConnections(Protocol):
@@ -54,7 +54,8 @@
 class SharedState:
     """The shared state of one proxy.
 
-    If the settings allow no peers, or there are none, it sends no messages and its share is an equal part.
+    If the settings allow no peers, or the tier has only one proxy, it sends no messages and its share is an
+    equal part.
     """
 
     def __init__(
@@ -82,11 +83,11 @@
         self.scale = 0.0  # this proxy's capacity scale: slots at a backend's full load
         self.announced_scale = 0.0
         self.minimum_scale = 0.0  # lower bound for the capacity scale; 0 if no peer reports one
-        self.last_broadcast_at = DISTANT_PAST
-        self.last_heartbeat_at = DISTANT_PAST
+        self.last_broadcast_at = LONG_AGO
+        self.last_heartbeat_at = LONG_AGO
         self.last_check_at = 0.0
         self.last_event_at: float | None = None  # time of the last receive or outgoing_messages call
-        self.stall_recovered_at = DISTANT_PAST  # when the messages queued during a stall have been processed
+        self.stall_recovered_at = LONG_AGO  # when the messages queued during a stall have been processed
         self.started_at: float | None = None
         self.undecodable_messages = 0
 
--- a/saltcourse/simulator_adapter.py
+++ b/saltcourse/simulator_adapter.py
@@ -7,8 +7,8 @@
 
 This module alone maps the names of the wire protocol to those of the code: message names in
 ``EVENT_READERS`` and ``ACTION_WRITERS``, values in the tables below, and field names in the function for each
-message. The exception are the fields of load reports: ``REPORT_FIELDS`` in ``codec.lines`` maps them for the
-socket protocol as well.
+message. The only exceptions are the fields of load reports: ``REPORT_FIELDS`` in ``codec.lines`` maps them,
+for the socket protocol as well.
 """
 
 from __future__ import annotations
@@ -58,7 +58,7 @@
 
 Message = dict[str, Any]  # One event or action in the simulator's wire format.
 
-STATUSES = {  # "result"
+STATUSES = {  # values of "result"
     0: AttemptStatus.OK,
     13: AttemptStatus.ERROR,
     8: AttemptStatus.FULL,
@@ -68,12 +68,12 @@
     1: AttemptStatus.CANCELLED,
     9: AttemptStatus.NOT_SENT,
 }
-BACKEND_STATES = {  # "lifecycle"
+BACKEND_STATES = {  # values of "lifecycle"
     "healthy": BackendState.READY,
     "cordoned": BackendState.DRAINING,
     "deregistered": BackendState.REMOVED,
 }
-UPDATE_KINDS = {  # "mode"
+UPDATE_KINDS = {  # values of "mode"
     "update": EndpointUpdateKind.DELTA,
     "replace": EndpointUpdateKind.SNAPSHOT,
     "restored": EndpointUpdateKind.CACHED,
@@ -82,7 +82,7 @@
 TOPIC_LOAD = 1  # "topic" of a ``change`` whose value is in microseconds of work per second.
 TOPIC_LATENCY = 2  # "topic" of a ``change`` whose value is in milliseconds.
 MILLISECONDS = 1e-3  # seconds
-EXIT_MALFORMED = 2
+EXIT_MALFORMED = 2  # Exit code after malformed input.
 
 
 class Instance:
@@ -192,7 +192,7 @@
 
 
 def read_client_disconnected(message: Message, _: Instance) -> Event:
-    """Read ``aborted``: the client no longer waits for an answer."""
+    """Read ``aborted``: the client has stopped waiting for an answer."""
     return ClientDisconnected(field(message, "job", str))
 
 
--- a/tests/balancing/test_admission.py
+++ b/tests/balancing/test_admission.py
@@ -8,7 +8,7 @@
 
 
 def test_requests_are_rejected_without_an_attempt_under_overload() -> None:
-    # All set-ups time out at all backends, and further attempts would increase the overload. Requests are
+    # All connection setups time out, and further attempts would increase the overload. Requests are
     # rejected immediately until the failure count has decayed.
     host = BalancerHost()
     host.update_endpoints(make_endpoints(50))
@@ -21,7 +21,7 @@
     assert host.request() in host.in_flight
 
 
-def test_a_connection_reset_soon_after_its_set_up_counts_as_a_failure_but_a_later_reset_does_not() -> None:
+def test_a_connection_reset_soon_after_its_setup_counts_as_a_failure_but_a_later_reset_does_not() -> None:
     host = BalancerHost()
     host.update_endpoints(make_endpoints(3))
     new, old = host.connect(), host.connect()
--- a/tests/balancing/test_balancer_model.py
+++ b/tests/balancing/test_balancer_model.py
@@ -112,7 +112,7 @@
 
     @rule(seconds=st.sampled_from([0.1, 0.4, 2.0, 2.0, 10.0]))
     def wait(self, seconds: float) -> None:
-        """Advance the clock, and end attempts in flight with a time-out at their deadline, as a host does."""
+        """Advance the clock, and end attempts in flight with a timeout at their deadline, as a host does."""
         for _ in range(int(seconds / 0.1)):
             self.host.run(0.1)
             for request in self.unestablished():
@@ -130,8 +130,8 @@
 
     def unestablished(self, pick: int | None = None) -> list[str]:
         """Return all requests, or one of them, with an attempt in flight that is not established yet."""
-        found = [r for r in self.host.in_flight if r in self.deadlines]
-        return found if pick is None or not found else [found[pick % len(found)]]
+        requests = [r for r in self.host.in_flight if r in self.deadlines]
+        return requests if pick is None or not requests else [requests[pick % len(requests)]]
 
     def finish(self, request: str, status: AttemptStatus) -> None:
         attempt, _ = self.host.in_flight[request]
--- a/tests/balancing/test_failure_attribution.py
+++ b/tests/balancing/test_failure_attribution.py
@@ -14,8 +14,8 @@
 from tests.balancing.balancer_host import BalancerHost, make_endpoints
 
 
-def test_a_backend_that_answers_errors_gets_one_attempt_at_a_time() -> None:
-    # A backend that fails set-ups keeps no connections, so without ejection it has the most free slots and is
+def test_a_backend_that_answers_with_errors_gets_one_attempt_at_a_time() -> None:
+    # A backend that fails setups keeps no connections, so without ejection it has the most free slots and is
     # drawn for most attempts.
     host = BalancerHost()
     host.update_endpoints(make_endpoints(4))
@@ -72,8 +72,8 @@
 def test_a_backend_that_fails_where_others_succeed_is_ejected_unless_all_errors_are_of_one_flow(
     flows: int, health: HealthState
 ) -> None:
-    # A backend answers errors while the retries succeed at other backends. It is ejected, unless all errors
-    # are those of a single client.
+    # A backend answers with errors while the retries succeed at other backends. It is ejected, unless all
+    # errors are those of a single client.
     host = BalancerHost()
     host.update_endpoints(make_endpoints(3))
     backend = host.backend("s0")
--- a/tests/balancing/test_load_shedding.py
+++ b/tests/balancing/test_load_shedding.py
@@ -27,7 +27,7 @@
     assert len(host.actions(MigrateConnection)) == len(migrated)  # No other backend has free slots.
 
 
-def test_a_slow_set_up_cuts_the_ceiling_and_sheds() -> None:
+def test_a_slow_setup_cuts_the_ceiling_and_sheds() -> None:
     # On sockets, an echo does not queue behind a backend's work, so message latencies show no overload.
     host = BalancerHost()
     host.update_endpoints(make_endpoints(2))
@@ -59,8 +59,8 @@
     )
 
 
-def test_a_burst_of_slow_set_ups_sheds_only_once() -> None:
-    # Guards against shedding for each set-up of a burst: after a restart, connections of one backend were
+def test_a_burst_of_slow_setups_sheds_only_once() -> None:
+    # Guards against shedding for each setup of a burst: after a restart, connections of one backend were
     # migrated 55 times in a second, and their clients reconnected to it.
     host = BalancerHost(tenants=(Tenant("t", 1.0, 200.0),))
     host.update_endpoints(make_endpoints(2))
@@ -85,7 +85,8 @@
 
 def test_a_backend_that_stalls_briefly_keeps_most_of_its_connections() -> None:
     # Backends that stall for 0.3 s every few seconds show latencies of 7 s and loads of 9 during the stalls.
-    # They used to be emptied repeatedly, although they had capacity for a third of the fleet's connections.
+    # All their connections used to be migrated repeatedly, although they had capacity for a third of the
+    # fleet's connections.
     host = host_with_reports(3, s0="abcdefghijklmnopqrst")
     for load, delay in ((9.1, 7.2), (0.5, 0.004), (8.8, 7.2), (9.0, 7.2)):
         host.report_loads(s0=load, s1=0.2, s2=0.2)
--- a/tests/balancing/test_placement.py
+++ b/tests/balancing/test_placement.py
@@ -9,7 +9,7 @@
 
 def test_a_request_gets_one_final_answer_at_its_deadline() -> None:
     # The attempt does not end before the deadline. The client gets a final answer at the deadline, and no
-    # second one when the time-out of the attempt arrives later.
+    # second one when the timeout of the attempt arrives later.
     host = BalancerHost()
     host.update_endpoints(make_endpoints(4))
     request = host.request(time_left=0.2)
--- a/tests/balancing/test_rebalancing.py
+++ b/tests/balancing/test_rebalancing.py
@@ -37,7 +37,8 @@
 
 
 def test_the_excess_of_the_fullest_backend_is_migrated_from_its_largest_group() -> None:
-    # Initially one of five backends can have a third of all connections. It used to drop all of them.
+    # Initially one of five backends can have a third of all connections. Such a backend used to drop all of
+    # its connections.
     host = BalancerHost(has_groups=True)
     host.update_endpoints(make_endpoints(5))
     for i in range(15):
--- a/tests/balancing/test_request_rules.py
+++ b/tests/balancing/test_request_rules.py
@@ -119,7 +119,7 @@
 
 
 class CheckingHost(BalancerHost):
-    """A host that enforces time-outs and deadlines, and checks each action."""
+    """A host that enforces timeouts and deadlines, and checks each action."""
 
     def __init__(self, load_reports: bool) -> None:
         super().__init__(
--- a/tests/balancing/test_retries.py
+++ b/tests/balancing/test_retries.py
@@ -1,4 +1,4 @@
-"""Tests of retries: which requests are retried, on which backends, how often and with which time-outs."""
+"""Tests of retries: which requests are retried, on which backends, how often and with which timeouts."""
 
 from __future__ import annotations
 
--- a/tests/balancing/test_slow_start.py
+++ b/tests/balancing/test_slow_start.py
@@ -92,8 +92,8 @@
             while self.arrived >= 1.0:
                 self.arrived -= 1.0
                 self.client_arrives()
-            ended = [end_of for end_of in self.ends if end_of[0] <= self.now]
-            self.ends = [end_of for end_of in self.ends if end_of[0] > self.now]
+            ended = [entry for entry in self.ends if entry[0] <= self.now]
+            self.ends = [entry for entry in self.ends if entry[0] > self.now]
             for _, host, request in ended:
                 if request in host.in_flight and host in self.proxies:
                     host.finish(request, AttemptStatus.OK, final=True)
--- a/tests/shared_state/simulated_proxies.py
+++ b/tests/shared_state/simulated_proxies.py
@@ -29,18 +29,19 @@
         self,
         seed: int,
         link: Link,
-        core: type[SharedState] = SharedState,
+        state_class: type[SharedState] = SharedState,
         count: int = 4,
         shared_state: SharedStateSettings = SETTINGS,
     ) -> None:
-        self.random, self.core, self.count, self.shared_state = random.Random(seed), core, count, shared_state
+        self.random, self.state_class = random.Random(seed), state_class
+        self.count, self.shared_state = count, shared_state
         hosts = [
             Host(str(i), rate=1 + (i % 3 - 1) * self.shared_state.clock_drift, offset=1e5 * i)
             for i in range(count)
         ]
         self.net = Network(seed, hosts, link, self._deliver, None)
         self.connections = [self._no_connections() for _ in range(count)]
-        self.cores = [self._new_state(i) for i in range(count)]
+        self.states = [self._new_state(i) for i in range(count)]
         self.changes_enabled = True
         self.longest_message = 0
         self.health_checks: list[float] = []  # true times of all proxies' health checks of backend s0
@@ -64,14 +65,14 @@
             has_groups=True,
             shared_state=self.shared_state,
         )
-        return self.core(own_settings, self.random.getrandbits(12), self.connections[index])
+        return self.state_class(own_settings, self.random.getrandbits(12), self.connections[index])
 
     def restart(self, index: int) -> None:
         host = self.net.hosts[str(index)]
         self.net.crash(host, keeps_disk=False)
         host.alive = True
         self.connections[index] = self._no_connections()
-        self.cores[index] = self._new_state(index)
+        self.states[index] = self._new_state(index)
         self.net.at(self.net.now, partial(self._step, index))
 
     def clock(self, index: int) -> float:
@@ -82,23 +83,23 @@
         life = host.life
         if not host.stopped:
             self._act(index)
-            self._send(index, self.cores[index].outgoing_messages(self.clock(index)))
+            self._send(index, self.states[index].outgoing_messages(self.clock(index)))
         self.net.at(self.net.now + 0.1, lambda: self._step(index) if host.life == life else None)
 
     def _act(self, index: int) -> None:
-        core, draw, now = self.cores[index], self.random.randrange, self.clock(index)
-        if core.may_health_check(now, "s0"):
+        state, draw, now = self.states[index], self.random.randrange, self.clock(index)
+        if state.may_health_check(now, "s0"):
             self.health_checks.append(self.net.now)
-        self.shares.append(sum(c.leases.share(self.clock(i)) for i, c in enumerate(self.cores)))
+        self.shares.append(sum(c.leases.share(self.clock(i)) for i, c in enumerate(self.states)))
         if self.changes_enabled and draw(10) < 3:
             backend, opened = f"s{draw(8)}", draw(5) < 3
-            core.record_group(backend, f"g{draw(9)}", opened)
+            state.record_group(backend, f"g{draw(9)}", opened)
             connections = self.connections[index][backend]
             connections.count = max(0, connections.count + (1 if opened else -1))
         if self.changes_enabled and draw(100) < 2:
             duration = 0.3 + 6 * self.random.random()
             backend = f"s{draw(8)}"
-            core.announce_ejection(backend, now + duration)
+            state.announce_ejection(backend, now + duration)
             self.ejections[backend] = max(self.ejections.get(backend, 0.0), self.net.now + 1.02 * duration)
 
     def _send(self, index: int, sends: list[Outgoing]) -> None:
@@ -111,19 +112,19 @@
     def _deliver(self, host: Host, event: Any) -> None:
         sender, text = event
         index = int(host.name)
-        for backend in self.cores[index].receive(self.clock(index), sender, text):
+        for backend in self.states[index].receive(self.clock(index), sender, text):
             if self.net.now > self.ejections[backend] + self.net.link.delay[1]:
                 self.outlived_ejections.append((self.net.now, backend))
 
     def stale_replicas(self) -> list[tuple[int, int]]:
         """Return pairs of a proxy and a peer whose table differs from the proxy's replica or index of it."""
         stale = []
-        for i, core in enumerate(self.cores):
-            for j, other in enumerate(self.cores):
-                indexed = {key for key, peers in core.peers_by_key.items() if j in peers}
+        for i, state in enumerate(self.states):
+            for j, other in enumerate(self.states):
+                indexed = {key for key, peers in state.peers_by_key.items() if j in peers}
                 if i != j and not (
-                    j in core.peers
-                    and core.peers[j].replica.entries == other.table.entries
+                    j in state.peers
+                    and state.peers[j].replica.entries == other.table.entries
                     and indexed == set(other.table.entries)
                 ):
                     stale.append((i, j))
--- a/tests/shared_state/test_golden_messages.py
+++ b/tests/shared_state/test_golden_messages.py
@@ -116,15 +116,15 @@
 
     def _act(self, index: int) -> None:
         super()._act(index)
-        core, now = self.cores[index], self.clock(index)
-        core.set_capacity_scale(core.scale + self.random.random() - 0.4)
+        state, now = self.states[index], self.clock(index)
+        state.set_capacity_scale(state.scale + self.random.random() - 0.4)
         answers = (
-            core.minimum_scale,
-            core.relative_share(now),
-            core.fleet_connections(now, "s1"),
-            core.peer_ejections(now),
-            core.peer_serves_group("s2", "g3"),
-            core.may_health_check(now, "s3"),
+            state.minimum_scale,
+            state.relative_share(now),
+            state.fleet_connections(now, "s1"),
+            state.peer_ejections(now),
+            state.peer_serves_group("s2", "g3"),
+            state.may_health_check(now, "s3"),
         )
         self.digest.update(repr(answers).encode())
 
--- a/tests/shared_state/test_shared_state.py
+++ b/tests/shared_state/test_shared_state.py
@@ -41,10 +41,10 @@
     assert not proxies.outlived_ejections
 
 
-def detects_violation(check: Callable[[SimulatedProxies], object], core: type[SharedState]) -> bool:
+def detects_violation(check: Callable[[SimulatedProxies], object], state_class: type[SharedState]) -> bool:
     """Return whether a check detects a violation by a broken variant with any of 8 seeds."""
     for seed in range(8):
-        proxies = SimulatedProxies(seed, Link(delay=(0.0017, 0.3), loss=0.3), core)
+        proxies = SimulatedProxies(seed, Link(delay=(0.0017, 0.3), loss=0.3), state_class)
         run_with_faults(proxies)
         if check(proxies):
             return True
@@ -106,39 +106,39 @@
     key = max(proxies.connections[3], key=lambda s: proxies.connections[3][s].count)
     lost, others = proxies.connections[3][key].count, sum(h[key].count for h in proxies.connections[:3])
     assert lost > 1 and not proxies.stale_replicas()
-    assert proxies.cores[0].fleet_connections(proxies.clock(0), key) == lost + others
+    assert proxies.states[0].fleet_connections(proxies.clock(0), key) == lost + others
     assert all(
-        core.relative_share(proxies.clock(i)) == pytest.approx(1.0) for i, core in enumerate(proxies.cores)
+        state.relative_share(proxies.clock(i)) == pytest.approx(1.0) for i, state in enumerate(proxies.states)
     )
     for other in "012":
         proxies.net.cut("3", other)
     proxies.net.run(13.0 + SILENCE_SECONDS + 6)
-    assert all(3 not in core.peers for core in proxies.cores[:3])
+    assert all(3 not in state.peers for state in proxies.states[:3])
     assert all(3 in pair for pair in proxies.stale_replicas())  # only heartbeats were sent for 20 s
-    share = proxies.cores[0].relative_share(proxies.clock(0))
+    share = proxies.states[0].relative_share(proxies.clock(0))
     assert share == pytest.approx(1.0)  # one lease has expired, one portion is inherited
     assert not proxies.overspent()
     proxies.net.run(13.0 + SILENCE_SECONDS + 6 + 600)
-    assert proxies.cores[0].fleet_connections(proxies.clock(0), key) == pytest.approx(
+    assert proxies.states[0].fleet_connections(proxies.clock(0), key) == pytest.approx(
         others + min(lost, others / 3), abs=0.1
     )
 
 
 def test_without_peers_nothing_is_sent_and_the_share_is_an_equal_part() -> None:
     for changes in ({"peers_allowed": False}, {"proxy_count": 1}):
-        core = SharedState(
+        state = SharedState(
             settings(**({"proxy_count": 4, "peers_allowed": True, "has_groups": True} | changes)), 1, {}
         )
-        core.record_group("s0", "g0", True)
-        assert core.outgoing_messages(1.0) == [] and core.relative_share(1.0) == 1.0
-        spent = sum(core.may_health_check(1.0 + i / 100, "s0") for i in range(1000))  # 10 s
+        state.record_group("s0", "g0", True)
+        assert state.outgoing_messages(1.0) == [] and state.relative_share(1.0) == 1.0
+        spent = sum(state.may_health_check(1.0 + i / 100, "s0") for i in range(1000))  # 10 s
         parts = 4 if "peers_allowed" in changes else 1
         assert 10 * 20 / parts - 1 <= spent <= 10 * 20 / parts + 3
 
 
 def test_a_connection_is_placed_on_the_backend_where_a_peer_serves_its_group() -> None:
     # Without shared state, four proxies placed a group of eight connections on five backends.
-    nodes = [
+    hosts = [
         BalancerHost(
             reports_load=True,
             health_checks_allowed=True,
@@ -150,62 +150,62 @@
         )
         for i in (0, 1)
     ]
-    for node in nodes:
-        node.update_endpoints(make_endpoints(6))
+    for host in hosts:
+        host.update_endpoints(make_endpoints(6))
         for i in range(6):
-            node.handle(HealthCheckFinished(f"s{i}", AttemptStatus.OK, report=LoadReport(load=0.5)))
-    nodes[0].handle(ConnectionResumed("old", "quick", "s4", group="a"))
-    nodes[0].run(2.0)
-    for message in nodes[0].actions(SendPeerMessage):
-        nodes[1].handle(PeerMessageReceived(0, message.data))
-    assert nodes[1].backend_of(nodes[1].request(group="a")) == "s4"
+            host.handle(HealthCheckFinished(f"s{i}", AttemptStatus.OK, report=LoadReport(load=0.5)))
+    hosts[0].handle(ConnectionResumed("old", "quick", "s4", group="a"))
+    hosts[0].run(2.0)
+    for message in hosts[0].actions(SendPeerMessage):
+        hosts[1].handle(PeerMessageReceived(0, message.data))
+    assert hosts[1].backend_of(hosts[1].request(group="a")) == "s4"
 
 
 def test_a_backend_ejected_by_a_peer_gets_only_one_connection_at_a_time() -> None:
     # Without shared ejections, each proxy detected a dead backend separately, by the failure of all
     # connections that it had just sent there.
-    nodes = [BalancerHost(peers_allowed=True, proxy_count=2, proxy_index=i, seed=3 + i) for i in (0, 1)]
-    for node in nodes:
-        node.update_endpoints(make_endpoints(2))
-        node.run(1.0)
-    nodes[0].fail("s0")
+    hosts = [BalancerHost(peers_allowed=True, proxy_count=2, proxy_index=i, seed=3 + i) for i in (0, 1)]
+    for host in hosts:
+        host.update_endpoints(make_endpoints(2))
+        host.run(1.0)
+    hosts[0].fail("s0")
     for message in [
-        a for a in nodes[0].handle(ClientDisconnected("nobody")) if isinstance(a, SendPeerMessage)
+        a for a in hosts[0].handle(ClientDisconnected("nobody")) if isinstance(a, SendPeerMessage)
     ]:
-        nodes[1].handle(PeerMessageReceived(0, message.data))
-    requests = [nodes[1].request() for _ in range(30)]
-    assert [nodes[1].backend_of(r) for r in requests if r in nodes[1].in_flight].count("s0") == 1
+        hosts[1].handle(PeerMessageReceived(0, message.data))
+    requests = [hosts[1].request() for _ in range(30)]
+    assert [hosts[1].backend_of(r) for r in requests if r in hosts[1].in_flight].count("s0") == 1
 
 
 def test_a_group_that_a_peer_also_has_at_the_backend_is_shed_last() -> None:
     # Migrating this proxy's connections of the group saves nothing: the backend still bears its cost.
-    node = BalancerHost(
+    host = BalancerHost(
         reports_load=True, health_checks_allowed=True, has_groups=True, peers_allowed=True, proxy_count=2
     )
-    node.update_endpoints(make_endpoints(2))
+    host.update_endpoints(make_endpoints(2))
     for i, group in enumerate("abbb"):
-        node.handle(ConnectionResumed(f"c{i}", "quick", "s0", group=group))
+        host.handle(ConnectionResumed(f"c{i}", "quick", "s0", group=group))
     peer = SharedState(settings(proxy_count=2, proxy_index=1, peers_allowed=True, has_groups=True), 3, {})
     peer.record_group("s0", "a", True)
-    for _, text in peer.outgoing_messages(node.now):
-        node.handle(PeerMessageReceived(1, text))
+    for _, text in peer.outgoing_messages(host.now):
+        host.handle(PeerMessageReceived(1, text))
     for _ in range(9):
-        node.handle(ResponseLatencyMeasured("c0", 0.07))
-    assert {m.request for m in node.actions(MigrateConnection)} == {"c1", "c2", "c3"}
+        host.handle(ResponseLatencyMeasured("c0", 0.07))
+    assert {m.request for m in host.actions(MigrateConnection)} == {"c1", "c2", "c3"}
 
 
 def test_a_proxy_that_has_just_started_learns_the_capacity_scale_from_its_peers() -> None:
     # Without the peers' scale, a proxy without connections assumed two slots at a backend's full load and
     # rejected 75 requests in 5 s.
-    node = BalancerHost(
+    host = BalancerHost(
         reports_load=True, health_checks_allowed=True, has_groups=True, peers_allowed=True, proxy_count=2
     )
-    node.update_endpoints(make_endpoints(2))
-    node.handle(HealthCheckFinished("s0", AttemptStatus.OK, report=LoadReport(load=0.1)))
+    host.update_endpoints(make_endpoints(2))
+    host.handle(HealthCheckFinished("s0", AttemptStatus.OK, report=LoadReport(load=0.1)))
     peer = SharedState(settings(proxy_count=2, proxy_index=1, peers_allowed=True, has_groups=True), 3, {})
     peer.set_capacity_scale(20.0)
-    before = node.backend("s0").ceiling
-    for _, text in peer.outgoing_messages(node.now):
-        node.handle(PeerMessageReceived(1, text))
-    node.run(2.0)
-    assert before < 2.0 and node.backend("s0").ceiling == pytest.approx(0.7 * 10.0)
+    before = host.backend("s0").ceiling
+    for _, text in peer.outgoing_messages(host.now):
+        host.handle(PeerMessageReceived(1, text))
+    host.run(2.0)
+    assert before < 2.0 and host.backend("s0").ceiling == pytest.approx(0.7 * 10.0)
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -50,8 +50,8 @@
     return adapter
 
 
-def actions(answer: bytes) -> list[dict[str, Any]]:
-    return json.loads(answer)["actions"]  # type: ignore[no-any-return]
+def actions(reply: bytes) -> list[dict[str, Any]]:
+    return json.loads(reply)["actions"]  # type: ignore[no-any-return]
 
 
 def test_an_empty_batch_gives_no_actions() -> None:
