--- a/saltcourse/balancing/drain_schedule.py
+++ b/saltcourse/balancing/drain_schedule.py
@@ -1,7 +1,7 @@
 """Drain schedule: spreads the migrations of a draining proxy evenly over the duration of the drain.
 
 Migrated clients reconnect to the other proxies, or to the process that replaces this one. If all reconnected
-at once, connection setup would be slow, ceilings would grow by only one slot at a time, and many clients
+together, connection setup would be slow, ceilings would grow by only one slot at a time, and many clients
 would be rejected. Therefore each check migrates connections in proportion to the check interval over the
 time left, and the last check migrates the rest.
 
--- a/saltcourse/balancing/endpoint_list.py
+++ b/saltcourse/balancing/endpoint_list.py
@@ -81,7 +81,7 @@
         self._set_timer(wait * (0.5 + self._random.random() / 2))
 
     def list_received(self) -> None:
-        """Record that discovery has answered, and schedule a watch after a fetch."""
+        """Record that discovery has responded, and schedule a watch after a fetch."""
         self._failures = 0
         if self._is_fetching:
             self._is_fetching = False
--- a/saltcourse/balancing/failure_attribution.py
+++ b/saltcourse/balancing/failure_attribution.py
@@ -2,7 +2,7 @@
 
 The rules:
 
-1. A failed connect, or no answer before the timeout, is the backend's fault.
+1. A failed connect, or no response before the timeout, is the backend's fault.
 2. A rejection shows that the backend is alive, and that it is full.
 3. An error, or a reset before the connection is established, only makes the backend a suspect. If the
    request is then established at another backend, the suspect was at fault. If the request fails in this way
@@ -10,9 +10,9 @@
    fails the requests of a single client flow is not at fault either. An error that is the backend's fault
    raises its error rate, and the backend is ejected above ``MAX_ERROR_RATE``. A reset that is its fault is
    handled as in rule 4. Either one ejects a backend that was eligible for a probe.
-4. A reset of an established connection ejects no backend. If a second one follows within a second, the
-   backend's ceiling is cut: networks and clients reset single connections, while a backend that drops
-   connections resets several.
+4. A reset of an established connection ejects no backend. If another reset follows within 1 s, the backend's
+   ceiling is cut: networks and clients reset single connections, while a backend that drops connections
+   resets several.
 5. An attempt that was started before the backend's process started has no effect on the new process.
 
 Inputs: the outcomes of attempts and health checks, and the time in seconds. Output: health events and ceiling
@@ -31,7 +31,7 @@
 
 ERROR_RATE_GAIN = 0.2  # Weight of the last attempt in a backend's error rate.
 MAX_ERROR_RATE = 0.3  # Above it a backend at fault is ejected, and then gets one attempt at a time.
-RESET_PAIR_SECONDS = 1.0  # A second reset within this time shows that the backend drops connections.
+RESET_PAIR_SECONDS = 1.0  # Another reset within this time shows that the backend drops connections.
 
 
 class FailureAttribution:
--- a/saltcourse/balancing/outlier_ejection.py
+++ b/saltcourse/balancing/outlier_ejection.py
@@ -7,8 +7,8 @@
 2. The ejection time starts at 0.5 s, doubles with each consecutive ejection, and is at most 8 s. It is
    multiplied by a random factor from 0.75 to 1.25. An ejection ends at the first refresh of the candidates
    after its time has passed, up to one tick later, so every ejection ends.
-3. The probe is stored as a reference to the request in flight and not as a flag. It ends however that
-   attempt ends, so that no backend keeps waiting for a probe that no longer exists.
+3. The probe is stored as a reference to the request in flight and not as a flag. It ends with the request's
+   attempt, whatever the outcome, so that no backend waits for a probe that does not exist.
 4. Four ejections in a remote zone without a response from the zone in between eject the whole zone. The
    local zone is never ejected.
 5. If all listed backends are excluded, all of them become candidates again, because rejecting every request
--- a/saltcourse/balancing/selection.py
+++ b/saltcourse/balancing/selection.py
@@ -31,7 +31,7 @@
 SCAN_INTERVAL_SECONDS = 0.1  # Prevents a scan for every request while all backends are full.
 OVERFLOW_SLOTS = 1.0
 REMOTE_ZONE_FACTOR = 0.05  # Weight of a free slot in another zone, relative to one in the local zone.
-NEVER_SCANNED = -1.0
+NEVER_SCANNED = -1.0  # A time (s) before any time of the host's clock.
 
 
 class Selection:
--- a/saltcourse/balancing/settings.py
+++ b/saltcourse/balancing/settings.py
@@ -57,7 +57,7 @@
     SILENT = "silent"
 
 
-CHANGE_KNOWN_WITHIN_SECONDS = 6.0  # A proxy must know a change that discovery can report within this time.
+CHANGE_KNOWN_WITHIN_SECONDS = 6.0  # Time limit for a proxy to learn of a change that discovery can report.
 LIST_CALL_TIMEOUT_SECONDS = 3.5  # Discovery abandons a call that has been queued for 3 s.
 MAX_LIST_RETRY_DELAY_SECONDS = CHANGE_KNOWN_WITHIN_SECONDS - LIST_CALL_TIMEOUT_SECONDS - 0.5
 
--- a/saltcourse/balancing/state.py
+++ b/saltcourse/balancing/state.py
@@ -170,7 +170,7 @@
     slots: float
     group: str
     flow: str
-    is_answered: bool = False  # Whether a final answer was given, or none is needed any more.
+    is_answered: bool = False  # Whether a final answer was given, or is not needed.
 
     # Attempts; all fields but the number refer to the last attempt. Times are in seconds.
     attempts: int = 0
--- a/tests/balancing/balancer_host.py
+++ b/tests/balancing/balancer_host.py
@@ -71,7 +71,7 @@
             if isinstance(action, SetTimer):
                 heapq.heappush(self.timers, (self.now + action.delay, action.token))
             elif isinstance(action, StartAttempt):
-                assert action.request not in self.in_flight, "two attempts of a request at once"
+                assert action.request not in self.in_flight, "two attempts of a request in flight"
                 attempt = self.attempts.get(action.request, 0)
                 self.attempts[action.request] = attempt + 1
                 self.in_flight[action.request] = (attempt, action.backend)
--- a/tests/balancing/test_endpoint_list.py
+++ b/tests/balancing/test_endpoint_list.py
@@ -37,8 +37,8 @@
 
 
 def test_a_polled_list_is_fetched_after_a_failed_watch_and_then_watched_again() -> None:
-    # Discovery fails once. The proxy fetches the complete list, keeps using the old one until the answer, and
-    # then watches again.
+    # Discovery fails once. The proxy fetches the complete list, keeps using the old one until the response,
+    # and then watches again.
     host = BalancerHost(discovery_mode=DiscoveryMode.POLLED, poll_interval=10.0, proxy_count=20)
     host.update_endpoints(make_endpoints(2), EndpointUpdateKind.CACHED)
     host.run(5.0)
@@ -55,7 +55,7 @@
 
 
 def test_proxies_that_start_together_call_discovery_at_different_times() -> None:
-    # All proxies of a fleet start at once. Discovery would reject calls that arrive at the same time.
+    # All proxies of a fleet start together. Discovery would reject calls that arrive at the same time.
     call_times = []
     for seed in range(10):
         host = BalancerHost(seed=seed, discovery_mode=DiscoveryMode.POLLED, proxy_count=20)
--- a/tests/balancing/test_outlier_ejection.py
+++ b/tests/balancing/test_outlier_ejection.py
@@ -40,8 +40,8 @@
 
 
 def test_candidates_remain_when_all_backends_fail() -> None:
-    # The proxy loses its network, and every attempt fails. If no backend were used any more, the proxy would
-    # reject all requests beyond the end of the outage.
+    # The proxy loses its network, and every attempt fails. If no candidates remained, the proxy would reject
+    # all requests beyond the end of the outage.
     host = BalancerHost()
     host.update_endpoints(make_endpoints(2))
     for _ in range(3):
