--- a/saltcourse/balancing/outlier_ejection.py
+++ b/saltcourse/balancing/outlier_ejection.py
@@ -7,8 +7,8 @@
 2. The ejection time starts at 0.5 s, doubles with each consecutive ejection, and is at most 8 s. It is
    multiplied by a random factor from 0.75 to 1.25. An ejection ends at the first refresh of the candidates
    after its time has passed, up to one tick later, so every ejection ends.
-3. The probe is stored as a reference to the request in flight and not as a flag. It ends however that
-   attempt ends, so that no backend keeps waiting for a probe that no longer exists.
+3. The probe is stored as a reference to the request in flight and not as a flag. It ends with the request's
+   attempt, whatever the outcome, so that no backend waits for a probe that does not exist.
 4. Four ejections in a remote zone without a response from the zone in between eject the whole zone. The
    local zone is never ejected.
 5. If all listed backends are excluded, all of them become candidates again, because rejecting every request
@@ -26,7 +26,7 @@
 Inputs: health events of a backend and the time in seconds. Output: ``Backend.health`` and the pool's
 candidates.
 
-Why: an attempt at a dead backend costs its client the attempt's time-out. A backend that fails quickly holds
+Why: an attempt at a dead backend costs its client the attempt's timeout. A backend that fails quickly holds
 no connections, so it would be chosen for most new ones. The module ``failure_attribution`` decides which
 events are a backend's fault.
 """
@@ -53,7 +53,7 @@
     ATTEMPT_STARTED = 1
     PROBE_INCONCLUSIVE = 2  # The probe has ended without showing whether the backend is healthy.
     SUCCESS = 3  # The backend accepted a connection, or rejected one and so showed that it is alive.
-    FAILURE = 4  # An attempt or health check failed by the backend's fault.
+    FAILURE = 4  # An attempt or health check failed, and the backend is at fault.
     EJECTION_EXPIRED = 5
     PEER_EJECTED = 6  # Another proxy has ejected the backend.
 
--- a/saltcourse/balancing/selection.py
+++ b/saltcourse/balancing/selection.py
@@ -2,7 +2,7 @@
 
 The rule follows "Insensitive Load Balancing" (Bonald, Jonckheere, Proutière 2004):
 
-- The free slots of a candidate are its ceiling minus its occupancy. In another zone each counts as 1/20.
+- The free slots of a candidate are its ceiling minus its occupancy. A slot in another zone counts as 1/20.
 - If no candidate has a free slot, a backend that has not recently rejected may overflow by one slot. If no
   backend may overflow, the request is not placed.
 - Three kinds of backend are never drawn: one that the request has already tried, one where a retry could run
@@ -31,7 +31,7 @@
 SCAN_INTERVAL_SECONDS = 0.1  # Prevents a scan for every request while all backends are full.
 OVERFLOW_SLOTS = 1.0
 REMOTE_ZONE_FACTOR = 0.05  # Weight of a free slot in another zone, relative to one in the local zone.
-NEVER_SCANNED = -1.0
+NEVER_SCANNED = -1.0  # A time (s) before any time of the host's clock.
 
 
 class Selection:
