--- a/saltcourse/address_failover/bgp_session.py
+++ b/saltcourse/address_failover/bgp_session.py
@@ -31,7 +31,7 @@
 from saltcourse.codec import bgp
 from saltcourse.codec.bgp_decoder import MessageBuffer, decode
 
-# Limit for opening the TCP connection, and again for receiving the peer's OPEN.
+# Time limit for opening the TCP connection, and the same limit again for receiving the peer's OPEN.
 CONNECT_TIMEOUT_SECONDS = 2.0
 # Time between connection attempts; doubles with each consecutive failure.
 RETRY_INITIAL_SECONDS, RETRY_MAX_SECONDS = 0.2, 8.0
--- a/saltcourse/address_failover/command_announcer.py
+++ b/saltcourse/address_failover/command_announcer.py
@@ -16,7 +16,7 @@
 # Time for which this member is unavailable after a failure; doubles with each consecutive failure.
 BACKOFF_INITIAL_SECONDS, BACKOFF_MAX_SECONDS = 1.0, 30.0
 WITHDRAW_RETRY_SECONDS = 1.0  # time between attempts of a failed withdrawal
-STOP_GRACE_SECONDS = 0.2  # time allowed for stopping, in addition to the command time-out
+STOP_GRACE_SECONDS = 0.2  # time allowed for stopping, in addition to the command timeout
 
 log = structlog.get_logger("saltcourse")
 
@@ -58,7 +58,7 @@
         self._backoff = BACKOFF_INITIAL_SECONDS
 
     def start(self, on_availability: AvailabilityCallback) -> None:
-        """Start running queued commands, and report to be available immediately."""
+        """Start running queued commands, and report immediately that the address can be announced."""
         self._on_availability = on_availability
         self._worker = asyncio.get_running_loop().create_task(self._work())
         self._set_available(True)
--- a/saltcourse/address_failover/election.py
+++ b/saltcourse/address_failover/election.py
@@ -28,10 +28,10 @@
     FOLLOWER       timer, after all promises have expired             PRE_CANDIDATE
                    LeaseTransfer                                      CANDIDATE
     PRE_CANDIDATE  a majority would vote for it, LeaseTransfer        CANDIDATE
-                   time-out, newer term, promise to another member,   FOLLOWER
+                   timeout, newer term, promise to another member,    FOLLOWER
                    cannot announce
     CANDIDATE      a majority voted for it                            HOLDER
-                   time-out, newer term, cannot announce              FOLLOWER
+                   timeout, newer term, cannot announce               FOLLOWER
     HOLDER         lease expired, cannot announce                     FOLLOWER
     any            ShutdownRequested                                  STOPPED
 
@@ -76,8 +76,8 @@
 from saltcourse.address_failover.voters import ElectionConfig
 
 NO_DEADLINE = float("inf")  # deadline of events that are not scheduled
-NO_LEASE = -float("inf")  # end of the lease of a member that holds none
-# In lease durations: a lease is transferred only to a member that sent a message within this time.
+NO_LEASE = -float("inf")  # lease end of a member without a lease
+# A lease is transferred only to a member that has sent a message within this number of lease durations.
 RECENT_LEASE_DURATIONS = 2
 
 
@@ -85,7 +85,7 @@
     """The election state machine of one member.
 
     ``seed``: seed for the start jitter, which spreads the candidacies of members with equal priority.
-    ``can_announce``: False if the member has an announcer that has not reported to be available yet.
+    ``can_announce``: False if the member has an announcer that has not reported yet that it is available.
     """
 
     def __init__(
--- a/saltcourse/address_failover/events.py
+++ b/saltcourse/address_failover/events.py
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ShutdownRequested:
-    """The member leaves as planned: it transfers its lease and stops requesting and granting anything."""
+    """The member leaves as planned: it transfers its lease, and sends no further requests or grants."""
 
 
 Event = MessageReceived | TimerExpired | AnnouncerAvailabilityChanged | ShutdownRequested
--- a/saltcourse/address_failover/host.py
+++ b/saltcourse/address_failover/host.py
@@ -79,7 +79,7 @@
         self._timer: asyncio.TimerHandle | None = None
         self._hello_sent_at: dict[str, float] = {}
         self._drops_logged_at = self._loop.time()
-        # A member with an announcer cannot announce until the announcer reports to be available.
+        # A member with an announcer cannot announce until the announcer reports that it is available.
         can_announce = announcer is None
         self.election = Election(config, seed, clock(), _recovered_state(vote_store), can_announce)
 
@@ -179,13 +179,13 @@
         self._timer = self._loop.call_later(delay, self._handle, TimerExpired())
 
     def _announce(self, term: int) -> None:
-        log.info("announcing service address", term=term)
+        log.info("service address claimed", term=term)
         if self.announcer is not None:
             self.announcer.announce(term)
 
     def _withdraw(self, term: int) -> None:
         self.announced_until = 0.0
-        log.info("withdrawing service address", term=term)
+        log.info("service address withdrawn", term=term)
         if self.announcer is not None:
             self.announcer.withdraw(term)
 
--- a/saltcourse/address_failover/message_codec.py
+++ b/saltcourse/address_failover/message_codec.py
@@ -1,4 +1,4 @@
-"""Protobuf encoding of messages (``schema/membership.proto``). Only this module knows its older names.
+"""Protobuf encoding of messages (``schema/membership.proto``). Only this module uses its older names.
 
 ::
 
--- a/saltcourse/address_failover/replay_window.py
+++ b/saltcourse/address_failover/replay_window.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-WINDOW_SIZE = 64  # how far datagrams may be reordered
+WINDOW_SIZE = 64  # sequence numbers: the maximum distance over which datagrams may be reordered
 WINDOW_MASK = (1 << WINDOW_SIZE) - 1
 
 
--- a/saltcourse/boottime.py
+++ b/saltcourse/boottime.py
@@ -1,6 +1,6 @@
 """The CLOCK_BOOTTIME clock, which keeps counting while the machine is suspended.
 
-Leases and time-outs of hosts are timed with it, because they must not outlast a suspension of the machine.
+Leases and timeouts of hosts are timed with it, because a suspension of the machine must not extend them.
 """
 
 from __future__ import annotations
--- a/saltcourse/proxy/__init__.py
+++ b/saltcourse/proxy/__init__.py
@@ -1,4 +1,4 @@
-"""The proxy daemon: sockets, timers and process lifecycle. All decisions on requests are the balancer's.
+"""The proxy daemon: sockets, timers and process lifecycle. The balancer makes all decisions about requests.
 
 server                lifecycle (startup, serve, drain, shutdown), reload, and the admin interface's queries
 listener              accepts client connections
--- a/saltcourse/proxy/actor.py
+++ b/saltcourse/proxy/actor.py
@@ -25,7 +25,7 @@
 
 
 def spawn(work: Coroutine[Any, Any, Any], name: str) -> asyncio.Task[None]:
-    """Run ``work`` in a new task; an exception is logged with ``name`` as the task."""
+    """Run ``work`` in a new task called ``name``; log an exception that it raises with this name."""
     task = asyncio.get_running_loop().create_task(_log_failure(work, name), name=name)
     _tasks.add(task)
     task.add_done_callback(_tasks.discard)
@@ -42,13 +42,13 @@
 
     def start(self) -> None:
         """Start ``run`` in its own task."""
-        self.task = spawn(self._run_to_cleanup(), self.name)
+        self.task = spawn(self._run_and_clean_up(), self.name)
 
     def send(self, message: Message) -> None:
         """Put a message into the mailbox; never blocks."""
         self.mailbox.put_nowait(message)
 
-    async def _run_to_cleanup(self) -> None:
+    async def _run_and_clean_up(self) -> None:
         try:
             await self.run()
         finally:
--- a/saltcourse/proxy/attempt.py
+++ b/saltcourse/proxy/attempt.py
@@ -39,7 +39,7 @@
     MOVE: AttemptStatus.CANCELLED,
     BYE: AttemptStatus.OK,
 }
-# How an established connection ended, by the first word of the backend's last line.
+# The status of an established connection that has ended, by the first word of the backend's last line.
 STATUS_BY_LAST_LINE = {BYE: AttemptStatus.OK, MOVE: AttemptStatus.CANCELLED}
 
 
@@ -56,10 +56,10 @@
         """Return whether the client is still waiting for an answer, so that an attempt may begin."""
 
     def open_line_sent(self) -> None:
-        """Handle that the attempt's OPEN line was written completely."""
+        """Record that the attempt's OPEN line was written completely."""
 
     def backend_line_received(self, line: memoryview) -> None:
-        """Handle a line from the backend that is not an answer; this does not write it to the client."""
+        """Process a line from the backend other than its answer, without writing it to the client."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -114,7 +114,7 @@
             self.stream.close()
 
     def close(self) -> None:
-        """Cancel the attempt and close its connection at once: the next attempt must not overlap with it."""
+        """Cancel the attempt and close its connection, because the next attempt must not overlap with it."""
         self._is_cancelled = True
         if self.stream is not None:
             self.stream.close()
@@ -122,8 +122,8 @@
     def _may_have_run(self) -> bool:
         """Return whether the kernel has accepted the last byte of the OPEN line.
 
-        The order in which coroutines resume cannot tell: a timeout or a reset may arrive while the last part
-        of a partial write completes.
+        The order in which coroutines resume does not show this: a timeout or a reset may arrive while the
+        last part of a partial write completes.
         """
         return self.stream is not None and self.stream.bytes_sent >= len(self._spec.open_line)
 
--- a/saltcourse/proxy/client_connection.py
+++ b/saltcourse/proxy/client_connection.py
@@ -24,7 +24,8 @@
 2. Each ``BeginAttempt`` is answered by exactly one ``AttemptFinished``, even after the actor has ended.
 3. The state is checked again after every await: the client may have disconnected, or the deadline passed.
 4. MOVE is written between two complete lines, because only complete lines are relayed.
-5. The way in which one side ends is passed on to the other: a FIN as a FIN, a reset as a reset.
+5. When one side ends, the other side is ended in the same way: after a FIN by a FIN, after a reset by a
+   reset.
 """
 
 from __future__ import annotations
@@ -395,7 +396,7 @@
         self._begin_attempt(BeginAttempt(self.request, open_request.resume_backend, 0, 0.0, address))
 
     async def _retry_resume(self, open_request: OpenRequest, status: AttemptStatus) -> None:
-        """Retry at the same backend, the only one possible: it may be restarting as well."""
+        """Retry at the same backend, which is the only possible one and may be restarting as well."""
         self._attempts.discard_outcome()
         retry_by = self._deadline - 2 * RESUME_RETRY_SECONDS
         if status not in NEVER_RAN or self.context.clock.now() > retry_by:
--- a/saltcourse/proxy/connection_context.py
+++ b/saltcourse/proxy/connection_context.py
@@ -27,7 +27,7 @@
         self._open: set[str] = set()
 
     def claim(self, request: str) -> None:
-        """Register an id; raises ``ProtocolError`` if it is in use, whose owner must not be affected."""
+        """Register an id. Raises ``ProtocolError`` if it is in use; this does not affect its owner."""
         if request in self._open:
             raise ProtocolError("OPEN: request id is already in use")
         self._open.add(request)
@@ -70,4 +70,4 @@
     may_answer_ping: Callable[[], bool]
     is_short_of_descriptors: Callable[[], bool]
     request_ids: RequestIds = field(default_factory=RequestIds)
-    answer_deadline: float = float("inf")  # clock time (s) by which a shutdown needs all answers written
+    answer_deadline: float = float("inf")  # clock time (s) by which all answers must be written in a shutdown
--- a/saltcourse/proxy/connection_monitor.py
+++ b/saltcourse/proxy/connection_monitor.py
@@ -46,7 +46,7 @@
 
     @classmethod
     def from_resumed(cls, event: ConnectionResumed) -> EstablishedConnection:
-        """Return the connection of a resume event: one that was established before this process started."""
+        """Return the connection of a resume event, which was established before this process started."""
         return cls(event.request, event.request_class, event.backend, event.load_hint, event.group)
 
     @classmethod
@@ -60,10 +60,10 @@
 
 
 class ConnectionMonitor:
-    """Keeps the established connections and checks them.
+    """Stores the established connections and checks them periodically.
 
-    ``migrate`` is called with the id of each request to migrate, ``report`` with each latency for the
-    balancer.
+    ``migrate`` is called with the id of each request whose connection has to be migrated, ``report`` with
+    each latency for the balancer.
     """
 
     def __init__(
@@ -128,7 +128,7 @@
         is_late = now - self._last_check > CHECK_INTERVAL_SECONDS + MAX_CHECK_DELAY_SECONDS
         self._last_check = now
         self._migrate_silent(now)
-        if not is_late:  # after a stall of the loop, lines that have arrived may not have been read yet
+        if not is_late:  # after the event loop was blocked, received lines may be unread
             self._report_hung(now)
         if now - self._last_reports >= REPORT_INTERVAL_SECONDS:
             self._last_reports = now
--- a/saltcourse/proxy/descriptors.py
+++ b/saltcourse/proxy/descriptors.py
@@ -4,7 +4,7 @@
 
 from saltcourse.proxy.stream import SocketStream
 
-OWN_DESCRIPTORS = 24  # for discovery calls, the event loop, health checks and the interpreter
+PROCESS_DESCRIPTORS = 24  # for discovery calls, the event loop, health checks and the interpreter
 
 
 class DescriptorLimit:
@@ -16,12 +16,12 @@
     @property
     def for_connections(self) -> int:
         """The descriptors that client and backend connections may use in total."""
-        return self.limit - OWN_DESCRIPTORS
+        return self.limit - PROCESS_DESCRIPTORS
 
     def can_accept(self) -> bool:
         """Return whether another client connection may be accepted."""
         return SocketStream.open_count < self.for_connections
 
     def can_serve(self, descriptors: int) -> bool:
-        """Return whether one more descriptor than ``descriptors`` fits, for a backend connection."""
+        """Return whether a backend connection is possible in addition to ``descriptors`` that are needed."""
         return descriptors + 1 <= self.for_connections
--- a/saltcourse/proxy/discovery_client.py
+++ b/saltcourse/proxy/discovery_client.py
@@ -7,14 +7,14 @@
 
 Rules:
 
-1. A watch repeats its call for as long as it is answered. The first failure ends the watch, and the balancer
-   orders another one.
+1. A watch makes its next call after each response. A failed call ends the watch, and the balancer orders
+   another one.
 2. A watch call that times out is not a failure: the complete list is fetched in its place immediately.
-3. An answer with a version lower than the one known when it arrives is late and is dropped, unless its
-   version is also lower than the one known when its call was made: then discovery has restarted, and the
-   answer is used.
-4. After a change of address the versions of the new service are unknown, so the complete list is fetched
-   first.
+3. A response with a version lower than the known one is late and is dropped. But if its version is also
+   lower than the one that was known when its call was made, discovery has restarted, and its complete list
+   is used.
+4. After a change of address, the complete list is fetched first, because the versions of the new service
+   are unknown.
 """
 
 from __future__ import annotations
@@ -46,11 +46,12 @@
 LIST_PATH = "/catalog/members"
 HTTP_OK = 200
 WATCH_SLACK_SECONDS = 0.6  # time after the requested wait until an unanswered watch call times out
-# How long a watch call may wait for a change. A watch can hang as soon as it has begun while a change is
-# pending. The proxy is expected to know a change within CHANGE_KNOWN_WITHIN_SECONDS, so by then the watch
+# Time for which a watch call waits for a change. Even a call that has just begun can hang although a change
+# is pending. The proxy is expected to know a change within CHANGE_KNOWN_WITHIN_SECONDS, so by then the watch
 # must have timed out, and discovery must have processed the fetch that replaces it.
 WATCH_WAIT_SECONDS = CHANGE_KNOWN_WITHIN_SECONDS - WATCH_SLACK_SECONDS - LIST_CALL_TIMEOUT_SECONDS / 2
-# Delay before the next watch call. Discovery treats a call within 0.2 s as a continuation of the same watch.
+# Delay before the next watch call after an immediate response without changes. Discovery treats a call
+# within 0.2 s as a continuation of the same watch.
 MIN_WATCH_INTERVAL_SECONDS = 0.1
 FIRST_CALL_TIMEOUT_SECONDS = 1.2  # at a new address; doubled per retry, as the list is needed within 4 s
 NEW_ADDRESS_RETRY_SECONDS = 0.2  # delay between calls at a new address until one is answered
@@ -70,7 +71,7 @@
     """Makes each call in its own task, so that the complete list can be fetched during a watch.
 
     ``version`` is the version of the endpoint list that is known at the start. ``on_endpoints`` is called
-    with each update, and with each failure that the balancer has to know.
+    with each update, and with each failure that the balancer has to know of.
     """
 
     def __init__(
@@ -94,7 +95,7 @@
                     self._begin(self._fetch(), "endpoint list fetch")
                 case WatchEndpoints() if self._is_watching:
                     # The watch in progress will report changes. The balancer still gets an empty update,
-                    # because an answer resets its count of failed calls.
+                    # because an update resets its count of failed calls.
                     no_changes = EndpointUpdate(self._version, False, (), {})
                     self._on_endpoints(EndpointsReceived(EndpointUpdateKind.DELTA, no_changes))
                 case WatchEndpoints():
@@ -107,7 +108,7 @@
         task.add_done_callback(self._calls.discard)
 
     def _change_address(self, address: Address) -> None:
-        """Switch to a new address; cancel the old calls, whose late answers would undo newer updates."""
+        """Switch to a new address; cancel the old calls, whose late responses would undo newer updates."""
         for task in self._calls:
             task.cancel()
         self._address = address
@@ -158,10 +159,10 @@
     def _publish(self, update: EndpointUpdate, version_at_call: int) -> None:
         """Report an update; ``version_at_call`` is the version that was known when its call was made.
 
-        An answer below the version known now, but not below ``version_at_call``, is late: another call has
-        delivered a newer version in the meantime, so this one is dropped. An answer below both comes from a
-        discovery that has restarted and is used. If it contains only changes, the complete list is missing:
-        the known version is reset to 0, so that the next watch call asks for everything.
+        An update with a version lower than the known one, but not lower than ``version_at_call``, is late and
+        is dropped: another call has delivered a newer version in the meantime. A version lower than both
+        means that discovery has restarted. A complete list is used then; an update that contains only changes
+        is dropped and the known version reset to 0, so that the next watch call requests the complete list.
         """
         if version_at_call <= update.version < self._version:
             return
--- a/saltcourse/proxy/dispatcher.py
+++ b/saltcourse/proxy/dispatcher.py
@@ -79,7 +79,7 @@
 
 @dataclass(slots=True)
 class TimerExpired:
-    """A timer of a balancer has expired; it is ignored if that balancer has been replaced."""
+    """A timer of ``balancer`` has expired; the message is ignored if that balancer has been replaced."""
 
     balancer: Balancer
     token: int
@@ -234,7 +234,7 @@
         return self._addresses.get(backend)
 
     def backend_gauges(self) -> dict[str, int]:
-        """Return the numbers of listed backends, and of those that are avoided now (draining or ejected)."""
+        """Return the number of listed backends, and of those currently avoided (draining or ejected)."""
         listed = [e.backend for e in self.endpoints.values() if e.state is not BackendState.REMOVED]
         reports = self._balancer.backend_reports(self._clock.now())
         avoided = {report.backend for report in reports if report.is_avoided}
@@ -244,7 +244,7 @@
         }
 
     def shared_state_gauges(self) -> dict[str, int]:
-        """Return the gauges about the state shared with the other proxies of the tier."""
+        """Return the gauges of the state that is shared with the other proxies of the tier."""
         now, shared_state = self._clock.now(), self._balancer.shared_state
         backends = self._balancer.backend_names()
         connections = sum(shared_state.fleet_connections(now, backend) for backend in backends)
@@ -348,8 +348,8 @@
         record = self._requests.get(request)
         if record is None:  # the client has left in the meantime
             self._summary.count_attempt(backend, AttemptStatus.NOT_SENT)
-            # This is the request's first attempt, so its number is 0: after later ones, the owner reports its
-            # last attempt as final before it finishes the request, and the balancer starts no other.
+            # The number is 0, because this is the request's first attempt: an owner that has begun an attempt
+            # reports its outcome as final before it finishes the request, so the balancer starts no other.
             self.send(AttemptFinished(request, 0, AttemptStatus.NOT_SENT, 0.0, True))
             return
         last = record.last_attempt
--- a/saltcourse/proxy/errors.py
+++ b/saltcourse/proxy/errors.py
@@ -8,7 +8,10 @@
 
 
 class ListenError(ProxyError):
-    """Listening on an address or descriptor failed; ``key`` is its configuration key or variable."""
+    """Listening on an address or descriptor failed.
+
+    ``key`` is the configuration key or environment variable that sets it.
+    """
 
     def __init__(self, key: str, where: str, error: OSError) -> None:
         super().__init__(f"'{key}': cannot listen on {where}: {error.strerror or error}")
--- a/saltcourse/proxy/listener.py
+++ b/saltcourse/proxy/listener.py
@@ -19,7 +19,7 @@
 
 BACKLOG = 1024  # connections; most clients may reconnect within the same second
 MAX_ACCEPTS = 32  # connections accepted in one event loop callback, so that other work is not delayed
-WARNING_INTERVAL_SECONDS = 5.0  # minimum time between two warnings about the shortage
+WARNING_INTERVAL_SECONDS = 5.0  # minimum time between two warnings about a shortage of descriptors
 PAUSE_SECONDS = 0.05  # time without accepting when descriptors are exhausted
 
 log = structlog.get_logger("saltcourse")
@@ -47,12 +47,12 @@
         """
         if descriptor is not None:
             try:
-                self._socket = inherit_listener(descriptor, self._accept_waiting)
+                self._socket = inherit_listener(descriptor, self._accept_from_backlog)
             except OSError as error:
                 raise ListenError("EDGE_LISTEN_FD", f"descriptor {descriptor}", error) from None
             return
         try:
-            self._socket = start_listening(address, BACKLOG, self._accept_waiting)
+            self._socket = start_listening(address, BACKLOG, self._accept_from_backlog)
         except OSError as error:
             raise ListenError("listen", "{}:{}".format(*address), error) from None
 
@@ -62,21 +62,21 @@
         host, port = self._socket.getsockname()[:2]
         return host, port
 
-    def close(self, accept_waiting: bool) -> None:
+    def close(self, accept_backlog: bool) -> None:
         """Stop listening.
 
-        ``accept_waiting`` accepts the connections in the backlog first, because closing the socket would
-        reset them. It must be False for a listening socket that another process shares: closing that resets
-        nothing, and the other process accepts the backlog.
+        With ``accept_backlog``, the connections in the backlog are accepted first, because closing the socket
+        would reset them. It must be False for a listening socket that another process shares: closing that
+        socket resets nothing, and the other process accepts the backlog.
         """
         if self._socket is not None:
-            if accept_waiting:
-                self._accept_waiting(BACKLOG)
+            if accept_backlog:
+                self._accept_from_backlog(BACKLOG)
             asyncio.get_running_loop().remove_reader(self._socket)
             self._socket.close()
             self._socket = None
 
-    def _accept_waiting(self, max_accepts: int = MAX_ACCEPTS) -> None:
+    def _accept_from_backlog(self, max_accepts: int = MAX_ACCEPTS) -> None:
         for _ in range(max_accepts):
             if self._socket is None or not self._accept_one(self._socket):
                 return
@@ -112,4 +112,4 @@
 
     def _resume(self, listener: socket.socket) -> None:
         if listener is self._socket:
-            asyncio.get_running_loop().add_reader(listener, self._accept_waiting)
+            asyncio.get_running_loop().add_reader(listener, self._accept_from_backlog)
--- a/saltcourse/proxy/opening.py
+++ b/saltcourse/proxy/opening.py
@@ -31,7 +31,7 @@
 FIRST_LINE_TIMEOUT_SECONDS = 2.0  # for the complete first line; clients send it as soon as they connect
 PING_TIMEOUT_SECONDS = 30.0  # idle time after a PING on a connection without a request
 HALF_CLOSE_SECONDS = 0.25  # time for a client without a request to close its side after ours
-SHED_HALF_CLOSE_SECONDS = 0.1  # the same for a connection that is shed: its descriptor is needed sooner
+SHED_HALF_CLOSE_SECONDS = 0.1  # the same time for a connection that is shed, whose descriptor is needed
 UNREAD_GRACE_SECONDS = 0.05  # extra time for a line whose bytes arrive just as its timeout expires
 
 
@@ -76,7 +76,7 @@
         return None if line is None else self._parse(line)
 
     async def _wait_after_ping(self) -> bool:
-        """Wait until the client sends something after a PING; return False if it ended instead."""
+        """Wait until the client sends something after a PING; return False if it disconnected instead."""
         self._is_idle_after_ping = True
         self._set_timeout(PING_TIMEOUT_SECONDS)
         if not await self._stream.receive():
@@ -140,7 +140,7 @@
             self._set_timeout(0.0 if self._is_idle_after_ping else silent_timeout)
 
     def _set_timeout(self, seconds: float) -> None:
-        """Restart the timer, which covers a complete line, so that a slow sender gains no time."""
+        """Restart the timer. It limits the time for a complete line, so a slow sender gains no time."""
         if not self._is_closing:
             self._cancel_timer()
             self._timer = asyncio.get_running_loop().call_later(seconds, self._on_timeout)
--- a/saltcourse/proxy/peer_link.py
+++ b/saltcourse/proxy/peer_link.py
@@ -57,12 +57,12 @@
             self._transport.sendto(data, address)
 
     def _destinations(self, peer: int | None) -> tuple[Address, ...]:
-        each = self._addresses.proxies
+        proxies = self._addresses.proxies
         if peer is not None:
-            return each[peer : peer + 1]
+            return proxies[peer : peer + 1]
         if self._addresses.broadcast is not None:
             return (self._addresses.broadcast,)
-        return tuple(address for index, address in enumerate(each) if index != self._addresses.own_index)
+        return tuple(address for index, address in enumerate(proxies) if index != self._addresses.own_index)
 
     def close(self) -> None:
         """Close the socket; later messages are dropped."""
--- a/saltcourse/proxy/pending_connections.py
+++ b/saltcourse/proxy/pending_connections.py
@@ -12,7 +12,7 @@
 
 MAX_PENDING_SHARE = 0.25  # fraction of the descriptors that pending connections may use
 RESERVED_DESCRIPTORS = 8  # descriptors kept free for answers, attempts and health checks
-MAX_CLOSING = 4  # shed connections that may wait for their client's close, as their descriptors are needed
+MAX_CLOSING = 4  # shed connections that may wait for their clients; the oldest above that is closed
 MIN_PENDING = 4  # allowed even when descriptors run short, so that new clients can always send a request
 
 
--- a/saltcourse/proxy/request_attempts.py
+++ b/saltcourse/proxy/request_attempts.py
@@ -30,7 +30,7 @@
     def begin(
         self, owner: AttemptOwner, message: BeginAttempt, open_request: OpenRequest, deadline: float
     ) -> None:
-        """Start an attempt for ``owner``; ``deadline`` is the request's, on the clock (s)."""
+        """Start an attempt for ``owner``; ``deadline`` is the request's deadline (s, on the clock)."""
         timeout = self._timeout(message, deadline)
         self.unreported = message
         spec = AttemptSpec(
--- a/saltcourse/proxy/request_events.py
+++ b/saltcourse/proxy/request_events.py
@@ -6,7 +6,7 @@
 from saltcourse.codec.lines import OpenRequest
 
 MIN_TIME_LEFT_SECONDS = 0.001
-RESUME_TIMEOUT_SECONDS = 40.0  # replaces the `d` of an OPEN that resumes a connection, which is over an hour
+RESUME_TIMEOUT_SECONDS = 40.0  # limits the `d` of an OPEN that resumes a connection, which exceeds an hour
 
 
 def time_left_for_answer(open_request: OpenRequest, shutdown_time_left: float) -> float:
--- a/saltcourse/proxy/server.py
+++ b/saltcourse/proxy/server.py
@@ -211,8 +211,8 @@
             # process that replaces this one accepts them, so this one stops accepting immediately.
             await asyncio.sleep(draining.FRONT_NOTICE_SECONDS)
         self._enter(Phase.MIGRATING)
-        self.listener.close(accept_waiting=not is_shared)
-        # The migrations are spread over time, because the other proxies set up each connection again.
+        self.listener.close(accept_backlog=not is_shared)
+        # The migrations are spread over time, because the other proxies establish each connection again.
         self.dispatcher.send(StartDraining(loop.time(), begin + timeline.migration_deadline))
         for client in self.clients:
             answer_time_left = begin + timeline.answer_deadline - loop.time()
@@ -342,7 +342,7 @@
         }
 
     def connections(self) -> int:
-        """Return the number of connections with a request, without idle clients and those that only PING."""
+        """Return the number of connections with a request, excluding clients that have sent none yet."""
         counted = (ConnectionState.WAITING, ConnectionState.ESTABLISHED)
         return sum(1 for client in self.clients if client.state in counted)
 
--- a/saltcourse/proxy/sockets.py
+++ b/saltcourse/proxy/sockets.py
@@ -45,10 +45,11 @@
 
 
 def inherit_listener(descriptor: int, on_ready: Callable[[], None]) -> socket.socket:
-    """Return the listening socket behind an inherited descriptor; ``on_ready`` is called as above.
+    """Return the listening socket of an inherited descriptor.
 
-    The platform passes the same socket to the process that this one replaces, and to the one that will
-    replace it. Raises ``OSError`` if the descriptor is not a listening TCP socket.
+    ``on_ready`` is called when a connection is waiting. The platform passes the same socket to the process
+    that this one replaces, and to the one that will replace it. Raises ``OSError`` if the descriptor is not a
+    listening TCP socket.
     """
     listener = socket.socket(fileno=descriptor)
     is_listening = listener.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
--- a/saltcourse/proxy/stream.py
+++ b/saltcourse/proxy/stream.py
@@ -40,7 +40,7 @@
     remote_ended = False
     bytes_sent = 0
     bytes_queued = 0
-    kept_socket: socket.socket | None = None
+    detached_socket: socket.socket | None = None
 
     def read_from_fd(self, buf: bytearray | memoryview) -> int | None:
         count = super().read_from_fd(buf)
@@ -55,7 +55,7 @@
 
     def close_fd(self) -> None:
         if self.remote_ended:
-            self.kept_socket, self.socket = self.socket, None  # type: ignore[assignment]
+            self.detached_socket, self.socket = self.socket, None  # type: ignore[assignment]
         else:
             super().close_fd()
 
@@ -91,7 +91,7 @@
 
     @property
     def bytes_sent(self) -> int:
-        """The bytes that the kernel has accepted, even if a waiting ``write`` has not resumed yet."""
+        """The number of bytes that the kernel has accepted, even if ``write`` has not returned yet."""
         return self._bytes_sent_before + self._stream.bytes_sent
 
     def has_ended(self) -> bool:
@@ -118,8 +118,8 @@
             return select.POLLERR
         poll = select.poll()
         poll.register(sock, events)
-        found = poll.poll(0)
-        return found[0][1] if found else 0
+        ready = poll.poll(0)
+        return ready[0][1] if ready else 0
 
     async def connect(self, address: Address) -> None:
         """Connect to ``address``; raises ``ConnectionLostError`` if that fails."""
@@ -177,14 +177,14 @@
                 await self.write(unsent)
 
     def _writable_stream(self) -> _HalfCloseIOStream:
-        if self._stream.kept_socket is not None:
-            sock, self._stream.kept_socket = self._stream.kept_socket, None
+        if self._stream.detached_socket is not None:
+            sock, self._stream.detached_socket = self._stream.detached_socket, None
             self._bytes_sent_before += self._stream.bytes_sent
             self._stream = self._wrap(sock)
         return self._stream
 
     def _socket(self) -> socket.socket | None:
-        return self._stream.kept_socket or self._stream.socket
+        return self._stream.detached_socket or self._stream.socket
 
     def send_eof(self) -> None:
         """Send a FIN; the remote may still send. All writes must have been awaited before."""
@@ -207,9 +207,9 @@
         self._closed = True
         stream = self._stream
         stream.close()
-        if stream.kept_socket is not None:
-            stream.kept_socket.close()
-            stream.kept_socket = None
+        if stream.detached_socket is not None:
+            stream.detached_socket.close()
+            stream.detached_socket = None
 
 
 async def close_gracefully(stream: SocketStream, reader: asyncio.Task[None] | None, seconds: float) -> None:
--- a/saltcourse/proxy/traffic_summary.py
+++ b/saltcourse/proxy/traffic_summary.py
@@ -1,7 +1,7 @@
 """Periodic log lines that summarise traffic, to explain later why connections went to which backend.
 
-They show for each backend its connections, the balancer's occupancy and slot ceiling, and the reasons that
-limit new connections there, and how attempts and requests ended.
+They show how attempts and requests ended, and for each backend the connections, the balancer's occupancy and
+slot ceiling, and the reasons that limit new connections.
 """
 
 from __future__ import annotations
@@ -60,8 +60,8 @@
             "traffic",
             requests=requests,
             established=sum(established.values()),
-            # A historical key for ``is_failing``. It differs from the balancer's ``is_overloaded``, which is
-            # the condition for rejecting requests.
+            # The key has a historical name. Its value is not the balancer's ``is_overloaded``, which is the
+            # condition for rejecting requests.
             overloaded=is_failing,
             **dict(sorted(self._requests.items())),
         )
--- a/saltcourse/signals.py
+++ b/saltcourse/signals.py
@@ -38,7 +38,7 @@
 
 
 def release() -> None:
-    """Restore Python's default handlers and raise the held signals again, for commands that hold none."""
+    """Restore Python's default handlers and raise the held signals, for commands that handle none."""
     for number in HELD_SIGNALS:
         signal.signal(number, signal.default_int_handler if number == signal.SIGINT else signal.SIG_DFL)
     while _pending:
--- a/tests/address_failover/test_authentication.py
+++ b/tests/address_failover/test_authentication.py
@@ -39,13 +39,13 @@
 def authenticator_pair(
     incarnation_a: int = 10, incarnation_b: int = 20
 ) -> tuple[DatagramAuthenticator, DatagramAuthenticator]:
-    """Two members that know each other's incarnations."""
+    """Return the authenticators of two members that know each other's incarnations."""
     a, b = (
         DatagramAuthenticator("a", incarnation_a, [OLD_KEY], {"b": B}),
         DatagramAuthenticator("b", incarnation_b, [OLD_KEY], {"a": A}),
     )
     assert b.verify(a.sign("b", LeaseRenewal(1, 0.0)), A) is DropReason.UNKNOWN_INCARNATION
-    # The Hello is dropped, but its sender's incarnation is known from now on.
+    # The Hello is dropped, but ``a`` learns its sender's incarnation.
     assert a.verify(b.sign("a", Hello()), B) is DropReason.UNKNOWN_INCARNATION
     assert b.verify(a.sign("b", Hello()), A) == AuthenticatedMessage("a", Hello())
     return a, b
--- a/tests/address_failover/test_grants.py
+++ b/tests/address_failover/test_grants.py
@@ -26,7 +26,7 @@
     assert grants.lease_end(9.0) == pytest.approx(2.5)
 
 
-def test_a_single_member_is_a_majority_by_itself() -> None:
+def test_a_single_voter_is_its_own_majority() -> None:
     grants = Grants(majority=1, holder_lease=HOLDER_LEASE)
     assert grants.has_majority() and grants.lease_end(9.0) == pytest.approx(9.5)
 
--- a/tests/address_failover/test_host.py
+++ b/tests/address_failover/test_host.py
@@ -253,8 +253,9 @@
 def test_a_program_that_fails_or_hangs_makes_the_member_unavailable_for_the_backoff_time(
     mode: str, tmp_path: Path
 ) -> None:
-    # The operator's program fails to announce, or hangs and is killed. The member must report to be
-    # unavailable until the backoff has passed, and must still withdraw what the program may have announced.
+    # The operator's program fails to announce, or hangs and is killed. The member must report that
+    # it is unavailable until the backoff has passed, and must still withdraw the address, which the program
+    # may have announced.
     log, mode_file = tmp_path / "log", tmp_path / "mode"
     (tmp_path / "program.py").write_text(PROGRAM.format(log=str(log), mode=str(mode_file)))
 
--- a/tests/proxy/exchange_player.py
+++ b/tests/proxy/exchange_player.py
@@ -8,7 +8,7 @@
     c1 < text      expect this line; d=* and BUSY * in the text match any number
     d1 answers {}  send this body in an HTTP response
     p1 floods      send 5,000 bytes without a line end
-    p1 takes       accept the next connection (p1 takes s0: at that backend)
+    p1 accepts     accept the next connection (p1 accepts s0: at that backend)
     c1 ends        half-close; c1 resets, c1 closes: close with a reset, close
     c1 sees end    read to the end and expect a FIN; c1 sees reset: expect a reset
     proxy ...      an action on the proxy, see ``ExchangePlayer.act_on_proxy``
@@ -45,18 +45,18 @@
 
 def sections() -> dict[str, tuple[dict[str, str], list[str]]]:
     """Return the options and steps of each section, by title."""
-    found: dict[str, tuple[dict[str, str], list[str]]] = {}
+    by_title: dict[str, tuple[dict[str, str], list[str]]] = {}
     steps: list[str] = []
     for path in sorted(EXCHANGES.glob("*.txt")):
         for line in path.read_text().splitlines():
             if line.startswith("== "):
                 title, _, options = line[3:].partition(" | ")
                 steps = []
-                assert title not in found, f"{path.name}: duplicate section title {title!r}"
-                found[title] = dict(option.split("=") for option in options.split()), steps
+                assert title not in by_title, f"{path.name}: duplicate section title {title!r}"
+                by_title[title] = dict(option.split("=") for option in options.split()), steps
             elif line.strip() and not line.startswith("#"):
                 steps.append(line)
-    return found
+    return by_title
 
 
 def listen() -> socket.socket:
@@ -193,7 +193,7 @@
             return
         if name[0] == "c" and name not in self.remotes:
             self.remotes[name] = RemoteConnection(socket.create_connection(self.server.address()))
-        if verb == "takes":
+        if verb == "accepts":
             self.remotes[name] = await self.accept(name, rest)
             return
         remote = self.remotes[name]
--- a/tests/proxy/running_proxy.py
+++ b/tests/proxy/running_proxy.py
@@ -53,7 +53,7 @@
 
 
 def has_left(connection: ClientConnection) -> bool:
-    """Return whether the kernel has seen the client's end; asks without the proxy's own methods."""
+    """Return whether the client's FIN or reset has reached the kernel, without the proxy's own methods."""
     sock = connection.stream._socket()
     poll = select.poll()
     poll.register(sock, select.POLLRDHUP)  # type: ignore[arg-type]
@@ -160,19 +160,19 @@
 
     async def accept_any(self) -> tuple[int, RemoteConnection]:
         """Accept the next connection at any backend; return the backend's number and the connection."""
-        found: list[tuple[int, socket.socket]] = []
+        connections: list[tuple[int, socket.socket]] = []
 
         def accepted() -> bool:
             for number, listener in enumerate(self.backends):
                 try:
-                    found.append((number, listener.accept()[0]))
+                    connections.append((number, listener.accept()[0]))
                     return True
                 except BlockingIOError:
                     continue
             return False
 
         await wait_until(accepted)
-        number, sock = found[0]
+        number, sock = connections[0]
         self.remotes.append(RemoteConnection(sock))
         return number, self.remotes[-1]
 
--- a/tests/proxy/test_attempt.py
+++ b/tests/proxy/test_attempt.py
@@ -48,7 +48,7 @@
     """Guards against an attempt that connects and sends its request although it was cancelled.
 
     An attempt can be started and cancelled in the same loop iteration, before its coroutine first runs.
-    Closing its resources has no effect then, so the coroutine has to check a cancelled state.
+    Closing its resources has no effect then, so the coroutine has to check whether it was cancelled.
     """
 
     async def play() -> None:
@@ -83,11 +83,11 @@
         attempt.start()
         assert attempt.task is not None
         await attempt.task
-        taken = listener.accept()[0]
-        assert taken.recv(4096) == b"OPEN a b c=quick,d=900\r\n"
+        accepted = listener.accept()[0]
+        assert accepted.recv(4096) == b"OPEN a b c=quick,d=900\r\n"
         assert [message.status for message in owner.messages] == [AttemptStatus.TIMEOUT]
         assert owner.open_lines_sent == 1
-        taken.close()
+        accepted.close()
         listener.close()
 
     asyncio.run(play())
--- a/tests/proxy/test_client_connection.py
+++ b/tests/proxy/test_client_connection.py
@@ -37,11 +37,11 @@
     """Delay the client reader until the returned gate is set, so that it sees nothing after the OPEN line."""
     gate, read = asyncio.Event(), ClientConnection._read_client
 
-    async def held(self: ClientConnection) -> None:
+    async def read_after_gate(self: ClientConnection) -> None:
         await gate.wait()
         await read(self)
 
-    monkeypatch.setattr(ClientConnection, "_read_client", held)
+    monkeypatch.setattr(ClientConnection, "_read_client", read_after_gate)
     return gate
 
 
@@ -110,16 +110,16 @@
     async def play() -> None:
         gate = hold_reader(monkeypatch)
         async with RunningProxy() as proxy:
-            send, held = proxy.server.dispatcher.send, []
-            proxy.server.context.send_to_dispatcher = held.append
+            send, delayed = proxy.server.dispatcher.send, []
+            proxy.server.context.send_to_dispatcher = delayed.append
             client = await proxy.client(OPEN.format(900))
-            await wait_until(lambda: any(isinstance(message, NewRequest) for message in held))
+            await wait_until(lambda: any(isinstance(message, NewRequest) for message in delayed))
             if sent_before_leaving:
                 client.sock.send(sent_before_leaving)
             client.sock.close()
             await wait_until(lambda: has_left(client.connection))
             proxy.server.context.send_to_dispatcher = send
-            for message in held:
+            for message in delayed:
                 send(message)
             await run_loop_turns()
             assert nothing_connected(proxy.backends[0])
@@ -272,8 +272,8 @@
     async def play() -> None:
         gate = hold_reader(monkeypatch)
         async with RunningProxy(sockets=400) as proxy:
-            send, held = proxy.server.dispatcher.send, []
-            proxy.server.context.send_to_dispatcher = held.append
+            send, delayed = proxy.server.dispatcher.send, []
+            proxy.server.context.send_to_dispatcher = delayed.append
             clients = [await proxy.client(f"OPEN a{n} b c=quick,d=9000") for n in range(60)]
             connections: list[ClientConnection] = [client.connection for client in clients]
             await wait_until(lambda: all(each.state is ConnectionState.WAITING for each in connections))
@@ -284,7 +284,7 @@
                 client.sock.close()
             await wait_until(lambda: all(has_left(connection) for connection in connections))
             proxy.server.context.send_to_dispatcher = send
-            for message in held:
+            for message in delayed:
                 send(message)
             await run_loop_turns()
             assert nothing_connected(proxy.backends[0])
--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -20,8 +20,8 @@
 from tests.proxy.exchange_player import RemoteConnection, listen
 from tests.proxy.running_proxy import run_loop_turns, wait_until
 
-CHANGE_KNOWN_WITHIN = 6.0  # seconds after which the proxy is expected to know a change of the list
-CALL_TURN = 3.0  # seconds that a call may be queued at discovery at most
+CHANGE_KNOWN_WITHIN_SECONDS = 6.0  # time within which the proxy is expected to know a change of the list
+MAX_CALL_DELAY_SECONDS = 3.0  # maximum time for which discovery may queue a call
 
 
 class FakeDiscovery:
@@ -85,9 +85,9 @@
 
 
 def test_updates_from_a_restarted_discovery_are_used_despite_lower_versions() -> None:
-    """Guards against dropping the answers of a restarted discovery, whose versions start again from 0.
+    """Guards against dropping the responses of a restarted discovery, whose versions start again from 0.
 
-    The answers looked late and were dropped until their versions exceeded the old ones.
+    The responses looked late and were dropped until their versions exceeded the old ones.
     """
 
     async def play() -> None:
@@ -132,7 +132,7 @@
 def test_a_watch_timeout_and_the_fetch_that_replaces_it_fit_into_the_time_to_know_a_change() -> None:
     """The time counts from the start of an unanswered watch until discovery processes the next call."""
     watch_timeout = discovery_client.WATCH_WAIT_SECONDS + discovery_client.WATCH_SLACK_SECONDS
-    assert watch_timeout + CALL_TURN / 2 <= CHANGE_KNOWN_WITHIN
+    assert watch_timeout + MAX_CALL_DELAY_SECONDS / 2 <= CHANGE_KNOWN_WITHIN_SECONDS
     assert discovery_client.WATCH_WAIT_SECONDS >= 2.0  # discovery must not be called too often
 
 
@@ -157,8 +157,8 @@
         node.handle(EndpointsUpdated(EndpointUpdateKind.UNAVAILABLE))
         while calls() == before:
             node.run(0.01)
-            assert node.now - failed < CHANGE_KNOWN_WITHIN
-        assert node.now - failed + CALL_TURN <= CHANGE_KNOWN_WITHIN
+            assert node.now - failed < CHANGE_KNOWN_WITHIN_SECONDS
+        assert node.now - failed + MAX_CALL_DELAY_SECONDS <= CHANGE_KNOWN_WITHIN_SECONDS
         if fails_after:  # the failed call has already been queued
             assert node.now - failed <= 0.5
 
--- a/tests/proxy/test_dispatcher.py
+++ b/tests/proxy/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""The dispatcher with a scripted balancer: the events that it passes on and the actions that it executes."""
+"""The dispatcher with a scripted balancer: the balancer's events, and the execution of its actions."""
 
 from __future__ import annotations
 
--- a/tests/proxy/test_draining.py
+++ b/tests/proxy/test_draining.py
@@ -164,9 +164,9 @@
             proxy.server.stop_requested.set()
             await wait_until(lambda: proxy.server.phase is Phase.MIGRATING)
             await client.send("000", b"\r\n")
-            found = re.search(r"\bd=(\d+)", await (await proxy.accept()).line())
-            assert found is not None
-            assert 0 < int(found.group(1)) <= 1000 * answer_deadline
+            timeout = re.search(r"\bd=(\d+)", await (await proxy.accept()).line())
+            assert timeout is not None
+            assert 0 < int(timeout.group(1)) <= 1000 * answer_deadline
             assert await client.line() in ("BUSY", "ERR")
 
     asyncio.run(play())
--- a/tests/proxy/test_listener.py
+++ b/tests/proxy/test_listener.py
@@ -9,7 +9,7 @@
 import pytest
 from structlog.testing import capture_logs
 
-from saltcourse.proxy.descriptors import OWN_DESCRIPTORS, DescriptorLimit
+from saltcourse.proxy.descriptors import PROCESS_DESCRIPTORS, DescriptorLimit
 from saltcourse.proxy.errors import ListenError
 from saltcourse.proxy.listener import ClientListener
 from saltcourse.proxy.pending_connections import PendingConnections
@@ -29,7 +29,7 @@
 
     async def play() -> None:
         accepted: list[socket.socket] = []
-        limit = DescriptorLimit(OWN_DESCRIPTORS + SocketStream.open_count)
+        limit = DescriptorLimit(PROCESS_DESCRIPTORS + SocketStream.open_count)
         listener = listener_with(limit, accepted)
         listener.open(("127.0.0.1", 0), None)
         clients = [socket.create_connection(listener.address()) for _ in range(3)]
@@ -39,16 +39,16 @@
             assert [entry["event"] for entry in logs] == ["client accept paused"]
             limit.limit += 10
             await wait_until(lambda: len(accepted) == 3)
-        listener.close(accept_waiting=False)
+        listener.close(accept_backlog=False)
         for sock in (*accepted, *clients):
             sock.close()
 
     asyncio.run(play())
 
 
-@pytest.mark.parametrize("accept_waiting", [True, False])
+@pytest.mark.parametrize("accept_backlog", [True, False])
 def test_the_backlog_is_accepted_before_closing_only_if_the_socket_is_not_shared(
-    accept_waiting: bool,
+    accept_backlog: bool,
 ) -> None:
     async def play() -> None:
         accepted: list[socket.socket] = []
@@ -56,10 +56,10 @@
         listener = listener_with(DescriptorLimit(512), accepted)
         listener.open(("127.0.0.1", 0), os.dup(shared.fileno()))
         client = socket.create_connection(shared.getsockname())
-        listener.close(accept_waiting)  # before the event loop could accept the client
+        listener.close(accept_backlog)  # before the event loop could accept the client
         await run_loop_turns()
-        assert len(accepted) == accept_waiting
-        if not accept_waiting:  # left for the other process that shares the socket
+        assert len(accepted) == accept_backlog
+        if not accept_backlog:  # left for the other process that shares the socket
             shared.setblocking(False)
             accepted.append(shared.accept()[0])
         for sock in (*accepted, client, shared):
@@ -71,8 +71,8 @@
 def test_a_listen_error_names_the_configuration_key() -> None:
     async def play() -> None:
         listener = listener_with(DescriptorLimit(512), [])
-        with socket.create_server(("127.0.0.1", 0)) as taken, pytest.raises(ListenError, match="'listen'"):
-            listener.open(taken.getsockname(), None)
+        with socket.create_server(("127.0.0.1", 0)) as in_use, pytest.raises(ListenError, match="'listen'"):
+            listener.open(in_use.getsockname(), None)
         with socket.socket() as not_listening, pytest.raises(ListenError, match="EDGE_LISTEN_FD"):
             listener.open(("127.0.0.1", 0), not_listening.fileno())
 
--- a/tests/proxy/test_peer_link.py
+++ b/tests/proxy/test_peer_link.py
@@ -13,9 +13,9 @@
 
 def test_only_datagrams_from_the_address_of_a_peer_are_accepted() -> None:
     async def play() -> tuple[list[PeerMessageReceived], int]:
-        each = free_addresses(3)
-        got: asyncio.Queue[PeerMessageReceived] = asyncio.Queue()
-        links = [PeerLink(PeerAddresses(each[i], each, None, i), got.put_nowait) for i in (0, 1)]
+        addresses = free_addresses(3)
+        queue: asyncio.Queue[PeerMessageReceived] = asyncio.Queue()
+        links = [PeerLink(PeerAddresses(addresses[i], addresses, None, i), queue.put_nowait) for i in (0, 1)]
         for link in links:
             await link.open()
         loop = asyncio.get_running_loop()
@@ -23,16 +23,16 @@
             asyncio.DatagramProtocol, local_addr=("127.0.0.1", 0)
         )
         for data in (b"2AAAAAAAA", b"\xff", b"x" * 300):
-            outsider.sendto(data, each[1])
-        links[0]._transport.sendto(b"x" * 300, each[1])  # type: ignore[union-attr]
-        links[0]._transport.sendto(b"\xff\n", each[1])  # type: ignore[union-attr]
+            outsider.sendto(data, addresses[1])
+        links[0]._transport.sendto(b"x" * 300, addresses[1])  # type: ignore[union-attr]
+        links[0]._transport.sendto(b"\xff\n", addresses[1])  # type: ignore[union-attr]
         links[0].send_message(SendPeerMessage("x" * 300))
         links[0].send_message(SendPeerMessage("hello", 1))
         links[0].send_message(SendPeerMessage("to all"))  # the third peer is down, which must not matter
-        found = [await got.get(), await got.get()]
+        received = [await queue.get(), await queue.get()]
         for end in (outsider, *links):
             end.close()
-        return found, links[1].dropped_datagrams
+        return received, links[1].dropped_datagrams
 
-    found, dropped = asyncio.run(play())
-    assert found == [PeerMessageReceived(0, "hello"), PeerMessageReceived(0, "to all")] and dropped == 5
+    received, dropped = asyncio.run(play())
+    assert received == [PeerMessageReceived(0, "hello"), PeerMessageReceived(0, "to all")] and dropped == 5
