--- a/saltcourse/address_failover/bgp_session.py
+++ b/saltcourse/address_failover/bgp_session.py
@@ -248,7 +248,7 @@
         self._retry_at = self.now + self._retry_delay()
 
     def _retry_delay(self) -> float:
-        """Return the exponential backoff with +-25% jitter against simultaneous attempts of members."""
+        """Return the exponential backoff with +-25% jitter, so that members do not connect simultaneously."""
         doublings = min(self.failures - 1, MAX_DOUBLINGS)
         delay: float = min(RETRY_MAX_SECONDS, RETRY_INITIAL_SECONDS * 2.0**doublings)
         return delay * (0.75 + self.random.random() / 2)
@@ -310,8 +310,8 @@
 def ranked_route(address: str, next_hop: str, term_round: int, peering: Peering) -> bgp.Route:
     """Return the route of a lease, with a preference that increases with the round of its term.
 
-    So a route server that still has the route of a dead member prefers the new one. The preference is the
-    LOCAL_PREF within an AS. Between two ASes it is the MED (lower is better), which route servers compare
+    A route server that still has the route of a dead member therefore prefers the new one. The preference is
+    the LOCAL_PREF within an AS. Between two ASes it is the MED (lower is better), which route servers compare
     only among routes from the same neighboring AS; all members are in one.
     """
     rank = min(term_round, bgp.MAX_U32)
--- a/saltcourse/address_failover/command_announcer.py
+++ b/saltcourse/address_failover/command_announcer.py
@@ -16,7 +16,7 @@
 # Time for which this member is unavailable after a failure; doubles with each consecutive failure.
 BACKOFF_INITIAL_SECONDS, BACKOFF_MAX_SECONDS = 1.0, 30.0
 WITHDRAW_RETRY_SECONDS = 1.0  # time between attempts of a failed withdrawal
-STOP_GRACE_SECONDS = 0.2  # time allowed for stopping, in addition to the command timeout
+STOP_GRACE_SECONDS = 0.2  # time limit for stopping, in addition to the command timeout
 
 log = structlog.get_logger("saltcourse")
 
@@ -72,7 +72,7 @@
         self._queue.put_nowait(Command(Operation.WITHDRAW, term))
 
     async def stop(self, reason: str) -> None:
-        """Wait for the queued commands, at most for the time of one command, then stop."""
+        """Wait for the queued commands, at most for the command timeout and a grace period, then stop."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(self.timeout + STOP_GRACE_SECONDS):
                 await self._queue.join()
--- a/saltcourse/address_failover/errors.py
+++ b/saltcourse/address_failover/errors.py
@@ -1,4 +1,4 @@
-"""Exceptions raised by this package. Each message states what was found or what was expected."""
+"""Exceptions raised by this package. Each message states the invalid value or the expected one."""
 
 from __future__ import annotations
 
--- a/saltcourse/address_failover/promises.py
+++ b/saltcourse/address_failover/promises.py
@@ -1,7 +1,7 @@
 """A member's promises as a voter (rules 1 and 4 of ``election``).
 
-While a promise is active, the member makes promises only to its receiver. After a restart the member abstains
-for the duration of a promise, except towards the receiver of its last promise if a stored vote names it.
+While a promise is active, the member makes promises only to its receiver. After a restart the member makes
+no promises for the duration of one, except to the receiver of its last promise if a stored vote names it.
 """
 
 from __future__ import annotations
--- a/saltcourse/proxy/attempt.py
+++ b/saltcourse/proxy/attempt.py
@@ -155,7 +155,7 @@
         async with asyncio.timeout(self._spec.timeout):
             async with asyncio.timeout(self._spec.connect_timeout):
                 await stream.connect(address)
-            if not self._owner.wants_answer():  # the client may have left during a slow connect
+            if not self._owner.wants_answer():  # the client may have disconnected in the meantime
                 raise AttemptAbandonedError
             await stream.write(self._spec.open_line)
             while (line := await stream.next_line()) is not None:
--- a/saltcourse/proxy/background_service.py
+++ b/saltcourse/proxy/background_service.py
@@ -17,7 +17,7 @@
         """Start the service; called once the proxy is serving."""
 
     async def leave(self) -> None:
-        """Stop the service; called before the drain, so that clients are routed elsewhere when it begins."""
+        """Stop the service; called before the drain, so that clients are routed elsewhere by then."""
 
     def reload(self) -> None:
         """Read the service's configuration again; called on SIGHUP."""
--- a/saltcourse/proxy/descriptors.py
+++ b/saltcourse/proxy/descriptors.py
@@ -4,7 +4,7 @@
 
 from saltcourse.proxy.stream import SocketStream
 
-PROCESS_DESCRIPTORS = 24  # for discovery calls, the event loop, health checks and the interpreter
+OWN_DESCRIPTORS = 24  # of this process: discovery calls, event loop, health checks and interpreter
 
 
 class DescriptorLimit:
@@ -16,7 +16,7 @@
     @property
     def for_connections(self) -> int:
         """The descriptors that client and backend connections may use in total."""
-        return self.limit - PROCESS_DESCRIPTORS
+        return self.limit - OWN_DESCRIPTORS
 
     def can_accept(self) -> bool:
         """Return whether another client connection may be accepted."""
--- a/saltcourse/proxy/dispatcher.py
+++ b/saltcourse/proxy/dispatcher.py
@@ -346,7 +346,7 @@
     def _start_attempt(self, action: StartAttempt) -> None:
         request, backend = action.request, action.backend
         record = self._requests.get(request)
-        if record is None:  # the client has left in the meantime
+        if record is None:  # the client has disconnected in the meantime
             self._summary.count_attempt(backend, AttemptStatus.NOT_SENT)
             # The number is 0, because this is the request's first attempt: an owner that has begun an attempt
             # reports its outcome as final before it finishes the request, so the balancer starts no other.
--- a/saltcourse/proxy/draining.py
+++ b/saltcourse/proxy/draining.py
@@ -31,7 +31,7 @@
 FRONT_NOTICE_SECONDS = 0.5  # time the front load balancer may still send clients after PINGs go unanswered
 MAX_DEADLINE_SECONDS = 3.0  # the longest request deadline that the platform waits for before SIGKILL
 KILL_MARGIN_SECONDS = 0.45  # drain time after the longest deadline; SIGKILL follows 0.7 s after the deadline
-ANSWER_MARGIN_SECONDS = 0.25  # time from the last final answers to the end, for the clients to read them
+ANSWER_MARGIN_SECONDS = 0.25  # time from the last final answers to the end, in which clients read them
 # Time from the last MOVE to the end. Clients leave immediately, but the periodic check may be late.
 MIGRATION_MARGIN_SECONDS = 0.5
 SILENT_TIMEOUT_SECONDS = 0.25  # time for a newly connected client to send its request during a drain
--- a/saltcourse/proxy/messages.py
+++ b/saltcourse/proxy/messages.py
@@ -37,8 +37,8 @@
 class BeginAttempt:
     """Orders a client connection to begin an attempt.
 
-    ``timeout`` is in seconds; 0 means all the time that the request has left. ``address`` is the backend's
-    address in the endpoint list, None if the list has none.
+    ``timeout`` is in seconds; 0 means all the remaining time of the request. ``address`` is the backend's
+    address in the endpoint list, or None if the list has none.
     """
 
     request: str
--- a/saltcourse/proxy/opening.py
+++ b/saltcourse/proxy/opening.py
@@ -58,7 +58,7 @@
         self._partial_line_deadline = 0.0  # loop time until which a shutdown waits for an incomplete line
 
     async def read_request(self) -> OpenRequest | None:
-        """Return the OPEN line, or None if the client ended without one; answer the PINGs that precede it.
+        """Return the OPEN line, or None if the client disconnects first; answer the PINGs that precede it.
 
         Raises ``ProtocolError`` for an invalid line, and ``ConnectionLostError``.
         """
--- a/saltcourse/proxy/server.py
+++ b/saltcourse/proxy/server.py
@@ -207,7 +207,7 @@
         was_lameduck = self.phase is Phase.LAMEDUCK
         self._enter(Phase.DRAINING)
         if not is_shared and not was_lameduck:
-            # The front load balancer still sends clients for a moment. On a shared listening socket, the
+            # The front load balancer still sends clients for a short time. On a shared listening socket, the
             # process that replaces this one accepts them, so this one stops accepting immediately.
             await asyncio.sleep(draining.FRONT_NOTICE_SECONDS)
         self._enter(Phase.MIGRATING)
--- a/saltcourse/proxy/sockets.py
+++ b/saltcourse/proxy/sockets.py
@@ -29,7 +29,7 @@
 def start_listening(address: Address, backlog: int, on_ready: Callable[[], None]) -> socket.socket:
     """Return a socket that listens on ``address``; ``on_ready`` is called when a connection is waiting.
 
-    Raises ``OSError`` if the address cannot be bound; the socket is closed then, so that no descriptor leaks.
+    Raises ``OSError`` if the address cannot be bound; this closes the socket, so that no descriptor leaks.
     """
     listener = socket.socket(_family(address[0]), socket.SOCK_STREAM)
     try:
--- a/saltcourse/proxy/stream.py
+++ b/saltcourse/proxy/stream.py
@@ -1,15 +1,15 @@
 """A TCP connection to a client or backend that distinguishes the three ways in which it can end.
 
 A connection ends by the remote's FIN (our side may still write), by a reset, or by a close on our side.
-Tornado's IOStream closes the whole socket on the remote's FIN, which would cut our side off as well. This
+Tornado's IOStream closes the whole socket on the remote's FIN, which would also end our side. This
 module keeps the socket open in that case and writes the remaining data through a new IOStream on it.
 
 Rules that hold for every connection:
 
-1. Whether a request may have run is decided by the bytes that the kernel has accepted (``bytes_sent``), not
-   by which coroutine resumes first.
-2. Whether the remote has ended is asked of the kernel (``has_ended``), because the reading coroutine may
-   learn of it late.
+1. The bytes that the kernel has accepted (``bytes_sent``) determine whether a request may have run, not the
+   order in which coroutines resume.
+2. The kernel is asked whether the remote has ended (``has_ended``), because the reading coroutine may be
+   scheduled late.
 3. A connection is closed in three steps: half-close, read until the remote ends or a time limit passes,
    close. Closing a socket with unread bytes sends a reset, which may overtake the last line written.
 """
--- a/tests/proxy/running_proxy.py
+++ b/tests/proxy/running_proxy.py
@@ -38,7 +38,7 @@
 
 
 async def wait_until(condition: Callable[[], Any], seconds: float = 10.0) -> None:
-    """Wait until ``condition`` holds; the timeout is far longer than any wait and fails the test."""
+    """Wait until ``condition`` is true; fail after a timeout that is far longer than any expected wait."""
     async with asyncio.timeout(seconds):
         while not condition():
             await asyncio.sleep(0.002)
--- a/tests/proxy/test_hostile_clients.py
+++ b/tests/proxy/test_hostile_clients.py
@@ -76,9 +76,9 @@
     # In the meantime a client with a request is served, also after others have reset their connections.
     assert await open_in_pieces(address, b"OPEN late x c=live-feed,d=1000\r\n", 5) == b"UP 1\r\n"
     for number in range(20):  # clients that reset before any answer
-        _, leaver = await asyncio.open_connection(*address)
-        leaver.write(b"OPEN w%d x c=live-feed,d=1000\r\n" % number)
-        leaver.transport.abort()
+        _, resetting = await asyncio.open_connection(*address)
+        resetting.write(b"OPEN w%d x c=live-feed,d=1000\r\n" % number)
+        resetting.transport.abort()
     assert await open_in_pieces(address, b"OPEN after x c=live-feed,d=1000\r\n", 7) == b"UP 1\r\n"
     for sock in idle_clients:
         sock.close()
--- a/tests/proxy/test_listener.py
+++ b/tests/proxy/test_listener.py
@@ -9,7 +9,7 @@
 import pytest
 from structlog.testing import capture_logs
 
-from saltcourse.proxy.descriptors import PROCESS_DESCRIPTORS, DescriptorLimit
+from saltcourse.proxy.descriptors import OWN_DESCRIPTORS, DescriptorLimit
 from saltcourse.proxy.errors import ListenError
 from saltcourse.proxy.listener import ClientListener
 from saltcourse.proxy.pending_connections import PendingConnections
@@ -29,7 +29,7 @@
 
     async def play() -> None:
         accepted: list[socket.socket] = []
-        limit = DescriptorLimit(PROCESS_DESCRIPTORS + SocketStream.open_count)
+        limit = DescriptorLimit(OWN_DESCRIPTORS + SocketStream.open_count)
         listener = listener_with(limit, accepted)
         listener.open(("127.0.0.1", 0), None)
         clients = [socket.create_connection(listener.address()) for _ in range(3)]
--- a/tests/proxy/test_pending_connections.py
+++ b/tests/proxy/test_pending_connections.py
@@ -6,7 +6,7 @@
 import socket
 from contextlib import suppress
 
-from saltcourse.proxy.descriptors import PROCESS_DESCRIPTORS
+from saltcourse.proxy.descriptors import OWN_DESCRIPTORS
 from saltcourse.proxy.pending_connections import MAX_CLOSING, MIN_PENDING, PendingConnections
 from saltcourse.proxy.stream import SocketStream
 from tests.proxy.running_proxy import RunningProxy, wait_until
@@ -60,7 +60,7 @@
             for _ in range(3):  # each call is closed without an answer, and repeated by the proxy
                 async with asyncio.timeout(10.0):
                     call, _ = await asyncio.get_running_loop().sock_accept(proxy.discovery)
-                assert SocketStream.open_count + PROCESS_DESCRIPTORS <= 48
+                assert SocketStream.open_count + OWN_DESCRIPTORS <= 48
                 call.close()
             for sock in idle_clients:
                 sock.close()
