--- a/saltcourse/address_failover/host.py
+++ b/saltcourse/address_failover/host.py
@@ -43,9 +43,9 @@
 # Minimum time between Hellos to a member, which are sent in response to datagrams with an unknown
 # incarnation.
 HELLO_INTERVAL_SECONDS = 0.05
-# Rate at which the calendar time advances the first round of a member without a vote store. Such a member
-# abstains for a lease duration before its first candidacy, and all members together use up rounds at a lower
-# rate than this, so its terms increase with each start.
+# Rate at which calendar time advances the first round of a member without a vote store. Such a member
+# abstains for a lease duration before its first candidacy. In that time all members together use up fewer
+# rounds than this rate adds, so the member's terms increase with each start.
 ROUNDS_PER_SECOND = 8
 ROUNDS_EPOCH = 1_767_225_600  # 2026-01-01, seconds since 1970; rounds fit into BGP's four octets until 2043
 DROP_LOG_INTERVAL_SECONDS = 5.0  # minimum time between log lines about dropped datagrams
--- a/saltcourse/proxy/client_connection.py
+++ b/saltcourse/proxy/client_connection.py
@@ -15,7 +15,7 @@
     ClientClosed          cancel the attempt                  end the backend's side the same way
     RejectRequest         write BUSY, close                   -
     FailRequest           write ERR, close                    -
-    AbandonRequest        write ERR, close, notify balancer   -
+    AbandonRequest        notify balancer, write ERR, close   -
     MigrateConnection     -                                   write MOVE, close
 
 Rules:
--- a/tests/proxy/running_proxy.py
+++ b/tests/proxy/running_proxy.py
@@ -27,12 +27,12 @@
 from tests.balancing.balancer_host import QUICK, settings
 from tests.proxy.exchange_player import RemoteConnection, listen
 
-TURNS = 60  # event loop iterations; more than any chain of messages needs without I/O
+LOOP_ITERATIONS = 60  # more than any chain of messages needs without I/O
 OPEN = "OPEN a b c=quick,d={}"
 SHORT = RequestClass("quick", latency_objective=0.1, deadline=0.3, message_latency_objective=0.06)
 
 
-async def run_loop_turns(count: int = TURNS) -> None:
+async def run_loop_iterations(count: int = LOOP_ITERATIONS) -> None:
     for _ in range(count):
         await asyncio.sleep(0)
 
@@ -132,7 +132,7 @@
                 task.cancel()
         for listener in (self.discovery, *self.backends):
             listener.close()
-        await run_loop_turns()
+        await run_loop_iterations()
         self._capture.__exit__(kind, error, trace)
         if kind is None:
             assert not [e for e in self.logs if e["event"] == "task failed"], "an actor has failed"
@@ -219,7 +219,7 @@
     await client.sees("end")
     client.sock.shutdown(socket.SHUT_WR)
     await wait_until(lambda: client.connection.stream.closed)
-    await run_loop_turns()
+    await run_loop_iterations()
     assert client.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0, "a reset followed the FIN"
     assert not client.received, f"unexpected data before the FIN: {client.received!r}"
 
--- a/tests/proxy/test_client_connection.py
+++ b/tests/proxy/test_client_connection.py
@@ -25,7 +25,7 @@
     nothing_connected,
     record_dispatcher_messages,
     record_then,
-    run_loop_turns,
+    run_loop_iterations,
     wait_until,
     write_open_line_in_parts,
 )
@@ -121,7 +121,7 @@
             proxy.server.context.send_to_dispatcher = send
             for message in delayed:
                 send(message)
-            await run_loop_turns()
+            await run_loop_iterations()
             assert nothing_connected(proxy.backends[0])
             gate.set()
 
@@ -140,7 +140,7 @@
             # Both messages are in the mailbox before the connection runs, and it does not wait between them.
             connection.send(BeginAttempt("a", "s0", 0, 0.9, proxy.backends[0].getsockname()))
             connection.send(ClientClosed(reset=False))
-            await run_loop_turns()
+            await run_loop_iterations()
             assert nothing_connected(proxy.backends[0])
             proxy.server.context.send_to_dispatcher = proxy.server.dispatcher.send
 
@@ -222,7 +222,7 @@
             await wait_until(lambda: has_left(client.connection))
             await backend.send("BUSY", b"\r\n")
             await backend.sees("end")
-            await run_loop_turns()
+            await run_loop_iterations()
             assert all(nothing_connected(listener) for listener in proxy.backends)
             gate.set()
 
@@ -252,7 +252,7 @@
             await wait_until(lambda: has_left(client.connection))
             await backend.send("BUSY", b"\r\n")
             await backend.sees("end")
-            await run_loop_turns()
+            await run_loop_iterations()
             outcomes = [message for message in sent if isinstance(message, AttemptFinished)]
             assert [(each.status, each.final) for each in outcomes] == [(AttemptStatus.FULL, True)]
             assert not [message for message in ordered if isinstance(message, BeginAttempt)]
@@ -286,7 +286,7 @@
             proxy.server.context.send_to_dispatcher = send
             for message in delayed:
                 send(message)
-            await run_loop_turns()
+            await run_loop_iterations()
             assert nothing_connected(proxy.backends[0])
             gate.set()
 
--- a/tests/proxy/test_connection_end.py
+++ b/tests/proxy/test_connection_end.py
@@ -22,7 +22,7 @@
     RemoteClient,
     RunningProxy,
     record_dispatcher_messages,
-    run_loop_turns,
+    run_loop_iterations,
     wait_until,
 )
 
@@ -78,12 +78,12 @@
             await client.sees("end")
             await client.send("late", b"\r\n")
             await wait_until(lambda: not client.connection.stream.has_unread())
-            await run_loop_turns()
+            await run_loop_iterations()
             assert not [message for message in sent if isinstance(message, LineSent)]
             if cause == "MOVE":
                 await backend.sees("end")
                 await backend.send("LOAD 1", b"\r\n")
-                await run_loop_turns()
+                await run_loop_iterations()
                 assert backend.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0
             client.sock.close()
             await wait_until(lambda: not proxy.server.clients)
@@ -105,7 +105,7 @@
             assert await client.line() == "MOVE"
             await client.send("late", b"\r\n")
             await wait_until(lambda: not client.connection.stream.has_unread())
-            await run_loop_turns()
+            await run_loop_iterations()
             gate.set()
             await backend.sees("end")
             assert backend.received == b""
@@ -137,7 +137,7 @@
             else:
                 backend.sock.shutdown(socket.SHUT_WR)
                 await wait_until(task.done)
-            await run_loop_turns()
+            await run_loop_iterations()
             gate.set()
             await client.sees("end")
             assert client.received == b""
--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -18,7 +18,7 @@
 from saltcourse.proxy.messages import EndpointsReceived
 from tests.balancing.balancer_host import BalancerHost, make_endpoints
 from tests.proxy.exchange_player import RemoteConnection, listen
-from tests.proxy.running_proxy import run_loop_turns, wait_until
+from tests.proxy.running_proxy import run_loop_iterations, wait_until
 
 CHANGE_KNOWN_WITHIN_SECONDS = 6.0  # time within which the proxy is expected to know a change of the list
 MAX_CALL_DELAY_SECONDS = 3.0  # maximum time for which discovery may queue a call
@@ -57,7 +57,7 @@
         for call in self.calls:
             call.sock.close()
         self.listener.close()
-        await run_loop_turns()
+        await run_loop_iterations()
 
 
 def test_a_late_snapshot_does_not_undo_a_newer_watch_event() -> None:
@@ -203,7 +203,7 @@
         for byte in f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n{body}trailing".encode():
             with suppress(ConnectionError):  # the connection may be closed before the trailing bytes
                 call.sock.send(bytes([byte]))
-            await run_loop_turns(3)
+            await run_loop_iterations(3)
         await wait_until(lambda: discovery.versions() == [6])
         await discovery.end()
 
--- a/tests/proxy/test_hostile_clients.py
+++ b/tests/proxy/test_hostile_clients.py
@@ -1,8 +1,8 @@
 """Hostile clients against a running proxy on loopback.
 
-The clients send lines in pieces split at any byte, stay silent by the hundred while descriptors are few, send
-incomplete lines, or reset. Each must be handled as the protocol requires, in bounded time, and within the
-descriptor limit.
+Clients send lines in pieces split at any byte, send incomplete lines or reset, and hundreds of them stay
+silent while descriptors are scarce. Each must be handled as the protocol requires, in bounded time, and
+within the descriptor limit.
 """
 
 from __future__ import annotations
--- a/tests/proxy/test_listener.py
+++ b/tests/proxy/test_listener.py
@@ -14,7 +14,7 @@
 from saltcourse.proxy.listener import ClientListener
 from saltcourse.proxy.pending_connections import PendingConnections
 from saltcourse.proxy.stream import SocketStream
-from tests.proxy.running_proxy import run_loop_turns, wait_until
+from tests.proxy.running_proxy import run_loop_iterations, wait_until
 
 
 def listener_with(limit: DescriptorLimit, accepted: list[socket.socket]) -> ClientListener:
@@ -57,7 +57,7 @@
         listener.open(("127.0.0.1", 0), os.dup(shared.fileno()))
         client = socket.create_connection(shared.getsockname())
         listener.close(accept_backlog)  # before the event loop could accept the client
-        await run_loop_turns()
+        await run_loop_iterations()
         assert len(accepted) == accept_backlog
         if not accept_backlog:  # left for the other process that shares the socket
             shared.setblocking(False)
--- a/tests/proxy/test_opening.py
+++ b/tests/proxy/test_opening.py
@@ -20,7 +20,7 @@
     RunningProxy,
     expect_end_without_reset,
     nothing_connected,
-    run_loop_turns,
+    run_loop_iterations,
     send_ping,
     wait_until,
 )
@@ -176,7 +176,7 @@
             elif cause == "resets":
                 client.reset()
                 await wait_until(lambda: not proxy.server.clients)
-            await run_loop_turns()
+            await run_loop_iterations()
             assert nothing_connected(proxy.backends[0])
 
     asyncio.run(play())
