--- a/saltcourse/boottime.py
+++ b/saltcourse/boottime.py
@@ -1,6 +1,6 @@
-"""Access to CLOCK_BOOTTIME, a monotonic clock that keeps counting while the machine is suspended.
+"""The CLOCK_BOOTTIME clock, which keeps counting while the machine is suspended.
 
-Leases and time-outs use it so that they also expire during a suspension.
+Leases and timeouts of hosts are timed with it, because a suspension of the machine must not extend them.
 """
 
 from __future__ import annotations
--- a/tests/proxy/running_proxy.py
+++ b/tests/proxy/running_proxy.py
@@ -27,18 +27,18 @@
 from tests.balancing.balancer_host import QUICK, settings
 from tests.proxy.exchange_player import RemoteConnection, listen
 
-TURNS = 60  # event loop iterations; more than any chain of messages needs without I/O
+LOOP_ITERATIONS = 60  # more than any chain of messages needs without I/O
 OPEN = "OPEN a b c=quick,d={}"
 SHORT = RequestClass("quick", latency_objective=0.1, deadline=0.3, message_latency_objective=0.06)
 
 
-async def run_loop_turns(count: int = TURNS) -> None:
+async def run_loop_iterations(count: int = LOOP_ITERATIONS) -> None:
     for _ in range(count):
         await asyncio.sleep(0)
 
 
 async def wait_until(condition: Callable[[], Any], seconds: float = 10.0) -> None:
-    """Wait until ``condition`` holds; the timeout is far longer than any wait and fails the test."""
+    """Wait until ``condition`` is true; fail after a timeout that is far longer than any expected wait."""
     async with asyncio.timeout(seconds):
         while not condition():
             await asyncio.sleep(0.002)
@@ -53,7 +53,7 @@
 
 
 def has_left(connection: ClientConnection) -> bool:
-    """Return whether the kernel has seen the client's end; asks without the proxy's own methods."""
+    """Return whether the client's FIN or reset has reached the kernel, without the proxy's own methods."""
     sock = connection.stream._socket()
     poll = select.poll()
     poll.register(sock, select.POLLRDHUP)  # type: ignore[arg-type]
@@ -132,7 +132,7 @@
                 task.cancel()
         for listener in (self.discovery, *self.backends):
             listener.close()
-        await run_loop_turns()
+        await run_loop_iterations()
         self._capture.__exit__(kind, error, trace)
         if kind is None:
             assert not [e for e in self.logs if e["event"] == "task failed"], "an actor has failed"
@@ -160,19 +160,19 @@
 
     async def accept_any(self) -> tuple[int, RemoteConnection]:
         """Accept the next connection at any backend; return the backend's number and the connection."""
-        found: list[tuple[int, socket.socket]] = []
+        connections: list[tuple[int, socket.socket]] = []
 
         def accepted() -> bool:
             for number, listener in enumerate(self.backends):
                 try:
-                    found.append((number, listener.accept()[0]))
+                    connections.append((number, listener.accept()[0]))
                     return True
                 except BlockingIOError:
                     continue
             return False
 
         await wait_until(accepted)
-        number, sock = found[0]
+        number, sock = connections[0]
         self.remotes.append(RemoteConnection(sock))
         return number, self.remotes[-1]
 
@@ -219,7 +219,7 @@
     await client.sees("end")
     client.sock.shutdown(socket.SHUT_WR)
     await wait_until(lambda: client.connection.stream.closed)
-    await run_loop_turns()
+    await run_loop_iterations()
     assert client.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0, "a reset followed the FIN"
     assert not client.received, f"unexpected data before the FIN: {client.received!r}"
 
