--- a/saltcourse/address_failover/errors.py
+++ b/saltcourse/address_failover/errors.py
@@ -10,13 +10,14 @@
 class InvalidTimingError(AddressFailoverError):
     """A field of an ``ElectionTiming`` is out of range.
 
-    ``field`` is its name, ``expected`` describes the allowed range.
+    ``field`` is its name, ``value`` its value; ``expected`` describes the allowed range.
     """
 
     def __init__(self, field: str, expected: str, value: float) -> None:
         super().__init__(f"{field}: expected {expected}, got {value}")
         self.field = field
         self.expected = expected
+        self.value = value
 
 
 class InvalidVotersError(AddressFailoverError):
--- a/saltcourse/codec/endpoint_list.py
+++ b/saltcourse/codec/endpoint_list.py
@@ -50,8 +50,10 @@
     version, is_snapshot, entries = value.get("version"), value.get("full"), value.get("servers")
     if not isinstance(version, int) or isinstance(version, bool) or version < 0:
         raise EndpointListError("'version' must be an integer of 0 or more")
-    if not isinstance(is_snapshot, bool) or not isinstance(entries, list):
-        raise EndpointListError("'full' must be true or false, and 'servers' a list")
+    if not isinstance(is_snapshot, bool):
+        raise EndpointListError("'full' must be true or false")
+    if not isinstance(entries, list):
+        raise EndpointListError("'servers' must be a list")
     endpoints, addresses = [], {}
     for entry in entries:
         endpoint = _read_endpoint(entry)
--- a/saltcourse/codec/lines.py
+++ b/saltcourse/codec/lines.py
@@ -174,8 +174,10 @@
     fields: dict[str, str] = {}
     for pair in text.split(","):
         name, equals, value = pair.partition("=")
-        if not equals or name in fields:
-            raise ProtocolError(f"OPEN: '{name[:20]}' has no value or is duplicate")
+        if not equals:
+            raise ProtocolError(f"OPEN: '{name[:20]}' has no value")
+        if name in fields:
+            raise ProtocolError(f"OPEN: duplicate field '{name[:20]}'")
         fields[name] = value
     return fields
 
--- a/saltcourse/config/deployment_settings.py
+++ b/saltcourse/config/deployment_settings.py
@@ -110,11 +110,13 @@
     _check_amounts(obligations, ("grace_to_answer", "drain_grace"))
     _check_amounts(charges, ("cross_zone", "probe", "moves", "peer"))
     for key in ("overload_factor", "overload_for"):
-        if number(obligations, key, 1.0) <= 0:
-            raise InvalidObjectError(f"setting {key} must be a number above 0")
+        value = number(obligations, key, 1.0)
+        if value <= 0:
+            raise InvalidObjectError(f"setting {key} must be a number above 0, not {value!r}")
 
 
 def _check_amounts(message: dict[str, Any], keys: tuple[str, ...]) -> None:
     for key in keys:
-        if number(message, key, 0.0) < 0:
-            raise InvalidObjectError(f"setting {key} must be a number of 0 or more")
+        value = number(message, key, 0.0)
+        if value < 0:
+            raise InvalidObjectError(f"setting {key} must be a number of 0 or more, not {value!r}")
--- a/saltcourse/config/operator_address_failover.py
+++ b/saltcourse/config/operator_address_failover.py
@@ -189,7 +189,8 @@
                 lease_duration=lease, renewal_interval=renew, clock_drift=drift, safety_margin=guard
             )
         except InvalidTimingError as error:
-            self._file.reject(f"{key}.{TIMING_KEYS[error.field]}", f"must be {error.expected}")
+            reason = f"must be {error.expected}, not {error.value:g}"
+            self._file.reject(f"{key}.{TIMING_KEYS[error.field]}", reason)
 
     def _read_bgp(self, service_address: str) -> BgpSettings:
         section, key = self._section.bgp, f"{SECTION}.bgp"
--- a/tests/address_failover/test_timing.py
+++ b/tests/address_failover/test_timing.py
@@ -35,4 +35,4 @@
         InvalidTimingError, match=rf"^{field}: expected .*{expected}.*, got {value}$"
     ) as caught:
         ElectionTiming(**{field: value})
-    assert caught.value.field == field
+    assert caught.value.field == field and repr(caught.value.value) == repr(value)  # nan is not equal to nan
--- a/tests/codec/test_endpoint_list.py
+++ b/tests/codec/test_endpoint_list.py
@@ -27,3 +27,17 @@
     ):
         with pytest.raises(EndpointListError):
             decode_endpoint_update(invalid)
+
+
+@pytest.mark.parametrize(
+    ("fields", "message"),
+    [
+        (b'"version":1,"servers":[]', "'full' must be true or false"),
+        (b'"version":1,"full":1,"servers":{}', "'full' must be true or false"),
+        (b'"version":1,"full":true', "'servers' must be a list"),
+        (b'"version":1,"full":true,"servers":{}', "'servers' must be a list"),
+    ],
+)
+def test_the_error_names_the_invalid_field(fields: bytes, message: str) -> None:
+    with pytest.raises(EndpointListError, match=f"^{message}$"):
+        decode_endpoint_update(b"{" + fields + b"}")
--- a/tests/codec/test_lines.py
+++ b/tests/codec/test_lines.py
@@ -46,6 +46,20 @@
     assert first.with_timeout(1) == b"OPEN a b d=1000,c=q\r\n"
 
 
+@pytest.mark.parametrize(
+    ("fields", "message"),
+    [
+        (b"c=q,d=5,again", "OPEN: 'again' has no value"),
+        (b"c=q,d=5,c", "OPEN: 'c' has no value"),  # also a duplicate: the missing value is reported
+        (b"c=q,d=5,c=r", "OPEN: duplicate field 'c'"),
+        (b"c=q,d=5," + b"x" * 30, f"OPEN: '{'x' * 20}' has no value"),
+    ],
+)
+def test_a_field_without_a_value_and_a_duplicate_field_are_rejected(fields: bytes, message: str) -> None:
+    with pytest.raises(ProtocolError, match=f"^{message}$"):
+        parse_open(memoryview(b"OPEN a b " + fields + b"\r\n"))
+
+
 def test_busy_lines_are_encoded_and_load_lines_parsed() -> None:
     assert busy_line(0.25) == b"BUSY 250\r\n" and busy_line(0) == b"BUSY\r\n"
     assert parse_load(memoryview(b"LOAD 65000.5\r\n")) == 65000.5
--- a/tests/config/test_deployment_settings.py
+++ b/tests/config/test_deployment_settings.py
@@ -197,6 +197,22 @@
     Balancer(settings, 1)
 
 
+@pytest.mark.parametrize(
+    ("path", "new", "message"),
+    [
+        (("over_share_worth",), -1, "setting over_share_worth must be a number of 0 or more, not -1.0"),
+        (("obligations", "drain_grace"), -0.5, "setting drain_grace must be a number of 0 or more, not -0.5"),
+        (("obligations", "overload_factor"), 0, "setting overload_factor must be a number above 0, not 0.0"),
+        (("obligations", "overload_for"), -2, "setting overload_for must be a number above 0, not -2.0"),
+    ],
+)
+def test_a_number_out_of_range_is_reported_even_if_no_decision_uses_it(
+    path: JsonPath, new: float, message: str
+) -> None:
+    with pytest.raises(InvalidObjectError, match=f"^{message}$"):
+        read_settings(replaced(SETTINGS, path, new))
+
+
 @pytest.mark.parametrize(
     ("path", "new", "message"),
     [
--- a/tests/config/test_operator.py
+++ b/tests/config/test_operator.py
@@ -52,7 +52,13 @@
         ("127.0.0.2:7001", "proxy-b:7001", 7, r"membership.member\[1\].address: must be ADDRESS:PORT"),
         ("priority: 2", "priority: -2", 4, "-2"),
         ("lease_s: 0.5", "lease_s: 90", 11, "from 0.2 to 30, not 90"),
-        ("lease_s: 0.5", "lease_s: 0.5 renew_s: 0.4", 11, "membership.timing.renew_s: must be .*half"),
+        (
+            "lease_s: 0.5",
+            "lease_s: 0.5 renew_s: 0.4",
+            11,
+            "membership.timing.renew_s: must be under half of the time for which a holder may rely on"
+            " its lease, not 0.4$",
+        ),
         ('"key"', '"nokey"', 10, "membership.key_file: .*nokey: No such file"),
         ("asn: 64512 p", "asn: 0 p", 13, "membership.bgp.asn: must be from 1"),
         ('next_hop: "10.0.0.1"', 'next_hop: "::1"', 14, "membership.bgp.next_hop: must be an IPv4 address"),
