--- a/saltcourse/admin/commands.py
+++ b/saltcourse/admin/commands.py
@@ -18,18 +18,18 @@
         """Return this member's copy of the fleet's configuration."""
 
     async def publish(self, body: bytes) -> Response:
-        """Change the configuration, and return once the control members have committed it or timed out."""
+        """Publish a change; return once the control members have committed it, or after a timeout."""
 
 
 class AdminTarget(Protocol):
     """The program that the commands act on."""
 
     def supports(self, command: Command) -> bool:
-        """Return whether the program supports the command; the path of others is answered with 404."""
+        """Return whether the program supports the command; others get status 404, as for an unknown path."""
 
     @property
     def gossip_handler(self) -> GossipHandler | None:
-        """The handler of commands about the fleet; None unless the program is a member of one."""
+        """The handler of commands about the fleet; None unless the program is a member of a fleet."""
 
     def ready(self) -> bool:
         """Return whether the program can serve now."""
@@ -38,7 +38,7 @@
         """Return the metrics, one per line."""
 
     def lameduck(self, on: bool) -> bool:
-        """Drain the program, or return it to service; return False if it is shutting down."""
+        """Drain the program or put it back in service; return False if it is shutting down."""
 
 
 async def execute(command: Command, body: bytes, target: AdminTarget) -> Response:
--- a/saltcourse/admin/server.py
+++ b/saltcourse/admin/server.py
@@ -90,7 +90,7 @@
         self._connections.pop(task, None)
 
     async def _serve(self, stream: IOStream) -> None:
-        """Answer the request of a connection; a caller that disconnects or times out gets no response."""
+        """Respond to the request of a connection; a caller that disconnects or times out gets no response."""
         try:
             reader = RequestReader()
             request = await self._read_request(stream, reader)
--- a/saltcourse/app/control_member.py
+++ b/saltcourse/app/control_member.py
@@ -1,6 +1,6 @@
 """Runs a control member in its own process: a voter, or a follower that only answers operators.
 
-It runs until SIGTERM or SIGINT. A voter also stops when its state can't be stored, because it must not vote
+It runs until SIGTERM or SIGINT. A voter also stops when its state cannot be stored, because it must not vote
 without a record of its earlier votes.
 """
 
@@ -49,7 +49,7 @@
         """Run until SIGTERM or SIGINT.
 
         Raises ``ListenError`` if an address cannot be bound, and ``ControlMemberError`` if the state of a
-        voter can't be stored.
+        voter cannot be stored.
         """
         self._handle_signals()
         await start_host(self._host, self._settings)
@@ -116,7 +116,7 @@
         return self._gossip_handler
 
     def supports(self, command: Command) -> bool:
-        """Return whether the command is supported; a control member has no clients and can't be drained."""
+        """Return whether the command is supported; a control member has no clients and cannot be drained."""
         return command not in LAMEDUCK_COMMANDS
 
     def ready(self) -> bool:
@@ -131,7 +131,7 @@
         return self._metrics.text()
 
     def lameduck(self, on: bool) -> bool:
-        """Return False: a control member can't be drained, see ``supports``."""
+        """Return False: a control member cannot be drained, see ``supports``."""
         return False
 
     def _gauges(self) -> dict[str, int]:
@@ -147,7 +147,7 @@
 ) -> None:
     """Run a control member, with an admin server at ``admin`` if that is given.
 
-    Raises ``ConfigError``, ``ListenError`` or ``ControlMemberError`` if it can't start or continue.
+    Raises ``ConfigError``, ``ListenError`` or ``ControlMemberError`` if it cannot start or continue.
     """
     asyncio.run(_run(settings, reread, admin))
 
--- a/saltcourse/app/errors.py
+++ b/saltcourse/app/errors.py
@@ -7,7 +7,7 @@
 
 
 class AppError(Exception):
-    """The program can't start or continue."""
+    """The program cannot start or continue."""
 
 
 class MissingExtraError(AppError):
@@ -18,8 +18,8 @@
 
 
 class AddressFailoverStartError(AppError):
-    """A member of the election can't start, because its address or its stored vote is unusable."""
+    """A member of the election cannot start, because its address or its stored vote is unusable."""
 
 
 class ControlMemberError(AppError):
-    """A control member can't store its state."""
+    """A control member cannot store its state."""
--- a/saltcourse/app/gossip.py
+++ b/saltcourse/app/gossip.py
@@ -25,7 +25,8 @@
 REPORT_INTERVAL_SECONDS = 1.0  # interval of a proxy's reports of its connection count
 PROCESS_ID_BITS = 32
 SEED_BITS = 64
-INVALID_METRIC_CHARACTER = re.compile(r"[^A-Za-z0-9_.-]")  # statsd names contain names of zones
+# Metric names (statsd line format) contain names of zones, which may have other characters.
+INVALID_METRIC_CHARACTER = re.compile(r"[^A-Za-z0-9_.-]")
 
 log = structlog.get_logger("saltcourse")
 
@@ -102,7 +103,7 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def attach(self, program: HostProgram) -> None:
-        """Set the proxy that this member runs with. To be called before ``start``."""
+        """Set the proxy that this member runs with. Must be called before ``start``."""
         self._program = program
 
     async def start(self) -> None:
--- a/saltcourse/app/proxy.py
+++ b/saltcourse/app/proxy.py
@@ -38,7 +38,7 @@
     def run(self) -> None:
         """Serve until SIGTERM; SIGHUP reloads the configuration.
 
-        Raises ``ConfigError``, ``ListenError``, or ``AddressFailoverStartError`` from that service.
+        Raises ``ConfigError``, ``ListenError`` or ``AddressFailoverStartError``.
         """
         source = ConfigurationSource(self.config, self._reread)
         background_services = self._create_background_services()
@@ -51,7 +51,7 @@
     def _with_shared_state(self, config: Config) -> Config:
         """Return the configuration with the operator's shared-state settings.
 
-        They are those of the section ``fleet`` at the start; a reload neither applies nor logs its changes.
+        The section ``fleet`` is read at the start only; a reload neither applies nor logs its changes.
         """
         if self.operator is None or self.operator.shared_state is None:
             return config
@@ -81,7 +81,7 @@
 
 
 def _check_peers_allowed(config: Config, operator: OperatorSettings) -> None:
-    """Raise ``ConfigError`` if the file has a section but the deployment forbids traffic between proxies."""
+    """Raise ``ConfigError`` if the operator's file has a section but the deployment forbids peers."""
     sections = operator.sections()
     if sections and not config.settings.peers_allowed:
         raise ConfigError(
--- a/saltcourse/app/witness.py
+++ b/saltcourse/app/witness.py
@@ -17,7 +17,7 @@
 def run_witness(settings: AddressFailoverSettings, reread: Reread[AddressFailoverSettings]) -> None:
     """Vote until SIGTERM or SIGINT; SIGHUP reloads the keys.
 
-    Raises ``AddressFailoverStartError`` if the member can't start.
+    Raises ``AddressFailoverStartError`` if the member cannot start.
     """
     asyncio.run(_run(settings, reread))
 
--- a/saltcourse/cli/options.py
+++ b/saltcourse/cli/options.py
@@ -16,7 +16,7 @@
     "--operator", metavar="FILE", help="Operator's file; default: $SALTCOURSE_OPERATOR, or none."
 )
 name_option = click.option(
-    "--name", default=None, help="Name of this member if the section does not set me; default: $EDGE_NAME."
+    "--name", default=None, help="Name of this member if the section does not set 'me'; default: $EDGE_NAME."
 )
 
 
--- a/saltcourse/codec/bgp.py
+++ b/saltcourse/codec/bgp.py
@@ -56,7 +56,7 @@
 class Open:
     """An OPEN message.
 
-    ``hold_time`` is in seconds, 0 disables the hold timer; ``families`` holds (AFI, SAFI) pairs.
+    ``hold_time`` is in seconds (0 disables the hold timer); ``families`` holds (AFI, SAFI) pairs.
     """
 
     asn: int
@@ -95,7 +95,8 @@
 class Route:
     """A host route.
 
-    ``local_pref`` ranks routes within one AS (the highest wins), ``med`` between two ASes (the lowest wins).
+    ``local_pref`` ranks the routes within one AS: the highest wins. ``med`` ranks the routes between two
+    ASes: the lowest wins.
     """
 
     address: Address
--- a/saltcourse/codec/bgp_decoder.py
+++ b/saltcourse/codec/bgp_decoder.py
@@ -121,17 +121,17 @@
 
 
 def _decode_capabilities(parameters: bytes) -> _Capabilities:
-    found = _Capabilities()
+    decoded = _Capabilities()
     for parameter, capabilities in _split_fields(parameters):
         if parameter != bgp.PARAMETER_CAPABILITIES:
             raise BgpError(bgp.OPEN_ERROR, bgp.BAD_PARAMETER, f"OPEN: unknown optional parameter {parameter}")
         for capability, value in _split_fields(capabilities):
             if capability == bgp.CAPABILITY_MULTIPROTOCOL and len(value) == 4:
                 afi, _, safi = struct.unpack("!HBB", value)
-                found.families.add((afi, safi))
+                decoded.families.add((afi, safi))
             elif capability == bgp.CAPABILITY_FOUR_OCTET_ASN and len(value) == 4:
-                found.asn = _decode_u32(value)
-    return found
+                decoded.asn = _decode_u32(value)
+    return decoded
 
 
 def _split_fields(data: bytes) -> list[tuple[int, bytes]]:
--- a/saltcourse/codec/json_fields.py
+++ b/saltcourse/codec/json_fields.py
@@ -1,6 +1,6 @@
 """Checked access to the fields of an object parsed from JSON; each error names the field.
 
-A field of value null is treated like an absent field.
+A field whose value is null is treated as absent.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 def field(message: dict[str, Any], key: str, kind: type | tuple[type, ...], default: Any = None) -> Any:
-    """Return the value of a field, which must be of a type in ``kind``; ``default`` if it is absent.
+    """Return the value of a field, or ``default`` if the field is absent; ``kind`` gives the valid types.
 
     Raises ``InvalidObjectError`` if the value has another type, or is absent and there is no default.
     """
@@ -79,7 +79,7 @@
 
 
 def texts(message: dict[str, Any], key: str) -> tuple[str, ...]:
-    """Return the value of a field, which must be a list of strings; an empty tuple if it is absent.
+    """Return the strings in a field, which must be a list of strings; an empty tuple if it is absent.
 
     Raises ``InvalidObjectError``.
     """
--- a/saltcourse/codec/lines.py
+++ b/saltcourse/codec/lines.py
@@ -16,7 +16,7 @@
     BYE                    the backend closes the connection normally
     LOAD x                 the connection's load, in microseconds of work per second
     PING, STATS            health checks; STATS also requests a load report
-    PONG [fields], NO      healthy, with an optional load report; health checks are not answered now
+    PONG [fields], NO      healthy, with an optional load report; not answering health checks now
 
 Sockets are read directly into a ``LineBuffer``. The lines that it returns are slices of the buffer, valid
 until the next read; a caller that needs a line for longer must copy it.
@@ -89,13 +89,13 @@
 
         Raises ``ProtocolError`` if the line exceeds ``MAX_LINE_BYTES``.
         """
-        found = self._bytes.find(LINE_END, max(self._start, self._searched - 1), self._end)
-        if found < 0:
+        line_end = self._bytes.find(LINE_END, max(self._start, self._searched - 1), self._end)
+        if line_end < 0:
             self._searched = self._end
             if self._end - self._start >= MAX_LINE_BYTES:
                 raise ProtocolError("line exceeds 4096 bytes")
             return None
-        stop = found + len(LINE_END)
+        stop = line_end + len(LINE_END)
         if stop - self._start > MAX_LINE_BYTES:
             raise ProtocolError("line exceeds 4096 bytes")
         line = memoryview(self._bytes)[self._start : stop]
--- a/saltcourse/config/operator_address_failover.py
+++ b/saltcourse/config/operator_address_failover.py
@@ -160,7 +160,7 @@
         return tuple(voters), addresses
 
     def _check_announcer(self, own_name: str, voters: tuple[Voter, ...]) -> None:
-        """Check that exactly one way to announce the address is configured; a witness may have none."""
+        """Check that this instance is a member, and that it has one announcer; a witness may have none."""
         own_voter = next((voter for voter in voters if voter.name == own_name), None)
         if own_voter is None:
             self._file.reject(f"{SECTION}.me", f"{own_name!r} is not the name of a member")
--- a/saltcourse/config/operator_gossip.py
+++ b/saltcourse/config/operator_gossip.py
@@ -1,4 +1,4 @@
-"""Reads the section ``gossip`` of the operator's file: gossip among the members of a large fleet."""
+"""Reads the section ``gossip`` of the operator's file: membership, configuration, sums of a large fleet."""
 
 from __future__ import annotations
 
--- a/saltcourse/config/overlay.py
+++ b/saltcourse/config/overlay.py
@@ -47,7 +47,7 @@
 
     @property
     def rejected_version(self) -> int:
-        """The newest version that set a rejected value which is still current; 0 if there is none."""
+        """The newest version that set a value which is still rejected; 0 if no value is rejected."""
         return max(self._rejected.values(), default=0)
 
     def update(self, configuration: Mapping[str, bytes], version: int) -> bool:
@@ -100,7 +100,10 @@
         self._read = read
 
     def reread(self) -> Config:
-        """Read the file again. Raises ``ConfigError``, and keeps the previous one, if it is invalid."""
+        """Read the file again and return the configuration that is in effect.
+
+        If the file is invalid, raises ``ConfigError`` and keeps the previous configuration.
+        """
         self._config = self._read()
         return self.current()
 
--- a/saltcourse/config/proxy_config.py
+++ b/saltcourse/config/proxy_config.py
@@ -7,8 +7,8 @@
 from saltcourse.balancing.settings import Settings
 from saltcourse.codec.endpoint_list import Address, EndpointUpdate
 
-# Fields of Config that a reload does not apply, because sockets, names and decisions depend on them; it logs
-# their changes. Changes to ``known``, ``measures_message_latency``, ``limits.cores`` and ``limits.memory_mb``
+# Fields of Config whose changes a reload logs but does not apply, because sockets, names and decisions depend
+# on them. Changes to ``known``, ``measures_message_latency``, ``limits.cores`` and ``limits.memory_mb``
 # are neither applied nor logged.
 RESTART_REQUIRED_KEYS = ("name", "listen", "admin", "seed", "settings", "peers")
 
--- a/saltcourse/emulator/scale/evaluation/__init__.py
+++ b/saltcourse/emulator/scale/evaluation/__init__.py
@@ -1,4 +1,4 @@
-"""Computes the metrics of a scale run from its records.
+"""Computes the metrics of a scale run, only from the records of what its processes observed.
 
 ``evaluate`` composes ``metrics.RunMetrics`` from one module for each concern: ``costs`` (bytes, CPU, memory),
 ``changes`` (propagation of configuration changes), ``failures`` (failure detection and false alarms) and
--- a/saltcourse/emulator/scale/evaluation/changes.py
+++ b/saltcourse/emulator/scale/evaluation/changes.py
@@ -49,8 +49,8 @@
         """Return the propagation over applied changes and the members that were reachable during it."""
         seconds: list[float] = []
         missing = 0
-        in_force = [change for change in changes if change in self._applied]
-        for change in in_force:
+        applied_changes = [change for change in changes if change in self._applied]
+        for change in applied_changes:
             submitted_at = self._submitted[change].at
             for spec in self._index.topology.members:
                 applied_at = self._applied[change].get(spec.index)
@@ -61,7 +61,7 @@
                     missing += 1
                 else:
                     seconds.append(applied_at - submitted_at)
-        return Propagation(summarize(seconds), missing, len(in_force))
+        return Propagation(summarize(seconds), missing, len(applied_changes))
 
 
 def _first_applied(index: RecordIndex) -> dict[int, dict[int, float]]:
--- a/saltcourse/emulator/scale/evaluation/failures.py
+++ b/saltcourse/emulator/scale/evaluation/failures.py
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Detection:
-    """Detection of one failure: the seconds of each observer, and the number of observers that missed it."""
+    """Detection of one failure: seconds until each observer detected it, and how many observers did not."""
 
     seconds: list[float]
     missing: int
@@ -60,7 +60,8 @@
             continue
         detections.append(_detection(index, outage, until, deaths.get(outage.member, {})))
     all_seconds = [seconds for detection in detections for seconds in detection.seconds]
-    last_seconds = [max(found.seconds) for found in detections if found.seconds and not found.missing]
+    complete = [detection for detection in detections if detection.seconds and not detection.missing]
+    last_seconds = [max(detection.seconds) for detection in complete]
     missing = sum(detection.missing for detection in detections)
     return FailureDetection(
         Propagation(summarize(all_seconds), missing, len(detections)), summarize(last_seconds)
--- a/saltcourse/emulator/scale/evaluation/metrics.py
+++ b/saltcourse/emulator/scale/evaluation/metrics.py
@@ -103,7 +103,7 @@
 
     @property
     def overloaded(self) -> bool:
-        """Whether the timer lag shows that the machine was too slow for the run."""
+        """True if the timer lag shows that the machine was too slow for the run."""
         return self.lag_p99 > OVERLOAD_LAG
 
 
--- a/saltcourse/emulator/scale/evaluation/record_index.py
+++ b/saltcourse/emulator/scale/evaluation/record_index.py
@@ -21,7 +21,7 @@
         self.topology = topology
         self.timeline = timeline
         self.records = list(records)
-        self.end = timeline.end  # s
+        self.end = timeline.end  # seconds since the start of the run
         self._by_kind = _group_by_kind(self.records)
         self.history = History(topology, self.records_of(Lifecycle))
 
--- a/saltcourse/emulator/scale/evaluation/recovery.py
+++ b/saltcourse/emulator/scale/evaluation/recovery.py
@@ -19,7 +19,7 @@
 
 
 def joining(index: RecordIndex) -> Propagation:
-    """Measure the seconds from each restart until the member has the version that was the newest then."""
+    """Measure the seconds from each restart until the member has the version newest at the restart."""
     seconds: list[float] = []
     missing = 0
     newest = _newest_versions(index)
@@ -153,7 +153,7 @@
 
 
 def _seconds_to_newest_configuration(index: RecordIndex, healed: float, until: float) -> float | None:
-    """Return the seconds from ``healed`` until each live member has the version that was the newest then."""
+    """Return the seconds from ``healed`` until each live member has the version newest at ``healed``."""
     configurations = index.records_of(ConfigurationSeen)
     newest = max((record.version for record in configurations if record.at <= healed), default=0)
     if newest == 0:
--- a/saltcourse/emulator/scale/history.py
+++ b/saltcourse/emulator/scale/history.py
@@ -23,7 +23,7 @@
     end: float  # infinite if the interval did not end during the run
 
     def overlaps(self, start: float, end: float) -> bool:
-        """Return whether the interval and the given one (both ends included) have a moment in common."""
+        """Return whether this interval overlaps the given one; all ends are included."""
         return self.start <= end and start <= self.end
 
     def contains(self, at: float) -> bool:
--- a/saltcourse/emulator/scale/member_host.py
+++ b/saltcourse/emulator/scale/member_host.py
@@ -107,8 +107,8 @@
             hosted.timer_expiry = deadline
             self._timers.call_at(deadline, lambda: self._timer_expired(hosted, deadline))
 
-    def _timer_expired(self, hosted: HostedMember, set_for: float) -> None:
-        if hosted.timer_expiry != set_for:
+    def _timer_expired(self, hosted: HostedMember, expiry: float) -> None:
+        if hosted.timer_expiry != expiry:
             return  # an earlier timer replaced this one
         hosted.timer_expiry = None
         if hosted.process is None or hosted.stopped:
--- a/saltcourse/emulator/scale/operator.py
+++ b/saltcourse/emulator/scale/operator.py
@@ -13,7 +13,8 @@
 from saltcourse.emulator.scale.topology import Topology
 from saltcourse.emulator.scale.worker_messages import NOT_PUBLISHER, Publish, PublishResult
 
-RESULT_TIMEOUT = 5.0  # seconds per attempt; a little longer than the voters' own publish_timeout
+# Seconds until the next voter is tried; a little longer than the voters' own publish_timeout.
+RESULT_TIMEOUT = 5.0
 RETRY_DELAY = 0.2  # seconds between a failed attempt and the next one
 RETRY_DEADLINE = 60.0  # seconds from the first attempt; later failures are not retried
 NO_ANSWER = "no answer in time"
--- a/saltcourse/emulator/scale/publications.py
+++ b/saltcourse/emulator/scale/publications.py
@@ -19,7 +19,7 @@
 
 
 class PublicationResults:
-    """Sends one result of each publish request to the operator."""
+    """Sends the operator one result for each publish request."""
 
     def __init__(self, send: Callable[[PublishResult], None]) -> None:
         self._send = send
@@ -41,7 +41,7 @@
         self._send(PublishResult(change, member, reason))
 
     def member_killed(self, hosted: HostedMember) -> None:
-        """Report failure of all pending changes: a killed member's operator connections break."""
+        """Report all pending changes as failed, because the kill breaks the operator's connection."""
         for change in hosted.pending_changes:
             self._send(PublishResult(change, hosted.spec.index, DOWN))
         hosted.pending_changes = set()
--- a/saltcourse/emulator/scale/recorder.py
+++ b/saltcourse/emulator/scale/recorder.py
@@ -52,7 +52,7 @@
         self._writer.write(FreshnessSeen(self._now(), hosted.spec.index, observation.stale))
 
     def record_configuration(self, hosted: HostedMember, observation: ConfigurationObserved) -> None:
-        """Record a configuration version that came into force at the member."""
+        """Record a configuration version that took effect at the member."""
         self._writer.write(
             ConfigurationSeen(
                 self._now(),
--- a/saltcourse/emulator/scale/records.py
+++ b/saltcourse/emulator/scale/records.py
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationSeen:
-    """A configuration version that came into force at ``member``.
+    """A configuration version that took effect at ``member``.
 
     ``digest`` covers the whole configuration (0: not reported). ``changes`` are the numbers of the operator's
     changes that the version applied, ``torn`` those of them that were applied only partially.
--- a/saltcourse/emulator/scale/report.py
+++ b/saltcourse/emulator/scale/report.py
@@ -31,9 +31,9 @@
     "missing",
     "failure p50",
     "max",
-    "after cut",
-    "suspected",
-    "held dead",
+    "after partition",
+    "false suspicions",
+    "false deaths",
     "breaches",
 )
 
--- a/saltcourse/emulator/scale/runner.py
+++ b/saltcourse/emulator/scale/runner.py
@@ -50,8 +50,8 @@
 class RunPlan:
     """The parameters of one run.
 
-    ``size`` is the number of simulated proxies, ``workers`` that of worker processes and ``real`` that of
-    real proxies.
+    ``size``, ``workers`` and ``real`` are the numbers of simulated proxies, worker processes and real
+    proxies.
     """
 
     mechanism: str
--- a/saltcourse/emulator/scale/simulated_member.py
+++ b/saltcourse/emulator/scale/simulated_member.py
@@ -64,13 +64,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationObserved:
-    """A version of the configuration came into force at the member."""
+    """A version of the configuration took effect at the member."""
 
     epoch: int
     version: int
     digest: int
     changes: tuple[int, ...]  # numbers of the operator's changes that this version applied
-    torn: tuple[int, ...]  # the changes of which only a part is in the configuration
+    torn: tuple[int, ...]  # those of ``changes`` that were applied only partially
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/emulator/scale/evaluation/test_recovery.py
+++ b/tests/emulator/scale/evaluation/test_recovery.py
@@ -24,10 +24,10 @@
     """A member is killed and restarted. It has joined once it has the version that was the newest at its
     start; if it never has that version, it counts as missing.
     """
-    away = [Lifecycle(22.0, 9, "kill"), Lifecycle(30.0, 9, "start")]
+    outage = [Lifecycle(22.0, 9, "kill"), Lifecycle(30.0, 9, "start")]
     before = [ChangeSubmitted(20.0, 0, 0, "change"), *change_seen(topology, 20.0, 0)]
-    assert metrics_of(topology, *before, *away).joining.missing == 1
-    joined = metrics_of(topology, *before, *away, configuration_seen(33.0, 9, 1, 1)).joining
+    assert metrics_of(topology, *before, *outage).joining.missing == 1
+    joined = metrics_of(topology, *before, *outage, configuration_seen(33.0, 9, 1, 1)).joining
     assert joined.seconds is not None and joined.seconds.max == pytest.approx(3.0)
     assert (joined.events, joined.missing) == (1, 0)
 
@@ -39,9 +39,9 @@
     cut = [Lifecycle(30.0, -1, "cut"), Lifecycle(60.0, -1, "heal")]
     east = [spec.index for spec in topology.members if spec.region == "east"]
     reports: list[Record] = [FreshnessSeen(41.0 + index / 10, index, True) for index in east]
-    found = metrics_of(topology, *cut, *reports).staleness
-    assert found.seconds is not None and found.seconds.max == pytest.approx(11.0 + max(east) / 10)
-    assert found.missing == 0
+    staleness = metrics_of(topology, *cut, *reports).staleness
+    assert staleness.seconds is not None and staleness.seconds.max == pytest.approx(11.0 + max(east) / 10)
+    assert staleness.missing == 0
     assert metrics_of(topology, *cut, *reports[:-1]).staleness.missing == 1
     late = FreshnessSeen(55.0, east[-1], True)
     assert metrics_of(topology, *cut, *reports[:-1], late).staleness.missing == 1
@@ -60,9 +60,9 @@
         ConfigurationSeen(42.0, 9, 1, 1, 5, [0], []),
     ]
     submitted = ChangeSubmitted(35.0, 0, 0, "change")
-    found = metrics_of(topology, *cut, *views, *versions, submitted).partitions
-    assert [(agreement.members, agreement.configuration) for agreement in found] == [(4.0, 2.0)]
-    assert slowest_recovery(found) == 4.0
+    partitions = metrics_of(topology, *cut, *views, *versions, submitted).partitions
+    assert [(partition.members, partition.configuration) for partition in partitions] == [(4.0, 2.0)]
+    assert slowest_recovery(partitions) == 4.0
     assert slowest_recovery(metrics_of(topology, *cut, *views, *versions[:-1], submitted).partitions) is None
     wrong_view = View(50.0, 3, count, digest ^ 1)  # correct count, wrong members
     assert (
--- a/tests/emulator/scale/test_fault_injection.py
+++ b/tests/emulator/scale/test_fault_injection.py
@@ -20,8 +20,8 @@
 @pytest.fixture
 def parts(scenario: Scenario, topology: Topology, tmp_path: Path) -> Iterator[WorkerParts]:
     without_faults = replace(scenario, links=Links(INSTANT, INSTANT, INSTANT))
-    with worker_parts(without_faults, topology, tmp_path) as found:
-        yield found
+    with worker_parts(without_faults, topology, tmp_path) as worker:
+        yield worker
 
 
 def receive_datagram(parts: WorkerParts, datagram: bytes) -> None:
--- a/tests/emulator/scale/test_operator.py
+++ b/tests/emulator/scale/test_operator.py
@@ -1,4 +1,4 @@
-"""The operator: submission of changes to the voters, retries and time-outs."""
+"""The operator: submission of changes to the voters, retries and timeouts."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 def test_the_operator_gives_up_a_change_that_no_voter_answers(topology: Topology) -> None:
-    """No voter answers. The operator retries after each time-out and gives up after the retry deadline, so
+    """No voter answers. The operator retries after each timeout and gives up after the retry deadline, so
     that attempts do not accumulate in a long run.
     """
     harness = OperatorHarness(topology, (Publication(1.0, PublicationKind.CHANGE),))
--- a/tests/emulator/scale/test_publications.py
+++ b/tests/emulator/scale/test_publications.py
@@ -19,8 +19,8 @@
 
 @pytest.fixture
 def parts(scenario: Scenario, topology: Topology, tmp_path: Path) -> Iterator[WorkerParts]:
-    with worker_parts(scenario, topology, tmp_path) as found:
-        yield found
+    with worker_parts(scenario, topology, tmp_path) as worker:
+        yield worker
 
 
 @pytest.mark.parametrize(
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -100,11 +100,11 @@
             name = name.rpartition(".")[0]
         return name or None
 
-    found: Imports = {}
+    imports: Imports = {}
     for module, path in modules.items():
         targets = {module_in(name) for name in imported_names(module, path)}
-        found[module] = {target for target in targets if target is not None} - {module}
-    return found
+        imports[module] = {target for target in targets if target is not None} - {module}
+    return imports
 
 
 def import_cycles(imports: Imports) -> list[list[str]]:
--- a/tests/test_package.py
+++ b/tests/test_package.py
@@ -174,11 +174,11 @@
 
 
 def test_the_wheel_contains_exactly_the_modules_of_the_checkout(plain: Installed) -> None:
-    wanted = {str(path.relative_to(ROOT)) for path in (ROOT / "saltcourse").rglob("*.py")}
+    expected = {str(path.relative_to(ROOT)) for path in (ROOT / "saltcourse").rglob("*.py")}
     with zipfile.ZipFile(plain.wheel) as wheel:
-        found = {name for name in wheel.namelist() if ".dist-info/" not in name}
-    assert {name for name in found if name.endswith(".py")} == wanted
-    assert all(name.startswith("saltcourse/") for name in found)
+        packaged = {name for name in wheel.namelist() if ".dist-info/" not in name}
+    assert {name for name in packaged if name.endswith(".py")} == expected
+    assert all(name.startswith("saltcourse/") for name in packaged)
 
 
 def test_every_module_can_be_imported_unless_it_needs_an_extra(plain: Installed, extended: Installed) -> None:
