--- a/saltcourse/admin/requests.py
+++ b/saltcourse/admin/requests.py
@@ -77,7 +77,7 @@
 
     @property
     def body(self) -> bytes:
-        """The body of the request, once that is complete."""
+        """The body of the request; complete once ``feed`` has returned a command."""
         return bytes(self._body)
 
     def feed(self, data: bytes) -> Command | Response | None:
--- a/saltcourse/admin/server.py
+++ b/saltcourse/admin/server.py
@@ -73,7 +73,7 @@
             self._start_serving(connection)
 
     def _close_oldest(self) -> None:
-        """Close the oldest connections until one more is within the limit."""
+        """Close the oldest connections until another one fits within the limit."""
         while len(self._connections) >= MAX_CONNECTIONS:
             oldest = next(iter(self._connections))
             self._connections.pop(oldest).close()
--- a/saltcourse/app/control_member.py
+++ b/saltcourse/app/control_member.py
@@ -145,7 +145,7 @@
 def run_control_member(
     settings: GossipSettings, reread: Reread[GossipSettings], admin: Address | None
 ) -> None:
-    """Run a control member, with an admin server at ``admin`` if that is given.
+    """Run a control member, with an admin server if ``admin`` is given.
 
     Raises ``ConfigError``, ``ListenError`` or ``ControlMemberError`` if it cannot start or continue.
     """
--- a/saltcourse/config/operator_file.py
+++ b/saltcourse/config/operator_file.py
@@ -101,7 +101,7 @@
         self.reject(key, f"must be ADDRESS:PORT, not {text!r}")
 
     def ip_address(self, key: str, text: str, version: int | None = None) -> str:
-        """Return the canonical text of an IP address, which must be of ``version`` if that is given."""
+        """Return the canonical text of an IP address, which must have the given ``version``, if any."""
         try:
             address = ipaddress.ip_address(text)
         except ValueError:
--- a/tests/app/test_gossip.py
+++ b/tests/app/test_gossip.py
@@ -1,4 +1,4 @@
-"""A proxy without gossip does not import its modules."""
+"""A proxy without gossip does not import the modules of gossip."""
 
 from __future__ import annotations
 
--- a/tests/app/test_operator_source.py
+++ b/tests/app/test_operator_source.py
@@ -1,4 +1,4 @@
-"""How the operator's file is located, and the errors if it can't be read."""
+"""Location of the operator's file, and errors if it cannot be read."""
 
 from __future__ import annotations
 
--- a/tests/app/test_proxy.py
+++ b/tests/app/test_proxy.py
@@ -1,4 +1,4 @@
-"""How the proxy is created from its own file and the operator's file."""
+"""Creation of the proxy from its own file and the operator's file."""
 
 from __future__ import annotations
 
--- a/tests/codec/test_bgp.py
+++ b/tests/codec/test_bgp.py
@@ -13,7 +13,7 @@
 
 V4 = bgp.Route(IPv4Address("192.0.2.7"), IPv4Address("10.0.0.1"), local_pref=9)
 V6 = bgp.Route(IPv6Address("2001:db8::7"), IPv6Address("2001:db8::1"), (4_200_000_001,), med=bgp.MAX_U32 - 9)
-THEIRS = bgp.Open(64512, 90, IPv4Address("10.0.0.9"), frozenset({(1, 1)}))
+PEER_OPEN = bgp.Open(64512, 90, IPv4Address("10.0.0.9"), frozenset({(1, 1)}))
 
 
 def decode_all(data: bytes, four_octet_asn: bool = True) -> list[bgp.Message]:
@@ -72,7 +72,7 @@
 
 @given(st.integers(0, 2000), st.integers(1, 255))
 def test_a_corrupted_byte_gives_messages_or_a_bgp_error(index: int, bit_mask: int) -> None:
-    data = bytearray(bgp.encode_open(THEIRS) + bgp.encode_announcement(V6) + bgp.encode_announcement(V4))
+    data = bytearray(bgp.encode_open(PEER_OPEN) + bgp.encode_announcement(V6) + bgp.encode_announcement(V4))
     data[index % len(data)] ^= bit_mask
     try:
         decode_all(bytes(data))
--- a/tests/config/test_overlay.py
+++ b/tests/config/test_overlay.py
@@ -17,15 +17,15 @@
 
 
 def test_values_override_the_file_until_their_keys_are_deleted(tmp_path: Path) -> None:
-    own = proxy_config(tmp_path)
-    source = ConfigurationSource(own, lambda: own)
+    file_config = proxy_config(tmp_path)
+    source = ConfigurationSource(file_config, lambda: file_config)
     assert source.overlay.update({DISCOVERY_KEY: b"10.0.0.7:80", SOCKETS_KEY: b"128", "x": b"\xff"}, 1)
     assert source.current().discovery == ("10.0.0.7", 80) and source.current().limits.sockets == 128
     assert source.reread() == source.current()  # SIGHUP rereads the file and keeps the overlay
     assert not source.overlay.update({DISCOVERY_KEY: b"10.0.0.7:80", SOCKETS_KEY: b"128", "x": b"2"}, 2)
     assert source.overlay.update({SOCKETS_KEY: b"128"}, 3)
-    assert source.current().discovery == own.discovery and source.current().limits.sockets == 128
-    assert source.overlay.update({}, 4) and source.current() == own
+    assert source.current().discovery == file_config.discovery and source.current().limits.sockets == 128
+    assert source.overlay.update({}, 4) and source.current() == file_config
 
 
 @pytest.mark.parametrize(
@@ -46,8 +46,8 @@
 def test_an_invalid_value_is_logged_and_counted_and_the_previous_value_kept(
     key: str, invalid: bytes, tmp_path: Path
 ) -> None:
-    own = proxy_config(tmp_path)
-    source = ConfigurationSource(own, lambda: own)
+    file_config = proxy_config(tmp_path)
+    source = ConfigurationSource(file_config, lambda: file_config)
     overlay = source.overlay
     valid = {DISCOVERY_KEY: b"10.0.0.7:80", SOCKETS_KEY: b"128"}
     overlay.update(valid, 1)
@@ -63,15 +63,15 @@
 
 
 def test_the_overlay_still_applies_after_a_failed_reread(tmp_path: Path) -> None:
-    own = proxy_config(tmp_path)
+    file_config = proxy_config(tmp_path)
 
     def unreadable() -> Config:
         raise ConfigError("no")
 
-    source = ConfigurationSource(own, unreadable)
+    source = ConfigurationSource(file_config, unreadable)
     source.overlay.update({SOCKETS_KEY: b"128"}, 1)
     with pytest.raises(ConfigError):
         source.reread()
     assert source.current().limits.sockets == 128
     source.overlay.update({}, 2)
-    assert source.current() == own
+    assert source.current() == file_config
--- a/tests/emulator/scale/test_timeline.py
+++ b/tests/emulator/scale/test_timeline.py
@@ -42,8 +42,8 @@
     zones = {topology.members[index].zone for index in killed.members}
     assert len(zones) == 1
     assert set(killed.members) == {p.index for p in topology.members if p.zone in zones}
-    again = timeline.commands[-1]
-    assert (again.action, again.at, again.members) == (FaultAction.START, 8.0, killed.members)
+    restart = timeline.commands[-1]
+    assert (restart.action, restart.at, restart.members) == (FaultAction.START, 8.0, killed.members)
 
 
 def test_the_configuration_is_filled_before_the_first_phase(scenario: Scenario, topology: Topology) -> None:
--- a/tests/emulator/scale/worker_parts.py
+++ b/tests/emulator/scale/worker_parts.py
@@ -26,7 +26,7 @@
 
 
 class RecordingMember(SimulatedMember):
-    """A member that is always publisher, never confirms a change, and persists its number of processes."""
+    """A member that is always the publisher, never confirms a change and persists its number of processes."""
 
     def start(self, now: float) -> Output:
         self.received: list[bytes] = []
