--- a/saltcourse/config/operator_address_failover.py
+++ b/saltcourse/config/operator_address_failover.py
@@ -160,7 +160,7 @@
         return tuple(voters), addresses
 
     def _check_announcer(self, own_name: str, voters: tuple[Voter, ...]) -> None:
-        """Check that exactly one way to announce the address is configured; a witness may have none."""
+        """Check that this instance is a member, and that it has one announcer; a witness may have none."""
         own_voter = next((voter for voter in voters if voter.name == own_name), None)
         if own_voter is None:
             self._file.reject(f"{SECTION}.me", f"{own_name!r} is not the name of a member")
@@ -189,7 +189,8 @@
                 lease_duration=lease, renewal_interval=renew, clock_drift=drift, safety_margin=guard
             )
         except InvalidTimingError as error:
-            self._file.reject(f"{key}.{TIMING_KEYS[error.field]}", f"must be {error.expected}")
+            reason = f"must be {error.expected}, not {error.value:g}"
+            self._file.reject(f"{key}.{TIMING_KEYS[error.field]}", reason)
 
     def _read_bgp(self, service_address: str) -> BgpSettings:
         section, key = self._section.bgp, f"{SECTION}.bgp"
--- a/tests/address_failover/test_bgp_session.py
+++ b/tests/address_failover/test_bgp_session.py
@@ -20,7 +20,7 @@
 )
 from saltcourse.address_failover.errors import InvalidPeeringError
 from saltcourse.codec import bgp
-from tests.codec.test_bgp import THEIRS, decode_all
+from tests.codec.test_bgp import PEER_OPEN, decode_all
 
 IBGP = Peering(64512, 64512, "10.0.0.1")
 EBGP = Peering(4_200_000_001, 64512, "10.0.0.1")
@@ -60,7 +60,7 @@
 
     def establish(self) -> SessionDriver:
         self.call("connected")
-        self.call("received", bgp.encode_open(THEIRS) + bgp.encode_keepalive())
+        self.call("received", bgp.encode_open(PEER_OPEN) + bgp.encode_keepalive())
         assert self.session.state is State.ESTABLISHED
         return self
 
