--- a/saltcourse/gossip/acceptor.py
+++ b/saltcourse/gossip/acceptor.py
@@ -1,4 +1,4 @@
-"""The acceptor of Multi-Paxos: what one voter has promised and accepted. It does no I/O.
+"""The acceptor of Multi-Paxos: the promise and the accepted changes of one voter. It does no I/O.
 
 Each version is one Paxos instance. A change is accepted only directly after the committed changes, or
 directly after a change that was accepted under the same epoch. Therefore:
--- a/saltcourse/gossip/aggregation.py
+++ b/saltcourse/gossip/aggregation.py
@@ -2,7 +2,7 @@
 
 The proxies of a zone, sorted by id, form a tree with fan-in FAN_IN: the parent of the proxy at index i is at
 index (i - 1) // FAN_IN. In each ``tally_interval`` every proxy sends the sum of its subtree to its parent;
-the root publishes the zone's sum. While members disagree about the members of the zone, a proxy may be
+the root broadcasts the zone's sum. While members disagree about the members of the zone, a proxy may be
 missing from the sum or counted twice, for CHILD_TIMEOUT_INTERVALS intervals at each level of the tree.
 
 Cost: one message sent and at most FAN_IN received in each interval, independent of the fleet size. Costs that
@@ -81,15 +81,16 @@
     def __init__(self, timing: Timing, rng: random.Random) -> None:
         self._interval = timing.tally_interval
         self._sum_interval = timing.sum_interval
-        self._publish_at = float("-inf")
+        self._broadcast_at = float("-inf")
         self._rng = rng
         self._connections = 0
         self._subtrees: dict[MemberId, Subtree] = {}
         self._sums: dict[str, KnownSum] = {}  # by zone, in the order of renewal
-        self._zone_members: Sequence[MemberRecord] | None = None  # input of the last ``_tree_position``
+        # The members from which ``_tree_position`` was computed.
+        self._zone_members: Sequence[MemberRecord] | None = None
         self._tree_position = TreePosition(None, False, frozenset())
         self._zone = ""
-        self._root_sequence_is_old = False  # the root published a sequence below the newest known one
+        self._root_sequence_is_old = False  # the root broadcast a sequence below the newest known one
         self._tally_at = -math.inf
 
     def set_count(self, connections: int) -> None:
@@ -140,7 +141,7 @@
         tally = self._sum_subtree(now)
         parent = self._tree_position.parent
         if parent is None:
-            return AggregationStep([], self._publish_if_time(now, tally))
+            return AggregationStep([], self._zone_sum_if_time(now, tally))
         sends = [Send(parent.address, tally, Priority.MEMBERSHIP), *self._send_newest_sum(parent)]
         return AggregationStep(sends, None)
 
@@ -171,13 +172,13 @@
             connections += subtree.connections
         return Tally(self._zone, min(members, MAX_U32), min(connections, MAX_U32))
 
-    def _publish_if_time(self, now: float, tally: Tally) -> ZoneSum | None:
-        if now < self._publish_at:
+    def _zone_sum_if_time(self, now: float, tally: Tally) -> ZoneSum | None:
+        if now < self._broadcast_at:
             return None
-        self._publish_at = now + self._sum_interval
-        return self._publish(now, tally)
+        self._broadcast_at = now + self._sum_interval
+        return self._next_zone_sum(now, tally)
 
-    def _publish(self, now: float, tally: Tally) -> ZoneSum | None:
+    def _next_zone_sum(self, now: float, tally: Tally) -> ZoneSum | None:
         """Store and return the next sum of the zone.
 
         Return None while the newest known sequence is the highest possible. The sequence starts at 1 again
--- a/saltcourse/gossip/broadcasts.py
+++ b/saltcourse/gossip/broadcasts.py
@@ -16,7 +16,7 @@
 MESSAGE_RESERVE_BYTES = 16  # upper bound of the fields of a message without its list of records
 RECORDS_ROOM_BYTES = MAX_DATAGRAM_BYTES - HEADER_RESERVE_BYTES - MESSAGE_RESERVE_BYTES
 MAX_QUEUED = 1_024  # updates; when the queue is full, the one sent most often is dropped
-BUSY_QUEUE_LENGTH = 64  # updates; more than three datagrams can hold
+BUSY_QUEUE_LENGTH = 64  # updates; three datagrams can't hold as many
 BroadcastKey = MemberId | str  # id of a member, or name of the zone of a zone sum
 
 
--- a/saltcourse/gossip/changes.py
+++ b/saltcourse/gossip/changes.py
@@ -21,7 +21,7 @@
         raise InvalidChangeError(f"change is not JSON: {error}") from None
     if not isinstance(entries, dict):
         raise InvalidChangeError(
-            f"change is not an object of keys and values: found {type(entries).__name__}"
+            f"change must be a JSON object of keys and values, not {type(entries).__name__}"
         )
     writes = tuple((key, _parse_value(key, value)) for key, value in entries.items())
     validate_writes(writes)
@@ -33,7 +33,7 @@
         return None
     if not isinstance(value, str):
         raise InvalidChangeError(
-            f"key {key!r}: value must be a string, or null to delete the key; found {type(value).__name__}"
+            f"key {key!r}: value must be a string, or null to delete the key, not {type(value).__name__}"
         )
     return value.encode()
 
--- a/saltcourse/gossip/codec/configuration.py
+++ b/saltcourse/gossip/codec/configuration.py
@@ -65,7 +65,7 @@
     position = read_position(reader)
     offset = reader.read_number(U32)
     if offset > MAX_CONFIGURATION_BYTES:
-        raise CodecError(Reason.SCHEMA, f"snapshot offset {offset} exceeds {MAX_CONFIGURATION_BYTES}")
+        raise CodecError(Reason.SCHEMA, f"snapshot offset {offset}; the limit is {MAX_CONFIGURATION_BYTES}")
     return SnapshotFetch(position, offset)
 
 
@@ -78,7 +78,10 @@
     position = read_position(reader)
     size, digest, offset, length = reader.unpack(SNAPSHOT_PART)
     if size > MAX_CONFIGURATION_BYTES or offset + length > size:
-        raise CodecError(Reason.SCHEMA, f"snapshot of {size} bytes: part of {length} bytes at {offset}")
+        raise CodecError(
+            Reason.SCHEMA,
+            f"snapshot of {size} bytes (limit {MAX_CONFIGURATION_BYTES}): part of {length} bytes at {offset}",
+        )
     return SnapshotPart(position, size, digest, offset, reader.read_bytes(length))
 
 
@@ -126,7 +129,8 @@
         key = reader.read_text(key_length, MAX_KEY_BYTES)
         if key <= last or value_length > MAX_VALUE_BYTES:
             raise CodecError(
-                Reason.SCHEMA, f"key {key!r} not after {last!r}, or its value too long: {value_length}"
+                Reason.SCHEMA,
+                f"key {key!r}: must follow {last!r}; value of {value_length} bytes (limit {MAX_VALUE_BYTES})",
             )
         configuration[key] = reader.read_bytes(value_length)
         last = key
--- a/saltcourse/gossip/configuration.py
+++ b/saltcourse/gossip/configuration.py
@@ -82,14 +82,14 @@
         self._values: dict[str, bytes] = {}
         self._size = ConfigurationSize(())
         self._log: deque[Change] = deque(maxlen=MAX_LOG_CHANGES)
-        self._log_base = Position()  # the position on which the first change of the log was applied
+        self._log_base = Position()  # the position to which the first change of the log was applied
         self._checkpoints: deque[Checkpoint] = deque(maxlen=CHECKPOINTS_KEPT)
         self._changed_keys: set[str] = set()
 
     # ---- reading ------------------------------------------------------------------------------------
 
     def __getitem__(self, key: str) -> bytes:
-        """Return the value of a key. Raises ``KeyError`` if the key has no value."""
+        """Return the value of a key. Raise ``KeyError`` if the key has no value."""
         return self._values[key]
 
     def __iter__(self) -> Iterator[str]:
@@ -202,10 +202,10 @@
         return ApplyOutcome.APPLIED
 
     def restore(self, state: ReplicaState) -> None:
-        """Restore the stored state of a control member when it starts.
+        """Restore the stored state of a voter when its process starts.
 
         The state becomes a checkpoint, whatever its version: the log before it is lost, and members with an
-        empty configuration must be served even when all control members have just restarted. Raises
+        empty configuration must be served even when all voters have just restarted. Raises
         ``EncodeError`` if the state is too large to be encoded.
         """
         if self.compare(state.committed) is not PositionRelation.AHEAD:
--- a/saltcourse/gossip/dissemination.py
+++ b/saltcourse/gossip/dissemination.py
@@ -125,7 +125,7 @@
         return sends + self._finish_call(now)
 
     def restore(self, now: float, state: ReplicaState) -> None:
-        """Restore a control member's stored state when it starts."""
+        """Restore a voter's stored state when its process starts."""
         self._check_for_stall(now)
         self.configuration.restore(state)
         self._collect_actions(now)
@@ -202,7 +202,7 @@
         for change in message.changes:
             self._apply(change)
         if self.position != before:
-            self._announcement_pending = True  # even during a burst: others can fetch from here
+            self._announcement_pending = True  # even during a burst, so that others can fetch here
         return self._fetcher.on_changes_applied(now, source)
 
     def _apply(self, change: Change) -> ApplyOutcome:
--- a/saltcourse/gossip/failure_detector.py
+++ b/saltcourse/gossip/failure_detector.py
@@ -1,6 +1,6 @@
 """Failure detection: SWIM probes, direct and then through relays, with Lifeguard's local health score.
 
-    ping -- no ack in probe_timeout --> ping requests to relays -- no ack by the end of the period --> failed
+    ping -- no ack in probe_timeout --> ping requests to relays -- no ack by the end of the probe --> failed
 
 The cost for each member is constant: it starts one probe in each ``probe_interval``. A high health score
 lengthens each probe but not the interval between them, so that up to MAX_HEALTH_SCORE + 1 probes run
@@ -236,7 +236,10 @@
         return failed
 
     def cancel_probes(self, matches: Callable[[MemberId], bool]) -> None:
-        """Drop this member's probes of all targets for which ``matches`` returns true."""
+        """Drop this member's probes of all targets for which ``matches`` returns true.
+
+        Called when missing answers do not show that these targets have failed.
+        """
         self._probes = {
             sequence: probe for sequence, probe in self._probes.items() if not matches(probe.target)
         }
--- a/saltcourse/gossip/fetching.py
+++ b/saltcourse/gossip/fetching.py
@@ -18,12 +18,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingFetch:
-    """A request to ``server`` for the changes after ``after``; None while no server is known."""
+    """A request for the changes after ``after``; ``server`` is None while no member to ask is known."""
 
     server: Address | None
     after: Position
     target: Position  # the position that the server announced; ``after`` if it announced none
-    deadline: float
+    deadline: float  # seconds on the clock of ``now``
 
 
 class Fetcher:
@@ -84,7 +84,7 @@
         return [Send(server, Fetch(after), Priority.CONFIGURATION)]
 
     def retry_later(self, now: float, avoid: Address) -> None:
-        """Request from a member other than ``avoid`` after a timeout.
+        """Fetch from a member other than ``avoid``, but only after ``fetch_timeout``.
 
         The wait prevents an endless loop of requests to a member that always returns an invalid answer.
         """
@@ -109,7 +109,8 @@
         """After changes from ``source`` were applied, request the next ones immediately if there are more.
 
         The next request goes to any member that has announced a higher position, so that the publisher does
-        not serve a burst alone. It is sent only after progress, so that useless answers can't cause a loop.
+        not serve a burst alone. It is sent only after progress, so that answers without new changes can't
+        cause a loop.
         """
         if not self._is_answered(source):
             return []
@@ -120,7 +121,7 @@
         return self.fetch(now)
 
     def tick(self, now: float) -> list[Send]:
-        """Request from another member if the request in flight has timed out."""
+        """Send a new request to another member if the request in flight has timed out."""
         pending = self._pending
         if pending is None or now < pending.deadline:
             return []
@@ -137,7 +138,7 @@
         return expiry if self._pending is None else min(expiry, self._pending.deadline)
 
     def _is_answered(self, source: Address) -> bool:
-        """Return whether ``source`` answered the request, or others brought this member to its target."""
+        """Return whether ``source`` answered the request, or changes from others reached its target."""
         pending = self._pending
         if pending is None:
             return False
--- a/saltcourse/gossip/fields.py
+++ b/saltcourse/gossip/fields.py
@@ -298,7 +298,9 @@
     start = reader.offset
     change = Change(read_position(reader), reader.read_list(read_write))
     if reader.offset - start > MAX_CHANGE_BYTES:
-        raise CodecError(Reason.SCHEMA, f"change is longer than {MAX_CHANGE_BYTES} bytes")
+        raise CodecError(
+            Reason.SCHEMA, f"change of {reader.offset - start} bytes; the limit is {MAX_CHANGE_BYTES}"
+        )
     return change
 
 
--- a/saltcourse/gossip/freshness.py
+++ b/saltcourse/gossip/freshness.py
@@ -1,4 +1,4 @@
-"""Determines from the publisher's heartbeats, which all headers carry, whether this member may be behind."""
+"""Determines how fresh a configuration is from the publisher's heartbeats, which all headers carry."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
         self._ignore_until = now + STALL_GRACE_SECONDS
 
     def freshness(self, now: float, behind: bool) -> Freshness:
-        """Return the freshness; ``STALE`` even if a higher version is known, since newer ones may exist."""
+        """Return the freshness. ``STALE`` has precedence over ``BEHIND``: even newer versions may exist."""
         if self._fresh_until is not None and now >= self._fresh_until:
             self._fresh_until = None  # otherwise ``next_deadline`` would stay in the past
         if self._fresh_until is None:
--- a/saltcourse/gossip/host.py
+++ b/saltcourse/gossip/host.py
@@ -41,7 +41,7 @@
 )
 from saltcourse.gossip.node import Node
 
-LEAVE_GRACE_SECONDS = 0.3  # a leaving member keeps its socket this long, so that its departure is received
+LEAVE_GRACE_SECONDS = 0.3  # a leaving member still answers for this long, so that its departure is received
 MIN_TICK_DELAY_SECONDS = 0.001  # prevents a busy loop if a deadline stays in the past
 MAX_UNSENT_BYTES = 262_144  # limit of asyncio's send buffer; further datagrams are dropped
 MAX_RECEIVE_BYTES = 2_048  # above MAX_DATAGRAM_BYTES, so that longer datagrams are recognized
@@ -124,7 +124,7 @@
 
     @property
     def is_open(self) -> bool:
-        """True while the socket is open."""
+        """Whether the socket is open."""
         return self._transport is not None
 
     # ---- calls from the application ---------------------------------------------------------------
@@ -172,7 +172,7 @@
     def error_received(self, exc: Exception) -> None:
         """Count a send error; called by asyncio.
 
-        The destination can't be reached or its port is closed. The node detects that by missing answers.
+        The destination can't be reached or its port is closed. The node detects this by missing answers.
         """
         self.datagrams["errors"] += 1
 
--- a/saltcourse/gossip/member_table.py
+++ b/saltcourse/gossip/member_table.py
@@ -162,7 +162,7 @@
         return record.id if member is None else member
 
     @property
-    def own(self) -> MemberRecord:
+    def own_record(self) -> MemberRecord:
         """This member's own record."""
         return self.members[self.own_id].record
 
--- a/saltcourse/gossip/member_updates.py
+++ b/saltcourse/gossip/member_updates.py
@@ -130,12 +130,12 @@
             return
         if status is not Status.ALIVE:
             self._health.change(1)
-        self.publish_own(now)
+        self.broadcast_own(now)
 
     # ---- claims by this member --------------------------------------------------------------------
 
     def suspect(self, now: float, member: MemberId) -> None:
-        """Suspect a live member that did not answer a probe."""
+        """Suspect a member that did not answer a probe, if its status is ALIVE."""
         entry = self._table.members[member]
         record = entry.record
         if record.status is Status.ALIVE:
@@ -154,7 +154,7 @@
             self._store(now, member, entry, dead, broadcast=True)
         return ready.to_ping
 
-    def publish_own(self, now: float) -> None:
+    def broadcast_own(self, now: float) -> None:
         """Store and broadcast the own record.
 
         It is sent in full, so that members which missed an earlier record learn the address.
@@ -168,7 +168,7 @@
         """Stop the suspicion timers of a zone that became unreachable.
 
         This member broadcasts no suspicions of its own about the zone, but still forwards those of others: a
-        member that knows too few of them would consider the zone reachable.
+        member that receives too few of these suspicions would consider the zone reachable.
         """
         self.zones_silent += 1
         self.changes.append(ZoneReachability(zone, False))
--- a/saltcourse/gossip/membership.py
+++ b/saltcourse/gossip/membership.py
@@ -188,7 +188,7 @@
         """
         self._own.leave()
         self._detector.cancel_probes(lambda _: True)
-        self._updater.publish_own(now)
+        self._updater.broadcast_own(now)
         message = Gossip((self.own_record,))
         return [Send(record.address, message, Priority.MEMBERSHIP) for record in self.sample(LEAVE_FANOUT)]
 
@@ -291,7 +291,7 @@
         if header.process_id == self.own_record.process_id:
             return
         if self._own.on_name_conflict(now, header.incarnation, header.process_id):
-            self._updater.publish_own(now)
+            self._updater.broadcast_own(now)
 
     def _on_unknown_sender(self, now: float, source: Address, header: Header) -> list[Send]:
         """Request the table of an unknown sender, since that table contains the sender's record.
@@ -346,7 +346,7 @@
             self._resume(now)
         self._last_tick = now
         if self._own.raise_incarnation_if_allowed(now):
-            self._updater.publish_own(now)
+            self._updater.broadcast_own(now)
         sends = self._tick_zones(now)
         self._end_probes(now)
         sends += self._ping_once(self._updater.expire_suspicions(now))
@@ -354,7 +354,7 @@
         sends += self._tick_probe(now)
         sends += self._ping_once(self._reconnect_round.targets(now))
         sends += self._sync.tick(now)
-        self._announce_after_join()
+        self._broadcast_after_join()
         sends += self._gossip_round.messages(now)
         self._table.forget_departed(now - self._timing.forget_after)
         return sends
@@ -369,7 +369,7 @@
         self._timers.restart(now, suspicion_timeout(self._timing, self._table.size))
         self._zones.restart(now)
 
-    def _announce_after_join(self) -> None:
+    def _broadcast_after_join(self) -> None:
         """Broadcast the own record again after joining, when there are members to receive it."""
         if self._was_joining and not self._sync.is_joining and len(self._table.live_ids):
             self._was_joining = False
--- a/saltcourse/gossip/messages/configuration.py
+++ b/saltcourse/gossip/messages/configuration.py
@@ -83,7 +83,7 @@
     position: Position
     size: int  # bytes of the complete snapshot
     digest: int  # 64 bits, over the complete snapshot
-    offset: int  # of ``data`` in the snapshot, bytes
+    offset: int  # position of ``data`` in the snapshot, in bytes
     data: bytes
 
 
--- a/saltcourse/gossip/messages/datagram.py
+++ b/saltcourse/gossip/messages/datagram.py
@@ -1,4 +1,4 @@
-"""Contents of a datagram, which are a ``Header`` and one ``Message``, and requests to send messages."""
+"""Contents of a datagram (a ``Header`` and one ``Message``), and requests to send messages."""
 
 from __future__ import annotations
 
--- a/saltcourse/gossip/messages/membership.py
+++ b/saltcourse/gossip/messages/membership.py
@@ -86,7 +86,7 @@
 class Ping:
     """Probes ``target``.
 
-    It is named in the message because another member may have taken over its address, and must not answer.
+    The message names the target, because another member may now have its address and must not answer.
     """
 
     sequence: int  # 32 bits, drawn at random
--- a/saltcourse/gossip/messages/node.py
+++ b/saltcourse/gossip/messages/node.py
@@ -79,7 +79,7 @@
 class PublishError(IntEnum):
     """Reasons why a change was not published, or is not known to be published."""
 
-    NOT_CONTROL = 1
+    NOT_CONTROL = 1  # this member is not a voter
     NO_MAJORITY = 2  # not committed in time; it may still be committed later
     TOO_LARGE = 3
     BUSY = 4  # too many changes are in progress
@@ -119,7 +119,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneReachability:
-    """All members of a zone have stopped answering, or one of them answers again."""
+    """A zone has become unreachable for this member, or reachable again."""
 
     zone: str
     reachable: bool
--- a/saltcourse/gossip/node.py
+++ b/saltcourse/gossip/node.py
@@ -46,7 +46,7 @@
 from saltcourse.gossip.settings import NodeSettings
 from saltcourse.gossip.token_bucket import TokenBucket
 
-BURST_SECONDS = 2.0  # size of the byte budget's burst, as seconds of its rate
+BURST_SECONDS = 2.0  # burst of the byte budget, in seconds of its rate
 NO_DEADLINE = float("inf")
 
 
--- a/saltcourse/gossip/own_record.py
+++ b/saltcourse/gossip/own_record.py
@@ -16,7 +16,7 @@
 
 
 class OwnRecord:
-    """The record that this member publishes about itself."""
+    """The record that this member broadcasts about itself."""
 
     def __init__(self, record: MemberRecord) -> None:
         self.record = record
--- a/saltcourse/gossip/proposer.py
+++ b/saltcourse/gossip/proposer.py
@@ -67,7 +67,7 @@
         return self._commit_accepted()
 
     def on_accepted(self, voter: MemberId, version: int) -> list[Change]:
-        """Record that a voter has accepted all up to ``version``; return the newly committed changes."""
+        """Record that a voter accepted all versions up to ``version``; return the newly committed changes."""
         version = min(version, self._last_proposed)
         self._acknowledged[voter] = max(version, self._acknowledged.get(voter, 0))
         return self._commit_accepted()
--- a/saltcourse/gossip/publish_queue.py
+++ b/saltcourse/gossip/publish_queue.py
@@ -52,7 +52,7 @@
         self._waiting.append(self._last_number)
 
     def next_waiting(self) -> Publish:
-        """Return the next change to be proposed. Raises ``IndexError`` if no change waits."""
+        """Return the next change to be proposed. Raise ``IndexError`` if no change waits."""
         return self._pending[self._waiting[0]].event
 
     def reject_next(self) -> None:
--- a/saltcourse/gossip/publisher_lease.py
+++ b/saltcourse/gossip/publisher_lease.py
@@ -1,4 +1,4 @@
-"""The publisher's lease: a publisher remains one only while a majority of the voters renews its lease.
+"""The publisher's lease: a voter remains the publisher only while a majority of the voters renews its lease.
 
 The publisher requests a renewal every ``heartbeat_interval``. When a majority has granted one request, the
 heartbeat advances. If no majority has granted a request for ``takeover_after``, the lease has expired and the
--- a/saltcourse/gossip/quorum.py
+++ b/saltcourse/gossip/quorum.py
@@ -96,7 +96,7 @@
 
 
 class Quorum:
-    """The state machine of one voter. ``state`` is what it last persisted, possibly in an earlier process."""
+    """The state machine of one voter. ``state`` was persisted last, possibly by an earlier process."""
 
     def __init__(
         self,
--- a/saltcourse/gossip/rounds.py
+++ b/saltcourse/gossip/rounds.py
@@ -1,4 +1,4 @@
-"""Periodic work of a member: probe the next member, reconnect to lost members, and send updates.
+"""Periodic work of a member: probe the next member, reconnect to dead or unreachable ones, send updates.
 
 Each class gives the time of its next round (``deadline``, in seconds on the member's clock) and the work of
 that round. Rounds that were missed while the process did not run are skipped.
@@ -43,10 +43,10 @@
 
 
 class ReconnectRound:
-    """Chooses one lost member to ping every ``reconnect_interval``.
+    """Chooses one dead or unreachable member to ping every ``reconnect_interval``.
 
     It is at random either a dead member or a member in an unreachable zone. In this way, the two sides of a
-    network partition find each other after it has healed.
+    network partition find each other after the partition has healed.
     """
 
     def __init__(
--- a/saltcourse/gossip/serving.py
+++ b/saltcourse/gossip/serving.py
@@ -38,7 +38,7 @@
 
 
 class ChangeServer:
-    """Answers each request with at most one datagram: it can be lost or duplicated but never partial."""
+    """Answers each request with at most one datagram: answers can be lost or duplicated but never partial."""
 
     def __init__(self, configuration: FleetConfiguration, counters: Counter[str]) -> None:
         self._configuration = configuration
--- a/saltcourse/gossip/settings.py
+++ b/saltcourse/gossip/settings.py
@@ -31,7 +31,7 @@
     forget_after: float = 3_600.0  # time after which a dead or left member is removed from the table
     zone_silence: float = 3.0  # time without a datagram from a zone before it can become unreachable
     stall: float = 3.0  # delay of a tick after which this process counts as stalled
-    announce_fanout: int = 4  # members notified of a newly applied change
+    announce_fanout: int = 4  # members to which a newly applied change is announced
     fetch_timeout: float = 0.5  # time until changes are requested from another member
     snapshot_bytes_per_s: float = 8_000.0  # bytes per second that a joining member requests of a snapshot
     heartbeat_interval: float = 1.0  # interval between heartbeats of the publisher
@@ -39,7 +39,7 @@
     stale_after: float = 10.0  # time without a heartbeat before a member reports its configuration as stale
     publish_timeout: float = 4.0  # time until a change without a majority of the voters is reported as failed
     tally_interval: float = 1.0  # interval between tallies sent to the parent in the aggregation tree
-    sum_interval: float = 5.0  # interval between broadcasts of a zone sum, as costly as member updates
+    sum_interval: float = 5.0  # interval between broadcasts of a zone sum, each as costly as a member update
 
 
 @dataclass(frozen=True, slots=True)
--- a/saltcourse/gossip/snapshots.py
+++ b/saltcourse/gossip/snapshots.py
@@ -1,4 +1,4 @@
-"""Transfers a checkpoint in parts to a member that is behind the logs of all other members.
+"""Transfers snapshots: a snapshot is a checkpoint, sent in parts to a member that is behind all logs.
 
 All members have the same bytes at one position, so each part can be requested from any of them. Parts start
 at multiples of ``SNAPSHOT_PART_BYTES``. A transfer of S bytes takes S / ``snapshot_bytes_per_s`` seconds,
@@ -90,17 +90,17 @@
         return len(self._parts) == len(self.offsets())
 
     def checkpoint(self) -> Checkpoint:
-        """Return the received checkpoint; its computed digest may differ from the announced ``digest``."""
+        """Return the received checkpoint; its digest may differ from the ``digest`` that its parts state."""
         data = b"".join(self._parts[offset] for offset in self.offsets())
         return Checkpoint.create(self.position, data)
 
 
 @dataclass(frozen=True, slots=True)
 class PartRequest:
-    """A request for one part in flight."""
+    """A request in flight for one part."""
 
     server: Address
-    deadline: float
+    deadline: float  # seconds on the clock of ``now``
 
 
 class SnapshotTransfer:
@@ -139,7 +139,7 @@
         self._failed_servers = 0
 
     def on_wrong_answer(self, source: Address) -> None:
-        """Request elsewhere the parts for which ``source`` has sent a wrong answer."""
+        """Request the parts that ``source`` was asked for from another server, after its wrong answer."""
         offsets = [offset for offset, request in self._outstanding.items() if request.server == source]
         if not offsets:
             return
--- a/saltcourse/gossip/store.py
+++ b/saltcourse/gossip/store.py
@@ -114,8 +114,11 @@
             self._db.execute(statement)
 
     def _check(self) -> None:
-        if self._pragma("application_id") != APPLICATION_ID:
-            raise self._error(f"not a replica file: application_id is not {APPLICATION_ID:#x}")
+        application_id = self._pragma("application_id")
+        if application_id != APPLICATION_ID:
+            raise self._error(
+                f"not a replica file: application_id {application_id}, expected {APPLICATION_ID}"
+            )
         version = self._pragma("user_version")
         if version != FORMAT_VERSION:
             raise self._error(f"format version {version}, expected {FORMAT_VERSION}")
--- a/saltcourse/gossip/suspicion.py
+++ b/saltcourse/gossip/suspicion.py
@@ -3,7 +3,7 @@
 A suspect is pinged directly before it is declared dead, because its refutation may not have reached this
 member: an epidemic broadcast misses about one member in a hundred.
 
-Costs that grow with the fleet: one timer for each suspect, none for live members. For each death in the
+Costs that grow with the fleet: one timer for each suspect, none for other members. For each death in the
 fleet, every member sends len(PING_FRACTIONS) Pings.
 """
 
--- a/saltcourse/gossip/table_sync.py
+++ b/saltcourse/gossip/table_sync.py
@@ -61,7 +61,7 @@
         self.pages_sent = 0
         self.given_up = 0  # comparisons abandoned after MAX_PAGE_ATTEMPTS
         self._table = table
-        self._seeds = tuple(seed for seed in seeds if seed != table.own.address)
+        self._seeds = tuple(seed for seed in seeds if seed != table.own_record.address)
         self._interval = timing.sync_interval
         self._rng = rng
         self._sample = sample
@@ -76,7 +76,7 @@
         """Whether the whole table is being read from the seeds or other members."""
         return self._session is not None and self._session.full_table
 
-    # ---- requests ---------------------------------------------------------------------------------
+    # ---- requests of this member ------------------------------------------------------------------
 
     def start(self, now: float) -> list[Send]:
         """Start the schedule and request the whole table from the seeds."""
@@ -159,7 +159,7 @@
     def _jittered(self, interval: float) -> float:
         return interval * self._rng.uniform(1 - JITTER, 1 + JITTER)
 
-    # ---- answers ----------------------------------------------------------------------------------
+    # ---- requests of other members ----------------------------------------------------------------
 
     def reply(self, message: SyncRequest) -> SyncReply:
         """Return one page of records. A request for the whole table is answered without departed members."""
@@ -179,12 +179,12 @@
     def _page(self, records: list[MemberRecord], more: bool) -> SyncReply:
         """Build a page without suspicions.
 
-        Suspicions are only broadcast, since a page could bring back one that has been refuted meanwhile.
+        Suspicions are only broadcast, since a page could restore a suspicion that has already been refuted.
         """
         self.pages_sent += 1
         return SyncReply(tuple([_without_suspicion(record) for record in records]), more)
 
-    # ---- replies ----------------------------------------------------------------------------------
+    # ---- replies to this member -------------------------------------------------------------------
 
     def on_reply(self, now: float, source: Address, message: SyncReply) -> list[Send]:
         """Request the page after ``message``, whose records the caller has already merged.
--- a/saltcourse/gossip/zone_silence.py
+++ b/saltcourse/gossip/zone_silence.py
@@ -9,8 +9,8 @@
 
 The checks are needed because in a large fleet a small zone may send this member nothing for a while. They are
 sent while a member of a silent zone is lost, and must have gone to as many different members as are required,
-or to all remaining ones. A member that receives nothing from anybody is isolated itself and treats every zone
-as unreachable.
+or to all remaining ones. A member that receives nothing from any other member is isolated itself and treats
+every zone as unreachable.
 
 Cost that grows with the number of zones: one record for each zone, below 1 kB. While a zone has lost members,
 each evaluation sends at most MAX_CHECKS_PER_TICK Pings. Each member of the zone receives about
@@ -31,7 +31,7 @@
 LOST_FRACTION_DENOMINATOR = 5
 MIN_LOST_MEMBERS = 2
 CHECKS_IF_MANY_LOST = 2  # unanswered checks required; a single check may have gone to another dead member
-CHECKS_IF_FEW_LOST = 4  # unanswered checks required otherwise, if any member is lost
+CHECKS_IF_FEW_LOST = 4  # unanswered checks required with fewer lost members, but at least one
 CHECKS_PER_MEMBER = 20.0  # check Pings received by each member of a zone in a probe interval, fleet-wide
 MAX_CHECKED_MEMBERS = 16  # checked members remembered for each zone
 EVALUATIONS_PER_INTERVAL = 2  # evaluations in each probe interval
@@ -79,7 +79,7 @@
         self.unreachable: dict[str, None] = {}  # zone names, in the order in which they became unreachable
 
     def restart(self, now: float) -> None:
-        """Count silence from ``now`` only.
+        """Start to measure the silence of all zones at ``now``.
 
         Called at the start, and after a time in which this process did not run and could receive nothing.
         """
@@ -169,12 +169,12 @@
 
         They must have gone to ``required`` different members, or to all such members if there are fewer.
         """
-        others = len(index.live) - len(index.suspects)
-        if others == 0:
+        unsuspected = len(index.live) - len(index.suspects)
+        if unsuspected == 0:
             return True
         pinged = sum(member in index.live and member not in index.suspects for member in zone.checked)
         timed_out = now - zone.last_new_check_at >= self._check_timeout
-        return timed_out and zone.checks >= required and pinged >= min(required, others)
+        return timed_out and zone.checks >= required and pinged >= min(required, unsuspected)
 
     def _needs_check(self, now: float, name: str, zone: ZoneState) -> bool:
         lost = len(self._table.zones[name].suspects) + zone.deaths
--- a/tests/gossip/dissemination_fleet.py
+++ b/tests/gossip/dissemination_fleet.py
@@ -258,9 +258,9 @@
         if isinstance(event, AdvanceHeartbeat):
             dissemination.advance_heartbeat(now, event.heartbeat)
         if isinstance(event, ProbeEvent):
-            own = self.index[member.record.address]
+            own_index = self.index[member.record.address]
             step = self.random.randrange(1, len(self.records))
-            target = self.records[(own + step) % len(self.records)]
+            target = self.records[(own_index + step) % len(self.records)]
             return [Send(target.address, Ping(1, target.id))]
         return []
 
--- a/tests/gossip/membership_fleet.py
+++ b/tests/gossip/membership_fleet.py
@@ -240,12 +240,12 @@
 
     def statuses(self, record: MemberRecord) -> Counter[Status | None]:
         """Return how many running members have which status for the member; None: unknown to them."""
-        found: Counter[Status | None] = Counter()
+        counts: Counter[Status | None] = Counter()
         for host in self.running():
             if host.membership.own_record.id != record.id:
                 entry = host.membership.members.get(record.id)
-                found[None if entry is None else entry.status] += 1
-        return found
+                counts[None if entry is None else entry.status] += 1
+        return counts
 
     def metric(self, name: str) -> int:
         return sum(host.membership.metrics()[name] for host in self.running())
--- a/tests/gossip/test_aggregation.py
+++ b/tests/gossip/test_aggregation.py
@@ -31,7 +31,7 @@
 )
 from saltcourse.gossip.settings import Timing
 
-TIMING = Timing(sum_interval=0.0)  # publish a sum with each tally, unless a test uses another value
+TIMING = Timing(sum_interval=0.0)  # broadcast a sum with each tally, unless a test uses another value
 
 
 def record_of(number: int, role: Role = Role.PROXY, zone: str = "a") -> MemberRecord:
@@ -53,7 +53,7 @@
         self.aggregations = {record.address: aggregation_of(seed) for seed, record in enumerate(self.records)}
         self.counts = {record.address: 10 + number for number, record in enumerate(self.records)}
         self.sent: list[tuple[MemberRecord, Send]] = []
-        self.published: list[tuple[MemberRecord, ZoneSum]] = []
+        self.broadcasts: list[tuple[MemberRecord, ZoneSum]] = []
 
     def remove(self, record: MemberRecord) -> None:
         self.records.remove(record)
@@ -84,8 +84,8 @@
             self.sent.append((record, send))
             self._deliver(record, send)
         if update is not None:
-            self.published.append((record, update))
-            self._spread(record, update)
+            self.broadcasts.append((record, update))
+            self._broadcast(record, update)
 
     def _deliver(self, sender: MemberRecord, send: Send) -> None:
         aggregation = self.aggregations.get(send.destination)
@@ -98,9 +98,9 @@
                 assert isinstance(update, ZoneSum)
                 aggregation.receive(self.now, update)
 
-    def _spread(self, publisher: MemberRecord, update: ZoneSum) -> None:
+    def _broadcast(self, root: MemberRecord, update: ZoneSum) -> None:
         for record in self.records:
-            if record is not publisher:
+            if record is not root:
                 self.aggregations[record.address].receive(self.now, update)
 
     def expected_sum(self) -> tuple[int, int]:
@@ -118,7 +118,7 @@
     zone = Zone(proxies, controls=2)
     zone.run(5)
     assert zone.known_sums() == {zone.expected_sum()}
-    assert {record for record, _ in zone.published} == {zone.root()}
+    assert {record for record, _ in zone.broadcasts} == {zone.root()}
 
 
 def test_control_members_are_not_in_the_tree_and_send_nothing() -> None:
@@ -207,10 +207,10 @@
 def test_sequence_increases_by_one_from_the_newest_known() -> None:
     zone = Zone(3)
     zone.run(3)
-    assert [update.sequence for _, update in zone.published] == [1, 2, 3]
+    assert [update.sequence for _, update in zone.broadcasts] == [1, 2, 3]
     zone.aggregations[zone.root().address].receive(zone.now, ZoneSum("a", 40, 1, 1))
     zone.run(1)
-    assert zone.published[-1][1].sequence == 41
+    assert zone.broadcasts[-1][1].sequence == 41
 
 
 def test_new_root_learns_the_newest_sequence_from_its_children() -> None:
@@ -221,7 +221,7 @@
     zone.add(new)
     zone.run(5)
     assert zone.root() is new
-    assert zone.published[-1][0] is new and zone.published[-1][1].sequence > 10
+    assert zone.broadcasts[-1][0] is new and zone.broadcasts[-1][1].sequence > 10
     assert zone.known_sums() == {zone.expected_sum()}
 
 
@@ -230,7 +230,7 @@
     zone.run(10)
     zone.remove(zone.root())
     zone.run(CHILD_TIMEOUT_INTERVALS + 3)
-    assert zone.published[-1][1].sequence > 10
+    assert zone.broadcasts[-1][1].sequence > 10
     assert zone.known_sums() == {zone.expected_sum()}
 
 
@@ -327,8 +327,8 @@
     assert zone.known_sums() == {zone.expected_sum()}
 
 
-def test_root_publishes_one_sum_in_each_sum_interval() -> None:
-    """Sums are published less often than tallies are sent, since each is broadcast to the whole fleet."""
+def test_root_broadcasts_one_sum_in_each_sum_interval() -> None:
+    """Sums are broadcast less often than tallies are sent, since each sum reaches the whole fleet."""
     timing = Timing()
     aggregation = Aggregation(timing, random.Random(1))
     own_record = MemberRecord("root", ("10.0.0.1", 1), "north", "n1", Role.PROXY, 0, 1)
--- a/tests/gossip/test_configuration.py
+++ b/tests/gossip/test_configuration.py
@@ -92,7 +92,7 @@
         assert state_of(configuration) == before
 
 
-def test_a_position_older_than_the_log_is_judged_by_its_epoch() -> None:
+def test_a_position_older_than_the_log_is_compared_by_its_epoch() -> None:
     configuration = configuration_at(300, epoch=3)
     assert configuration.compare(Position(3, 2)) is PositionRelation.KNOWN
     assert configuration.compare(Position(1, 2)) is PositionRelation.KNOWN
--- a/tests/gossip/test_dissemination.py
+++ b/tests/gossip/test_dissemination.py
@@ -161,7 +161,7 @@
     assert requested == {A, B}
 
 
-def test_a_control_member_that_missed_a_commit_fetches_the_missing_changes() -> None:
+def test_a_voter_that_missed_a_commit_fetches_the_missing_changes() -> None:
     member = member_at(5)
     sends = member.commit(0.0, change(7))
     assert member.position == Position(1, 5) and len(fetches(sends)) == 1
@@ -191,7 +191,7 @@
     assert member.take_actions() == []
 
 
-def test_a_restored_control_member_reports_and_serves_its_configuration_without_a_log() -> None:
+def test_a_restored_voter_reports_and_serves_its_configuration_without_a_log() -> None:
     member = new_member()
     member.restore(0.0, ReplicaState(committed=Position(4, 100), configuration=(("a", b"1"),)))
     assert member.take_actions() == [Applied(Position(4, 100), ("a",))]
@@ -242,7 +242,8 @@
         assert metrics["checkpoint_bytes"] <= 2 * MAX_CONFIGURATION_BYTES
         assert len(metrics) < 50
         assert len(member.take_actions()) < 20
-    # At most one answer per message, one fetch per timeout, and the snapshot requests that the rate allows.
-    pace = TIMING.snapshot_bytes_per_s / SNAPSHOT_PART_BYTES + 1 / TIMING.fetch_timeout
-    rounds = metrics.get("announcement_rounds", 0) * TIMING.announce_fanout
-    assert sent <= handled + now * pace + rounds
+    # At most one answer per message, one fetch per timeout, the snapshot requests that the rate allows, and
+    # the announcements.
+    requests_per_s = TIMING.snapshot_bytes_per_s / SNAPSHOT_PART_BYTES + 1 / TIMING.fetch_timeout
+    announced = metrics.get("announcement_rounds", 0) * TIMING.announce_fanout
+    assert sent <= handled + now * requests_per_s + announced
--- a/tests/gossip/test_dissemination_fleet.py
+++ b/tests/gossip/test_dissemination_fleet.py
@@ -153,7 +153,7 @@
     assert parts <= received <= parts * 1.05 + 2
 
 
-def test_control_members_that_all_restarted_serve_members_with_an_empty_configuration() -> None:
+def test_voters_that_all_restarted_serve_members_with_an_empty_configuration() -> None:
     fleet = Fleet(6, 8)
     fleet.start_all()
     for _ in range(10):
--- a/tests/gossip/test_failure_detector.py
+++ b/tests/gossip/test_failure_detector.py
@@ -104,29 +104,29 @@
 
 
 def test_relay_sends_a_nack_in_time_and_forwards_a_late_ack() -> None:
-    asker, target = record_of(1), record_of(2)
-    harness = MemberHarness(asker, target)
+    requester, target = record_of(1), record_of(2)
+    harness = MemberHarness(requester, target)
     request = PingRequest(77, target.id)
-    sends = harness.receive(asker, request)
+    sends = harness.receive(requester, request)
     ping = next(send.message for send in pings(sends) if send.destination == target.address)
     assert ping.target == target.id and ping.sequence != 77
     nacks = [
         send
-        for send in harness.run(NACK_FRACTION * TIMING.probe_timeout + 0.001, acks_from(asker))
+        for send in harness.run(NACK_FRACTION * TIMING.probe_timeout + 0.001, acks_from(requester))
         if isinstance(send.message, Nack)
     ]
-    assert [(send.destination, send.message.sequence) for send in nacks] == [(asker.address, 77)]
+    assert [(send.destination, send.message.sequence) for send in nacks] == [(requester.address, 77)]
     late = harness.receive(target, Ack(ping.sequence))
-    assert Send(asker.address, Ack(77)) in late
+    assert Send(requester.address, Ack(77)) in late
     assert harness.receive(target, Ack(ping.sequence)) == []
 
 
 def test_number_of_relayed_probes_is_bounded() -> None:
-    asker, target = record_of(1), record_of(2)
-    harness = MemberHarness(asker, target)
+    requester, target = record_of(1), record_of(2)
+    harness = MemberHarness(requester, target)
     sends = []
     for sequence in range(MAX_RELAYED_PROBES + 10):
-        sends += harness.receive(asker, PingRequest(sequence, target.id))
+        sends += harness.receive(requester, PingRequest(sequence, target.id))
     assert len(pings(sends)) == MAX_RELAYED_PROBES
     assert harness.metric("relays_refused") == 10
 
--- a/tests/gossip/test_membership.py
+++ b/tests/gossip/test_membership.py
@@ -56,8 +56,8 @@
     fleet = fleet_of(12, settle=0.0)
     fleet.log = []
     fleet.run(15.0)
-    found = {(type(send.message), send.priority) for _, _, send in fleet.log}
-    assert found == {
+    priorities = {(type(send.message), send.priority) for _, _, send in fleet.log}
+    assert priorities == {
         (Ping, Priority.PROBE),
         (Ack, Priority.PROBE),
         (Gossip, Priority.MEMBERSHIP),
--- a/tests/gossip/test_processes.py
+++ b/tests/gossip/test_processes.py
@@ -64,7 +64,7 @@
     admin, path = fleet.admin["c0"], "/_gossip/configuration"
     for body, status, message in [
         (b"no json", 400, b"not JSON"),
-        (b"[]", 400, b"not an object"),
+        (b"[]", 400, b"must be a JSON object of keys and values, not list"),
         (b"{}", 400, b"no key"),
         (b'{"k": 3}', 400, b"must be a string"),
         (b'{"": "v"}', 400, b"must have 1 to 128 bytes"),
--- a/tests/gossip/test_quorum_faults.py
+++ b/tests/gossip/test_quorum_faults.py
@@ -54,6 +54,8 @@
 
 
 class MajorityOneShort(Quorum):
+    """Counts one voter too few as a majority."""
+
     @property
     def majority(self) -> int:
         return len(self._voters) // 2
@@ -70,6 +72,8 @@
 
 
 class PersistsAfterSend(Quorum):
+    """Sends its messages before it persists the state that they depend on."""
+
     def _take_actions(self) -> list[QuorumAction]:
         actions = super()._take_actions()
         sends = [action for action in actions if isinstance(action, Send)]
@@ -92,6 +96,8 @@
 
 
 class GapAcceptor(Acceptor):
+    """Accepts all buffered proposals, whether or not versions before them are missing."""
+
     def accepted_version(self, epoch: int) -> int:
         versions = [version for version, entry in self._accepted.items() if entry.epoch == epoch]
         return max(versions, default=self.committed.version)
