--- a/saltcourse/gossip/aggregation.py
+++ b/saltcourse/gossip/aggregation.py
@@ -141,7 +141,7 @@
         tally = self._sum_subtree(now)
         parent = self._tree_position.parent
         if parent is None:
-            return AggregationStep([], self._zone_sum_if_time(now, tally))
+            return AggregationStep([], self._periodic_zone_sum(now, tally))
         sends = [Send(parent.address, tally, Priority.MEMBERSHIP), *self._send_newest_sum(parent)]
         return AggregationStep(sends, None)
 
@@ -172,7 +172,7 @@
             connections += subtree.connections
         return Tally(self._zone, min(members, MAX_U32), min(connections, MAX_U32))
 
-    def _zone_sum_if_time(self, now: float, tally: Tally) -> ZoneSum | None:
+    def _periodic_zone_sum(self, now: float, tally: Tally) -> ZoneSum | None:
         if now < self._broadcast_at:
             return None
         self._broadcast_at = now + self._sum_interval
--- a/saltcourse/gossip/configuration.py
+++ b/saltcourse/gossip/configuration.py
@@ -152,7 +152,7 @@
         return keys
 
     def metrics(self) -> dict[str, int]:
-        """Return the metrics for ``/_vars`` by name."""
+        """Return the metrics shown at ``/_vars``, by name."""
         return {
             "epoch": self.position.epoch,
             "version": self.position.version,
--- a/saltcourse/gossip/dissemination.py
+++ b/saltcourse/gossip/dissemination.py
@@ -153,7 +153,7 @@
         return actions
 
     def metrics(self) -> dict[str, int]:
-        """Return the metrics for ``/_vars`` by name."""
+        """Return the metrics shown at ``/_vars``, by name."""
         metrics = self.configuration.metrics()
         metrics["freshness"] = int(self.freshness)
         metrics["sources"] = self._fetcher.source_count
--- a/saltcourse/gossip/membership.py
+++ b/saltcourse/gossip/membership.py
@@ -135,7 +135,7 @@
         return changes
 
     def metrics(self) -> dict[str, int]:
-        """Return the metrics of ``/_vars``, by name."""
+        """Return the metrics shown at ``/_vars``, by name."""
         statuses = self._table.status_counts
         return {
             "alive": statuses[Status.ALIVE],
--- a/saltcourse/gossip/quorum.py
+++ b/saltcourse/gossip/quorum.py
@@ -96,7 +96,7 @@
 
 
 class Quorum:
-    """The state machine of one voter. ``state`` was persisted last, possibly by an earlier process."""
+    """The state machine of one voter. ``state`` was persisted last, maybe by an earlier process."""
 
     def __init__(
         self,
@@ -223,7 +223,7 @@
         return min(self._queue.next_deadline(), self._phase_deadline())
 
     def metrics(self) -> dict[str, int]:
-        """Return the metrics for ``/_vars`` by name."""
+        """Return the metrics shown at ``/_vars``, by name."""
         return {
             "quorum.phase": int(self.phase),
             "quorum.promised": self.acceptor.promised,
--- a/saltcourse/gossip/send_queue.py
+++ b/saltcourse/gossip/send_queue.py
@@ -11,7 +11,7 @@
 
 # Limits of the queues; the oldest message of a full queue is dropped.
 MAX_QUEUED_MESSAGES = {Priority.CONFIGURATION: 64, Priority.MEMBERSHIP: 8, Priority.BULK: 8}
-REPLACEABLE_MESSAGES = (Changes, Fetch, Gossip)  # a newer one contains all of an older one to the member
+REPLACEABLE_MESSAGES = (Changes, Fetch, Gossip)  # a newer message to a member includes an older one
 
 
 @dataclass(frozen=True, slots=True)
--- a/saltcourse/gossip/zone_silence.py
+++ b/saltcourse/gossip/zone_silence.py
@@ -8,9 +8,9 @@
 - at least one member is lost, and CHECKS_IF_FEW_LOST check Pings were not answered.
 
 The checks are needed because in a large fleet a small zone may send this member nothing for a while. They are
-sent while a member of a silent zone is lost, and must have gone to as many different members as are required,
-or to all remaining ones. A member that receives nothing from any other member is isolated itself and treats
-every zone as unreachable.
+sent while a zone has lost members and has been silent for half of ``zone_silence``, and must have gone to as
+many different members as are required, or to all remaining ones. A member that receives nothing from any
+other member is isolated itself and treats every zone as unreachable.
 
 Cost that grows with the number of zones: one record for each zone, below 1 kB. While a zone has lost members,
 each evaluation sends at most MAX_CHECKS_PER_TICK Pings. Each member of the zone receives about
