--- a/saltcourse/gossip/dissemination.py
+++ b/saltcourse/gossip/dissemination.py
@@ -125,7 +125,7 @@
         return sends + self._finish_call(now)
 
     def restore(self, now: float, state: ReplicaState) -> None:
-        """Restore a control member's stored state when it starts."""
+        """Restore a voter's stored state when its process starts."""
         self._check_for_stall(now)
         self.configuration.restore(state)
         self._collect_actions(now)
@@ -153,7 +153,7 @@
         return actions
 
     def metrics(self) -> dict[str, int]:
-        """Return the metrics for ``/_vars`` by name."""
+        """Return the metrics shown at ``/_vars``, by name."""
         metrics = self.configuration.metrics()
         metrics["freshness"] = int(self.freshness)
         metrics["sources"] = self._fetcher.source_count
@@ -202,7 +202,7 @@
         for change in message.changes:
             self._apply(change)
         if self.position != before:
-            self._announcement_pending = True  # even during a burst: others can fetch from here
+            self._announcement_pending = True  # even during a burst, so that others can fetch here
         return self._fetcher.on_changes_applied(now, source)
 
     def _apply(self, change: Change) -> ApplyOutcome:
