--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -66,7 +66,7 @@
         self.texts: list[str] = []
         for i in range(size):
             self.net.hosts[str(i)].alive = True
-            self.net.at(STEP * self.random.random(), partial(self.step, i))
+            self.net.call_at(STEP * self.random.random(), partial(self.step, i))
             for _ in range(round(ARRIVALS * LIFE)):
                 self.comes(i)
 
@@ -78,7 +78,7 @@
         self.held[i][server].count += 1
         if self.pairs[i][pair] == 1:
             self.cores[i].record_group(server, group, True)
-        self.net.at(self.net.now + self.random.expovariate(1 / LIFE), partial(self.goes, i, pair))
+        self.net.call_at(self.net.now + self.random.expovariate(1 / LIFE), partial(self.goes, i, pair))
 
     def goes(self, i: int, pair: tuple[str, str]) -> None:
         self.held[i][pair[0]].count -= 1
@@ -91,7 +91,7 @@
         if self.random.random() < ARRIVALS * STEP:
             self.comes(i)
         self.send(i, self.cores[i].outgoing_messages(self.net.now))
-        self.net.at(self.net.now + STEP, partial(self.step, i))
+        self.net.call_at(self.net.now + STEP, partial(self.step, i))
 
     def send(self, i: int, sends: list[Outgoing]) -> None:
         for peer, text in sends:
--- a/saltcourse/emulator/__init__.py
+++ b/saltcourse/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Models of what surrounds the program, in virtual time. Nothing that the daemon runs imports it."""
+"""Simulations of hosts, networks and remote systems for tests and benchmarks. The daemon never imports it."""
--- a/saltcourse/emulator/election.py
+++ b/saltcourse/emulator/election.py
@@ -1,12 +1,12 @@
-"""Elections on the simulated network: random schedules of faults, checked from outside.
+"""Elections on the simulated network under random schedules of faults.
 
-The checks read what members sent to each other and announced, never their own state:
+The checks use only the members' messages and actions, never their internal state:
 
-- never two valid leases at one instant of true time, whatever the clocks show;
-- never two announcements in one term, and each in a newer round than the one before (ranks are made of
-  rounds);
-- no member votes for itself unless a majority could have granted it the pre-vote;
-- where a majority is connected, a member holds the lease within ``HELD_WITHIN_SECONDS`` of true time.
+- at most one lease is valid at any instant of true time, whatever the clocks read;
+- no term has two announcements, and each announcement is in a newer round than the previous one (routes are
+  ranked by round);
+- a member votes for itself only if a majority could have granted it the pre-vote;
+- when a majority is connected, one of its members holds the lease within ``LEASE_LIMIT_SECONDS``.
 """
 
 from __future__ import annotations
@@ -40,18 +40,18 @@
 from saltcourse.emulator.invariants import InvariantError
 from saltcourse.emulator.simnet import Host, Link, Network
 
-HELD_WITHIN_SECONDS = 2.0
-TERMS_PER_SECOND = 64 * 8  # by which the first term of a member without a disk grows with the calendar
+LEASE_LIMIT_SECONDS = 2.0
+TERMS_PER_SECOND = 64 * 8  # growth of the lowest term of a member without a stored vote, in true time
 NO_VOTE = Vote()
 
 
 class PropertyViolationError(InvariantError):
-    """A property does not hold; the text says which and when."""
+    """A property of the election is violated; the message says which, and at which true time."""
 
 
 @dataclass(frozen=True, slots=True)
 class AddressChange:
-    """A member announced or withdrew the address, at a true time."""
+    """An announcement or withdrawal of the service address by a member; ``time`` is true time in seconds."""
 
     time: float
     member: str
@@ -59,7 +59,10 @@
 
 
 class SimulatedElection:
-    """Members, their announcements, and the checks. ``core`` is the class under test, or a broken variant."""
+    """The members of an election, their announcements, and the safety checks.
+
+    ``core`` is the class under test: ``Election`` or a variant with a deliberate fault.
+    """
 
     def __init__(
         self,
@@ -77,9 +80,9 @@
         hosts = [self._new_host(voter.name, drift) for voter in voters]
         self.net = Network(seed, hosts, link, self._deliver, TimerExpired())
         self.cores: dict[str, Election] = {}
-        self.lease_ends: dict[str, float] = {}  # holder -> true time at which its lease ends
+        self.lease_ends: dict[str, float] = {}  # member -> true time at which its lease ends
         self.announced_by: dict[int, str] = {}  # term -> member
-        self.transferred_at: dict[str, float] = {}  # member -> when a lease was last transferred to it
+        self.transferred_at: dict[str, float] = {}  # member -> true time of the last lease transfer to it
         self.announcements: list[AddressChange] = []
         self.withdrawals: list[AddressChange] = []
         self.event_count = 0
@@ -89,7 +92,7 @@
         return Host(name, rate=rate, offset=self.random.uniform(0, 1e4))
 
     def start(self, name: str, never_promised: bool = False) -> None:
-        """Start a member's process, with what its host's disk has stored."""
+        """Start a member's process with the vote on its host's disk, if any."""
         host = self.net.hosts[name]
         host.alive, host.stopped = True, False
         has_vote = isinstance(host.disk, Vote)
@@ -99,19 +102,19 @@
         recovered = RecoveredState(host.disk, never_promised, lowest_term)
         core = self.core(config, seed, host.clock(self.net.now), recovered)
         self.cores[name] = core
-        self._carry_out(host, core.start(host.clock(self.net.now)))
+        self._execute(host, core.start(host.clock(self.net.now)))
 
     def crash(self, name: str, keeps_disk: bool) -> None:
-        """End a member's process; its route goes with its BGP session."""
+        """Kill a member's process; its route is withdrawn as its BGP session ends."""
         self.net.crash(self.net.hosts[name], keeps_disk)
         self.lease_ends.pop(name, None)
 
     def notify(self, name: str, event: AnnouncerAvailabilityChanged | ShutdownRequested) -> None:
-        """Give a member an event of its own host."""
-        self.net.give(self.net.hosts[name], event)
+        """Deliver an event from a member's own host."""
+        self.net.deliver(self.net.hosts[name], event)
 
     def holder(self) -> str | None:
-        """The member whose lease is valid now."""
+        """Return the member whose lease is valid now, or None."""
         for name, lease_end in self.lease_ends.items():
             if lease_end > self.net.now:
                 return name
@@ -121,9 +124,9 @@
         self.event_count += 1
         if isinstance(event, MessageReceived) and isinstance(event.message, LeaseTransfer):
             self.transferred_at[host.name] = self.net.now
-        self._carry_out(host, self.cores[host.name].handle(host.clock(self.net.now), event))
+        self._execute(host, self.cores[host.name].handle(host.clock(self.net.now), event))
 
-    def _carry_out(self, host: Host, actions: list[Action]) -> None:
+    def _execute(self, host: Host, actions: list[Action]) -> None:
         for action in actions:
             match action:
                 case SendMessage(receiver, message):
@@ -147,35 +150,44 @@
 
     def _announce(self, name: str, term: int) -> None:
         if term in self.announced_by:
-            self._fail(f"{name} announces in term {term}, as did {self.announced_by[term]}")
+            self._fail(f"{name} announces in term {term}, already announced by {self.announced_by[term]}")
         if self.announcements and term_round(term) <= term_round(self.announcements[-1].term):
-            self._fail(f"{name} announces in term {term}, no newer round than the last announcement's")
+            self._fail(f"{name} announces in term {term}, not in a newer round than the last announcement")
         self.announced_by[term] = name
         self.announcements.append(AddressChange(self.net.now, name, term))
 
     def _extend_lease(self, host: Host, until: float) -> None:
         for name, lease_end in self.lease_ends.items():
             if name != host.name and lease_end > self.net.now:
-                self._fail(f"{host.name} holds while {name} does, until {lease_end:.3f}")
-        self.lease_ends[host.name] = host.true(until)
+                self._fail(
+                    f"{host.name} extends its lease; the lease of {name} is valid until {lease_end:.3f} s"
+                )
+        self.lease_ends[host.name] = host.true_time(until)
 
     def _check_candidacy(self, host: Host) -> None:
-        """By the network's record of who could have granted the pre-vote in time (clocks at their worst)."""
-        since = self.net.now - 1.1 * self.timing.candidacy_timeout
-        if self.transferred_at.get(host.name, -1.0) >= since:
+        """Check that a majority could have granted the pre-vote, unless the lease was just transferred.
+
+        Counts the members whose messages arrived within a candidacy timeout, plus 10% for clock drift.
+        """
+        earliest = self.net.now - 1.1 * self.timing.candidacy_timeout
+        if self.transferred_at.get(host.name, -1.0) >= earliest:
             return
         reachable = sum(
-            at >= since for (_, receiver), at in self.net.arrived.items() if receiver == host.name
+            arrival >= earliest
+            for (_, receiver), arrival in self.net.arrived.items()
+            if receiver == host.name
         )
         if reachable + 1 < len(self.voters) // 2 + 1:
-            self._fail(f"{host.name} is a candidate, though only {reachable} others could grant the pre-vote")
+            self._fail(
+                f"{host.name} is a candidate, but only {reachable} other members could grant the pre-vote"
+            )
 
     def _fail(self, violation: str) -> None:
         raise PropertyViolationError(f"at {self.net.now:.3f} s: {violation}")
 
 
 def voters_of(count: int, witnesses: int) -> tuple[Voter, ...]:
-    """Voters n0, n1, ... of falling priority; the last ``witnesses`` of them are witnesses."""
+    """Return voters n0, n1, ... in descending priority; the last ``witnesses`` of them are witnesses."""
     return tuple(
         Voter(f"n{index}", priority=count - index, witness=index >= count - witnesses)
         for index in range(count)
@@ -186,58 +198,58 @@
 
 
 def run_schedule(seed: int, core: type[Election] = Election, seconds: float = 8.0) -> SimulatedElection:
-    """One random schedule of faults, then a connected majority of which one must hold the lease.
+    """Run a random schedule of faults, then connect a majority and require a lease holder in it.
 
-    Raises PropertyViolationError.
+    ``seconds`` is the true time with faults. Raises PropertyViolationError.
     """
-    draw = random.Random(seed)
-    count = draw.choice((3, 3, 3, 4, 5))
-    voters = voters_of(count, draw.choice((0, 1)))
+    rng = random.Random(seed)
+    count = rng.choice((3, 3, 3, 4, 5))
+    voters = voters_of(count, rng.choice((0, 1)))
     link = Link(
-        delay=draw.choice(((0.0002, 0.004), (0.001, 0.05), (0.0, 0.15))),
-        loss=draw.choice((0.0, 0.02, 0.2)),
-        double=draw.choice((0.0, 0.1)),
+        delay=rng.choice(((0.0002, 0.004), (0.001, 0.05), (0.0, 0.15))),
+        loss=rng.choice((0.0, 0.02, 0.2)),
+        duplication=rng.choice((0.0, 0.1)),
     )
-    world = SimulatedElection(seed, voters, link, drift=draw.choice((0.0, 0.01)), core=core)
-    keeps_disk = draw.random() < 0.5  # whether a disk survives on this site
+    world = SimulatedElection(seed, voters, link, drift=rng.choice((0.0, 0.01)), core=core)
+    keeps_disk = rng.random() < 0.5  # Whether disks survive crashes.
     for voter in voters:
-        # Without a disk nobody can know that it is the first start. Found by seed 30112: a member that
-        # announced at once, crashed and came back within a round of the calendar announced in the same term
-        # again.
+        # Without a disk, a member cannot know that this is its first start. Seed 30112 showed the failure if
+        # it is assumed: a member announced at once, crashed, restarted before the lowest term had grown by a
+        # round, and announced in the same term again.
         world.start(voter.name, never_promised=keeps_disk)
-    faults = _Faults(world, draw, keeps_disk)
+    faults = _FaultInjector(world, rng, keeps_disk)
     while world.net.now < seconds:
-        world.net.run(world.net.now + draw.choice((0.02, 0.1, 0.3, 0.7)))
-        faults.next()
-    _require_holder(world, draw)
+        world.net.run(world.net.now + rng.choice((0.02, 0.1, 0.3, 0.7)))
+        faults.inject()
+    _require_holder(world, rng)
     return world
 
 
-class _Faults:
-    """Draws one fault after another; a fault that does not apply to its host is passed over."""
+class _FaultInjector:
+    """Injects random faults; a fault that does not apply to the chosen host is skipped."""
 
-    def __init__(self, world: SimulatedElection, draw: random.Random, keeps_disk: bool) -> None:
+    def __init__(self, world: SimulatedElection, rng: random.Random, keeps_disk: bool) -> None:
         self.world = world
         self.net = world.net
-        self.draw = draw
+        self.rng = rng
         self.keeps_disk = keeps_disk
         self.names = [voter.name for voter in world.voters]
 
-    def next(self) -> None:
-        """Of nine equally likely faults; two in five hit the lease holder."""
-        name = self.world.holder() if self.draw.random() < 0.4 else None
-        name = name or self.draw.choice(self.names)
+    def inject(self) -> None:
+        """Inject one of nine equally likely faults; 40% target the lease holder, if there is one."""
+        name = self.world.holder() if self.rng.random() < 0.4 else None
+        name = name or self.rng.choice(self.names)
         host = self.net.hosts[name]
-        match self.draw.randrange(9):
+        match self.rng.randrange(9):
             case 0:
                 self._crash_or_start(host)
             case 1 if host.alive:
                 self.world.crash(name, self.keeps_disk)
                 self.world.start(name)
             case 2 if host.alive:
-                (self.net.go_on if host.stopped else self.net.stop)(host)
+                (self.net.resume if host.stopped else self.net.stop)(host)
             case 3:
-                self.net.cut(name, self.draw.choice(self._others(name)), both=self.draw.random() < 0.5)
+                self.net.cut(name, self.rng.choice(self._others(name)), both=self.rng.random() < 0.5)
             case 4:
                 self._isolate(name)
             case 5:
@@ -245,7 +257,7 @@
             case 6 | 7:
                 self.net.heal()
             case 8 if host.alive:
-                self._leave_or_change_announcer(name)
+                self._shut_down_or_change_announcer(name)
 
     def _others(self, name: str) -> Sequence[str]:
         return [other for other in self.names if other != name]
@@ -257,8 +269,8 @@
             self.world.start(host.name)
 
     def _isolate(self, name: str) -> None:
-        """In both directions, or in one."""
-        direction = self.draw.randrange(3)
+        """Cut a member off from all others, in one or both directions."""
+        direction = self.rng.randrange(3)
         for other in self._others(name):
             if direction != 1:
                 self.net.cuts.add((name, other))
@@ -266,40 +278,42 @@
                 self.net.cuts.add((other, name))
 
     def _partition(self) -> None:
-        part = set(self.draw.sample(self.names, self.draw.randrange(1, len(self.names))))
-        self.net.cuts |= _cuts_between(part, self.names)
+        side = set(self.rng.sample(self.names, self.rng.randrange(1, len(self.names))))
+        self.net.cuts |= _cuts_between(side, self.names)
 
-    def _leave_or_change_announcer(self, name: str) -> None:
-        if self.draw.random() < 0.3:
+    def _shut_down_or_change_announcer(self, name: str) -> None:
+        if self.rng.random() < 0.3:
             self.world.notify(name, ShutdownRequested())
             self.net.run(self.net.now + 0.02)
             self.world.crash(name, self.keeps_disk)
         else:
-            self.world.notify(name, AnnouncerAvailabilityChanged(self.draw.random() < 0.6))
+            self.world.notify(name, AnnouncerAvailabilityChanged(self.rng.random() < 0.6))
 
 
-def _cuts_between(part: set[str], names: Sequence[str]) -> set[tuple[str, str]]:
-    return {(one, other) for one in names for other in names if (one in part) != (other in part)}
+def _cuts_between(side: set[str], names: Sequence[str]) -> set[tuple[str, str]]:
+    return {(one, other) for one in names for other in names if (one in side) != (other in side)}
 
 
-def _require_holder(world: SimulatedElection, draw: random.Random) -> None:
-    """A majority comes up and is connected, cut off from the rest; one of it must hold the lease in time."""
+def _require_holder(world: SimulatedElection, rng: random.Random) -> None:
+    """Start and connect a majority, cut off from the rest; require a lease holder in it within the limit."""
     names = [voter.name for voter in world.voters]
-    part = set(draw.sample(names, draw.randrange(len(names) // 2 + 1, len(names) + 1)))
+    side = set(rng.sample(names, rng.randrange(len(names) // 2 + 1, len(names) + 1)))
     candidates = [voter.name for voter in world.voters if not voter.witness]
-    if not part.intersection(candidates):
-        part.add(candidates[0])
+    if not side.intersection(candidates):
+        side.add(candidates[0])
     world.net.link = Link()
-    world.net.cuts = _cuts_between(part, names)
+    world.net.cuts = _cuts_between(side, names)
     for name in names:
         host = world.net.hosts[name]
-        if name in part and not host.alive:
+        if name in side and not host.alive:
             world.start(name)
         if host.stopped:
-            world.net.go_on(host)
+            world.net.resume(host)
         world.notify(name, AnnouncerAvailabilityChanged(True))
-    world.net.run(world.net.now + HELD_WITHIN_SECONDS)
+    world.net.run(world.net.now + LEASE_LIMIT_SECONDS)
     holder = world.holder()
-    if holder is None or holder not in part:
-        met = f"{HELD_WITHIN_SECONDS} s after {sorted(part)} met"
-        raise PropertyViolationError(f"{holder} holds at {world.net.now:.3f} s, {met}")
+    if holder is None or holder not in side:
+        expected = f"a member of {sorted(side)}, connected {LEASE_LIMIT_SECONDS} s earlier"
+        raise PropertyViolationError(
+            f"at {world.net.now:.3f} s: the lease holder is {holder}, expected {expected}"
+        )
--- a/saltcourse/emulator/gossip/network.py
+++ b/saltcourse/emulator/gossip/network.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class Location:
     """The location of a host."""
 
     region: str
@@ -37,7 +37,7 @@
 
     delay: tuple[float, float] = OTHER_REGION
     loss: float = 0.01
-    double: float = 0.01
+    duplication: float = 0.01
     truncate: float = 0.0  # arrives cut short
     flip: float = 0.0  # arrives with one bit changed
 
@@ -68,7 +68,7 @@
 class FleetHost(Host):
     """A host with its place and address."""
 
-    place: Place = Place("", "")
+    location: Location = Location("", "")
     address: Address = ("", 0)
     armed: float = field(default=float("inf"))  # true time of the timer that is set
 
@@ -111,8 +111,8 @@
         receiver = self.listeners.get(destination)
         if receiver is None:
             return
-        delay = self._delay(sender.place, self.fleet[receiver].place)
-        copies = 2 if self.random.random() < self.faults.double else 1
+        delay = self._delay(sender.location, self.fleet[receiver].location)
+        copies = 2 if self.random.random() < self.faults.duplication else 1
         for _ in range(copies):
             if self.random.random() >= self.faults.loss:
                 arrival = self.now + self.random.uniform(*delay)
@@ -120,9 +120,9 @@
 
     def _under_way(self, arrival: float, sender: FleetHost, destination: Address, datagram: bytes) -> None:
         source = sender.address
-        self.at(arrival, lambda: self._reach(sender.name, source, destination, datagram))
+        self.call_at(arrival, lambda: self._reach(sender.name, source, destination, datagram))
 
-    def _delay(self, one: Place, other: Place) -> tuple[float, float]:
+    def _delay(self, one: Location, other: Location) -> tuple[float, float]:
         if one.zone == other.zone:
             return SAME_ZONE
         if one.region == other.region:
@@ -144,24 +144,24 @@
         if receiver is None or not self.connected(sender, receiver):
             return
         host = self.hosts[receiver]
-        if not host.alive or (host.stopped and len(host.waiting) >= SOCKET_DATAGRAMS):
+        if not host.alive or (host.stopped and len(host.pending_events) >= SOCKET_DATAGRAMS):
             return
         self.records[receiver].received += len(datagram) + PACKET_OVERHEAD_BYTES
         self.arrived[sender, receiver] = self.now
         event = Received(source, datagram)
         if len(datagram) >= REMEMBERED_BYTES:
             self.remembered.append(Arrival(receiver, event))
-        self.give(host, event)
+        self.deliver(host, event)
 
     def inject(self, receiver: str, source: Address, datagram: bytes) -> None:
         """Let a datagram from outside the fleet arrive now."""
         host = self.hosts[receiver]
         self.records[receiver].received += len(datagram) + PACKET_OVERHEAD_BYTES
-        self.give(host, Received(source, datagram))
+        self.deliver(host, Received(source, datagram))
 
     def arm(self, host: FleetHost, deadline: float) -> None:
         """Set the timer to a time on the host's own clock, if it is not set to that already."""
-        true = max(host.true(deadline), self.now)
+        true = max(host.true_time(deadline), self.now)
         if true == float("inf"):
             return
         if true != host.armed:
--- a/saltcourse/emulator/gossip/scenario.py
+++ b/saltcourse/emulator/gossip/scenario.py
@@ -140,7 +140,7 @@
     world.crash(host)
     bound = detection_bound(world.timing, len(world.members))
     return within(
-        world, bound, lambda: known_dead(world, member.name, member.place.zone), f"{host} is believed dead"
+        world, bound, lambda: known_dead(world, member.name, member.location.zone), f"{host} is believed dead"
     )
 
 
--- a/saltcourse/emulator/gossip/schedule.py
+++ b/saltcourse/emulator/gossip/schedule.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from saltcourse.emulator.gossip.network import Faults
-from saltcourse.emulator.gossip.world import PLACES, NodeClass, World
+from saltcourse.emulator.gossip.world import LOCATIONS, NodeClass, World
 from saltcourse.emulator.invariants import InvariantError
 from saltcourse.gossip.messages import Action, Applied, Freshness, Persist, Published, Transmit, Write
 from saltcourse.gossip.node import Node
@@ -54,15 +54,15 @@
     """A world, and the random draws of its faults."""
 
     def __init__(self, seed: int, node_class: NodeClass, proxies: tuple[int, int] = PROXIES) -> None:
-        self.draw = random.Random(seed)
-        draw = self.draw
+        self.rng = random.Random(seed)
+        rng = self.rng
         faults = Faults(
-            loss=draw.choice((0.0, 0.01, 0.05)),
-            double=draw.choice((0.0, 0.05)),
-            truncate=draw.choice((0.0, 0.01)),
-            flip=draw.choice((0.0, 0.01)),
+            loss=rng.choice((0.0, 0.01, 0.05)),
+            duplication=rng.choice((0.0, 0.05)),
+            truncate=rng.choice((0.0, 0.01)),
+            flip=rng.choice((0.0, 0.01)),
         )
-        self.world = World(seed, draw.randint(*proxies), faults, node_class=node_class)
+        self.world = World(seed, rng.randint(*proxies), faults, node_class=node_class)
         self.faults: tuple[Callable[[], None], ...] = (
             self._crash_or_start,
             self._crash_or_start,
@@ -99,8 +99,8 @@
         """Play random faults for so many seconds."""
         end = self.world.network.now + seconds
         while self.world.network.now < end:
-            self.world.run(self.draw.choice(STEPS))
-            self.draw.choice(self.faults)()
+            self.world.run(self.rng.choice(STEPS))
+            self.rng.choice(self.faults)()
 
     def settle(self) -> float:
         """Start and connect all; return the seconds until they agree."""
@@ -147,9 +147,9 @@
 
     def _some_host(self) -> str:
         publisher = self.world.publisher()
-        if publisher is not None and self.draw.random() < 0.3:
+        if publisher is not None and self.rng.random() < 0.3:
             return publisher
-        return self.draw.choice(list(self.world.members))
+        return self.rng.choice(list(self.world.members))
 
     def _crash_or_start(self) -> None:
         host = self._some_host()
@@ -162,7 +162,7 @@
         self.world.restart(self._some_host())
 
     def _restart_zone(self) -> None:
-        for host in self.world.hosts_in(zone=self.draw.choice(PLACES).zone):
+        for host in self.world.hosts_in(zone=self.rng.choice(LOCATIONS).zone):
             self.world.restart(host)
 
     def _stop(self) -> None:
@@ -176,19 +176,19 @@
             if self.world.processes.get(host) is process and self.world.network.fleet[host].stopped:
                 self.world.resume(host)
 
-        self.world.network.at(self.world.network.now + self.draw.uniform(0.1, MOST_STOPPED), go_on)
+        self.world.network.call_at(self.world.network.now + self.rng.uniform(0.1, MOST_STOPPED), go_on)
 
     def _cut_region(self) -> None:
-        self.world.partition(self.world.hosts_in(region=self.draw.choice(PLACES).region))
+        self.world.partition(self.world.hosts_in(region=self.rng.choice(LOCATIONS).region))
 
     def _cut_zone(self) -> None:
-        self.world.partition(self.world.hosts_in(zone=self.draw.choice(PLACES).zone))
+        self.world.partition(self.world.hosts_in(zone=self.rng.choice(LOCATIONS).zone))
 
     def _cut_one(self) -> None:
         self.world.partition([self._some_host()])
 
     def _cut_one_way(self) -> None:
-        one, other = self.draw.sample(list(self.world.members), 2)
+        one, other = self.rng.sample(list(self.world.members), 2)
         self.world.network.cut(one, other, both=False)
 
     def _heal(self) -> None:
@@ -197,35 +197,35 @@
     def _publish(self) -> None:
         hosts = [v.name for v in self.world.voters]
         publisher = self.world.publisher()
-        host = publisher if publisher is not None and self.draw.random() < 0.7 else self.draw.choice(hosts)
-        key = f"shared/{self.draw.randrange(4)}"
-        extra: tuple[Write, ...] = ((key, self.draw.randbytes(20) if self.draw.random() < 0.7 else None),)
+        host = publisher if publisher is not None and self.rng.random() < 0.7 else self.rng.choice(hosts)
+        key = f"shared/{self.rng.randrange(4)}"
+        extra: tuple[Write, ...] = ((key, self.rng.randbytes(20) if self.rng.random() < 0.7 else None),)
         self.world.publish(host, extra)
 
     def _burst(self) -> None:
-        for _ in range(self.draw.randint(2, 8)):
+        for _ in range(self.rng.randint(2, 8)):
             self._publish()
 
     def _die_at_some_action(self) -> None:
         """Crash, most often at a voter in the middle of a change that is published just then."""
-        voter = self.draw.choice(self.world.voters).name
-        kind = self.draw.choice((Persist, Transmit, Applied, Published))
-        skip = self.draw.randrange(4)
-        self.world.crash_at(voter, nth(kind, skip), after=self.draw.random() < 0.5)
+        voter = self.rng.choice(self.world.voters).name
+        kind = self.rng.choice((Persist, Transmit, Applied, Published))
+        skip = self.rng.randrange(4)
+        self.world.crash_at(voter, nth(kind, skip), after=self.rng.random() < 0.5)
         self._publish()
 
     def _junk(self) -> None:
         for _ in range(20):
             host = self._some_host()
-            datagram = self.draw.randbytes(self.draw.randrange(JUNK_BYTES))
+            datagram = self.rng.randbytes(self.rng.randrange(JUNK_BYTES))
             self.world.network.inject(host, ("192.0.2.1", 9), datagram)
 
     def _replay(self) -> None:
         """Old datagrams come again, also at members that they were not for, but never over a cut."""
         network = self.world.network
         remembered = list(network.remembered)
-        for arrival in self.draw.sample(remembered, min(REPLAYED, len(remembered))):
-            host = self.draw.choice(list(self.world.members))
+        for arrival in self.rng.sample(remembered, min(REPLAYED, len(remembered))):
+            host = self.rng.choice(list(self.world.members))
             came = network.fleet[arrival.host]
             if came.alive and not came.stopped and network.same_side(host, arrival.host):
                 network.inject(host, arrival.event.source, arrival.event.datagram)
--- a/saltcourse/emulator/gossip/world.py
+++ b/saltcourse/emulator/gossip/world.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from saltcourse.emulator.gossip.checker import LEFT_KEY, RIGHT_KEY, TOKEN_PREFIX, InvariantChecker, Process
-from saltcourse.emulator.gossip.network import Faults, FleetHost, FleetNetwork, Place
+from saltcourse.emulator.gossip.network import Faults, FleetHost, FleetNetwork, Location
 from saltcourse.emulator.simnet import Host
 from saltcourse.gossip.messages import (
     Action,
@@ -33,12 +33,12 @@
 from saltcourse.gossip.node import Node
 from saltcourse.gossip.settings import NodeSettings, Timing, Voter, default_bytes_per_s
 
-PLACES = (
-    Place("north", "n1"),
-    Place("north", "n2"),
-    Place("north", "n3"),
-    Place("south", "s1"),
-    Place("south", "s2"),
+LOCATIONS = (
+    Location("north", "n1"),
+    Location("north", "n2"),
+    Location("north", "n3"),
+    Location("south", "s1"),
+    Location("south", "s2"),
 )
 KEY = b"a key that all members share 123"
 PORT = 7946
@@ -54,7 +54,7 @@
     """The member that runs on a host."""
 
     name: str
-    place: Place
+    location: Location
     address: Address
     role: Role
 
@@ -87,21 +87,23 @@
         self.processes: dict[str, Process] = {}  # by host; those that run
         self.planned_crashes: dict[str, PlannedCrash] = {}  # by host
         self._token = 0
-        controls = [self._member(f"control-{i}", PLACES[i], i, Role.CONTROL) for i in range(len(PLACES))]
+        controls = [
+            self._member(f"control-{i}", LOCATIONS[i], i, Role.CONTROL) for i in range(len(LOCATIONS))
+        ]
         for i in range(proxies):
-            self._member(f"proxy-{i}", PLACES[i % len(PLACES)], len(PLACES) + i, Role.PROXY)
+            self._member(f"proxy-{i}", LOCATIONS[i % len(LOCATIONS)], len(LOCATIONS) + i, Role.PROXY)
         self.voters = tuple(Voter(m.name, m.address) for m in controls)
         self.seeds = tuple(m.address for m in controls)
         self._scan()
 
-    def _member(self, name: str, place: Place, index: int, role: Role) -> Member:
-        host = f"10.{PLACES.index(place)}.{index >> 8}.{index & 255}"
-        return self.add(name, Member(name, place, (host, PORT), role))
+    def _member(self, name: str, location: Location, index: int, role: Role) -> Member:
+        host = f"10.{LOCATIONS.index(location)}.{index >> 8}.{index & 255}"
+        return self.add(name, Member(name, location, (host, PORT), role))
 
     def add(self, host: str, member: Member) -> Member:
         """Add a host for this member; it is not started."""
         rate = 1.0 + self.random.uniform(-CLOCK_RATE_ERROR, CLOCK_RATE_ERROR)
-        self.network.add(FleetHost(host, rate=rate, place=member.place, address=member.address))
+        self.network.add(FleetHost(host, rate=rate, location=member.location, address=member.address))
         self.members[host] = member
         return member
 
@@ -123,8 +125,8 @@
         record = MemberRecord(
             member.name,
             member.address,
-            member.place.region,
-            member.place.zone,
+            member.location.region,
+            member.location.zone,
             member.role,
             0,
             self.random.getrandbits(32),
@@ -142,7 +144,7 @@
         self.processes[host_name] = process
         stored = host.disk.committed if host.disk is not None else Position()
         self.checker.on_start(process, stored)
-        self._carry_out(host, process, actions)
+        self._execute(host, process, actions)
 
     def crash(self, host_name: str, keeps_disk: bool = True) -> None:
         """Kill the process; the disk stays unless given otherwise."""
@@ -163,12 +165,12 @@
         """Let a stopped process go on."""
         host = self.network.fleet[host_name]
         self._restart_isolation(host_name)
-        self.network.go_on(host)
-        self.network.give(host, Tick())
+        self.network.resume(host)
+        self.network.deliver(host, Tick())
 
     def send_event(self, host_name: str, event: Any) -> None:
         """Give an event to a host's process."""
-        self.network.give(self.network.fleet[host_name], event)
+        self.network.deliver(self.network.fleet[host_name], event)
 
     def crash_at(self, host_name: str, matches: Matcher, after: bool = False) -> None:
         """Let the process crash when it comes to an action that matches, before it or ``after`` it."""
@@ -223,7 +225,7 @@
         return [
             h
             for h, m in self.members.items()
-            if zone in (None, m.place.zone) and region in (None, m.place.region)
+            if zone in (None, m.location.zone) and region in (None, m.location.region)
         ]
 
     def has_majority(self, host: str) -> bool:
@@ -285,17 +287,17 @@
             self.checker.check_freshness(
                 self.processes[host], self.has_majority(host), self.timing.stale_after
             )
-        self.network.at(self.network.now + SCAN_INTERVAL, self._scan)
+        self.network.call_at(self.network.now + SCAN_INTERVAL, self._scan)
 
     def _deliver(self, host: Host, event: Any) -> None:
         assert isinstance(host, FleetHost)
         process = self.processes[host.name]
         self.checker.now = self.network.now
-        self._carry_out(host, process, process.node.handle(host.clock(self.network.now), event))
+        self._execute(host, process, process.node.handle(host.clock(self.network.now), event))
 
     # ---- actions ----------------------------------------------------------------------------------
 
-    def _carry_out(self, host: FleetHost, process: Process, actions: list[Action]) -> None:
+    def _execute(self, host: FleetHost, process: Process, actions: list[Action]) -> None:
         last_applied = max((i for i, a in enumerate(actions) if isinstance(a, Applied)), default=-1)
         for i, action in enumerate(actions):
             planned = self.planned_crashes.get(host.name)
--- a/saltcourse/emulator/gossip_quorum/schedule.py
+++ b/saltcourse/emulator/gossip_quorum/schedule.py
@@ -34,54 +34,54 @@
     ``LivenessError`` where nothing is committed. Each schedule has only some kinds of faults (swarm testing):
     those that it has come together more often.
     """
-    draw = random.Random(seed)
-    count = draw.choice((3, 3, 5))
-    delay = draw.choice(((0.0002, 0.004), (0.001, 0.05), (0.0, 0.15), (0.04, 0.041)))
-    link = Link(delay=delay, loss=draw.choice((0.0, 0.05, 0.2)), double=draw.choice((0.0, 0.1)))
-    faults = draw.sample(list(Fault), draw.randrange(1, len(Fault) + 1))
+    rng = random.Random(seed)
+    count = rng.choice((3, 3, 5))
+    delay = rng.choice(((0.0002, 0.004), (0.001, 0.05), (0.0, 0.15), (0.04, 0.041)))
+    link = Link(delay=delay, loss=rng.choice((0.0, 0.05, 0.2)), duplication=rng.choice((0.0, 0.1)))
+    faults = rng.sample(list(Fault), rng.randrange(1, len(Fault) + 1))
     world = World(seed, count, link, core)
     for name in world.names:
         world.start(name)
     while world.net.now < seconds:
-        world.net.run(world.net.now + draw.choice((0.01, 0.05, 0.1, 0.3, 0.7)))
-        if draw.random() < 0.5:
-            _publish_random(world, draw)
-        elif draw.random() < 0.25:
-            _recover(world, draw)
+        world.net.run(world.net.now + rng.choice((0.01, 0.05, 0.1, 0.3, 0.7)))
+        if rng.random() < 0.5:
+            _publish_random(world, rng)
+        elif rng.random() < 0.25:
+            _recover(world, rng)
         else:
-            _fault(world, draw, draw.choice(faults))
-    _settle(world, draw)
+            _fault(world, rng, rng.choice(faults))
+    _settle(world, rng)
     return world
 
 
-def _publish_random(world: World, draw: random.Random) -> None:
+def _publish_random(world: World, rng: random.Random) -> None:
     """Publish one change or a burst, at one voter or two at once."""
-    for name in draw.sample(world.names, draw.choice((1, 1, 2))):
+    for name in rng.sample(world.names, rng.choice((1, 1, 2))):
         if world.net.hosts[name].alive:
-            for _ in range(draw.choice((1, 1, 3, 20))):
+            for _ in range(rng.choice((1, 1, 3, 20))):
                 world.publish(name)
 
 
-def _recover(world: World, draw: random.Random) -> None:
+def _recover(world: World, rng: random.Random) -> None:
     """Start all that are down and, half of the time, heal the network."""
-    if draw.random() < 0.5:
+    if rng.random() < 0.5:
         world.net.heal()
     for name in world.names:
         if not world.net.hosts[name].alive:
             world.start(name)
 
 
-def _fault(world: World, draw: random.Random, fault: Fault) -> None:
-    name = draw.choice(world.names)
+def _fault(world: World, rng: random.Random, fault: Fault) -> None:
+    name = rng.choice(world.names)
     host = world.net.hosts[name]
     others = [other for other in world.names if other != name]
     match fault:
         case Fault.CUT:
-            world.net.cut(name, draw.choice(others), both=draw.random() < 0.5)
+            world.net.cut(name, rng.choice(others), both=rng.random() < 0.5)
         case Fault.ISOLATE:
-            _isolate(world, draw, name, others)
+            _isolate(world, rng, name, others)
         case Fault.SPLIT:
-            _split(world, draw.sample(world.names, draw.randrange(1, len(world.names))))
+            _split(world, rng.sample(world.names, rng.randrange(1, len(world.names))))
         case _ if not host.alive:
             world.start(name)
         case Fault.CRASH:
@@ -90,14 +90,14 @@
             world.crash(name)
             world.start(name)
         case Fault.CRASH_AMID_ACTIONS:
-            world.crash_after[name] = draw.randrange(1, 12)
+            world.crash_after[name] = rng.randrange(1, 12)
         case Fault.STOP:
-            (world.net.go_on if host.stopped else world.net.stop)(host)
+            (world.net.resume if host.stopped else world.net.stop)(host)
 
 
-def _isolate(world: World, draw: random.Random, name: str, others: list[str]) -> None:
+def _isolate(world: World, rng: random.Random, name: str, others: list[str]) -> None:
     """Cut a voter off from all others, one way or both."""
-    way = draw.choice(("out", "in", "both"))
+    way = rng.choice(("out", "in", "both"))
     for other in others:
         if way != "in":
             world.net.cuts.add((name, other))
@@ -112,9 +112,9 @@
                 world.net.cuts.add((one, other))
 
 
-def _settle(world: World, draw: random.Random) -> None:
+def _settle(world: World, rng: random.Random) -> None:
     """Start and connect a majority; the rest stays cut off. Then a new change must be committed."""
-    part = draw.sample(world.names, draw.randrange(world.checker.majority, len(world.names) + 1))
+    part = rng.sample(world.names, rng.randrange(world.checker.majority, len(world.names) + 1))
     world.net.link = Link()
     world.net.heal()
     _split(world, part)
@@ -124,8 +124,8 @@
         if not host.alive:
             world.start(name)
         if host.stopped:
-            world.net.go_on(host)
-    _publish_until_committed(world, draw.choice(part))
+            world.net.resume(host)
+    _publish_until_committed(world, rng.choice(part))
 
 
 def _publish_until_committed(world: World, name: str) -> None:
--- a/saltcourse/emulator/gossip_quorum/world.py
+++ b/saltcourse/emulator/gossip_quorum/world.py
@@ -125,7 +125,7 @@
         quorum = self.core(self._by_name[name], self.voters, self.timing, source, state)
         replica = Replica(quorum, state.committed, dict(state.configuration))
         self.replicas[name] = replica
-        self._carry_out(host, quorum.start(host.clock(self.net.now)))
+        self._execute(host, quorum.start(host.clock(self.net.now)))
         self._set_timer(host)
 
     def crash(self, name: str) -> None:
@@ -140,14 +140,14 @@
             token = self._tokens
         writes: tuple[Write, ...] = ((f"key{token % 7}", str(token).encode()),)
         self.checker.submitted[token] = writes
-        self.net.give(self.net.hosts[name], Publish(token, writes))
+        self.net.deliver(self.net.hosts[name], Publish(token, writes))
         return token
 
     # ---- events -----------------------------------------------------------------------------------
 
     def _deliver(self, host: Host, event: Any) -> None:
         replica = self.replicas[host.name]
-        life = host.life
+        incarnation = host.incarnation
         now = host.clock(self.net.now)
         match event:
             case Datagram():
@@ -155,7 +155,7 @@
                 if event.message is not None:
                     source = self._by_name[event.sender].address
                     actions = replica.quorum.handle(now, source, event.header, event.message)
-                    self._carry_out(host, actions)
+                    self._execute(host, actions)
             case FetchChanges(sender, after):
                 self._serve_fetch(host, replica, sender, after)
             case FetchedChanges(changes):
@@ -168,16 +168,16 @@
                     replica.configuration = dict(configuration)
                     self._show_applied(host, replica)
             case Publish():
-                self._carry_out(host, replica.quorum.publish(now, event))
-        if host.life == life:
+                self._execute(host, replica.quorum.publish(now, event))
+        if host.incarnation == incarnation:
             self._follow_up(host, replica, now)
 
     def _follow_up(self, host: Host, replica: Replica, now: float) -> None:
         """Do what a node does after each event."""
-        life = host.life
+        incarnation = host.incarnation
         if now >= replica.quorum.next_deadline():
-            self._carry_out(host, replica.quorum.tick(now))
-        if host.life != life:
+            self._execute(host, replica.quorum.tick(now))
+        if host.incarnation != incarnation:
             return
         if now >= self._fetch_deadline(replica):
             replica.fetch_at = now + FETCH_TIMEOUT_SECONDS
@@ -186,8 +186,8 @@
             replica.probe_at = now + PROBE_INTERVAL_SECONDS
             other = self.random.choice([name for name in self.names if name != host.name] or [host.name])
             self._send(host, other, Datagram(host.name, self._header(host.name)))
-        self._carry_out(host, replica.quorum.observe(now, replica.position, replica.heartbeat))
-        if host.life == life:
+        self._execute(host, replica.quorum.observe(now, replica.position, replica.heartbeat))
+        if host.incarnation == incarnation:
             self._set_timer(host)
 
     def _set_timer(self, host: Host) -> None:
@@ -196,10 +196,10 @@
             deadlines = (replica.quorum.next_deadline(), replica.probe_at, self._fetch_deadline(replica))
             self.net.set_timer(host, min(deadlines))
 
-    def _carry_out(self, host: Host, actions: list[QuorumAction]) -> None:
-        life = host.life
+    def _execute(self, host: Host, actions: list[QuorumAction]) -> None:
+        incarnation = host.incarnation
         for action in actions:
-            if self._crashes_now(host) or host.life != life:
+            if self._crashes_now(host) or host.incarnation != incarnation:
                 return
             match action:
                 case Persist(state):
@@ -276,4 +276,4 @@
         position, configuration = replica.position, replica.configuration
         self.checker.on_applied(position, configuration)
         actions = replica.quorum.on_applied(host.clock(self.net.now), position, configuration)
-        self._carry_out(host, actions)
+        self._execute(host, actions)
--- a/saltcourse/emulator/invariants.py
+++ b/saltcourse/emulator/invariants.py
@@ -1,11 +1,11 @@
-"""Errors of the checkers that hold simulated members to their invariants."""
+"""Errors raised by the checkers of simulated members."""
 
 from __future__ import annotations
 
 
 class InvariantError(AssertionError):
-    """An invariant does not hold; the text says which, where and when."""
+    """An invariant is violated; the message names the invariant, the member and, where known, the time."""
 
 
 class LivenessError(InvariantError):
-    """Nothing happens where something should; no safety property is broken."""
+    """No progress was made within the time limit; no safety property is violated."""
--- a/saltcourse/emulator/route_server.py
+++ b/saltcourse/emulator/route_server.py
@@ -1,6 +1,6 @@
-"""A stand-in for a route server on loopback: takes BGP sessions and records every change of a route.
+"""A fake route server on loopback: accepts BGP sessions and records every route change.
 
-It can be made to hang and to crash.
+A test can make it hang or crash.
 """
 
 from __future__ import annotations
@@ -21,7 +21,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteChange:
-    """A peer announced a route to an address at ``time``, or withdrew it (None)."""
+    """A peer's announcement of a route to an address, or its withdrawal if ``route`` is None.
+
+    ``time`` is the event loop's clock, in seconds.
+    """
 
     time: float
     peer: str
@@ -31,33 +34,36 @@
 
 @dataclass
 class RouteServer:
-    """Routes and records name a peer by its BGP identifier."""
+    """A route server with the routes of its peers, each identified by its BGP identifier."""
 
     asn: int
     record: list[RouteChange] = field(default_factory=list)
-    routes: dict[tuple[str, bgp.Address], bgp.Route] = field(default_factory=dict)  # by peer and address
-    hangs: bool = False  # reads nothing and sends nothing, with its connections open
+    routes: dict[tuple[str, bgp.Address], bgp.Route] = field(default_factory=dict)  # by (peer, address)
+    hangs: bool = False  # while set, nothing is read or sent; connections stay open
     port: int = 0
 
     async def start(self, port: int = 0) -> None:
-        """Listen; ``port`` 0 takes a free one."""
+        """Listen on 127.0.0.1; with ``port`` 0 the system chooses a free port."""
         self._tasks: set[asyncio.Task[None]] = set()
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", port)
         self.port = self._server.sockets[0].getsockname()[1]
 
     def crash(self) -> None:
-        """End at once; connections are reset."""
+        """Stop listening and reset all connections."""
         self._server.close()
         for task in list(self._tasks):
             task.cancel()
 
     def best(self, address: str) -> bgp.Route | None:
-        """RFC 4271, 9.1.2.2, as far as these routes differ: LOCAL_PREF, then MED."""
+        """Return the best route to an address, or None without a route.
+
+        Of the decision process in RFC 4271, 9.1.2.2 only LOCAL_PREF and MED apply to these routes.
+        """
         target = ipaddress.ip_address(address)
-        candidates = [route for (_, routed), route in self.routes.items() if routed == target]
+        candidates = [route for (_, destination), route in self.routes.items() if destination == target]
         return max(candidates, key=_preference, default=None)
 
-    def _change(self, peer: str, address: bgp.Address, route: bgp.Route | None) -> None:
+    def _record_change(self, peer: str, address: bgp.Address, route: bgp.Route | None) -> None:
         self.record.append(RouteChange(asyncio.get_running_loop().time(), peer, address, route))
         if route is not None:
             self.routes[peer, address] = route
@@ -67,7 +73,7 @@
     def _drop_routes(self, peer: str) -> None:
         for owner, address in list(self.routes):
             if owner == peer:
-                self._change(peer, address, None)
+                self._record_change(peer, address, None)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         task = asyncio.current_task()
@@ -83,7 +89,7 @@
             keepalives.cancel()
             self._tasks.discard(task)
             self._drop_routes(session.peer)
-            with contextlib.suppress(RuntimeError):  # the loop may be closing
+            with contextlib.suppress(RuntimeError):  # The event loop may be closing.
                 writer.transport.abort()
 
     async def _send_keepalives(self, writer: asyncio.StreamWriter) -> None:
@@ -94,7 +100,7 @@
 
 
 class _Session:
-    """What one peer sends, until it closes the session."""
+    """A BGP session with one peer."""
 
     def __init__(self, server: RouteServer, writer: asyncio.StreamWriter) -> None:
         self.server = server
@@ -103,7 +109,7 @@
         self._buffer = MessageBuffer()
 
     async def run(self, reader: asyncio.StreamReader) -> None:
-        """Take messages to the end of the session. Raises OSError and BgpError."""
+        """Process messages until the peer ends the session. Raises OSError and BgpError."""
         while data := await reader.read(4096):
             while self.server.hangs:
                 await asyncio.sleep(HANG_POLL_SECONDS)
@@ -122,9 +128,9 @@
                 self.writer.write(bgp.encode_open(own_open) + bgp.encode_keepalive())
             case bgp.Update():
                 for route in message.announced:
-                    self.server._change(self.peer, route.address, route)
+                    self.server._record_change(self.peer, route.address, route)
                 for address in message.withdrawn:
-                    self.server._change(self.peer, address, None)
+                    self.server._record_change(self.peer, address, None)
 
 
 def _preference(route: bgp.Route) -> tuple[int, int]:
--- a/tests/address_failover/test_election.py
+++ b/tests/address_failover/test_election.py
@@ -80,7 +80,7 @@
     election.net.stop(host)
     election.net.run(4.0)
     assert election.holder() == "n1"
-    waiting = [event for event in host.waiting if isinstance(event, MessageReceived)]
+    waiting = [event for event in host.pending_events if isinstance(event, MessageReceived)]
     actions = election.cores["n0"].handle(host.clock(4.0), waiting[0])
     outward = (AnnounceAddress, ExtendLease, SendMessage, WithdrawAddress)
     first = next(action for action in actions if isinstance(action, outward))
--- a/tests/address_failover/test_election_schedules.py
+++ b/tests/address_failover/test_election_schedules.py
@@ -44,7 +44,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.world = SimulatedElection(
-            3, THREE, Link(delay=(0.0, 0.05), double=0.1), drift=0.01, core=self.core
+            3, THREE, Link(delay=(0.0, 0.05), duplication=0.1), drift=0.01, core=self.core
         )
         for voter in THREE:
             self.world.start(voter.name)
@@ -65,7 +65,7 @@
     @rule(which=member)
     def stop_or_go_on(self, which: int) -> None:
         host = self.world.net.hosts[f"n{which}"]
-        (self.world.net.go_on if host.stopped else self.world.net.stop)(host)
+        (self.world.net.resume if host.stopped else self.world.net.stop)(host)
 
     @rule(one=member, other=member, both=st.booleans())
     def cut(self, one: int, other: int, both: bool) -> None:
@@ -79,7 +79,7 @@
             if not host.alive:
                 self.world.start(name)
             elif host.stopped:
-                self.world.net.go_on(host)
+                self.world.net.resume(host)
         if not back:
             self.world.net.cut(f"n{which}", f"n{(which + 1) % 3}")
         self.wait(2.0)
--- a/tests/address_failover/test_recorded_elections.py
+++ b/tests/address_failover/test_recorded_elections.py
@@ -28,7 +28,7 @@
         self.actions = 0
         super().__init__(*args, **options)
 
-    def _carry_out(self, host: Host, actions: list[Action]) -> None:
+    def _execute(self, host: Host, actions: list[Action]) -> None:
         for action in actions:
             kind = ACTIONS.index(type(action))
             values = () if isinstance(action, LogEvent) else astuple(action)
@@ -36,7 +36,7 @@
             self.actions += 1
             line = f"{self.net.now:.9f} {host.name} {kind} {message} {values!r}\n"
             self.digest.update(line.encode())
-        super()._carry_out(host, actions)
+        super()._execute(host, actions)
 
 
 @pytest.fixture(autouse=True)
--- a/tests/gossip/dissemination_fleet.py
+++ b/tests/gossip/dissemination_fleet.py
@@ -160,7 +160,7 @@
             dissemination.restore(host.clock(self.net.now), host.disk)
             self._check(host, member)
         if self._probes:
-            self._schedule_probe(host, host.life, self.random.random())
+            self._schedule_probe(host, host.incarnation, self.random.random())
         self._set_timer(host, member)
         return member
 
@@ -196,7 +196,7 @@
         self.history[self.position] = {key: value for key, value in values.items() if value is not None}
         for host in self.hosts[: self.voters]:
             if host is publisher or self.random.random() >= self.commit_loss:
-                self.net.give(host, Commit(change))
+                self.net.deliver(host, Commit(change))
         return change
 
     def send_heartbeat(self) -> None:
@@ -204,16 +204,16 @@
         self.heartbeat = Heartbeat(self.epoch, self.heartbeat.count + 1)
         for host in self.hosts[: self.voters]:
             if host.alive and not host.stopped:
-                self.net.give(host, AdvanceHeartbeat(self.heartbeat))
+                self.net.deliver(host, AdvanceHeartbeat(self.heartbeat))
                 return
 
     def send_heartbeats(self, interval: float, until: float) -> None:
         def send_next() -> None:
             self.send_heartbeat()
             if self.net.now + interval <= until:
-                self.net.at(self.net.now + interval, send_next)
+                self.net.call_at(self.net.now + interval, send_next)
 
-        self.net.at(self.net.now, send_next)
+        self.net.call_at(self.net.now, send_next)
 
     def isolate(self, group: set[int]) -> None:
         """Cut the members of ``group`` off from all others, in both directions."""
@@ -231,12 +231,12 @@
 
     def _schedule_probe(self, host: Host, life: int, delay: float) -> None:
         def probe() -> None:
-            if host.life == life:
+            if host.incarnation == life:
                 if not host.stopped:
-                    self.net.give(host, ProbeEvent())
+                    self.net.deliver(host, ProbeEvent())
                 self._schedule_probe(host, life, self.timing.probe_interval)
 
-        self.net.at(self.net.now + delay, probe)
+        self.net.call_at(self.net.now + delay, probe)
 
     def _deliver(self, host: Host, event: object) -> None:
         member = self.members[host.name]
--- a/tests/gossip/dissemination_schedule.py
+++ b/tests/gossip/dissemination_schedule.py
@@ -25,7 +25,7 @@
     def __init__(self, seed: int, configuration: type[FleetConfiguration]) -> None:
         self.random = Random(seed)
         delay = self.random.choice([(0.0002, 0.004), (0.001, 0.3)])  # the second range causes much reordering
-        link = Link(delay=delay, loss=self.random.choice([0.0, 0.01, 0.1]), double=0.1)
+        link = Link(delay=delay, loss=self.random.choice([0.0, 0.01, 0.1]), duplication=0.1)
         timing = Timing(snapshot_bytes_per_s=20_000.0)
         self.fleet = Fleet(
             seed, self.members, link=link, voters=self.voters, timing=timing, configuration=configuration
@@ -65,7 +65,7 @@
     def stop_or_resume(self) -> None:
         host = self.random.choice(self.fleet.hosts)
         if host.stopped:
-            self.fleet.net.go_on(host)
+            self.fleet.net.resume(host)
         elif host.alive:
             self.fleet.net.stop(host)
 
@@ -89,7 +89,7 @@
         self.fleet.net.heal()
         for index, host in enumerate(self.fleet.hosts):
             if host.stopped:
-                self.fleet.net.go_on(host)
+                self.fleet.net.resume(host)
             if not host.alive:
                 self.fleet.start(index)
         end = self.fleet.net.now + 30.0
--- a/tests/gossip/node_fleet.py
+++ b/tests/gossip/node_fleet.py
@@ -49,7 +49,7 @@
 
 def publisher_in(world: World, region: str) -> str:
     """A voter that is asked to publish while another one does takes over and stays the publisher."""
-    voter = next(v.name for v in world.voters if world.members[v.name].place.region == region)
+    voter = next(v.name for v in world.voters if world.members[v.name].location.region == region)
     publish_until_answered(world, voter)
     within(world, TAKEOVER_WITHIN, lambda: world.disagreement() or publishes(world), "all agree")
     assert publisher_of(world) == voter
--- a/tests/gossip/test_model.py
+++ b/tests/gossip/test_model.py
@@ -87,7 +87,7 @@
 
 
 def test_loss_and_a_starved_process_cause_no_false_deaths_and_few_suspicions() -> None:
-    world = formed(2, 15, Faults(loss=0.005, double=0.0))
+    world = formed(2, 15, Faults(loss=0.005, duplication=0.0))
     begun = world.network.now
     world.run(10.0)
     world.stop("proxy-7")
@@ -108,7 +108,7 @@
         for host in world.hosts_in():
             if host.startswith("proxy"):
                 world.send_event(host, ConnectionCount(counts.randrange(100_000)))
-        world.network.at(world.network.now + 1.0, count)
+        world.network.call_at(world.network.now + 1.0, count)
 
     count()
     world.run(3.0)
@@ -123,7 +123,7 @@
 
 
 def test_a_stale_member_does_not_wake_without_end() -> None:
-    world = formed(6, 0, Faults(loss=0.0, double=0.0))
+    world = formed(6, 0, Faults(loss=0.0, duplication=0.0))
     world.partition(["control-4"])
     world.run(world.timing.stale_after + 2.0)
     process = world.processes["control-4"]
--- a/tests/gossip/test_model_broken_nodes.py
+++ b/tests/gossip/test_model_broken_nodes.py
@@ -83,14 +83,14 @@
 
 def offer_a_change_over_a_gap() -> None:
     """The newest change comes to a member that lacks the one before."""
-    world = formed(30, 5, Faults(loss=0.0, double=0.0))
+    world = formed(30, 5, Faults(loss=0.0, duplication=0.0))
     world.stop("proxy-0")
     position = world.processes["proxy-0"].position
     for _ in range(3):
         change_in_force(world, publish_until_answered(world, publisher_of(world)))
     newest = max(world.checker.versions.values(), key=lambda version: version.position.version).position
     assert newest.version == position.version + 3
-    world.network.fleet["proxy-0"].waiting.clear()
+    world.network.fleet["proxy-0"].pending_events.clear()
     offer(world, "proxy-0", (Change(newest, (("a", b"b"),)),))
     world.resume("proxy-0")
     world.run(5.0)
@@ -131,7 +131,7 @@
 
 def publisher_dies_and_the_others_restart(node_class: NodeClass) -> None:
     """A change is published, no other member has received that; those who accepted it restart."""
-    world = formed(32, 5, Faults(loss=0.0, double=0.0), node_class)
+    world = formed(32, 5, Faults(loss=0.0, duplication=0.0), node_class)
     publisher = publisher_of(world)
     token = world.publish(publisher)
     world.crash_at(publisher, lambda action: isinstance(action, Published), after=True)
--- a/tests/gossip/test_model_changes.py
+++ b/tests/gossip/test_model_changes.py
@@ -40,7 +40,7 @@
 
 @pytest.mark.parametrize("sent", [1, 4])
 def test_publisher_dies_between_propose_and_commit(sent: int) -> None:
-    world = formed(11, 5, Faults(loss=0.0, double=0.0))
+    world = formed(11, 5, Faults(loss=0.0, duplication=0.0))
     publisher = publisher_of(world)
     world.crash_at(publisher, transmits(Propose, sent - 1), after=True)
     token = world.publish(publisher)
@@ -55,7 +55,7 @@
 
 @pytest.mark.parametrize("after", [False, True])
 def test_publisher_dies_between_commit_and_announcement(after: bool) -> None:
-    world = formed(12, 5, Faults(loss=0.0, double=0.0))
+    world = formed(12, 5, Faults(loss=0.0, duplication=0.0))
     publisher = publisher_of(world)
     world.crash_at(publisher, lambda action: isinstance(action, Published | Applied), after)
     token = world.publish(publisher)
@@ -82,7 +82,7 @@
 
 @pytest.mark.parametrize("seed", range(14, 17))
 def test_region_cut_with_conflicting_changes_and_the_publisher_on_the_smaller_side(seed: int) -> None:
-    world = formed(seed, 5, Faults(loss=0.0, double=0.01))
+    world = formed(seed, 5, Faults(loss=0.0, duplication=0.01))
     old = publisher_in(world, "south")
     world.partition(world.hosts_in(region="south"))
     lost = world.publish(old)  # its neighbour accepts it, no majority does
--- a/tests/gossip/test_model_members.py
+++ b/tests/gossip/test_model_members.py
@@ -40,7 +40,7 @@
     old = world.members["proxy-4"]
     world.crash("proxy-4")
     world.members.pop("proxy-4")
-    world.add("successor", Member("successor", old.place, old.address, old.role))
+    world.add("successor", Member("successor", old.location, old.address, old.role))
     world.start("successor")
     within(world, 20.0, lambda: world.disagreement() or publishes(world), "all agree")
     change_in_force(world, publish_until_answered(world, publisher_of(world)))
@@ -55,7 +55,7 @@
     world.start_all()
     within(world, 25.0, lambda: world.disagreement() or publishes(world), "all agree")
     publisher = publisher_of(world)
-    world.add("late", Member("late", world.members["proxy-1"].place, ("10.9.0.1", PORT), Role.PROXY))
+    world.add("late", Member("late", world.members["proxy-1"].location, ("10.9.0.1", PORT), Role.PROXY))
     world.start("late")
     begun = world.network.now
     for second in range(20):
@@ -72,7 +72,7 @@
 
 
 def test_datagrams_doubled_reordered_cut_short_and_changed_do_no_harm() -> None:
-    faults = Faults(delay=(0.0, 0.5), loss=0.02, double=0.3, truncate=0.03, flip=0.03)
+    faults = Faults(delay=(0.0, 0.5), loss=0.02, duplication=0.3, truncate=0.03, flip=0.03)
     world = formed(24, 5, faults)
     for _ in range(8):
         world.publish(publisher_of(world))
@@ -84,7 +84,9 @@
 
 def test_senders_with_another_key_or_version_are_counted_and_stay_unknown() -> None:
     world = formed(25, 5)
-    world.add("stranger", Member("stranger", world.members["proxy-1"].place, ("10.9.0.2", PORT), Role.PROXY))
+    world.add(
+        "stranger", Member("stranger", world.members["proxy-1"].location, ("10.9.0.2", PORT), Role.PROXY)
+    )
     world.start("stranger", key=b"another key")
     good = Codec(KEY).encode(Header(member_id("proxy-1"), 1, 1), Gossip())
     for place in range(4):
@@ -111,7 +113,7 @@
 def test_two_live_processes_of_one_name_end_in_one() -> None:
     world = formed(27, 7)
     twin = world.members["proxy-2"]
-    world.add("twin", Member("proxy-2", twin.place, ("10.9.0.3", PORT), twin.role))
+    world.add("twin", Member("proxy-2", twin.location, ("10.9.0.3", PORT), twin.role))
     world.start("twin")
     busiest = max(traffic_per_s(world, 20.0).values())
     assert busiest < BYTES_PER_S
--- a/tests/shared_state/simulated_proxies.py
+++ b/tests/shared_state/simulated_proxies.py
@@ -49,7 +49,7 @@
         self.outlived_ejections: list[tuple[float, str]] = []
         for i in range(count):
             hosts[i].alive = True
-            self.net.at(0.1 * self.random.random(), partial(self._step, i))
+            self.net.call_at(0.1 * self.random.random(), partial(self._step, i))
 
     @staticmethod
     def _empty() -> dict[str, Held]:
@@ -71,18 +71,20 @@
         host.alive = True
         self.held[index] = self._empty()
         self.cores[index] = self._fresh(index)
-        self.net.at(self.net.now, partial(self._step, index))
+        self.net.call_at(self.net.now, partial(self._step, index))
 
     def clock(self, index: int) -> float:
         return self.net.hosts[str(index)].clock(self.net.now)
 
     def _step(self, index: int) -> None:
         host = self.net.hosts[str(index)]
-        life = host.life
+        incarnation = host.incarnation
         if not host.stopped:
             self._act(index)
             self._send(index, self.cores[index].outgoing_messages(self.clock(index)))
-        self.net.at(self.net.now + 0.1, lambda: self._step(index) if host.life == life else None)
+        self.net.call_at(
+            self.net.now + 0.1, lambda: self._step(index) if host.incarnation == incarnation else None
+        )
 
     def _act(self, index: int) -> None:
         core, draw, now = self.cores[index], self.random.randrange, self.clock(index)
@@ -154,7 +156,7 @@
     net.stop(net.hosts[str(last)])
     net.run(9.0 + SILENCE_SECONDS + 2)
     net.heal()
-    net.go_on(net.hosts[str(last)])
+    net.resume(net.hosts[str(last)])
     net.run(net.now + 3)
     proxies.restart(proxies.random.randrange(proxies.count))
     net.cut("0", str(last // 2 + 1))
--- a/tests/shared_state/test_golden_messages.py
+++ b/tests/shared_state/test_golden_messages.py
@@ -139,6 +139,6 @@
 )
 def test_proxies_with_faults_send_and_answer_what_they_always_did(seed: int, wanted: str) -> None:
     """Losses, doubled messages, a cut, a stop and a restart."""
-    proxies = RecordedProxies(seed, Link(delay=(0.0017, 0.3), loss=0.2, double=0.2))
+    proxies = RecordedProxies(seed, Link(delay=(0.0017, 0.3), loss=0.2, duplication=0.2))
     run_with_faults(proxies)
     assert proxies.digest.hexdigest() == wanted
--- a/tests/shared_state/test_shared_state.py
+++ b/tests/shared_state/test_shared_state.py
@@ -33,7 +33,7 @@
     # Messages are lost, late and duplicated; a proxy is cut off for longer than a lease, another is
     # stopped, one restarts. Then the replicas must agree, and at no time may the fleet have spent more than
     # its budget, or an ejection have outlived its end.
-    link = Link(delay=(0.0017, 0.3), loss=(seed % 6) * 0.1, double=0.2)
+    link = Link(delay=(0.0017, 0.3), loss=(seed % 6) * 0.1, duplication=0.2)
     proxies = SimulatedProxies(seed, link, count=3 + seed % 4)
     assert run_with_faults(proxies) == []
     assert 0 < proxies.longest_message <= MAX_BYTES
