--- a/saltcourse/emulator/gossip/__main__.py
+++ b/saltcourse/emulator/gossip/__main__.py
@@ -7,7 +7,7 @@
 import time
 import traceback
 
-from saltcourse.emulator.gossip.schedule import FAULT_SECONDS, play
+from saltcourse.emulator.gossip.schedule import FAULT_SECONDS, run_schedule
 
 
 def main(arguments: list[str] | None = None) -> int:
@@ -27,7 +27,7 @@
 def _play_one(seed: int, seconds: float) -> bool:
     started_at = time.monotonic()
     try:
-        figures = play(seed, seconds=seconds)
+        figures = run_schedule(seed, seconds=seconds)
     except AssertionError as broken:
         print(f"seed {seed}: BROKEN {broken}")
         return False
--- a/saltcourse/emulator/gossip/schedule.py
+++ b/saltcourse/emulator/gossip/schedule.py
@@ -34,7 +34,7 @@
     last_change_s: float
 
 
-def play(
+def run_schedule(
     seed: int,
     node_class: NodeClass = Node,
     seconds: float = FAULT_SECONDS,
--- a/saltcourse/emulator/gossip_quorum/__init__.py
+++ b/saltcourse/emulator/gossip_quorum/__init__.py
@@ -1,6 +1,6 @@
-"""The quorum of voters on the simulated network: random schedules of faults, checked from outside.
+"""The gossip quorum on the simulated network, under random schedules of faults.
 
-world       voters, their disks, and a stand-in for the dissemination
-checker     safety: what must hold at every commit and answer
+world       the voters, their disks, and a simple substitute for the dissemination
+checker     safety invariants, checked at every commit and every result
 schedule    random faults; liveness: a connected majority commits within ``PUBLISH_LIMIT_SECONDS``
 """
--- a/saltcourse/emulator/gossip_quorum/schedule.py
+++ b/saltcourse/emulator/gossip_quorum/schedule.py
@@ -1,4 +1,4 @@
-"""Random schedules of faults for voters, and then a connected majority that must commit a new change."""
+"""Random schedules of faults for voters, each ending with a connected majority that must commit a change."""
 
 from __future__ import annotations
 
@@ -11,28 +11,28 @@
 from saltcourse.gossip.messages import Published, PublishError, PublishFailed
 from saltcourse.gossip.quorum import Quorum
 
-PUBLISH_LIMIT_SECONDS = 15.0  # of true time from the moment at which a majority is connected
-FIRST_CHECK_TOKEN = 1_000_000  # of the publishes after the faults
+PUBLISH_LIMIT_SECONDS = 15.0  # for a connected majority to commit a change, in true time
+FIRST_CHECK_TOKEN = 1_000_000  # first token of the changes published after the faults
 
 
 class Fault(Enum):
-    """What may happen to voters and their network."""
+    """A fault of a voter or of the network."""
 
     CRASH = auto()
-    RESTART = auto()  # killed and back at once
-    CRASH_AMID_ACTIONS = auto()
-    STOP = auto()  # and go on
-    CUT = auto()  # between two, one way or both
-    ISOLATE = auto()  # from all others, one way or both
-    SPLIT = auto()
+    RESTART = auto()  # crash and immediate start
+    CRASH_DURING_ACTIONS = auto()  # the remaining actions of a list are lost
+    STOP = auto()  # stop a running process, or resume a stopped one
+    CUT = auto()  # cut a link in one or both directions
+    ISOLATE = auto()  # cut a voter off from all others, in one or both directions
+    PARTITION = auto()  # split the voters into two groups
 
 
-def play(seed: int, core: type[Quorum] = Quorum, seconds: float = 8.0) -> World:
-    """Run one random schedule of faults, and return the world at its end.
+def run_schedule(seed: int, core: type[Quorum] = Quorum, seconds: float = 8.0) -> World:
+    """Run a random schedule of faults, then connect a majority that must commit; return the final world.
 
-    Then a majority is connected and must commit. ``InvariantError`` where a safety property does not hold,
-    ``LivenessError`` where nothing is committed. Each schedule has only some kinds of faults (swarm testing):
-    those that it has come together more often.
+    ``seconds`` is the true time with faults. Each schedule uses a random subset of the kinds of faults (swarm
+    testing), so that combinations of these kinds are more frequent. Raises ``InvariantError`` if a safety
+    property is violated, and ``LivenessError`` if nothing is committed in time.
     """
     rng = random.Random(seed)
     count = rng.choice((3, 3, 5))
@@ -49,13 +49,13 @@
         elif rng.random() < 0.25:
             _recover(world, rng)
         else:
-            _fault(world, rng, rng.choice(faults))
-    _settle(world, rng)
+            _inject_fault(world, rng, rng.choice(faults))
+    _require_progress(world, rng)
     return world
 
 
 def _publish_random(world: World, rng: random.Random) -> None:
-    """Publish one change or a burst, at one voter or two at once."""
+    """Publish one change or a burst at one or two voters."""
     for name in rng.sample(world.names, rng.choice((1, 1, 2))):
         if world.net.hosts[name].alive:
             for _ in range(rng.choice((1, 1, 3, 20))):
@@ -63,7 +63,7 @@
 
 
 def _recover(world: World, rng: random.Random) -> None:
-    """Start all that are down and, half of the time, heal the network."""
+    """Start all voters that are down and, with probability 0.5, heal the network."""
     if rng.random() < 0.5:
         world.net.heal()
     for name in world.names:
@@ -71,7 +71,8 @@
             world.start(name)
 
 
-def _fault(world: World, rng: random.Random, fault: Fault) -> None:
+def _inject_fault(world: World, rng: random.Random, fault: Fault) -> None:
+    """Inject a fault at a random voter; a fault of a process starts a voter that is down instead."""
     name = rng.choice(world.names)
     host = world.net.hosts[name]
     others = [other for other in world.names if other != name]
@@ -80,8 +81,8 @@
             world.net.cut(name, rng.choice(others), both=rng.random() < 0.5)
         case Fault.ISOLATE:
             _isolate(world, rng, name, others)
-        case Fault.SPLIT:
-            _split(world, rng.sample(world.names, rng.randrange(1, len(world.names))))
+        case Fault.PARTITION:
+            _partition(world, rng.sample(world.names, rng.randrange(1, len(world.names))))
         case _ if not host.alive:
             world.start(name)
         case Fault.CRASH:
@@ -89,47 +90,48 @@
         case Fault.RESTART:
             world.crash(name)
             world.start(name)
-        case Fault.CRASH_AMID_ACTIONS:
+        case Fault.CRASH_DURING_ACTIONS:
             world.crash_after[name] = rng.randrange(1, 12)
         case Fault.STOP:
             (world.net.resume if host.stopped else world.net.stop)(host)
 
 
 def _isolate(world: World, rng: random.Random, name: str, others: list[str]) -> None:
-    """Cut a voter off from all others, one way or both."""
-    way = rng.choice(("out", "in", "both"))
+    """Cut a voter off from all others in one or both directions."""
+    direction = rng.choice(("out", "in", "both"))
     for other in others:
-        if way != "in":
+        if direction != "in":
             world.net.cuts.add((name, other))
-        if way != "out":
+        if direction != "out":
             world.net.cuts.add((other, name))
 
 
-def _split(world: World, part: list[str]) -> None:
+def _partition(world: World, side: list[str]) -> None:
+    """Cut all links between the voters of ``side`` and the others."""
     for one in world.names:
         for other in world.names:
-            if (one in part) != (other in part):
+            if (one in side) != (other in side):
                 world.net.cuts.add((one, other))
 
 
-def _settle(world: World, rng: random.Random) -> None:
-    """Start and connect a majority; the rest stays cut off. Then a new change must be committed."""
-    part = rng.sample(world.names, rng.randrange(world.checker.majority, len(world.names) + 1))
+def _require_progress(world: World, rng: random.Random) -> None:
+    """Start and connect a majority, cut off from the rest, and require it to commit a new change."""
+    side = rng.sample(world.names, rng.randrange(world.checker.majority, len(world.names) + 1))
     world.net.link = Link()
     world.net.heal()
-    _split(world, part)
+    _partition(world, side)
     world.crash_after.clear()
-    for name in part:
+    for name in side:
         host = world.net.hosts[name]
         if not host.alive:
             world.start(name)
         if host.stopped:
             world.net.resume(host)
-    _publish_until_committed(world, rng.choice(part))
+    _publish_until_committed(world, rng.choice(side))
 
 
 def _publish_until_committed(world: World, name: str) -> None:
-    """As an operator who tries again when the change failed."""
+    """Publish a change at a voter, and retry with a new token each time it fails."""
     end = world.net.now + PUBLISH_LIMIT_SECONDS
     token = FIRST_CHECK_TOKEN
     world.publish(name, token)
@@ -140,9 +142,9 @@
             return
         if isinstance(result, PublishFailed):
             if result.error is PublishError.TOO_LARGE:
-                raise InvariantError(f"{result}")
+                raise InvariantError(f"a small change is rejected as too large: {result}")
             token += 1
             world.publish(name, token)
     raise LivenessError(
-        f"nothing published at {name} within {PUBLISH_LIMIT_SECONDS} s of a connected majority"
+        f"no change published at {name} within {PUBLISH_LIMIT_SECONDS} s although a majority is connected"
     )
--- a/saltcourse/emulator/gossip_quorum/world.py
+++ b/saltcourse/emulator/gossip_quorum/world.py
@@ -1,7 +1,7 @@
-"""Voters, their disks and the checker on the simulated network.
+"""Voters, their disks and the invariant checker on the simulated network.
 
-A small stand-in for the dissemination brings committed changes to voters that lack them. It copies only from
-members that have applied them, over the same faulty network.
+A simple substitute for the dissemination copies committed changes to voters that lack them, from voters that
+have applied them, over the same faulty network.
 """
 
 from __future__ import annotations
@@ -32,16 +32,16 @@
 from saltcourse.gossip.quorum_actions import AdvanceHeartbeat, Commit, QuorumAction
 from saltcourse.gossip.settings import Timing, Voter
 
-PROBE_INTERVAL_SECONDS = 1.0  # between headers that a member sends unasked, as the failure detector does
-FETCH_TIMEOUT_SECONDS = 0.2  # until a member that is still behind asks again
-CHANGES_IN_REPLY = 8
+PROBE_INTERVAL_SECONDS = 1.0  # interval of headers sent without a message, as the failure detector does
+FETCH_TIMEOUT_SECONDS = 0.2  # a member that is still behind repeats its request after this time
+MAX_CHANGES_PER_REPLY = 8
 PORT = 4_000
-NEVER = float("inf")
+NO_DEADLINE = float("inf")
 
 
 @dataclass(frozen=True, slots=True)
 class Datagram:
-    """On the simulated network; without a message it is a probe."""
+    """A datagram between voters; without a message it is a probe."""
 
     sender: str
     header: Header
@@ -50,22 +50,22 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchChanges:
-    """A member asks for the changes behind a version."""
+    """A request for the changes after a version."""
 
     sender: str
-    after: int  # version
+    after: int  # the requester's version
 
 
 @dataclass(frozen=True, slots=True)
 class FetchedChanges:
-    """The answer, where the log goes back far enough."""
+    """A reply with consecutive changes, sent if the log still has them all."""
 
     changes: tuple[Change, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class FetchedSnapshot:
-    """The answer where it does not."""
+    """A reply with the whole configuration, sent if the log lacks some of the changes."""
 
     position: Position
     configuration: dict[str, bytes]
@@ -73,21 +73,24 @@
 
 @dataclass
 class Replica:
-    """One process of a voter: the core under test, and the stand-in for its dissemination."""
+    """A process of a voter: the core under test, and the state of its substitute dissemination."""
 
     quorum: Quorum
     position: Position
     configuration: dict[str, bytes]
     heartbeat: Heartbeat = Heartbeat()
-    log: dict[int, Change] = field(default_factory=dict)  # applied in this process, by version
-    probe_at: float = 0.0
-    fetch_at: float = 0.0  # not before, while it is behind
-    newest_version: int = 0  # that any header has announced
-    source: str = ""  # the last member whose header announced something newer than what is applied
+    log: dict[int, Change] = field(default_factory=dict)  # changes applied by this process, by version
+    next_probe_at: float = 0.0  # seconds on the host's clock
+    next_fetch_at: float = 0.0  # earliest next fetch while behind, seconds on the host's clock
+    newest_version: int = 0  # the highest version in any received header
+    fetch_source: str = ""  # sender of the last header with a newer version than the applied one
 
 
 class World:
-    """Voters, their disks and the checker. ``core`` is the class under test, or a broken one."""
+    """The simulated voters, their disks, and the checker.
+
+    ``core`` is the class under test: ``Quorum`` or a variant with a deliberate fault.
+    """
 
     def __init__(
         self,
@@ -106,7 +109,7 @@
         self.net = Network(seed, hosts, link, self._deliver, Tick())
         self.replicas: dict[str, Replica] = {}
         self.checker = InvariantChecker(count // 2 + 1)
-        self.crash_after: dict[str, int] = {}  # host -> actions until it crashes amid a list
+        self.crash_after: dict[str, int] = {}  # host -> actions until its planned crash
         self.takeovers = 0
         self._link_between = link_between
         self._addresses = {voter.address: voter.name for voter in self.voters}
@@ -114,27 +117,27 @@
         self._by_name = {voter.name: voter for voter in self.voters}
         self._tokens = 0
 
-    # ---- what happens to voters -------------------------------------------------------------------
+    # ---- operations on voters ---------------------------------------------------------------------
 
     def start(self, name: str) -> None:
-        """Start a process of this voter with what its disk has."""
+        """Start a process of this voter with the state on its disk."""
         host = self.net.hosts[name]
         host.alive, host.stopped = True, False
         state = host.disk or ReplicaState()
-        source = random.Random(self.random.getrandbits(32))
-        quorum = self.core(self._by_name[name], self.voters, self.timing, source, state)
+        rng = random.Random(self.random.getrandbits(32))
+        quorum = self.core(self._by_name[name], self.voters, self.timing, rng, state)
         replica = Replica(quorum, state.committed, dict(state.configuration))
         self.replicas[name] = replica
         self._execute(host, quorum.start(host.clock(self.net.now)))
         self._set_timer(host)
 
     def crash(self, name: str) -> None:
-        """Kill the process; the disk stays."""
+        """Kill the process; the disk is kept."""
         self.crash_after.pop(name, None)
         self.net.crash(self.net.hosts[name], keeps_disk=True)
 
     def publish(self, name: str, token: int | None = None) -> int:
-        """Give an operator's change to this voter; returns its token."""
+        """Submit an operator's change to this voter and return its token."""
         if token is None:
             self._tokens += 1
             token = self._tokens
@@ -159,31 +162,31 @@
             case FetchChanges(sender, after):
                 self._serve_fetch(host, replica, sender, after)
             case FetchedChanges(changes):
-                replica.fetch_at = now
+                replica.next_fetch_at = now
                 self._apply(host, replica, changes)
             case FetchedSnapshot(position, configuration):
-                replica.fetch_at = now
+                replica.next_fetch_at = now
                 if position.version > replica.position.version:
                     replica.position = position
                     replica.configuration = dict(configuration)
-                    self._show_applied(host, replica)
+                    self._notify_applied(host, replica)
             case Publish():
                 self._execute(host, replica.quorum.publish(now, event))
         if host.incarnation == incarnation:
-            self._follow_up(host, replica, now)
+            self._after_event(host, replica, now)
 
-    def _follow_up(self, host: Host, replica: Replica, now: float) -> None:
-        """Do what a node does after each event."""
+    def _after_event(self, host: Host, replica: Replica, now: float) -> None:
+        """Handle expired timers and set the next one, as a node does after each event."""
         incarnation = host.incarnation
         if now >= replica.quorum.next_deadline():
             self._execute(host, replica.quorum.tick(now))
         if host.incarnation != incarnation:
             return
         if now >= self._fetch_deadline(replica):
-            replica.fetch_at = now + FETCH_TIMEOUT_SECONDS
-            self._send(host, replica.source, FetchChanges(host.name, replica.position.version))
-        if now >= replica.probe_at:
-            replica.probe_at = now + PROBE_INTERVAL_SECONDS
+            replica.next_fetch_at = now + FETCH_TIMEOUT_SECONDS
+            self._send(host, replica.fetch_source, FetchChanges(host.name, replica.position.version))
+        if now >= replica.next_probe_at:
+            replica.next_probe_at = now + PROBE_INTERVAL_SECONDS
             other = self.random.choice([name for name in self.names if name != host.name] or [host.name])
             self._send(host, other, Datagram(host.name, self._header(host.name)))
         self._execute(host, replica.quorum.observe(now, replica.position, replica.heartbeat))
@@ -193,13 +196,13 @@
     def _set_timer(self, host: Host) -> None:
         if host.alive:
             replica = self.replicas[host.name]
-            deadlines = (replica.quorum.next_deadline(), replica.probe_at, self._fetch_deadline(replica))
+            deadlines = (replica.quorum.next_deadline(), replica.next_probe_at, self._fetch_deadline(replica))
             self.net.set_timer(host, min(deadlines))
 
     def _execute(self, host: Host, actions: list[QuorumAction]) -> None:
         incarnation = host.incarnation
         for action in actions:
-            if self._crashes_now(host) or host.incarnation != incarnation:
+            if self._crash_if_planned(host) or host.incarnation != incarnation:
                 return
             match action:
                 case Persist(state):
@@ -215,8 +218,8 @@
                 case Published() | PublishFailed():
                     self.checker.on_result(action)
 
-    def _crashes_now(self, host: Host) -> bool:
-        """Whether the planned crash amid a list of actions has come: the rest of the list is lost."""
+    def _crash_if_planned(self, host: Host) -> bool:
+        """Count down to the host's planned crash; return whether the host crashed now."""
         if host.name not in self.crash_after:
             return False
         self.crash_after[host.name] -= 1
@@ -228,7 +231,7 @@
     def _disks(self) -> list[ReplicaState]:
         return [host.disk or ReplicaState() for host in self.net.hosts.values()]
 
-    # ---- the stand-in for the dissemination -------------------------------------------------------
+    # ---- substitute for the dissemination ---------------------------------------------------------
 
     def _header(self, name: str) -> Header:
         replica = self.replicas[name]
@@ -244,15 +247,15 @@
         replica.heartbeat = max(replica.heartbeat, header.heartbeat)
         replica.newest_version = max(replica.newest_version, header.position.version)
         if header.position.version > replica.position.version:
-            replica.source = datagram.sender
+            replica.fetch_source = datagram.sender
 
     def _fetch_deadline(self, replica: Replica) -> float:
-        return replica.fetch_at if replica.newest_version > replica.position.version else NEVER
+        return replica.next_fetch_at if replica.newest_version > replica.position.version else NO_DEADLINE
 
     def _serve_fetch(self, host: Host, replica: Replica, sender: str, after: int) -> None:
         if after >= replica.position.version:
             return
-        last = min(replica.position.version, after + CHANGES_IN_REPLY)
+        last = min(replica.position.version, after + MAX_CHANGES_PER_REPLY)
         versions = range(after + 1, last + 1)
         if all(version in replica.log for version in versions):
             changes = tuple(replica.log[version] for version in versions)
@@ -261,7 +264,10 @@
             self._send(host, sender, FetchedSnapshot(replica.position, dict(replica.configuration)))
 
     def _apply(self, host: Host, replica: Replica, changes: tuple[Change, ...]) -> None:
-        """Apply changes that follow; the quorum is shown the last one only, as by a node."""
+        """Apply the changes that follow the current version.
+
+        The quorum is notified of the last one only, as by a node.
+        """
         before = replica.position
         for change in changes:
             if change.position.version == replica.position.version + 1:
@@ -270,9 +276,9 @@
                 replica.position = change.position
                 replica.log[change.position.version] = change
         if replica.position != before:
-            self._show_applied(host, replica)
+            self._notify_applied(host, replica)
 
-    def _show_applied(self, host: Host, replica: Replica) -> None:
+    def _notify_applied(self, host: Host, replica: Replica) -> None:
         position, configuration = replica.position, replica.configuration
         self.checker.on_applied(position, configuration)
         actions = replica.quorum.on_applied(host.clock(self.net.now), position, configuration)
--- a/tests/gossip/golden.py
+++ b/tests/gossip/golden.py
@@ -155,7 +155,7 @@
     """One random schedule of faults for voters alone: each message, and what was committed and published."""
     history = History()
     with sends_recorded(history):
-        world = quorum_schedule.play(seed)
+        world = quorum_schedule.run_schedule(seed)
     history.add(world.checker.changes, world.checker.results)
     return history.digest()
 
--- a/tests/gossip/test_model.py
+++ b/tests/gossip/test_model.py
@@ -23,7 +23,7 @@
     traffic_per_s,
     within,
 )
-from saltcourse.emulator.gossip.schedule import CHANGE_WITHIN, play
+from saltcourse.emulator.gossip.schedule import CHANGE_WITHIN, run_schedule
 from saltcourse.gossip.messages import (
     ConnectionCount,
     Freshness,
@@ -44,11 +44,11 @@
 
 @pytest.mark.parametrize("seed", range(SCHEDULES))
 def test_a_random_schedule_of_faults_breaks_no_property(seed: int) -> None:
-    play(seed, **SMALL)
+    run_schedule(seed, **SMALL)
 
 
 def test_a_schedule_gives_the_same_result_every_time() -> None:
-    assert play(3, **SMALL) == play(3, **SMALL)
+    assert run_schedule(3, **SMALL) == run_schedule(3, **SMALL)
 
 
 @pytest.mark.parametrize("seed", range(3))
--- a/tests/gossip/test_model_broken_nodes.py
+++ b/tests/gossip/test_model_broken_nodes.py
@@ -18,7 +18,7 @@
     publishes,
     within,
 )
-from saltcourse.emulator.gossip.schedule import play
+from saltcourse.emulator.gossip.schedule import run_schedule
 from saltcourse.emulator.gossip.world import KEY, NodeClass, World
 from saltcourse.emulator.invariants import InvariantError
 from saltcourse.gossip.codec import Codec
@@ -53,7 +53,7 @@
 def caught_by_schedules() -> None:
     with pytest.raises(InvariantError):
         for seed in range(MOST_SEEDS):
-            play(seed, **SMALL)
+            run_schedule(seed, **SMALL)
 
 
 def patched_outcomes(monkeypatch: pytest.MonkeyPatch, outcome: ApplyOutcome) -> None:
--- a/tests/gossip/test_quorum_faults.py
+++ b/tests/gossip/test_quorum_faults.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from saltcourse.emulator.gossip_quorum.schedule import play
+from saltcourse.emulator.gossip_quorum.schedule import run_schedule
 from saltcourse.emulator.invariants import InvariantError, LivenessError
 from saltcourse.gossip.acceptor import Acceptor
 from saltcourse.gossip.messages import (
@@ -154,7 +154,7 @@
 
 
 def test_schedules_of_faults_violate_no_invariant() -> None:
-    committed = sum(len(play(seed).checker.changes) for seed in range(SCHEDULES))
+    committed = sum(len(run_schedule(seed).checker.changes) for seed in range(SCHEDULES))
     assert committed > 10 * SCHEDULES  # the schedules committed changes
 
 
@@ -164,7 +164,7 @@
     with pytest.raises(InvariantError) as error:
         for seed in range(SCHEDULES_TO_FIND):
             try:
-                play(seed, broken_variant)
+                run_schedule(seed, broken_variant)
             except LivenessError:
                 continue
     assert error.type is InvariantError
