--- a/saltcourse/emulator/gossip/__init__.py
+++ b/saltcourse/emulator/gossip/__init__.py
@@ -1,9 +1,10 @@
-"""Whole gossip nodes on the simulated network, checked from outside.
+"""Complete gossip nodes on the simulated network.
 
     world       the fleet: hosts with disks, operators, faults
-    network     datagrams between zones and regions
+    network     datagrams within and between zones and regions
     checker     the invariants
-    schedule    random faults; scenario: building blocks of named ones
+    schedule    random schedules of faults
+    scenario    building blocks of hand-written scenarios
 
-``python -m saltcourse.emulator.gossip --seeds A-B`` plays many schedules.
+``python -m saltcourse.emulator.gossip --seeds A-B`` runs many random schedules.
 """
--- a/saltcourse/emulator/gossip/checker.py
+++ b/saltcourse/emulator/gossip/checker.py
@@ -1,15 +1,13 @@
-"""Invariants of every node, checked by what it reports to its host and by the network's record.
-
-Safety, at every action:
-
-- a process applies positions that strictly rise, its epoch never falls, and it goes forward only by an
-  ``Applied`` that it reported;
-- one version has one position, and the configuration at a position is the same at all members and times;
-- a change is applied completely or not at all, and a change that was reported as published to its operator
-  is in every later version of all members;
-- on the minority side of a partition nothing is published that was not agreed before it;
-- a member without a majority of the voters for ``stale_after`` + ``STALE_SLACK_SECONDS`` has reported STALE;
-- tables and queues stay within their bounds, and nothing raises or spins.
+"""Invariants of gossip nodes, checked on their actions, their state and the network's connectivity.
+
+- The versions that a process applies strictly increase, its epoch never decreases, and each move to another
+  position is reported as ``Applied``.
+- A version has one position, and the configuration at a position is the same at all members and times.
+- A change is applied completely or not at all, and a change reported as published to its operator is in every
+  later version at all members.
+- The minority side of a partition publishes only versions accepted before the partition.
+- A member without a majority of the voters for ``stale_after`` + ``STALE_SLACK_SECONDS`` has reported STALE.
+- Tables and queues stay within their bounds, and no process raises an exception or wakes up endlessly.
 """
 
 from __future__ import annotations
@@ -35,47 +33,48 @@
 )
 from saltcourse.gossip.node import Node
 
-STALE_SLACK_SECONDS = 6.0  # for which the last heartbeat is still passed on within the minority side
-MAX_EVENTS_PER_SECOND = 20_000  # of one process; more is a node that wakes itself without end
-LEFT_KEY = "check/left"  # each change writes the same value to both: a half change shows
+STALE_SLACK_SECONDS = 6.0  # the last heartbeat still spreads within the minority side this long
+MAX_EVENTS_PER_SECOND = 20_000  # per process; more means a node that wakes up endlessly
+# Each change writes the same value to both keys, so a partially applied change is detected.
+LEFT_KEY = "check/left"
 RIGHT_KEY = "check/right"
-TOKEN_PREFIX = "token/"  # each change writes one key of its own
+TOKEN_PREFIX = "token/"  # each change also writes a key of its own
 
 
 @dataclass
 class Process:
-    """One process of a member, as the checker sees it."""
+    """A process of a member, with the state that it has reported."""
 
     host: str
     node: Node
-    position: Position  # the last that it reported, or started from
+    position: Position  # last reported position, or the one at start
     freshness: Freshness
-    isolated_since: float | None = None  # true time since which no majority of the voters is connected to it
-    events: Counter[int] = field(default_factory=Counter)  # by second
-    unreachable: set[str] = field(default_factory=set)  # zones
+    isolated_since: float | None = None  # true time since which it has no majority of the voters
+    events: Counter[int] = field(default_factory=Counter)  # second of true time -> events handled
+    unreachable: set[str] = field(default_factory=set)  # zones reported as unreachable
 
 
 @dataclass(frozen=True)
 class Version:
-    """The configuration of one version, as first seen."""
+    """The configuration of a version, as first applied by a process."""
 
     position: Position
     digest: bytes
     tokens: frozenset[int]
-    first_seen: float
+    first_seen: float  # true time
 
 
 @dataclass(frozen=True)
 class MemberEvent:
-    """What a member reported of another one."""
+    """A change of a member's status, as reported by an observer."""
 
-    at: float
+    at: float  # true time
     observer: str
     change: MemberChanged
 
 
 class InvariantChecker:
-    """Takes each action of each process; raises ``InvariantError``."""
+    """Checks the actions of all processes; raises ``InvariantError`` if an invariant is violated."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -83,69 +82,74 @@
         self.published: dict[int, Position] = {}  # token -> position
         self.failed: dict[int, PublishError] = {}
         self.member_events: list[MemberEvent] = []
-        self.minority_versions: dict[str, int] = {}  # voter on a minority side -> what it may publish
+        # Voter on a minority side -> highest version that it may publish.
+        self.minority_version_limits: dict[str, int] = {}
 
     # ---- actions ----------------------------------------------------------------------------------
 
     def on_applied(self, process: Process, action: Applied, is_last: bool) -> None:
-        """A process reports a position. ``is_last``: its configuration is at that position now."""
+        """Check a reported position and, for the last ``Applied`` of a list of actions, the configuration."""
         old, new = process.position, action.position
         if new.version <= old.version or new.epoch < old.epoch:
-            self.fail(f"{process.host} goes from {old} to {new}")
+            self.fail(
+                f"{process.host} goes from {old} to {new}; versions must increase, epochs must not decrease"
+            )
         self._check_position(process, new)
         process.position = new
         if is_last:
             self._check_configuration(process, new)
 
     def on_start(self, process: Process, stored: Position) -> None:
-        """Check what a new process has from its disk, as if it had just applied it."""
+        """Check the position and configuration that a new process has loaded from its disk."""
         position = process.node.dissemination.position
         if position < stored:
-            self.fail(f"{process.host} starts at {position}, its disk had {stored}")
+            self.fail(f"{process.host} starts at {position}, but its disk has {stored}")
         if position.version:
             self._check_configuration(process, position)
 
     def after_event(self, process: Process) -> None:
-        """After each event: nothing has changed without a report, and the process does not spin."""
+        """Check that the position was reported and that the process does not wake up endlessly."""
         node = process.node
         if node.dissemination.position != process.position:
-            self.fail(f"{process.host} is at {node.dissemination.position} and reported {process.position}")
+            self.fail(f"{process.host} is at {node.dissemination.position}, but reported {process.position}")
         second = int(self.now)
         process.events[second] += 1
         if process.events[second] > MAX_EVENTS_PER_SECOND:
-            self.fail(f"{process.host} wakes without end")
+            self.fail(f"{process.host} handled over {MAX_EVENTS_PER_SECOND} events in a second")
 
     def on_published(self, process: Process, action: Published) -> None:
-        """An operator has got the result that its change is committed."""
+        """Check a change reported to its operator as published."""
         self.published[action.token] = action.position
         for version in self.versions.values():
             if version.position.version >= action.position.version and action.token not in version.tokens:
-                self.fail(f"{action.token}, published at {action.position}, is not in {version.position}")
-        agreed = self.minority_versions.get(process.host)
-        if agreed is not None and action.position.version > agreed:
-            self.fail(f"{process.host} published {action.position} on the smaller side of a cut")
+                self.fail(
+                    f"change {action.token}, published at {action.position}, is not in {version.position}"
+                )
+        limit = self.minority_version_limits.get(process.host)
+        if limit is not None and action.position.version > limit:
+            self.fail(f"{process.host} published {action.position} on the minority side of a partition")
 
     def on_publish_failed(self, action: PublishFailed) -> None:
-        """An operator has got an error."""
+        """Record a change reported to its operator as failed."""
         self.failed[action.token] = action.error
 
     def is_answered(self, token: int) -> bool:
-        """Whether an operator has got a result."""
+        """Return whether an operator's change has a result."""
         return token in self.published or token in self.failed
 
     def on_member_changed(self, process: Process, action: MemberChanged) -> None:
-        """A process reports a member."""
+        """Record a member's status reported by a process."""
         self.member_events.append(MemberEvent(self.now, process.host, action))
 
     def on_zone_reachability(self, process: Process, action: ZoneReachability) -> None:
-        """A process reports a zone."""
+        """Record a zone's reachability reported by a process."""
         if action.reachable:
             process.unreachable.discard(action.zone)
         else:
             process.unreachable.add(action.zone)
 
     def on_freshness_changed(self, process: Process, action: FreshnessChanged) -> None:
-        """A process reports its freshness."""
+        """Record the freshness reported by a process."""
         process.freshness = action.freshness
 
     # ---- configuration ----------------------------------------------------------------------------
@@ -153,7 +157,7 @@
     def _check_position(self, process: Process, position: Position) -> None:
         known = self.versions.get(position.version)
         if known is not None and known.position != position:
-            self.fail(f"{process.host} has {position}, others had {known.position}")
+            self.fail(f"{process.host} applied {position}, but other members applied {known.position}")
 
     def _check_configuration(self, process: Process, position: Position) -> None:
         configuration = process.node.dissemination.configuration
@@ -161,28 +165,36 @@
         digest = digest_of(configuration)
         known = self.versions.get(position.version)
         if known is None:
-            self._first_seen(process, position, configuration, digest)
+            self._record_version(process, position, configuration, digest)
         elif known.digest != digest:
-            self.fail(f"{process.host} has another configuration at {position}")
+            self.fail(f"{process.host} has another configuration at {position} than other members")
 
-    def _first_seen(
+    def _record_version(
         self, process: Process, position: Position, configuration: Mapping[str, bytes], digest: bytes
     ) -> None:
         if configuration.get(LEFT_KEY) != configuration.get(RIGHT_KEY):
-            self.fail(f"{process.host} has half a change at {position}")
-        tokens = frozenset(int(k[len(TOKEN_PREFIX) :]) for k in configuration if k.startswith(TOKEN_PREFIX))
-        for token, at in self.published.items():
-            if at.version <= position.version and token not in tokens:
-                self.fail(f"{process.host} at {position} lacks {token}, published at {at}")
+            self.fail(
+                f"{process.host} applied a change partially: {LEFT_KEY} and {RIGHT_KEY} differ at {position}"
+            )
+        tokens = frozenset(
+            int(key[len(TOKEN_PREFIX) :]) for key in configuration if key.startswith(TOKEN_PREFIX)
+        )
+        for token, published_at in self.published.items():
+            if published_at.version <= position.version and token not in tokens:
+                self.fail(f"{process.host} at {position} lacks change {token}, published at {published_at}")
         self.versions[position.version] = Version(position, digest, tokens, self.now)
 
-    # ---- time -------------------------------------------------------------------------------------
+    # ---- periodic checks --------------------------------------------------------------------------
 
     def check_freshness(self, process: Process, has_majority: bool, stale_after: float) -> None:
-        """Check a running process from time to time: it must know that it may be behind."""
+        """Check the freshness of a running process; called periodically.
+
+        The reported freshness must be the present one, and must not be CURRENT when the process has had no
+        majority of the voters for longer than ``stale_after`` seconds and the slack.
+        """
         actual = process.node.dissemination.freshness
         if actual != process.freshness:
-            self.fail(f"{process.host} is {actual.name} and reported {process.freshness.name}")
+            self.fail(f"{process.host} is {actual.name}, but reported {process.freshness.name}")
         if has_majority:
             process.isolated_since = None
             return
@@ -195,21 +207,23 @@
             )
 
     def check_bounds(self, process: Process) -> None:
-        """Check from time to time that tables and queues are within their bounds."""
+        """Check that tables and queues are within their bounds; called periodically."""
         membership = process.node.membership
         if len(membership.members) > MAX_MEMBERS:
-            self.fail(f"{process.host} keeps {len(membership.members)} members")
+            self.fail(
+                f"{process.host} stores {len(membership.members)} members, at most {MAX_MEMBERS} allowed"
+            )
         waiting = membership.metrics()["broadcasts_waiting"]
         if waiting > MAX_QUEUED:
-            self.fail(f"{process.host} has {waiting} updates to pass on")
+            self.fail(f"{process.host} has {waiting} queued updates, at most {MAX_QUEUED} allowed")
 
-    def fail(self, what: str) -> None:
-        """Raise ``InvariantError`` with the time."""
-        raise InvariantError(f"at {self.now:.3f} s: {what}")
+    def fail(self, violation: str) -> None:
+        """Raise ``InvariantError`` with the true time and the violation."""
+        raise InvariantError(f"at {self.now:.3f} s: {violation}")
 
 
 def digest_of(configuration: Mapping[str, bytes]) -> bytes:
-    """Return a digest of keys and values, whatever their order."""
+    """Return a digest of all keys and values that does not depend on their order."""
     digest = hashlib.blake2b(digest_size=16)
     for key in sorted(configuration):
         value = configuration[key]
--- a/saltcourse/emulator/gossip/network.py
+++ b/saltcourse/emulator/gossip/network.py
@@ -1,7 +1,7 @@
-"""The simulated network of a fleet over zones and regions: datagrams to addresses, not to hosts.
+"""The simulated network of a fleet in several zones and regions, with datagrams sent to addresses.
 
-Delay depends on the locations of the two ends. A partition splits the hosts into groups that cannot reach
-each other; an address may be taken over by another host; the socket of a stopped host holds a bounded
+The delay depends on the locations of sender and receiver. A partition splits the hosts into groups that
+cannot reach each other. An address can move to another host. The socket of a stopped host buffers a bounded
 number of datagrams.
 """
 
@@ -15,12 +15,12 @@
 from saltcourse.emulator.simnet import Host, Link, Network
 from saltcourse.gossip.messages import PACKET_OVERHEAD_BYTES, Address, Received, Tick
 
-SOCKET_DATAGRAMS = 256  # that wait for a stopped process; later ones are lost
-REMEMBERED = 300  # datagrams
-REMEMBERED_BYTES = 130  # the least of one with a change in it
-SAME_ZONE = (0.0002, 0.002)  # s one way
-SAME_REGION = (0.0005, 0.005)
-OTHER_REGION = (0.030, 0.060)
+SOCKET_BUFFER_DATAGRAMS = 256  # for a stopped process; further datagrams are lost
+REPLAY_BUFFER_DATAGRAMS = 300
+MIN_REPLAY_BYTES = 130  # the smallest datagram that contains a change
+SAME_ZONE_DELAY = (0.0002, 0.002)  # seconds, one way: minimum and maximum
+SAME_REGION_DELAY = (0.0005, 0.005)
+OTHER_REGION_DELAY = (0.030, 0.060)
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,18 +33,18 @@
 
 @dataclass
 class Faults(Link):
-    """Faults of each datagram, by probability; ``delay`` is the one between regions."""
+    """Probabilities of the faults of each datagram; ``delay`` applies between regions."""
 
-    delay: tuple[float, float] = OTHER_REGION
+    delay: tuple[float, float] = OTHER_REGION_DELAY
     loss: float = 0.01
     duplication: float = 0.01
-    truncate: float = 0.0  # arrives cut short
-    flip: float = 0.0  # arrives with one bit changed
+    truncate: float = 0.0  # the datagram is truncated
+    flip: float = 0.0  # one bit of the datagram is inverted
 
 
 @dataclass
 class Traffic:
-    """Bytes of one host by the network's own record, packet overhead included."""
+    """Bytes sent and received by one host, packet overhead included, and datagrams sent."""
 
     sent: int = 0
     received: int = 0
@@ -52,13 +52,13 @@
 
     @property
     def total(self) -> int:
-        """Sent and received."""
+        """The bytes sent and received."""
         return self.sent + self.received
 
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A datagram that came to a host."""
+    """A datagram received by a host."""
 
     host: str
     event: Received
@@ -66,48 +66,54 @@
 
 @dataclass
 class FleetHost(Host):
-    """A host with its place and address."""
+    """A host with its location and address."""
 
     location: Location = Location("", "")
     address: Address = ("", 0)
-    armed: float = field(default=float("inf"))  # true time of the timer that is set
+    timer_at: float = field(default=float("inf"))  # true time of the timer that is set
 
 
 class FleetNetwork(Network):
-    """``deliver(host, event)`` is called with ``Received`` and ``Tick`` for each live process."""
+    """The network of a fleet.
 
-    def __init__(self, seed: int, deliver: Callable[[Host, Any], None], faults: Faults) -> None:
-        super().__init__(seed, [], faults, deliver, Tick())
+    ``handle_event(host, event)`` is called with each ``Received`` and ``Tick`` of a live process.
+    """
+
+    def __init__(self, seed: int, handle_event: Callable[[Host, Any], None], faults: Faults) -> None:
+        super().__init__(seed, [], faults, handle_event, Tick())
         self.faults = faults
         self.fleet: dict[str, FleetHost] = {}
-        self.listeners: dict[Address, str] = {}  # which host has an address now
-        self.groups: dict[str, int] = {}  # a partition: hosts of different groups are cut from each other
-        self.records: dict[str, Traffic] = {}  # by host
-        self.remembered: deque[Arrival] = deque(maxlen=REMEMBERED)  # to be replayed
+        self.listeners: dict[Address, str] = {}  # address -> host that has it now
+        self.groups: dict[str, int] = {}  # host -> group of a partition, 0 if absent
+        self.traffic: dict[str, Traffic] = {}  # by host
+        self.replay_buffer: deque[Arrival] = deque(maxlen=REPLAY_BUFFER_DATAGRAMS)
 
     def add(self, host: FleetHost) -> None:
         """Add a host; it is down until its process starts."""
         self.hosts[host.name] = self.fleet[host.name] = host
         self.listeners[host.address] = host.name
-        self.records[host.name] = Traffic()
+        self.traffic[host.name] = Traffic()
 
     def connected(self, one: str, other: str) -> bool:
-        """Whether datagrams go from one host to the other now."""
+        """Return whether datagrams from one host reach the other now."""
         return (one, other) not in self.cuts and self.same_side(one, other)
 
     def same_side(self, one: str, other: str) -> bool:
-        """Whether no partition is between them; single links may be cut none the less."""
+        """Return whether no partition separates two hosts; the link between them may still be cut."""
         return self.groups.get(one, 0) == self.groups.get(other, 0)
 
     def partition(self, groups: dict[str, int]) -> None:
-        """Set the group of each host; those that are not named are in group 0."""
+        """Partition the hosts into groups; hosts that are not named are in group 0."""
         self.groups = groups
 
     def transmit(self, sender: FleetHost, destination: Address, datagram: bytes) -> None:
-        """Send a datagram to whoever has the address when it arrives."""
+        """Send a datagram to the host that has the address when the datagram arrives.
+
+        The delay is that to the host that has the address when it is sent.
+        """
         size = len(datagram) + PACKET_OVERHEAD_BYTES
-        self.records[sender.name].sent += size
-        self.records[sender.name].datagrams += 1
+        self.traffic[sender.name].sent += size
+        self.traffic[sender.name].datagrams += 1
         receiver = self.listeners.get(destination)
         if receiver is None:
             return
@@ -116,17 +122,19 @@
         for _ in range(copies):
             if self.random.random() >= self.faults.loss:
                 arrival = self.now + self.random.uniform(*delay)
-                self._under_way(arrival, sender, destination, self._damage(datagram))
+                self._schedule_arrival(arrival, sender, destination, self._damage(datagram))
 
-    def _under_way(self, arrival: float, sender: FleetHost, destination: Address, datagram: bytes) -> None:
+    def _schedule_arrival(
+        self, arrival: float, sender: FleetHost, destination: Address, datagram: bytes
+    ) -> None:
         source = sender.address
-        self.call_at(arrival, lambda: self._reach(sender.name, source, destination, datagram))
+        self.call_at(arrival, lambda: self._receive(sender.name, source, destination, datagram))
 
     def _delay(self, one: Location, other: Location) -> tuple[float, float]:
         if one.zone == other.zone:
-            return SAME_ZONE
+            return SAME_ZONE_DELAY
         if one.region == other.region:
-            return SAME_REGION
+            return SAME_REGION_DELAY
         return self.faults.delay
 
     def _damage(self, datagram: bytes) -> bytes:
@@ -138,32 +146,32 @@
             return bytes(changed)
         return datagram
 
-    def _reach(self, sender: str, source: Address, destination: Address, datagram: bytes) -> None:
-        """Arrive, unless a cut began while the datagram was under way."""
+    def _receive(self, sender: str, source: Address, destination: Address, datagram: bytes) -> None:
+        """Deliver a datagram, unless a cut or partition now separates sender and receiver."""
         receiver = self.listeners.get(destination)
         if receiver is None or not self.connected(sender, receiver):
             return
         host = self.hosts[receiver]
-        if not host.alive or (host.stopped and len(host.pending_events) >= SOCKET_DATAGRAMS):
+        if not host.alive or (host.stopped and len(host.pending_events) >= SOCKET_BUFFER_DATAGRAMS):
             return
-        self.records[receiver].received += len(datagram) + PACKET_OVERHEAD_BYTES
+        self.traffic[receiver].received += len(datagram) + PACKET_OVERHEAD_BYTES
         self.arrived[sender, receiver] = self.now
         event = Received(source, datagram)
-        if len(datagram) >= REMEMBERED_BYTES:
-            self.remembered.append(Arrival(receiver, event))
+        if len(datagram) >= MIN_REPLAY_BYTES:
+            self.replay_buffer.append(Arrival(receiver, event))
         self.deliver(host, event)
 
     def inject(self, receiver: str, source: Address, datagram: bytes) -> None:
-        """Let a datagram from outside the fleet arrive now."""
+        """Deliver a datagram from outside the fleet now."""
         host = self.hosts[receiver]
-        self.records[receiver].received += len(datagram) + PACKET_OVERHEAD_BYTES
+        self.traffic[receiver].received += len(datagram) + PACKET_OVERHEAD_BYTES
         self.deliver(host, Received(source, datagram))
 
-    def arm(self, host: FleetHost, deadline: float) -> None:
-        """Set the timer to a time on the host's own clock, if it is not set to that already."""
-        true = max(host.true_time(deadline), self.now)
-        if true == float("inf"):
+    def set_deadline(self, host: FleetHost, deadline: float) -> None:
+        """Set the host's timer to a time on its own clock, unless it is set to that time already."""
+        expires_at = max(host.true_time(deadline), self.now)
+        if expires_at == float("inf"):
             return
-        if true != host.armed:
-            host.armed = true
-            self.set_timer(host, host.clock(true))
+        if expires_at != host.timer_at:
+            host.timer_at = expires_at
+            self.set_timer(host, host.clock(expires_at))
--- a/saltcourse/emulator/gossip/object_count.py
+++ b/saltcourse/emulator/gossip/object_count.py
@@ -1,4 +1,4 @@
-"""The number of objects that a simulated process stores, independent of the names of its tables."""
+"""Count the elements that a simulated process stores, without knowledge of its attributes."""
 
 from __future__ import annotations
 
@@ -6,24 +6,27 @@
 
 
 def count_elements(root: object) -> int:
-    """Count the elements of all containers reached from ``root`` through the package's own objects."""
+    """Return the number of elements in all containers reachable from ``root``.
+
+    Attributes are followed only for objects of ``saltcourse.gossip``.
+    """
     seen: set[int] = set()
-    waiting: list[object] = [root]
+    pending: list[object] = [root]
     count = 0
-    while waiting:
-        item = waiting.pop()
+    while pending:
+        item = pending.pop()
         if id(item) in seen:
             continue
         seen.add(id(item))
         if isinstance(item, Mapping):
             count += len(item)
-            waiting += list(item.values()) + list(item.keys())
+            pending += list(item.values()) + list(item.keys())
         elif isinstance(item, list | tuple | set | frozenset) or type(item).__name__ == "deque":
-            members = list(item)  # type: ignore[call-overload]
-            count += len(members)
-            waiting += members
+            elements = list(item)  # type: ignore[call-overload]
+            count += len(elements)
+            pending += elements
         elif type(item).__module__.startswith("saltcourse.gossip"):
-            waiting += _attributes(item)
+            pending += _attributes(item)
     return count
 
 
--- a/saltcourse/emulator/gossip/scenario.py
+++ b/saltcourse/emulator/gossip/scenario.py
@@ -1,6 +1,6 @@
-"""Building blocks of named schedules: a fleet that has formed, and what must hold within a stated time.
+"""Building blocks of hand-written scenarios: a running fleet, and conditions with time limits.
 
-Each function raises ``InvariantError`` when its time runs out, and gives the figure that was measured.
+Functions that wait raise ``InvariantError`` when their limit is exceeded. Times are in virtual seconds.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from functools import partial
 
 from saltcourse.emulator.gossip.network import Faults, Traffic
-from saltcourse.emulator.gossip.schedule import CHANGE_WITHIN, FORMED_WITHIN, in_force
+from saltcourse.emulator.gossip.schedule import CHANGE_WITHIN, FORMATION_LIMIT_SECONDS, is_applied_everywhere
 from saltcourse.emulator.gossip.world import KEY, Matcher, NodeClass, World
 from saltcourse.emulator.invariants import InvariantError
 from saltcourse.gossip.codec import Codec
@@ -19,67 +19,77 @@
 from saltcourse.gossip.node import Node
 from saltcourse.gossip.settings import Timing
 
-SETTLING = 10.0  # s in which a fleet that has a publisher completes its member tables
-AGREED_WITHIN = 10.0  # s from the healing of a cut to agreement
-TAKEOVER_WITHIN = 15.0  # s from a publisher's death to a change of the next one
-UNDRAWN_PERIODS = 7  # probe periods after which a dead member was drawn by somebody (but for 1 in 1,000)
-SPREAD_ROUNDS = 3  # times log2 of the fleet: gossip rounds in which an update reaches everybody
-RETRY_AFTER = 0.2  # s until an operator repeats a change that was refused
+TABLE_SYNC_LIMIT_SECONDS = 10.0  # from the first publisher until all member tables are complete
+AGREED_WITHIN = 10.0  # seconds from the healing of a partition to agreement
+TAKEOVER_WITHIN = 15.0  # seconds from a publisher's death to a change published by the next one
+UNPROBED_PERIODS = 7  # probe periods after which a dead member is still unprobed with probability 0.001
+SPREAD_ROUNDS = 3  # gossip rounds, times log2 of the fleet's size, until an update reaches all members
+RETRY_DELAY_SECONDS = 0.2  # before an operator repeats a rejected change
 
 
 def formed(seed: int, proxies: int, faults: Faults | None = None, node_class: NodeClass = Node) -> World:
-    """Return a fleet that has a publisher and agrees; 1% loss unless given otherwise."""
+    """Start a fleet, wait until it has a publisher and agrees, and return it; the default loss is 1%."""
     world = World(seed, proxies, faults, node_class=node_class)
     world.start_all()
-    within(world, FORMED_WITHIN, lambda: publishes(world), "has a publisher")
-    within(world, SETTLING, lambda: world.disagreement(), "agrees")
+    within(world, FORMATION_LIMIT_SECONDS, lambda: publishes(world), "all members have a publisher")
+    within(world, TABLE_SYNC_LIMIT_SECONDS, lambda: world.disagreement(), "all agree")
     return world
 
 
 def publishes(world: World) -> str:
-    """Return why it is not so that everybody has a publisher's heartbeat; empty if everybody has."""
+    """Return which member has no current heartbeat of a publisher; empty if all have one."""
     for process in world.processes.values():
         if process.node.dissemination.heartbeat.count == 0:
-            return f"{process.host} has no heartbeat of a publisher"
+            return f"{process.host} has received no heartbeat of a publisher"
         if process.freshness is not Freshness.CURRENT:
             return f"{process.host} is {process.freshness.name}"
     return ""
 
 
 def within(world: World, seconds: float, reason: Callable[[], str], what: str, step: float = 0.1) -> float:
-    """Return the seconds until ``reason()`` was empty."""
+    """Advance time until ``reason()`` is empty, and return the elapsed seconds.
+
+    ``reason`` returns why the condition described by ``what`` does not hold.
+    """
     elapsed = world.run_until(lambda: not reason(), seconds, step)
     if failure := reason():
-        world.checker.fail(f"not within {seconds:.1f} s: {what}: {failure}")
+        world.checker.fail(f"condition not met within {seconds:.1f} s: {what}: {failure}")
     return elapsed
 
 
 def publisher_of(world: World) -> str:
-    """Return the publisher's host; a change is given to it."""
+    """Return the publisher's host; raise ``InvariantError`` if no publisher is known."""
     publisher = world.publisher()
     if publisher is None:
-        raise InvariantError("nobody publishes")
+        raise InvariantError("no publisher is known")
     return publisher
 
 
 def change_in_force(world: World, token: int, seconds: float = CHANGE_WITHIN) -> float:
-    """Return the seconds from now until all running processes have the change."""
+    """Wait until all running processes have applied a published change; return the elapsed seconds."""
 
     def reason() -> str:
         if token in world.checker.failed:
             return f"change {token} failed: {world.checker.failed[token].name}"
-        lacking = [p.host for p in world.processes.values() if not in_force(world, token)]
+        lacking = [
+            process.host for process in world.processes.values() if not is_applied_everywhere(world, token)
+        ]
         return (
-            "" if in_force(world, token) else f"change {token} is not everywhere ({len(lacking)} processes)"
+            ""
+            if is_applied_everywhere(world, token)
+            else f"change {token} is not applied everywhere ({len(lacking)} processes)"
         )
 
-    return within(world, seconds, reason, "a change is in force", step=0.02)
+    return within(world, seconds, reason, "a change is applied everywhere", step=0.02)
 
 
 def publish_until_answered(
     world: World, host: str, extra: tuple[Write, ...] = (), limit: float = 30.0
 ) -> int:
-    """Publish as an operator's tool does: a change that failed as BUSY is sent again. The token."""
+    """Publish a change, retrying as an operator's tool does when it fails as BUSY; return its token.
+
+    Raises ``InvariantError`` if it fails otherwise, or is not published within ``limit`` seconds.
+    """
     end = world.network.now + limit
     while world.network.now < end:
         token = world.publish(host, extra)
@@ -88,22 +98,22 @@
             return token
         if world.checker.failed.get(token) is not PublishError.BUSY:
             break
-        world.run(RETRY_AFTER)
-    world.checker.fail(f"{host} does not publish: {world.checker.failed.get(token)}")
+        world.run(RETRY_DELAY_SECONDS)
+    world.checker.fail(f"{host} did not publish change {token}: {world.checker.failed.get(token)}")
     return token
 
 
 def transmits(kind: type[Message], skip: int = 0) -> Matcher:
-    """Match a datagram with a message of this kind, behind so many others."""
+    """Return a matcher of the datagram with a message of this kind after ``skip`` others of the kind."""
     codec = Codec(KEY)
-    left = skip
+    remaining = skip
 
     def matches(action: Action) -> bool:
-        nonlocal left
+        nonlocal remaining
         if not isinstance(action, Transmit) or not isinstance(codec.decode(action.datagram)[1], kind):
             return False
-        left -= 1
-        return left < 0
+        remaining -= 1
+        return remaining < 0
 
     return matches
 
@@ -112,30 +122,33 @@
 
 
 def detection_bound(timing: Timing, members: int) -> float:
-    """Return the seconds until everybody knows of a dead member.
+    """Return the limit, in seconds, within which all members must detect a dead member.
 
-    Somebody draws it, it is suspected at the end of that period, it does not refute that, and the update
-    spreads.
+    It is the sum of three times: until a member probes it and suspects it at the end of that probe period;
+    until the suspicion times out without a refutation; and until the update has spread.
     """
-    drawn = (UNDRAWN_PERIODS + 1) * timing.probe_interval
+    probed = (UNPROBED_PERIODS + 1) * timing.probe_interval
     suspected = timing.suspicion_multiplier * max(1.0, math.log10(members)) * timing.probe_interval
     spread = SPREAD_ROUNDS * math.log2(members) * timing.gossip_interval
-    return drawn + suspected + spread
+    return probed + suspected + spread
 
 
 def known_dead(world: World, name: str, zone: str) -> str:
-    """Return who does not yet believe the member dead, nor its zone unreachable; empty if all do."""
+    """Return which host considers neither the member dead nor its zone unreachable; empty if none."""
     for host in world.running():
         process = world.processes[host]
         member = {m.record.name: m for m in process.node.membership.members.values()}.get(name)
-        gone = member is None or member.status in (Status.DEAD, Status.LEFT)
-        if not gone and zone not in process.unreachable:
-            return f"{host} holds {name} for {member.status.name if member else None}"
+        is_dead = member is None or member.status in (Status.DEAD, Status.LEFT)
+        if not is_dead and zone not in process.unreachable:
+            return f"{host} has {name} as {member.status.name if member else None}"
     return ""
 
 
 def kill_and_detect(world: World, host: str) -> float:
-    """Return the seconds until everybody believed it dead."""
+    """Kill a member, wait until all others detect it, and return the elapsed seconds.
+
+    The limit is ``detection_bound``.
+    """
     member = world.members[host]
     world.crash(host)
     bound = detection_bound(world.timing, len(world.members))
@@ -146,29 +159,35 @@
 
 @dataclass(frozen=True, slots=True)
 class FalseAlarms:
-    """What members reported of others that were alive all the time."""
+    """Counts of live members reported as suspected or dead."""
 
-    suspicions: int  # by subject and observer
-    deaths: int
+    suspicions: int  # distinct pairs of subject and observer
+    deaths: int  # reports
 
 
 def false_alarms(world: World, since: float, except_for: str) -> FalseAlarms:
-    """Of members other than ``except_for`` (any of them for deaths)."""
-    events = [e for e in world.checker.member_events if e.at >= since]
+    """Count the suspicions of members other than ``except_for``, and the deaths of all, since a true time."""
+    events = [event for event in world.checker.member_events if event.at >= since]
     suspicions = {
-        (e.change.name, e.observer)
-        for e in events
-        if e.change.status is Status.SUSPECT and e.change.name != except_for
+        (event.change.name, event.observer)
+        for event in events
+        if event.change.status is Status.SUSPECT and event.change.name != except_for
     }
-    deaths = [e for e in events if e.change.status in (Status.DEAD, Status.LEFT)]
+    deaths = [event for event in events if event.change.status in (Status.DEAD, Status.LEFT)]
     return FalseAlarms(len(suspicions), len(deaths))
 
 
-# ---- bytes ------------------------------------------------------------------------------------------
+# ---- traffic ----------------------------------------------------------------------------------------
 
 
 def traffic_per_s(world: World, seconds: float) -> dict[str, float]:
-    """Bytes sent and received a second by each host, from now for so long, by the network's record."""
-    before = {h: Traffic(r.sent, r.received) for h, r in world.network.records.items()}
+    """Run for ``seconds``; return the bytes per second sent and received by each host in that time."""
+    before = {
+        host: Traffic(traffic.sent, traffic.received) for host, traffic in world.network.traffic.items()
+    }
     world.run(seconds)
-    return {h: (r.total - before[h].total) / seconds for h, r in world.network.records.items() if h in before}
+    return {
+        host: (traffic.total - before[host].total) / seconds
+        for host, traffic in world.network.traffic.items()
+        if host in before
+    }
--- a/saltcourse/emulator/gossip/schedule.py
+++ b/saltcourse/emulator/gossip/schedule.py
@@ -1,4 +1,4 @@
-"""Random schedules of faults for a fleet, then a calm time in which it must come to agree."""
+"""Random schedules of faults for a fleet, followed by a time without faults in which it must agree."""
 
 from __future__ import annotations
 
@@ -12,48 +12,54 @@
 from saltcourse.gossip.messages import Action, Applied, Freshness, Persist, Published, Transmit, Write
 from saltcourse.gossip.node import Node
 
-FORMED_WITHIN = 20.0  # s from the start of all to a publisher whose heartbeats reach all
-SETTLED_WITHIN = 30.0  # s from the last fault to agreement; a takeover may have to come first
-CHANGE_WITHIN = 5.0  # s from an operator's wish to its being in force everywhere
-PROXIES = (7, 15)  # fewest and most, drawn by each schedule
+FORMATION_LIMIT_SECONDS = 20.0  # from the start of all members until all have a publisher's heartbeat
+SETTLE_LIMIT_SECONDS = 30.0  # from the last fault to agreement, a takeover included
+CHANGE_WITHIN = 5.0  # seconds from an operator's request until all members have applied the change
+PROXY_COUNT_RANGE = (7, 15)
 FAULT_SECONDS = 40.0
-MOST_STOPPED = 8.0  # s for which a process is stopped
-STEPS = (0.1, 0.5, 1.5, 4.0)  # s between faults
-JUNK_BYTES = 1_300
-REPLAYED = 60  # datagrams at once
+MAX_STOP_SECONDS = 8.0  # longest time for which a process is stopped
+FAULT_INTERVALS_SECONDS = (0.1, 0.5, 1.5, 4.0)
+MAX_JUNK_BYTES = 1_300  # exclusive
+MAX_REPLAYED_DATAGRAMS = 60  # per fault
 
 
 @dataclass(frozen=True, slots=True)
-class ScheduleFigures:
-    """Figures of one schedule that held."""
+class ScheduleResult:
+    """Results of a schedule that violated no invariant."""
 
     seed: int
-    published: int
-    failed: int
-    settled_s: float
-    last_change_s: float
+    published: int  # changes reported as published
+    failed: int  # changes reported as failed
+    settled_s: float  # seconds from the last fault to agreement
+    last_change_s: float  # seconds until the final change was applied everywhere
 
 
 def run_schedule(
     seed: int,
     node_class: NodeClass = Node,
     seconds: float = FAULT_SECONDS,
-    proxies: tuple[int, int] = PROXIES,
-) -> ScheduleFigures:
-    """Play one random schedule; ``InvariantError`` when a property does not hold."""
+    proxies: tuple[int, int] = PROXY_COUNT_RANGE,
+) -> ScheduleResult:
+    """Run a random schedule with ``seconds`` of faults.
+
+    The number of proxies is random, from the first to the second number in ``proxies``. Raises
+    ``InvariantError`` if an invariant is violated.
+    """
     schedule = Schedule(seed, node_class, proxies)
-    schedule.form()
-    schedule.disturb(seconds)
+    schedule.form_fleet()
+    schedule.inject_faults(seconds)
     settled = schedule.settle()
-    last = schedule.publish_one_more()
+    last = schedule.publish_final_change()
     checker = schedule.world.checker
-    return ScheduleFigures(seed, len(checker.published), len(checker.failed), settled, last)
+    return ScheduleResult(seed, len(checker.published), len(checker.failed), settled, last)
 
 
 class Schedule:
-    """A world, and the random draws of its faults."""
+    """A fleet under random faults, all determined by the seed."""
 
-    def __init__(self, seed: int, node_class: NodeClass, proxies: tuple[int, int] = PROXIES) -> None:
+    def __init__(
+        self, seed: int, node_class: NodeClass, proxies: tuple[int, int] = PROXY_COUNT_RANGE
+    ) -> None:
         self.rng = random.Random(seed)
         rng = self.rng
         faults = Faults(
@@ -70,40 +76,48 @@
             self._stop,
             self._cut_region,
             self._cut_zone,
-            self._cut_one,
-            self._cut_one_way,
+            self._isolate_host,
+            self._cut_one_direction,
             self._heal,
             self._heal,
             self._publish,
             self._publish,
             self._publish,
             self._burst,
-            self._die_at_some_action,
-            self._junk,
+            self._crash_at_random_action,
+            self._inject_junk,
             self._replay,
             self._replay,
             self._restart_zone,
         )
 
-    def form(self) -> None:
-        """Start all; ``InvariantError`` when there is no publisher in time."""
+    def form_fleet(self) -> None:
+        """Start all members and wait until a publisher's heartbeats have reached all.
+
+        Raises ``InvariantError`` if this takes longer than ``FORMATION_LIMIT_SECONDS``.
+        """
         self.world.start_all()
-        elapsed = self.world.run_until(self._has_publisher, FORMED_WITHIN)
-        if elapsed >= FORMED_WITHIN:
-            self.world.checker.fail(f"no publisher within {FORMED_WITHIN} s")
+        elapsed = self.world.run_until(self._has_publisher, FORMATION_LIMIT_SECONDS)
+        if elapsed >= FORMATION_LIMIT_SECONDS:
+            self.world.checker.fail(
+                f"not all members have a publisher's heartbeat within {FORMATION_LIMIT_SECONDS} s"
+            )
 
     def _has_publisher(self) -> bool:
         return all(p.node.dissemination.heartbeat.count > 0 for p in self.world.processes.values())
 
-    def disturb(self, seconds: float) -> None:
-        """Play random faults for so many seconds."""
+    def inject_faults(self, seconds: float) -> None:
+        """Inject random faults for ``seconds`` of virtual time."""
         end = self.world.network.now + seconds
         while self.world.network.now < end:
-            self.world.run(self.rng.choice(STEPS))
+            self.world.run(self.rng.choice(FAULT_INTERVALS_SECONDS))
             self.rng.choice(self.faults)()
 
     def settle(self) -> float:
-        """Start and connect all; return the seconds until they agree."""
+        """Start and connect all members; return the seconds until they agree.
+
+        Raises ``InvariantError`` if they do not agree within ``SETTLE_LIMIT_SECONDS``.
+        """
         world = self.world
         world.heal()
         world.planned_crashes.clear()
@@ -114,69 +128,72 @@
                 world.resume(host)
             if host not in world.processes:
                 world.start(host)
-        elapsed = world.run_until(lambda: not self._unsettled(), SETTLED_WITHIN, step=0.5)
-        if reason := self._unsettled():
-            world.checker.fail(f"{SETTLED_WITHIN} s after the last fault {reason}")
+        elapsed = world.run_until(lambda: not self._unsettled_reason(), SETTLE_LIMIT_SECONDS, step=0.5)
+        if reason := self._unsettled_reason():
+            world.checker.fail(f"no agreement within {SETTLE_LIMIT_SECONDS} s of the last fault: {reason}")
         return elapsed
 
-    def _unsettled(self) -> str:
+    def _unsettled_reason(self) -> str:
+        """Return why the members do not agree; empty if they agree."""
         for process in self.world.processes.values():
             if process.freshness is not Freshness.CURRENT:
                 return f"{process.host} is {process.freshness.name}"
         return self.world.disagreement()
 
-    def publish_one_more(self) -> float:
-        """Publish a change in the calm; return the seconds until all have it.
+    def publish_final_change(self) -> float:
+        """Publish a change without faults; return the seconds until it is applied everywhere.
 
-        Changes given to other voters while there were faults may still move the publisher, until their
-        timeout.
+        Waits for ``publish_timeout`` first: until then, changes submitted to other voters during the faults
+        may still make one of them take over as publisher. Raises ``InvariantError`` if there is no publisher,
+        or if the change takes longer than ``CHANGE_WITHIN`` seconds.
         """
         world = self.world
         world.run(world.timing.publish_timeout)
         publisher = world.publisher()
         if publisher is None:
-            raise InvariantError("nobody publishes")
+            raise InvariantError("no publisher is known after the faults")
         started_at = world.network.now
         token = world.publish(publisher)
-        world.run_until(lambda: in_force(world, token), CHANGE_WITHIN)
-        if not in_force(world, token):
-            world.checker.fail(f"change {token} is not everywhere after {CHANGE_WITHIN} s")
+        world.run_until(lambda: is_applied_everywhere(world, token), CHANGE_WITHIN)
+        if not is_applied_everywhere(world, token):
+            world.checker.fail(f"change {token} is not applied everywhere after {CHANGE_WITHIN} s")
         return world.network.now - started_at
 
     # ---- faults -----------------------------------------------------------------------------------
 
-    def _some_host(self) -> str:
+    def _random_host(self) -> str:
+        """Return a random host: the publisher with probability 0.3, else any host."""
         publisher = self.world.publisher()
         if publisher is not None and self.rng.random() < 0.3:
             return publisher
         return self.rng.choice(list(self.world.members))
 
     def _crash_or_start(self) -> None:
-        host = self._some_host()
+        host = self._random_host()
         if host in self.world.processes:
             self.world.crash(host)
         else:
             self.world.start(host)
 
     def _restart(self) -> None:
-        self.world.restart(self._some_host())
+        self.world.restart(self._random_host())
 
     def _restart_zone(self) -> None:
         for host in self.world.hosts_in(zone=self.rng.choice(LOCATIONS).zone):
             self.world.restart(host)
 
     def _stop(self) -> None:
-        host = self._some_host()
+        host = self._random_host()
         if host not in self.world.processes or self.world.network.fleet[host].stopped:
             return
         self.world.stop(host)
         process = self.world.processes[host]
 
-        def go_on() -> None:
+        def resume() -> None:
             if self.world.processes.get(host) is process and self.world.network.fleet[host].stopped:
                 self.world.resume(host)
 
-        self.world.network.call_at(self.world.network.now + self.rng.uniform(0.1, MOST_STOPPED), go_on)
+        self.world.network.call_at(self.world.network.now + self.rng.uniform(0.1, MAX_STOP_SECONDS), resume)
 
     def _cut_region(self) -> None:
         self.world.partition(self.world.hosts_in(region=self.rng.choice(LOCATIONS).region))
@@ -184,10 +201,10 @@
     def _cut_zone(self) -> None:
         self.world.partition(self.world.hosts_in(zone=self.rng.choice(LOCATIONS).zone))
 
-    def _cut_one(self) -> None:
-        self.world.partition([self._some_host()])
+    def _isolate_host(self) -> None:
+        self.world.partition([self._random_host()])
 
-    def _cut_one_way(self) -> None:
+    def _cut_one_direction(self) -> None:
         one, other = self.rng.sample(list(self.world.members), 2)
         self.world.network.cut(one, other, both=False)
 
@@ -206,50 +223,51 @@
         for _ in range(self.rng.randint(2, 8)):
             self._publish()
 
-    def _die_at_some_action(self) -> None:
-        """Crash, most often at a voter in the middle of a change that is published just then."""
+    def _crash_at_random_action(self) -> None:
+        """Make a random voter crash at an action, and publish a change that it probably takes part in."""
         voter = self.rng.choice(self.world.voters).name
         kind = self.rng.choice((Persist, Transmit, Applied, Published))
         skip = self.rng.randrange(4)
-        self.world.crash_at(voter, nth(kind, skip), after=self.rng.random() < 0.5)
+        self.world.crash_at(voter, nth_action(kind, skip), after=self.rng.random() < 0.5)
         self._publish()
 
-    def _junk(self) -> None:
+    def _inject_junk(self) -> None:
+        """Send random bytes to random hosts from an address outside the fleet."""
         for _ in range(20):
-            host = self._some_host()
-            datagram = self.rng.randbytes(self.rng.randrange(JUNK_BYTES))
+            host = self._random_host()
+            datagram = self.rng.randbytes(self.rng.randrange(MAX_JUNK_BYTES))
             self.world.network.inject(host, ("192.0.2.1", 9), datagram)
 
     def _replay(self) -> None:
-        """Old datagrams come again, also at members that they were not for, but never over a cut."""
+        """Deliver recorded datagrams again, also to other members, but never across a partition."""
         network = self.world.network
-        remembered = list(network.remembered)
-        for arrival in self.rng.sample(remembered, min(REPLAYED, len(remembered))):
+        recorded = list(network.replay_buffer)
+        for arrival in self.rng.sample(recorded, min(MAX_REPLAYED_DATAGRAMS, len(recorded))):
             host = self.rng.choice(list(self.world.members))
-            came = network.fleet[arrival.host]
-            if came.alive and not came.stopped and network.same_side(host, arrival.host):
+            receiver = network.fleet[arrival.host]
+            if receiver.alive and not receiver.stopped and network.same_side(host, arrival.host):
                 network.inject(host, arrival.event.source, arrival.event.datagram)
 
 
-def nth(kind: type, skip: int) -> Callable[[Action], bool]:
-    """Match an action of this kind behind so many others of it."""
-    left = skip
+def nth_action(kind: type, skip: int) -> Callable[[Action], bool]:
+    """Return a matcher of the action of this kind after ``skip`` others of the kind."""
+    remaining = skip
 
     def matches(action: Action) -> bool:
-        nonlocal left
+        nonlocal remaining
         if not isinstance(action, kind):
             return False
-        left -= 1
-        return left < 0
+        remaining -= 1
+        return remaining < 0
 
     return matches
 
 
-def in_force(world: World, token: int) -> bool:
-    """Whether every running process has the published change."""
+def is_applied_everywhere(world: World, token: int) -> bool:
+    """Return whether a change is published and every running process has applied it."""
     position = world.checker.published.get(token)
     return position is not None and all(
-        p.position.version >= position.version
-        for h, p in world.processes.items()
-        if not world.network.fleet[h].stopped
+        process.position.version >= position.version
+        for host, process in world.processes.items()
+        if not world.network.fleet[host].stopped
     )
--- a/saltcourse/emulator/gossip/world.py
+++ b/saltcourse/emulator/gossip/world.py
@@ -1,4 +1,4 @@
-"""A fleet of gossip nodes in virtual time: hosts with disks, faults, operators, and the checker."""
+"""A simulated fleet of gossip nodes: hosts with disks, faults, operators, and the invariant checker."""
 
 from __future__ import annotations
 
@@ -42,16 +42,16 @@
 )
 KEY = b"a key that all members share 123"
 PORT = 7946
-SCAN_INTERVAL = 1.0  # s between checks of what must hold at all times
-CLOCK_RATE_ERROR = 2e-4
-MOST_CLOCK_OFFSET = 1e6  # s
+CHECK_INTERVAL_SECONDS = 1.0  # between periodic checks of bounds and freshness
+MAX_CLOCK_RATE_ERROR = 2e-4  # relative
+MAX_CLOCK_OFFSET_SECONDS = 1e6
 Matcher = Callable[[Action], bool]
 NodeClass = Callable[[NodeSettings, random.Random, ReplicaState | None], Node]
 
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """The member that runs on a host."""
+    """The identity of a member that runs on a host."""
 
     name: str
     location: Location
@@ -61,14 +61,18 @@
 
 @dataclass
 class PlannedCrash:
-    """The process crashes when it comes to an action that matches, ``after`` it or before it."""
+    """A crash of a process at the first action that matches: ``after`` executing it, or before."""
 
     matches: Matcher
     after: bool = False
 
 
 class World:
-    """Control members ``control-0`` to ``control-4``, one a zone, and proxies ``proxy-0`` and so on."""
+    """A fleet of control members, ``control-0`` to ``control-4`` in one zone each, and ``proxies`` proxies.
+
+    The proxies ``proxy-0``, ``proxy-1``, ... are assigned to the zones in turn. ``node_class`` creates the
+    nodes under test.
+    """
 
     def __init__(
         self,
@@ -84,25 +88,25 @@
         self.checker = InvariantChecker()
         self.network = FleetNetwork(seed, self._deliver, faults or Faults())
         self.members: dict[str, Member] = {}  # by host
-        self.processes: dict[str, Process] = {}  # by host; those that run
+        self.processes: dict[str, Process] = {}  # by host; live processes only
         self.planned_crashes: dict[str, PlannedCrash] = {}  # by host
         self._token = 0
         controls = [
-            self._member(f"control-{i}", LOCATIONS[i], i, Role.CONTROL) for i in range(len(LOCATIONS))
+            self._add_member(f"control-{i}", LOCATIONS[i], i, Role.CONTROL) for i in range(len(LOCATIONS))
         ]
         for i in range(proxies):
-            self._member(f"proxy-{i}", LOCATIONS[i % len(LOCATIONS)], len(LOCATIONS) + i, Role.PROXY)
+            self._add_member(f"proxy-{i}", LOCATIONS[i % len(LOCATIONS)], len(LOCATIONS) + i, Role.PROXY)
         self.voters = tuple(Voter(m.name, m.address) for m in controls)
         self.seeds = tuple(m.address for m in controls)
-        self._scan()
+        self._check_periodically()
 
-    def _member(self, name: str, location: Location, index: int, role: Role) -> Member:
+    def _add_member(self, name: str, location: Location, index: int, role: Role) -> Member:
         host = f"10.{LOCATIONS.index(location)}.{index >> 8}.{index & 255}"
         return self.add(name, Member(name, location, (host, PORT), role))
 
     def add(self, host: str, member: Member) -> Member:
-        """Add a host for this member; it is not started."""
-        rate = 1.0 + self.random.uniform(-CLOCK_RATE_ERROR, CLOCK_RATE_ERROR)
+        """Add a host for a member, without starting it."""
+        rate = 1.0 + self.random.uniform(-MAX_CLOCK_RATE_ERROR, MAX_CLOCK_RATE_ERROR)
         self.network.add(FleetHost(host, rate=rate, location=member.location, address=member.address))
         self.members[host] = member
         return member
@@ -115,12 +119,15 @@
             self.start(host)
 
     def start(self, host_name: str, key: bytes = KEY, clock_offset: float | None = None) -> None:
-        """Start a process with what the disk has, and a monotonic clock that begins anywhere."""
+        """Start a process with the state on its disk.
+
+        ``clock_offset`` is the offset, in seconds, of the host's monotonic clock; it is random by default.
+        """
         host = self.network.fleet[host_name]
         host.alive, host.stopped = True, False
-        drawn = self.random.uniform(0.0, MOST_CLOCK_OFFSET)
-        host.offset = drawn if clock_offset is None else clock_offset
-        host.armed = float("inf")
+        random_offset = self.random.uniform(0.0, MAX_CLOCK_OFFSET_SECONDS)
+        host.offset = random_offset if clock_offset is None else clock_offset
+        host.timer_at = float("inf")
         member = self.members[host_name]
         record = MemberRecord(
             member.name,
@@ -133,8 +140,8 @@
         )
         budget = default_bytes_per_s(member.role)
         settings = NodeSettings(record, self.seeds, self.voters, key, budget, self.timing)
-        source = random.Random(self.random.getrandbits(64))
-        node = self.node_class(settings, source, host.disk)
+        rng = random.Random(self.random.getrandbits(64))
+        node = self.node_class(settings, rng, host.disk)
         clock = host.clock(self.network.now)
         self.checker.now = self.network.now
         actions = node.start(clock)
@@ -147,92 +154,99 @@
         self._execute(host, process, actions)
 
     def crash(self, host_name: str, keeps_disk: bool = True) -> None:
-        """Kill the process; the disk stays unless given otherwise."""
+        """Kill the process, and erase the disk unless ``keeps_disk``."""
         self.network.crash(self.network.fleet[host_name], keeps_disk)
         self.processes.pop(host_name, None)
         self.planned_crashes.pop(host_name, None)
 
     def restart(self, host_name: str, clock_offset: float | None = None) -> None:
-        """Kill the process and start another one."""
+        """Kill the process and start a new one."""
         self.crash(host_name)
         self.start(host_name, clock_offset=clock_offset)
 
     def stop(self, host_name: str) -> None:
-        """Stop the process, as SIGSTOP does; datagrams wait in its socket."""
+        """Stop the process as SIGSTOP does; datagrams are buffered in its socket."""
         self.network.stop(self.network.fleet[host_name])
 
     def resume(self, host_name: str) -> None:
-        """Let a stopped process go on."""
+        """Resume a stopped process."""
         host = self.network.fleet[host_name]
-        self._restart_isolation(host_name)
+        self._reset_isolation(host_name)
         self.network.resume(host)
         self.network.deliver(host, Tick())
 
     def send_event(self, host_name: str, event: Any) -> None:
-        """Give an event to a host's process."""
+        """Deliver an event to a host's process."""
         self.network.deliver(self.network.fleet[host_name], event)
 
     def crash_at(self, host_name: str, matches: Matcher, after: bool = False) -> None:
-        """Let the process crash when it comes to an action that matches, before it or ``after`` it."""
+        """Crash the process at its next action that matches, before executing it or ``after``."""
         self.planned_crashes[host_name] = PlannedCrash(matches, after)
 
     # ---- network ----------------------------------------------------------------------------------
 
     def partition(self, *sides: Iterable[str]) -> None:
-        """Hosts that are in none of the sides stay together as one more."""
-        self._regroup({host: i + 1 for i, side in enumerate(sides) for host in side})
+        """Partition the network into the given sides; the hosts in none of them form one more side."""
+        self._set_groups({host: i + 1 for i, side in enumerate(sides) for host in side})
         self._limit_minorities()
 
     def heal(self) -> None:
-        """End all cuts."""
+        """Remove all cuts and partitions."""
         self.network.heal()
-        self._regroup({})
-        self.checker.minority_versions.clear()
+        self._set_groups({})
+        self.checker.minority_version_limits.clear()
 
-    def _regroup(self, groups: dict[str, int]) -> None:
+    def _set_groups(self, groups: dict[str, int]) -> None:
         old = self.network.groups
         self.network.partition(groups)
         for host, process in self.processes.items():
             peers = [h for h in self.processes if self.network.same_side(host, h)]
             if any(old.get(host, 0) != old.get(peer, 0) for peer in peers):
-                process.isolated_since = None  # these may have a newer heartbeat
+                process.isolated_since = None  # Its new peers may have a newer heartbeat.
 
     def _limit_minorities(self) -> None:
-        """Set what voters on a smaller side may publish from now on."""
-        self.checker.minority_versions.clear()
+        """Limit the versions that voters on a minority side may publish during the partition."""
+        self.checker.minority_version_limits.clear()
         for voter in self.voters:
             side = {v.name for v in self.voters if self.network.same_side(voter.name, v.name)}
             if len(side) <= len(self.voters) // 2:
-                self.checker.minority_versions[voter.name] = self._agreed_version(side)
+                self.checker.minority_version_limits[voter.name] = self._minority_version_limit(side)
 
-    def _restart_isolation(self, host: str) -> None:
-        """A resumed process passes on heartbeats from its socket: its side may have become fresher."""
+    def _reset_isolation(self, host: str) -> None:
+        """Restart the isolation time of all processes on the side of a resumed host.
+
+        The resumed process may spread newer heartbeats that are buffered in its socket.
+        """
         for other, process in self.processes.items():
             if self.network.same_side(host, other):
                 process.isolated_since = None
 
-    def _agreed_version(self, side: set[str]) -> int:
-        """Return the highest version that voters of this smaller side may publish.
+    def _minority_version_limit(self, side: set[str]) -> int:
+        """Return the highest version that voters on this minority side may publish.
 
-        Known versions, and those that a voter beyond the cut has accepted on its disk.
+        This is the highest version applied anywhere, or stored as accepted on the disk of a voter on another
+        side.
         """
         states = [self.network.fleet[v.name].disk for v in self.voters if v.name not in side]
-        accepted = [a.change.position.version for s in states if s is not None for a in s.accepted]
+        accepted = [
+            entry.change.position.version for state in states if state is not None for entry in state.accepted
+        ]
         return max([*self.checker.versions, *accepted], default=0)
 
     def hosts_in(self, zone: str | None = None, region: str | None = None) -> list[str]:
-        """Hosts of a zone or region; all where neither is given."""
+        """Return the hosts of a zone or region, or all hosts by default."""
         return [
-            h
-            for h, m in self.members.items()
-            if zone in (None, m.location.zone) and region in (None, m.location.region)
+            host
+            for host, member in self.members.items()
+            if zone in (None, member.location.zone) and region in (None, member.location.region)
         ]
 
     def has_majority(self, host: str) -> bool:
-        """Whether a majority of the voters runs and is connected to it."""
-        return len(self._voters_of(host)) > len(self.voters) // 2
+        """Return whether a majority of the voters is running on the host's side of the partition."""
+        return len(self._running_voters(host)) > len(self.voters) // 2
 
-    def _voters_of(self, host: str) -> list[str]:
+    def _running_voters(self, host: str) -> list[str]:
+        """Return the running voters on the host's side of the partition."""
         hosts = self.network.hosts
         return [
             v.name
@@ -241,13 +255,16 @@
         ]
 
     def running(self) -> list[str]:
-        """Hosts whose process runs and is not stopped."""
+        """Return the hosts whose process is live and not stopped."""
         return [h for h in self.processes if not self.network.fleet[h].stopped]
 
     # ---- operators --------------------------------------------------------------------------------
 
     def publish(self, host: str, extra: tuple[Write, ...] = ()) -> int:
-        """Give an operator's change to a control member; returns its token."""
+        """Submit an operator's change to a control member and return its token.
+
+        ``extra`` writes are added to those that the checker needs.
+        """
         self._token += 1
         value = str(self._token).encode()
         writes: tuple[Write, ...] = (
@@ -260,9 +277,9 @@
         return self._token
 
     def publisher(self) -> str | None:
-        """Return the host of the voter whose heartbeat is the newest one known in the fleet."""
-        beats = [p.node.dissemination.heartbeat for p in self.processes.values()]
-        newest = max(beats, default=None)
+        """Return the host of the voter that sent the newest heartbeat known in the fleet, or None."""
+        heartbeats = [process.node.dissemination.heartbeat for process in self.processes.values()]
+        newest = max(heartbeats, default=None)
         if newest is None or newest.count == 0:
             return None
         return self.voters[newest.epoch % len(self.voters)].name
@@ -270,24 +287,27 @@
     # ---- time -------------------------------------------------------------------------------------
 
     def run(self, seconds: float) -> None:
-        """Let so many seconds of virtual time pass."""
+        """Advance virtual time by ``seconds``."""
         self.network.run(self.network.now + seconds)
 
-    def run_until(self, holds: Callable[[], bool], limit: float, step: float = 0.1) -> float:
-        """Return the seconds until it held; ``limit`` when it never did."""
+    def run_until(self, condition: Callable[[], bool], limit: float, step: float = 0.1) -> float:
+        """Advance time until a condition holds or ``limit`` seconds have passed; return the elapsed seconds.
+
+        The condition is checked every ``step`` seconds.
+        """
         started_at = self.network.now
-        while not holds() and self.network.now - started_at < limit:
+        while not condition() and self.network.now - started_at < limit:
             self.run(step)
         return self.network.now - started_at
 
-    def _scan(self) -> None:
+    def _check_periodically(self) -> None:
         self.checker.now = self.network.now
         for host in self.running():
             self.checker.check_bounds(self.processes[host])
             self.checker.check_freshness(
                 self.processes[host], self.has_majority(host), self.timing.stale_after
             )
-        self.network.call_at(self.network.now + SCAN_INTERVAL, self._scan)
+        self.network.call_at(self.network.now + CHECK_INTERVAL_SECONDS, self._check_periodically)
 
     def _deliver(self, host: Host, event: Any) -> None:
         assert isinstance(host, FleetHost)
@@ -304,13 +324,13 @@
             matched = planned is not None and planned.matches(action)
             if matched and planned is not None and not planned.after:
                 return self.crash(host.name)
-            self._carry_out_one(host, process, action, i == last_applied)
+            self._execute_action(host, process, action, i == last_applied)
             if matched:
                 return self.crash(host.name)
         self.checker.after_event(process)
-        self.network.arm(host, process.node.next_deadline())
+        self.network.set_deadline(host, process.node.next_deadline())
 
-    def _carry_out_one(
+    def _execute_action(
         self, host: FleetHost, process: Process, action: Action, is_last_applied: bool
     ) -> None:
         match action:
@@ -334,16 +354,22 @@
     # ---- agreement --------------------------------------------------------------------------------
 
     def disagreement(self, hosts: Iterable[str] | None = None) -> str:
-        """Return why the hosts do not agree on the configuration or on who is alive; empty if they do."""
+        """Return why the hosts do not agree on the configuration or on the live members; empty if they agree.
+
+        ``hosts`` are all running hosts by default.
+        """
         hosts = list(hosts if hosts is not None else self.running())
         newest = max((self.processes[h].position for h in hosts), default=None)
         expected = {self.members[h].name for h in hosts}
         for host in hosts:
             process = self.processes[host]
             if process.position != newest:
-                return f"{host} is at {process.position}, another at {newest}"
+                return f"{host} is at {process.position}, the newest position is {newest}"
             table = process.node.membership.members.values()
             alive = {m.record.name for m in table if m.status is Status.ALIVE}
             if alive != expected:
-                return f"{host} lacks {sorted(expected - alive)} and has {sorted(alive - expected)} too many"
+                return (
+                    f"{host} lacks live members {sorted(expected - alive)} "
+                    f"and has unexpected ones {sorted(alive - expected)}"
+                )
         return ""
--- a/tests/gossip/golden.py
+++ b/tests/gossip/golden.py
@@ -143,9 +143,9 @@
         transmit(sender, destination, datagram)
 
     network.transmit = recorded  # type: ignore[method-assign]
-    schedule.form()
-    schedule.disturb(10.0)
-    history.add(schedule.settle(), schedule.publish_one_more())
+    schedule.form_fleet()
+    schedule.inject_faults(10.0)
+    history.add(schedule.settle(), schedule.publish_final_change())
     for host, process in sorted(schedule.world.processes.items()):
         history.add(host, process.position, dict(process.node.dissemination.configuration))
     return history.digest()
--- a/tests/gossip/test_model_members.py
+++ b/tests/gossip/test_model_members.py
@@ -61,7 +61,7 @@
     for second in range(20):
         world.run(1.0)
         elapsed = world.network.now - begun
-        assert world.network.records["late"].total < BYTES_PER_S * (BURST_SECONDS + elapsed) + BURST_SLACK
+        assert world.network.traffic["late"].total < BYTES_PER_S * (BURST_SECONDS + elapsed) + BURST_SLACK
         if second in (2, 5):
             world.publish(publisher)
         if not world.disagreement() and second > 5:
