--- a/saltcourse/emulator/scale/evaluation/evaluate.py
+++ b/saltcourse/emulator/scale/evaluation/evaluate.py
@@ -19,13 +19,13 @@
 def evaluate(
     mechanism: str, seed: int, topology: Topology, timeline: Timeline, records: Iterable[Record]
 ) -> RunMetrics:
-    """The metrics of a run; ``records`` may come in any order."""
+    """Compute the metrics of a run. ``records`` may be in any order."""
     index = RecordIndex(topology, timeline, records)
-    usage = index.of(WorkerUsage)
+    usage = index.records_of(WorkerUsage)
     changes = ChangePropagation(index)
     failures = failure_detection(index)
     alarms = false_alarms(index)
-    control = [place for place in topology.places if place.role is Role.CONTROL]
+    control = [spec for spec in topology.members if spec.role is Role.CONTROL]
     return RunMetrics(
         mechanism=mechanism,
         size=len(topology.proxies),
@@ -55,6 +55,6 @@
 
 
 def _cpu_per_member(usage: list[WorkerUsage], seconds: float) -> float:
-    """Share of a core for each member, over the whole run and with the harness."""
+    """Return the used fraction of a core per member over the whole run, emulator included."""
     members = max(1, sum(worker.members for worker in usage))
     return sum(worker.cpu for worker in usage) / seconds / members
--- a/saltcourse/emulator/scale/evaluation/recovery.py
+++ b/saltcourse/emulator/scale/evaluation/recovery.py
@@ -1,4 +1,4 @@
-"""What happened after restarts and network partitions: catching up, staleness and agreement."""
+"""Recovery after restarts and network partitions: joining, staleness reports and agreement."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 from saltcourse.emulator.scale.evaluation.record_index import RecordIndex
 from saltcourse.emulator.scale.history import Interval, ValueHistory
 from saltcourse.emulator.scale.records import ConfigurationSeen, FreshnessSeen, View
-from saltcourse.emulator.scale.summary import spread
-from saltcourse.emulator.scale.topology import Place
+from saltcourse.emulator.scale.summary import summarize
+from saltcourse.emulator.scale.topology import MemberSpec
 
-JOIN_DEADLINE = 20.0  # s that a new process may take to the newest configuration
-JUST_AFTER = 0.001  # s after a start
-STALE_DEADLINE = 20.0  # s of a partition in which the minority side must report that it may be stale
-AGREEMENT_STEP = 0.25  # s between the moments at which agreement is checked
+JOIN_DEADLINE = 20.0  # seconds for a new process to reach the newest configuration
+START_MARGIN = 0.001  # seconds after a restart; at the restart itself, the member still counts as down
+STALE_DEADLINE = 20.0  # seconds from a partition's start to the stale reports of its minority side
+AGREEMENT_STEP = 0.25  # seconds between checks of agreement
 
 
 def joining(index: RecordIndex) -> Propagation:
-    """Seconds from a restart until the member has what was the newest version at its start."""
+    """Measure the seconds from each restart until the member has the version that was the newest then."""
     seconds: list[float] = []
     missing = 0
     newest = _newest_versions(index)
@@ -32,88 +32,93 @@
         until = started + JOIN_DEADLINE if joined_at is None else joined_at
         if until > index.end or version == 0:
             continue
-        if not index.reachable(outage.member, started + JUST_AFTER, until):
+        if not index.reachable(outage.member, started + START_MARGIN, until):
             continue
         if joined_at is None:
             missing += 1
         else:
             seconds.append(joined_at - started)
-    return Propagation(spread(seconds), missing, len(seconds) + missing)
+    return Propagation(summarize(seconds), missing, len(seconds) + missing)
 
 
 def staleness(index: RecordIndex) -> Propagation:
-    """Seconds until the minority side reports that it may be stale, in partitions of ``STALE_DEADLINE``."""
+    """Measure the seconds from the start of each partition to the stale reports of its minority side.
+
+    Partitions shorter than ``STALE_DEADLINE`` are not counted.
+    """
     seconds: list[float] = []
     missing = events = 0
     for partition in index.history.partitions:
-        until = partition.begin + STALE_DEADLINE
+        until = partition.start + STALE_DEADLINE
         if partition.end < until:
             continue
         events += 1
-        for place in _minority(index, partition.begin, until):
-            reported_at = _first_stale_report(index, place, partition.begin, until)
+        for spec in _minority(index, partition.start, until):
+            reported_at = _first_stale_report(index, spec, partition.start, until)
             if reported_at is None:
                 missing += 1
             else:
-                seconds.append(reported_at - partition.begin)
-    return Propagation(spread(seconds), missing, events)
+                seconds.append(reported_at - partition.start)
+    return Propagation(summarize(seconds), missing, events)
 
 
 def partition_recoveries(index: RecordIndex) -> tuple[PartitionRecovery, ...]:
-    """One for each partition that ended within the run."""
-    return tuple(_recovery(index, cut) for cut in index.history.partitions if cut.end < math.inf)
+    """Return the recovery from each partition that ended during the run."""
+    return tuple(
+        _recovery(index, partition) for partition in index.history.partitions if partition.end < math.inf
+    )
 
 
-def true_view(live: Iterable[Place]) -> tuple[int, int]:
-    """Count and XOR of the ids of these members, as a ``View`` that is right records them."""
+def expected_view(live: Iterable[MemberSpec]) -> tuple[int, int]:
+    """Return the count and the XOR of the ids of these members, as in a correct ``View`` record."""
     count = digest = 0
-    for place in live:
+    for spec in live:
         count += 1
-        digest ^= place.id
+        digest ^= spec.id
     return count, digest
 
 
 def _configurations_by_member(index: RecordIndex) -> dict[int, list[ConfigurationSeen]]:
     by_member: dict[int, list[ConfigurationSeen]] = {}
-    for record in index.of(ConfigurationSeen):
+    for record in index.records_of(ConfigurationSeen):
         by_member.setdefault(record.member, []).append(record)
     return by_member
 
 
 def _newest_versions(index: RecordIndex) -> ValueHistory:
-    """Epoch and version of the newest configuration anywhere, over time."""
+    """Return the epoch and version of the newest configuration at any member, over time."""
     newest = ValueHistory()
     highest = 0
-    for record in index.of(ConfigurationSeen):
+    for record in index.records_of(ConfigurationSeen):
         if record.version > highest:
             highest = record.version
             newest.add(record.at, (record.epoch, highest))
     return newest
 
 
-def _minority(index: RecordIndex, begin: float, end: float) -> list[Place]:
-    """Hollow members that ran all the time and could not reach a majority of the voters."""
+def _minority(index: RecordIndex, start: float, end: float) -> list[MemberSpec]:
+    """Return the simulated members that ran throughout and were separated from a majority of the voters."""
     return [
-        place
-        for place in index.topology.places
-        if index.history.in_minority(place.index, begin, end)
-        and place not in index.topology.real
-        and index.history.present(place.index, begin, end)
+        spec
+        for spec in index.topology.members
+        if index.history.in_minority(spec.index, start, end)
+        and spec not in index.topology.real
+        and index.history.ran_throughout(spec.index, start, end)
     ]
 
 
-def _first_stale_report(index: RecordIndex, place: Place, begin: float, end: float) -> float | None:
+def _first_stale_report(index: RecordIndex, spec: MemberSpec, start: float, end: float) -> float | None:
     reports = (
         record.at
-        for record in index.of(FreshnessSeen)
-        if record.member == place.index and record.stale and begin <= record.at <= end
+        for record in index.records_of(FreshnessSeen)
+        if record.member == spec.index and record.stale and start <= record.at <= end
     )
     return next(reports, None)
 
 
 def _recovery(index: RecordIndex, partition: Interval) -> PartitionRecovery:
     spans = index.timeline.spans
-    span = next((span for span in spans if span.begin <= partition.begin < span.end), None)
+    span = next((span for span in spans if span.start <= partition.start < span.end), None)
     until = span.end if span is not None else index.end
     return PartitionRecovery(
         members=_seconds_to_equal_views(index, partition.end, until),
@@ -123,41 +128,45 @@
 
 
 def _seconds_to_equal_views(index: RecordIndex, healed: float, until: float) -> float | None:
-    """Until the views of all live members are right at the same moment."""
+    """Return the seconds from ``healed`` until the views of all live members are correct at the same time."""
     views: dict[int, ValueHistory] = {}
-    for view in index.of(View):
+    for view in index.records_of(View):
         views.setdefault(view.member, ValueHistory()).add(view.at, (view.count, view.digest))
     at = healed
     while at <= until:
-        live = index.history.live(at)
-        truth = true_view(live)
-        if all(_view_is_right(index, place, views.get(place.index), at, truth) for place in live):
+        live = index.history.live_members(at)
+        expected = expected_view(live)
+        if all(_view_is_correct(index, spec, views.get(spec.index), at, expected) for spec in live):
             return at - healed
         at += AGREEMENT_STEP
     return None
 
 
-def _view_is_right(
-    index: RecordIndex, place: Place, views: ValueHistory | None, at: float, truth: tuple[int, int]
+def _view_is_correct(
+    index: RecordIndex, spec: MemberSpec, views: ValueHistory | None, at: float, expected: tuple[int, int]
 ) -> bool:
-    """A real process reports only how many members it considers alive."""
+    """Return whether the member's view matches. For a real process, only the member count is known."""
     view = views.at(at) if views is not None else None
     if view is None:
         return False
-    return view[0] == truth[0] if place in index.topology.real else view == truth
+    return view[0] == expected[0] if spec in index.topology.real else view == expected
 
 
 def _seconds_to_newest_configuration(index: RecordIndex, healed: float, until: float) -> float | None:
-    """Until each live member has what was the newest version anywhere when the partition ended."""
-    seen = index.of(ConfigurationSeen)
-    newest = max((record.version for record in seen if record.at <= healed), default=0)
+    """Return the seconds from ``healed`` until each live member has the version that was the newest then."""
+    configurations = index.records_of(ConfigurationSeen)
+    newest = max((record.version for record in configurations if record.at <= healed), default=0)
     if newest == 0:
         return 0.0
     reached: dict[int, float] = {}
-    for record in seen:
+    for record in configurations:
         if record.version >= newest:
             reached.setdefault(record.member, record.at)
-    live = [place for place in index.history.live(until) if index.history.present(place.index, healed, until)]
-    if not all(place.index in reached and reached[place.index] <= until for place in live):
+    live = [
+        spec
+        for spec in index.history.live_members(until)
+        if index.history.ran_throughout(spec.index, healed, until)
+    ]
+    if not all(spec.index in reached and reached[spec.index] <= until for spec in live):
         return None
-    return max([max(reached[place.index] - healed, 0.0) for place in live], default=0.0)
+    return max([max(reached[spec.index] - healed, 0.0) for spec in live], default=0.0)
--- a/saltcourse/emulator/scale/gossip.py
+++ b/saltcourse/emulator/scale/gossip.py
@@ -1,6 +1,7 @@
-"""A hollow member of the gossip: ``saltcourse.gossip.node.Node`` without its host.
+"""A simulated gossip member: ``saltcourse.gossip.node.Node`` without its asyncio host.
 
-The operator's change of number n writes two keys with the same value, so that half of a change is detected.
+Each change of the operator writes two keys with the same value, so that a partially applied (torn) change
+can be detected.
 """
 
 from __future__ import annotations
@@ -10,19 +11,19 @@
 from collections.abc import Iterable, Mapping
 
 from saltcourse.emulator.scale.connections import ConnectionChurn
-from saltcourse.emulator.scale.hollow import (
+from saltcourse.emulator.scale.simulated_member import (
     ConfigurationObserved,
     FreshnessObserved,
-    HollowMember,
     MemberContext,
     MembersView,
     Output,
     PublicationConfirmed,
     PublicationFailed,
+    SimulatedMember,
     StatusObserved,
-    view_of,
+    build_view,
 )
-from saltcourse.emulator.scale.topology import Place
+from saltcourse.emulator.scale.topology import MemberSpec
 from saltcourse.gossip.messages import (
     Action,
     Address,
@@ -49,68 +50,68 @@
 from saltcourse.gossip.quorum import Phase
 from saltcourse.gossip.settings import NodeSettings, Voter, default_bytes_per_s
 
-COUNT_INTERVAL = 1.0  # s between the connection counts that a proxy publishes, as its host does
+COUNT_INTERVAL = 1.0  # seconds between the connection counts that a proxy publishes, as in the gossip host
 LEFT_KEY = "scale/{}/left"
 RIGHT_KEY = "scale/{}/right"
 PADDING_KEY = "scale/{}/padding"
 CHANGE_KEY = re.compile(r"scale/(\d+)/(?:left|right)")
-DIGEST_BYTES = 7  # of a configuration: it stays a whole number in JSON
+DIGEST_BYTES = 7  # short enough that the digest is an integer in JSON
 
 
-class GossipMember(HollowMember):
+class GossipMember(SimulatedMember):
     """One process of a member that runs gossip and, on voters, the quorum."""
 
     def __init__(self, context: MemberContext) -> None:
         super().__init__(context)
-        self._connections = ConnectionChurn(context.arrivals, context.random)
-        self._count_at = 0.0
+        self._churn = ConnectionChurn(context.arrivals, context.random)
+        self._next_count_at = 0.0
         stored = context.stored if isinstance(context.stored, ReplicaState) else None
-        self._state = stored
-        self._node = self._measured(Node, node_settings(context), context.random, stored)
+        self._persisted_state = stored
+        self._node = self._measure_cpu(Node, node_settings(context), context.random, stored)
 
     def start(self, now: float) -> Output:
-        """Starts the node and its connections."""
-        self._connections.start(now)
-        self._count_at = now + COUNT_INTERVAL
-        return self._output(self._measured(self._start, now))
+        """Start the node and open the initial connections."""
+        self._churn.start(now)
+        self._next_count_at = now + COUNT_INTERVAL
+        return self._build_output(self._measure_cpu(self._start, now))
 
     def receive(self, now: float, source: Address, datagram: bytes) -> Output:
-        """Takes one datagram."""
+        """Process one received datagram."""
         return self._handle(now, Received(source, datagram))
 
     def tick(self, now: float) -> Output:
-        """Publishes the connection count of a proxy, or lets the node's timers expire."""
-        if self.context.place.role is Role.PROXY and now >= self._count_at:
-            self._connections.begun(now)
-            self._connections.ended(now)
-            self._count_at = now + COUNT_INTERVAL
-            return self._handle(now, ConnectionCount(len(self._connections)))
+        """Publish the proxy's connection count if its interval has passed, else run the node's timers."""
+        if self.context.spec.role is Role.PROXY and now >= self._next_count_at:
+            self._churn.begun(now)
+            self._churn.ended(now)
+            self._next_count_at = now + COUNT_INTERVAL
+            return self._handle(now, ConnectionCount(len(self._churn)))
         return self._handle(now, Tick())
 
     def publish(self, now: float, change: int, padding: int) -> Output:
-        """Writes the two keys of the change, and one more for the padding."""
+        """Publish the two keys of the change, and a third key for the padding."""
         return self._handle(now, Publish(change, change_writes(change, padding)))
 
     def is_publisher(self) -> bool:
-        """Whether this voter leads the quorum."""
+        """Return whether this member is the quorum's publisher."""
         return self._node.quorum is not None and self._node.quorum.phase is Phase.PUBLISHING
 
     def view(self) -> MembersView:
-        """The members whose status is alive here."""
-        own = self.context.place.id
+        """Return the members whose status is ALIVE at this member."""
+        own = self.context.spec.id
         alive = [
             member
-            for member, known in self._node.membership.members.items()
-            if known.status is Status.ALIVE and member != own
+            for member, entry in self._node.membership.members.items()
+            if entry.status is Status.ALIVE and member != own
         ]
-        return view_of(own, alive)
+        return build_view(own, alive)
 
     def stored(self) -> ReplicaState | None:
-        """The newest state that the node has persisted."""
-        return self._state
+        """Return the last state that the node persisted."""
+        return self._persisted_state
 
     def _handle(self, now: float, event: Event) -> Output:
-        return self._output(self._measured(self._step, now, event))
+        return self._build_output(self._measure_cpu(self._step, now, event))
 
     def _start(self, now: float) -> list[Action]:
         actions = self._node.start(now)
@@ -122,7 +123,7 @@
         self.next_deadline = self._node.next_deadline()
         return actions
 
-    def _output(self, actions: Iterable[Action]) -> Output:
+    def _build_output(self, actions: Iterable[Action]) -> Output:
         output = Output()
         applied: list[Applied] = []
         for action in actions:
@@ -130,7 +131,7 @@
                 case Transmit():
                     output.datagrams.append(action)
                 case Persist(state):
-                    self._state = state
+                    self._persisted_state = state
                 case Applied():
                     applied.append(action)
                 case MemberChanged(name, _, status):
@@ -142,30 +143,30 @@
                 case PublishFailed(token, error):
                     output.observations.append(PublicationFailed(token, error.name))
         output.observations += observe_applied(applied, self._node.dissemination.configuration)
-        if self.context.place.role is Role.PROXY:
-            self.next_deadline = min(self.next_deadline, self._count_at)
+        if self.context.spec.role is Role.PROXY:
+            self.next_deadline = min(self.next_deadline, self._next_count_at)
         return output
 
 
 def node_settings(context: MemberContext) -> NodeSettings:
-    """Every member joins by the control members, and knows the voters."""
-    control = [place for place in context.topology.places if place.role is Role.CONTROL]
+    """Return the gossip settings of a member, with all control members as its seeds."""
+    control = [spec for spec in context.topology.members if spec.role is Role.CONTROL]
     return NodeSettings(
-        own_record=member_record(context.place, context.address, context.process),
-        seeds=tuple(context.addresses[place.index] for place in control if place != context.place),
-        voters=tuple(Voter(place.name, context.addresses[place.index]) for place in context.topology.voters),
+        own_record=member_record(context.spec, context.address, context.process_id),
+        seeds=tuple(context.addresses[spec.index] for spec in control if spec != context.spec),
+        voters=tuple(Voter(spec.name, context.addresses[spec.index]) for spec in context.topology.voters),
         key=context.key,
-        bytes_per_s=default_bytes_per_s(context.place.role),
+        bytes_per_s=default_bytes_per_s(context.spec.role),
     )
 
 
-def member_record(place: Place, address: Address, process: int) -> MemberRecord:
-    """The record under which a member joins."""
-    return MemberRecord(place.name, address, place.region, place.zone, place.role, 0, process)
+def member_record(spec: MemberSpec, address: Address, process_id: int) -> MemberRecord:
+    """Return the membership record that a member joins with."""
+    return MemberRecord(spec.name, address, spec.region, spec.zone, spec.role, 0, process_id)
 
 
 def change_writes(change: int, padding: int = 0) -> tuple[Write, ...]:
-    """The writes of the operator's change of this number; ``padding`` bytes more go to a third key."""
+    """Return the writes of the operator's change; with ``padding``, a third key has that many bytes."""
     value = str(change).encode()
     writes: tuple[Write, ...] = (LEFT_KEY.format(change), value), (RIGHT_KEY.format(change), value)
     if padding:
@@ -176,12 +177,15 @@
 def observe_applied(
     applied: list[Applied], configuration: Mapping[str, bytes]
 ) -> list[ConfigurationObserved]:
-    """One for each version; only the last one has the digest, as the node shows the newest state alone."""
-    found = []
+    """Return one observation for each applied version.
+
+    Only the last one has a digest, because the node exposes only its newest configuration.
+    """
+    observations = []
     for number, action in enumerate(applied):
         changes = changes_of(action.changed)
         last = number == len(applied) - 1
-        found.append(
+        observations.append(
             ConfigurationObserved(
                 epoch=action.position.epoch,
                 version=action.position.version,
@@ -190,23 +194,23 @@
                 torn=tuple(change for change in changes if is_torn(change, configuration)),
             )
         )
-    return found
+    return observations
 
 
 def changes_of(keys: Iterable[str]) -> tuple[int, ...]:
-    """Numbers of the operator's changes that wrote any of these keys."""
+    """Return the numbers of the operator's changes that wrote any of these keys."""
     matches = [CHANGE_KEY.fullmatch(key) for key in keys]
     return tuple(sorted({int(match[1]) for match in matches if match is not None}))
 
 
 def is_torn(change: int, configuration: Mapping[str, bytes]) -> bool:
-    """Whether only a part of the change is in the configuration."""
+    """Return whether the two keys of the change differ or the first one is missing."""
     left = configuration.get(LEFT_KEY.format(change))
     return left is None or left != configuration.get(RIGHT_KEY.format(change))
 
 
 def configuration_digest(configuration: Mapping[str, bytes]) -> int:
-    """A digest that does not depend on the order of the keys."""
+    """Return a digest of the configuration that does not depend on the order of its keys."""
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for key in sorted(configuration):
         digest.update(f"{len(key)} {key} {len(configuration[key])} ".encode())
--- a/saltcourse/emulator/scale/history.py
+++ b/saltcourse/emulator/scale/history.py
@@ -1,6 +1,6 @@
-"""Which members ran when, and which could reach each other.
+"""Reconstructs when each member ran and which members could reach each other.
 
-Worked out from the acts that the workers carried out, not from the plan.
+The input is the fault actions that the workers recorded, not the planned timeline.
 """
 
 from __future__ import annotations
@@ -11,104 +11,108 @@
 from dataclasses import dataclass
 
 from saltcourse.emulator.scale.records import Lifecycle
-from saltcourse.emulator.scale.timeline import Act
-from saltcourse.emulator.scale.topology import Place, Topology
+from saltcourse.emulator.scale.timeline import FaultAction
+from saltcourse.emulator.scale.topology import MemberSpec, Topology
 
 
 @dataclass(frozen=True, slots=True)
 class Interval:
-    """A span of time in seconds since the begin of the run."""
+    """A time interval in seconds since the start of the run."""
 
-    begin: float
-    end: float  # infinite where it did not end in the run
+    start: float
+    end: float  # infinite if the interval did not end during the run
 
-    def overlaps(self, begin: float, end: float) -> bool:
-        """Whether the two spans have a moment in common."""
-        return self.begin <= end and begin <= self.end
+    def overlaps(self, start: float, end: float) -> bool:
+        """Return whether the interval and the given one (both ends included) have a moment in common."""
+        return self.start <= end and start <= self.end
 
     def contains(self, at: float) -> bool:
-        """Whether the moment is within the span; its end is not."""
-        return self.begin <= at < self.end
+        """Return whether ``at`` is within the interval; the end is excluded."""
+        return self.start <= at < self.end
 
 
 @dataclass(frozen=True, slots=True)
 class Outage:
-    """A member that was killed, and when it was started again."""
+    """The time from the kill of a member to its restart."""
 
     member: int
     interval: Interval
 
 
 class _Outages:
-    """Builds the spans in which members were down or stopped, from acts in the order of time."""
+    """Builds the intervals in which members were down or stopped, from actions in time order."""
 
     def __init__(self, topology: Topology) -> None:
         self.outages: list[Outage] = []
-        self.running_from: dict[int, float] = {place.index: 0.0 for place in topology.real}
-        self.away: dict[int, list[Interval]] = {place.index: [] for place in topology.places}
+        self.running_from: dict[int, float] = {spec.index: 0.0 for spec in topology.real}
+        self.unavailable: dict[int, list[Interval]] = {spec.index: [] for spec in topology.members}
         self._killed: dict[int, float] = {}
         self._stopped: dict[int, float] = {}
 
     def add(self, record: Lifecycle) -> None:
         member = record.member
-        match Act(record.act):
-            case Act.START if member in self._killed:
+        match FaultAction(record.action):
+            case FaultAction.START if member in self._killed:
                 self._add_outage(member, Interval(self._killed.pop(member), record.at))
-            case Act.START:
+            case FaultAction.START:
                 self.running_from.setdefault(member, record.at)
-            case Act.KILL:
+            case FaultAction.KILL:
                 self._end_stop(member, record.at)
                 self._killed[member] = record.at
-            case Act.STOP:
+            case FaultAction.STOP:
                 self._stopped[member] = record.at
-            case Act.RESUME:
+            case FaultAction.RESUME:
                 self._end_stop(member, record.at)
 
     def finish(self) -> None:
-        """Whoever has not come back stays away for ever."""
+        """Add intervals without an end for the members that are still down or stopped."""
         for member, at in self._killed.items():
             self._add_outage(member, Interval(at, math.inf))
         for member, at in self._stopped.items():
-            self.away[member].append(Interval(at, math.inf))
+            self.unavailable[member].append(Interval(at, math.inf))
 
     def _end_stop(self, member: int, at: float) -> None:
         if member in self._stopped:
-            self.away[member].append(Interval(self._stopped.pop(member), at))
+            self.unavailable[member].append(Interval(self._stopped.pop(member), at))
 
     def _add_outage(self, member: int, interval: Interval) -> None:
         self.outages.append(Outage(member, interval))
-        self.away[member].append(interval)
+        self.unavailable[member].append(interval)
 
 
 class _Partitions:
-    """Builds the spans of partitions. Each worker records both ends, at slightly different times."""
+    """Builds the intervals of partitions.
+
+    Each worker records the start and end of a partition, at slightly different times: an interval lasts from
+    the first start to the last end.
+    """
 
     def __init__(self) -> None:
         self.intervals: list[Interval] = []
-        self._begin = math.inf
+        self._start = math.inf
 
     def add(self, record: Lifecycle) -> None:
-        match Act(record.act):
-            case Act.PARTITION:
-                self._begin = min(self._begin, record.at)
-            case Act.HEAL if self._begin < math.inf:
-                self.intervals.append(Interval(self._begin, record.at))
-                self._begin = math.inf
-            case Act.HEAL if self.intervals:  # another worker's: all have healed with the last one
-                self.intervals[-1] = Interval(self.intervals[-1].begin, record.at)
+        match FaultAction(record.action):
+            case FaultAction.PARTITION:
+                self._start = min(self._start, record.at)
+            case FaultAction.HEAL if self._start < math.inf:
+                self.intervals.append(Interval(self._start, record.at))
+                self._start = math.inf
+            case FaultAction.HEAL if self.intervals:  # recorded by another worker: extend to the latest end
+                self.intervals[-1] = Interval(self.intervals[-1].start, record.at)
 
     def finish(self) -> None:
-        """A partition that was not healed lasts for ever."""
-        if self._begin < math.inf:
-            self.intervals.append(Interval(self._begin, math.inf))
+        """Add an interval without an end for a partition that was not healed."""
+        if self._start < math.inf:
+            self.intervals.append(Interval(self._start, math.inf))
 
 
 class History:
-    """Outages, stops and partitions of a run. Times are seconds since its begin."""
+    """Outages, stops and partitions of a run. Times are seconds since its start."""
 
     def __init__(self, topology: Topology, records: Iterable[Lifecycle]) -> None:
         self._topology = topology
-        self._first_region = topology.places[0].region
+        self._first_region = topology.members[0].region
         outages = _Outages(topology)
         partitions = _Partitions()
         for record in sorted(records, key=lambda record: record.at):
@@ -119,63 +123,70 @@
         self.outages = outages.outages
         self.partitions = partitions.intervals
         self._running_from = outages.running_from
-        self._away = outages.away
+        self._unavailable = outages.unavailable
 
-    def live(self, at: float) -> list[Place]:
-        """Members that run and are not stopped."""
+    def live_members(self, at: float) -> list[MemberSpec]:
+        """Return the members that run and are not stopped at this time."""
         return [
-            place
-            for place in self._topology.places
-            if self._running_from.get(place.index, math.inf) <= at
-            and not any(away.contains(at) for away in self._away[place.index])
+            spec
+            for spec in self._topology.members
+            if self._running_from.get(spec.index, math.inf) <= at
+            and not any(interval.contains(at) for interval in self._unavailable[spec.index])
         ]
 
-    def present(self, member: int, begin: float, end: float) -> bool:
-        """Whether one process of the member ran through all of this time, and was never stopped."""
+    def ran_throughout(self, member: int, start: float, end: float) -> bool:
+        """Return whether the same process of the member ran from ``start`` to ``end`` and was not stopped."""
         started = self._running_from.get(member, math.inf)
-        return started <= begin and not any(away.overlaps(begin, end) for away in self._away[member])
+        return started <= start and not any(
+            interval.overlaps(start, end) for interval in self._unavailable[member]
+        )
 
-    def undisturbed(self, member: int, begin: float, end: float) -> bool:
-        """Like ``present``, but the member may have been started for the first time meanwhile."""
+    def undisturbed(self, member: int, start: float, end: float) -> bool:
+        """Return whether the member was neither killed nor stopped between ``start`` and ``end``.
+
+        Unlike in ``ran_throughout``, the member's first start may be in this interval.
+        """
         started = self._running_from.get(member, math.inf)
-        return started <= end and not any(away.overlaps(begin, end) for away in self._away[member])
+        return started <= end and not any(
+            interval.overlaps(start, end) for interval in self._unavailable[member]
+        )
 
-    def partitioned_between(self, one: int, other: int, begin: float, end: float) -> bool:
-        """Whether a partition separated the two members at any time."""
+    def partitioned_between(self, one: int, other: int, start: float, end: float) -> bool:
+        """Return whether a partition separated the two members at any time in the interval."""
         if self._in_first_region(one) == self._in_first_region(other):
             return False
-        return any(partition.overlaps(begin, end) for partition in self.partitions)
+        return any(partition.overlaps(start, end) for partition in self.partitions)
 
-    def in_minority(self, member: int, begin: float, end: float) -> bool:
-        """Whether a partition separated the member from a majority of the voters at any time."""
+    def in_minority(self, member: int, start: float, end: float) -> bool:
+        """Return whether a partition separated the member from a majority of voters in the interval."""
         side = self._in_first_region(member)
-        near = [voter for voter in self._topology.voters if self._in_first_region(voter.index) == side]
-        return 2 * len(near) <= len(self._topology.voters) and any(
-            partition.overlaps(begin, end) for partition in self.partitions
+        same_side = [voter for voter in self._topology.voters if self._in_first_region(voter.index) == side]
+        return 2 * len(same_side) <= len(self._topology.voters) and any(
+            partition.overlaps(start, end) for partition in self.partitions
         )
 
     def zone_lost(self, member: int, at: float) -> bool:
-        """Whether all members of the member's zone were down."""
-        zone = self._topology.places[member].zone
-        return not any(place.zone == zone for place in self.live(at))
+        """Return whether no member of the member's zone was running at this time."""
+        zone = self._topology.members[member].zone
+        return not any(spec.zone == zone for spec in self.live_members(at))
 
     def _in_first_region(self, member: int) -> bool:
-        return self._topology.places[member].region == self._first_region
+        return self._topology.members[member].region == self._first_region
 
 
 class ValueHistory:
-    """Values that a member reported, each in force until its next one."""
+    """A series of reported values, each valid until the next one."""
 
     def __init__(self) -> None:
         self._times: list[float] = []
         self._values: list[tuple[int, int]] = []
 
     def add(self, at: float, value: tuple[int, int]) -> None:
-        """Appends a value; calls come in the order of time."""
+        """Append a value. Calls must be in time order."""
         self._times.append(at)
         self._values.append(value)
 
     def at(self, at: float) -> tuple[int, int] | None:
-        """The value in force at this moment; None before the first one."""
+        """Return the value that is valid at this time, or None before the first one."""
         position = bisect_right(self._times, at)
         return self._values[position - 1] if position else None
--- a/saltcourse/emulator/scale/report.py
+++ b/saltcourse/emulator/scale/report.py
@@ -1,4 +1,7 @@
-"""The metrics of all runs: one flat JSON object, a table and a chart."""
+"""Reports the metrics of all runs as a flat JSON object, a table and a chart.
+
+The keys of the JSON object are read by scripts and do not change.
+"""
 
 from __future__ import annotations
 
@@ -8,12 +11,12 @@
 
 from saltcourse.emulator.scale.evaluation.metrics import RunMetrics, slowest_recovery
 from saltcourse.emulator.scale.mechanisms import MESH
-from saltcourse.emulator.scale.summary import Spread, growth_exponent
+from saltcourse.emulator.scale.summary import Summary, growth_exponent
 
 Value = float | int | bool | str | None
-BUDGET_BYTES_PER_S = 21_000.0  # of issue 32, sent plus received; drawn in the chart
-BUDGET_CPU_SHARE = 0.026
-DIGITS = 5
+BUDGET_BYTES_PER_S = 21_000.0  # a proxy's budget for control traffic (issue 32), sent plus received
+BUDGET_CPU_SHARE = 0.026  # a proxy's budget for control work, fraction of a core
+DIGITS = 5  # decimal places of numbers in the JSON object
 COLUMNS = (
     "proxies",
     "B/s mean",
@@ -36,29 +39,29 @@
 
 
 def flat_metrics(runs: Sequence[RunMetrics]) -> dict[str, Value]:
-    """One flat object for all runs. Keys of the mesh begin with ``mesh_``."""
-    found: dict[str, Value] = {}
+    """Return one flat object for all runs. Keys of mesh runs start with ``mesh_``."""
+    flat: dict[str, Value] = {}
     for metrics in runs:
-        for key, value in _of_size(metrics):
-            found[f"{prefix(metrics)}n{metrics.size}_{key}"] = _rounded(value)
+        for key, value in _metrics_of_run(metrics):
+            flat[f"{prefix(metrics)}n{metrics.size}_{key}"] = _rounded(value)
     for mechanism in sorted({metrics.mechanism for metrics in runs}):
         chosen = [
             metrics for metrics in runs if metrics.mechanism == mechanism and metrics.proxies is not None
         ]
-        start = f"{mechanism}_" if mechanism == MESH else ""
-        sizes = {f.size: f.proxies.bytes_per_s.mean for f in chosen if f.proxies is not None}
-        shares = {f.size: f.proxies.cpu_share.mean for f in chosen if f.proxies is not None}
-        found[f"{start}bytes_growth_exponent"] = _rounded(growth_exponent(sizes))
-        found[f"{start}cpu_growth_exponent"] = _rounded(growth_exponent(shares))
-    return found
+        key_prefix = f"{mechanism}_" if mechanism == MESH else ""
+        byte_rates = {run.size: run.proxies.bytes_per_s.mean for run in chosen if run.proxies is not None}
+        cpu_shares = {run.size: run.proxies.cpu_share.mean for run in chosen if run.proxies is not None}
+        flat[f"{key_prefix}bytes_growth_exponent"] = _rounded(growth_exponent(byte_rates))
+        flat[f"{key_prefix}cpu_growth_exponent"] = _rounded(growth_exponent(cpu_shares))
+    return flat
 
 
 def prefix(metrics: RunMetrics) -> str:
-    """What the keys of a run begin with."""
+    """Return the prefix of a run's keys."""
     return "mesh_" if metrics.mechanism == MESH else ""
 
 
-def _of_size(metrics: RunMetrics) -> Iterator[tuple[str, Value]]:
+def _metrics_of_run(metrics: RunMetrics) -> Iterator[tuple[str, Value]]:
     yield from _costs(metrics)
     yield from _changes(metrics)
     yield from _failures_and_recovery(metrics)
@@ -82,7 +85,7 @@
 
 def _changes(metrics: RunMetrics) -> Iterator[tuple[str, Value]]:
     for name in ("p50", "p99", "max"):
-        yield f"change_everywhere_s_{name}", _part(metrics.change.seconds, name)
+        yield f"change_everywhere_s_{name}", _statistic(metrics.change.seconds, name)
     yield "changes", metrics.change.events
     yield "changes_missing", metrics.change.missing
     yield "changes_confirmed", metrics.changes_confirmed
@@ -90,16 +93,16 @@
 
 
 def _failures_and_recovery(metrics: RunMetrics) -> Iterator[tuple[str, Value]]:
-    yield "failure_known_s_p50", _part(metrics.failure.seconds, "p50")
-    yield "failure_known_everywhere_s_p50", _part(metrics.failure_everywhere, "p50")
-    yield "failure_known_everywhere_s_max", _part(metrics.failure_everywhere, "max")
+    yield "failure_known_s_p50", _statistic(metrics.failure.seconds, "p50")
+    yield "failure_known_everywhere_s_p50", _statistic(metrics.failure_everywhere, "p50")
+    yield "failure_known_everywhere_s_max", _statistic(metrics.failure_everywhere, "max")
     yield "failures", metrics.failure.events
     yield "failures_missing", metrics.failure.missing
-    yield "join_s_p50", _part(metrics.joining.seconds, "p50")
-    yield "join_s_max", _part(metrics.joining.seconds, "max")
+    yield "join_s_p50", _statistic(metrics.joining.seconds, "p50")
+    yield "join_s_max", _statistic(metrics.joining.seconds, "max")
     yield "joins", metrics.joining.events
     yield "joins_missing", metrics.joining.missing
-    yield "stale_known_s_max", _part(metrics.staleness.seconds, "max")
+    yield "stale_known_s_max", _statistic(metrics.staleness.seconds, "max")
     yield "stale_missing", metrics.staleness.missing
     yield "false_suspicions", metrics.false_suspicions
     yield "false_deaths", metrics.false_deaths
@@ -112,7 +115,7 @@
         yield f"phase_{phase.name}_bytes_per_s_max", phase.bytes_per_s
         yield f"phase_{phase.name}_cpu_share_max", phase.cpu_share
     for name, change in metrics.change_by_phase.items():
-        yield f"phase_{name}_change_everywhere_s_max", _part(change.seconds, "max")
+        yield f"phase_{name}_change_everywhere_s_max", _statistic(change.seconds, "max")
         yield f"phase_{name}_changes_missing", change.missing
 
 
@@ -121,9 +124,9 @@
         yield "real_processes", metrics.real.processes
         yield "real_bytes_per_s_max", metrics.real.bytes_per_s
         yield "real_cpu_share_max", metrics.real.cpu_share
-        yield "real_cpu_share_without", metrics.real.cpu_share_without
+        yield "real_cpu_share_without", metrics.real.cpu_share_without_gossip
         yield "real_memory_mb_max", metrics.real.memory_mb
-        yield "real_memory_mb_without", metrics.real.memory_mb_without
+        yield "real_memory_mb_without", metrics.real.memory_mb_without_gossip
 
 
 def _harness(metrics: RunMetrics) -> Iterator[tuple[str, Value]]:
@@ -134,10 +137,10 @@
     yield "overloaded", metrics.overloaded
 
 
-def _part(found: Spread | None, name: str) -> float | None:
-    if found is None:
+def _statistic(summary: Summary | None, name: str) -> float | None:
+    if summary is None:
         return None
-    return {"p50": found.p50, "p99": found.p99, "max": found.max}[name]
+    return {"p50": summary.p50, "p99": summary.p99, "max": summary.max}[name]
 
 
 def _rounded(value: Value) -> Value:
@@ -145,7 +148,10 @@
 
 
 def table(runs: Sequence[RunMetrics]) -> str:
-    """Plain text; bytes are sent plus received, CPU is in per cent of a core, times are in seconds."""
+    """Return a plain-text table, one row per run.
+
+    Bytes are sent plus received, CPU is in percent of a core, times are in seconds.
+    """
     rows = [COLUMNS, *[_row(metrics) for metrics in runs]]
     widths = [max(len(row[column]) for row in rows) for column in range(len(COLUMNS))]
     lines = ["  ".join(cell.rjust(width) for cell, width in zip(row, widths, strict=True)) for row in rows]
@@ -163,9 +169,9 @@
         _number(100 * cost.cpu_share.mean if cost else None, 2),
         _number(100 * cost.cpu_share.max if cost else None, 2),
         _number(metrics.memory_mb, 2),
-        *[_number(_part(metrics.change.seconds, part), 2) for part in ("p50", "p99", "max")],
+        *[_number(_statistic(metrics.change.seconds, name), 2) for name in ("p50", "p99", "max")],
         str(metrics.change.missing),
-        *[_number(_part(metrics.failure_everywhere, part), 1) for part in ("p50", "max")],
+        *[_number(_statistic(metrics.failure_everywhere, name), 1) for name in ("p50", "max")],
         _number(slowest_recovery(metrics.partitions), 2),
         str(metrics.false_suspicions),
         str(metrics.false_deaths),
@@ -178,7 +184,7 @@
 
 
 def chart(runs: Sequence[RunMetrics], path: Path) -> None:
-    """Bytes and CPU of a proxy over the size of the fleet. ImportError without matplotlib."""
+    """Draw bytes and CPU per proxy over the fleet size. Raises ImportError if matplotlib is not installed."""
     importlib.import_module("matplotlib").use("Agg")
     pyplot = importlib.import_module("matplotlib.pyplot")
     figure, (left, right) = pyplot.subplots(1, 2, figsize=(11, 4.5))
@@ -198,8 +204,8 @@
         )
     left.axhline(BUDGET_BYTES_PER_S, linestyle="--", color="gray", label="budget")
     right.axhline(100 * BUDGET_CPU_SHARE, linestyle="--", color="gray", label="budget")
-    left.set_ylabel("bytes a second of a proxy, sent plus received")
-    right.set_ylabel("% of a core")
+    left.set_ylabel("bytes per second per proxy, sent plus received")
+    right.set_ylabel("% of a core per proxy")
     for axes in (left, right):
         axes.set_xlabel("proxies")
         axes.set_xscale("log")
--- a/saltcourse/emulator/scale/runner.py
+++ b/saltcourse/emulator/scale/runner.py
@@ -1,4 +1,4 @@
-"""One run: starts the workers, runs the operator, and ends in any case what it has started."""
+"""Executes one run: starts the workers, runs the operator, and stops all processes at the end."""
 
 from __future__ import annotations
 
@@ -20,35 +20,39 @@
 from saltcourse.emulator.scale.topology import Topology, build_topology
 from saltcourse.emulator.scale.worker import run_worker
 from saltcourse.emulator.scale.worker_messages import (
-    Begin,
-    Bound,
     Finished,
     Fleet,
     Publish,
     PublishResult,
     Ready,
+    SocketsBound,
+    StartRun,
     WorkerFailed,
     WorkerTask,
 )
 from saltcourse.gossip.messages import Address
 
-START_TIMEOUT = 30.0  # s for the workers to import and bind
-LEAD = 0.3  # s between the order to begin and the begin
-LEAD_OF_REAL = 1.5  # s, where real processes are started meanwhile
-END_TIMEOUT = 20.0  # s after the timeline's end, for the last records
-OPERATOR_STEP = 0.02  # s
-JOIN_TIMEOUT = 2.0  # s for a worker that was asked to end
+START_TIMEOUT = 30.0  # seconds for the workers to import their modules and bind their sockets
+START_LEAD_TIME = 0.3  # seconds from the ``StartRun`` message to the start of the run
+START_LEAD_TIME_WITH_REAL = 1.5  # seconds, if real processes are started in that time
+END_TIMEOUT = 20.0  # seconds from the end of the timeline to the last records
+OPERATOR_STEP = 0.02  # seconds that the runner waits for messages before it advances the operator
+JOIN_TIMEOUT = 2.0  # seconds for a worker to exit after its pipe was closed or it was terminated
 KEY_BYTES = 32
-Answer = TypeVar("Answer")
+Expected = TypeVar("Expected")
 
 
 class RunError(Exception):
-    """The run gave no records; the text says why."""
+    """The run failed or was stopped before its end."""
 
 
 @dataclass(frozen=True, slots=True)
 class RunPlan:
-    """One run to make. ``size`` counts hollow proxies, ``workers`` and ``real`` processes."""
+    """The parameters of one run.
+
+    ``size`` is the number of simulated proxies, ``workers`` that of worker processes and ``real`` that of
+    real proxies.
+    """
 
     mechanism: str
     scenario: Scenario
@@ -60,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunRecords:
-    """What a run left behind, to be evaluated by ``evaluation``."""
+    """The record files of a run, with the plan, topology and timeline that their evaluation needs."""
 
     plan: RunPlan
     topology: Topology
@@ -69,33 +73,38 @@
 
 
 class RealProcesses:
-    """Where real processes take part; without any, nothing is done."""
+    """The interface to the real proxies of a run. This implementation is for runs without real proxies."""
 
     def bind(self, topology: Topology) -> dict[int, Address]:
-        """Addresses of ``topology.real``."""
+        """Return the addresses of ``topology.real``, by member index."""
         return {}
 
     def start(self, addresses: tuple[Address, ...], key: bytes, begin: float, records: Path) -> None:
-        """Called just before the begin of the run. What is observed of them goes to the file ``records``."""
+        """Start the real proxies. Called shortly before the start of the run.
+
+        ``addresses`` are those of all members, ``key`` is the fleet's gossip key and ``begin`` is the start
+        of the run on CLOCK_MONOTONIC. Observations of the proxies are written to the file ``records``.
+        """
 
     def close(self) -> None:
-        """Ends all that was started."""
+        """Stop all processes that were started."""
 
 
-def play(
+def execute_run(
     plan: RunPlan,
     folder: Path,
     stop: threading.Event,
     progress: Callable[[float], None],
     real: RealProcesses | None = None,
 ) -> RunRecords:
-    """Makes one run; ``progress`` gets the share that is done.
+    """Execute one run, with the record files in ``folder``.
 
-    Raises RunError when a worker failed or was late, or when ``stop`` was set.
+    ``progress`` is called with the completed fraction of the run. Raises RunError if a worker fails or misses
+    a deadline, or if ``stop`` is set.
     """
     run = _Run(plan, folder, stop, progress, real or RealProcesses())
     try:
-        return run.play()
+        return run.execute()
     finally:
         run.close()
 
@@ -118,21 +127,23 @@
         self._timeline = build_timeline(plan.scenario, self._topology, plan.seed)
         self._processes: list[SpawnProcess] = []
         self._pipes: list[Connection] = []
-        self._pipe_of: dict[int, Connection] = {}  # by member
+        self._pipe_by_member: dict[int, Connection] = {}  # pipe of the worker that hosts each member
         self._key = Random(f"key {plan.seed}").randbytes(KEY_BYTES)
 
-    def play(self) -> RunRecords:
+    def execute(self) -> RunRecords:
         paths = self._start_workers()
         addresses = self._exchange_addresses()
         operator_path = self._folder / f"{self._plan.mechanism}-{self._plan.size}-operator.jsonl"
         real_path = self._folder / f"{self._plan.mechanism}-{self._plan.size}-real.jsonl"
         records = RecordWriter(operator_path)
         try:
-            begin = time.monotonic() + (LEAD_OF_REAL if self._topology.real else LEAD)
-            self._real.start(addresses, self._key, begin, real_path)
+            run_start = time.monotonic() + (
+                START_LEAD_TIME_WITH_REAL if self._topology.real else START_LEAD_TIME
+            )
+            self._real.start(addresses, self._key, run_start, real_path)
             for pipe in self._pipes:
-                pipe.send(Begin(begin))
-            self._operate(begin, records)
+                pipe.send(StartRun(run_start))
+            self._operate(run_start, records)
         finally:
             self._real.close()
             records.close()
@@ -141,10 +152,10 @@
 
     def _start_workers(self) -> list[Path]:
         context = multiprocessing.get_context("spawn")
-        hollow = [place.index for place in self._topology.places if place not in self._topology.real]
+        simulated = [spec.index for spec in self._topology.members if spec not in self._topology.real]
         paths = []
-        for number in range(min(self._plan.workers, len(hollow))):
-            members = tuple(hollow[number :: self._plan.workers])
+        for number in range(min(self._plan.workers, len(simulated))):
+            members = tuple(simulated[number :: self._plan.workers])
             path = self._folder / f"{self._plan.mechanism}-{self._plan.size}-{number}.jsonl"
             task = WorkerTask(
                 self._plan.mechanism,
@@ -156,81 +167,81 @@
                 self._key,
                 path,
             )
-            ours, theirs = context.Pipe()
-            process = context.Process(target=run_worker, args=(task, theirs), daemon=True)
+            runner_end, worker_end = context.Pipe()
+            process = context.Process(target=run_worker, args=(task, worker_end), daemon=True)
             process.start()
-            theirs.close()
+            worker_end.close()
             self._processes.append(process)
-            self._pipes.append(ours)
-            self._pipe_of.update(dict.fromkeys(members, ours))
+            self._pipes.append(runner_end)
+            self._pipe_by_member.update(dict.fromkeys(members, runner_end))
             paths.append(path)
         return paths
 
     def _exchange_addresses(self) -> tuple[Address, ...]:
         deadline = time.monotonic() + START_TIMEOUT
-        found = self._real.bind(self._topology)
-        real = frozenset(found)
+        address_by_member = self._real.bind(self._topology)
+        real = frozenset(address_by_member)
         for pipe in self._pipes:
-            found = found | self._expect(pipe, Bound, deadline).addresses
-        addresses = tuple(found[place.index] for place in self._topology.places)
+            address_by_member = address_by_member | self._expect(pipe, SocketsBound, deadline).addresses
+        addresses = tuple(address_by_member[spec.index] for spec in self._topology.members)
         for pipe in self._pipes:
             pipe.send(Fleet(addresses, real))
         for pipe in self._pipes:
             self._expect(pipe, Ready, deadline)
         return addresses
 
-    def _expect(self, pipe: Connection, kind: type[Answer], deadline: float) -> Answer:
+    def _expect(self, pipe: Connection, kind: type[Expected], deadline: float) -> Expected:
         while not pipe.poll(OPERATOR_STEP):
             if self._stop.is_set():
                 raise RunError("stopped")
             if time.monotonic() > deadline:
-                raise RunError("a worker did not start in time")
+                raise RunError(f"a worker did not send {kind.__name__} within {START_TIMEOUT:g} s")
         message = self._receive(pipe)
         if not isinstance(message, kind):
-            raise RunError(f"{kind.__name__} was expected of a worker, not {message!r}")
+            raise RunError(f"a worker sent {message!r}, expected {kind.__name__}")
         return message
 
     def _receive(self, pipe: Connection) -> object:
         try:
             message = pipe.recv()
         except (EOFError, ConnectionError):
-            raise RunError("a worker has ended") from None
+            raise RunError("a worker process exited during the run") from None
         if isinstance(message, WorkerFailed):
             raise RunError(f"a worker failed:\n{message.text}")
         return message
 
-    def _operate(self, begin: float, records: RecordWriter) -> None:
+    def _operate(self, run_start: float, records: RecordWriter) -> None:
         minority = self._plan.scenario.zones[-1].region
         operator = Operator(self._topology, self._timeline, self._send, records.write, minority)
         working = set(self._pipes)
-        deadline = begin + self._timeline.end + END_TIMEOUT
+        deadline = run_start + self._timeline.end + END_TIMEOUT
         while working:
             if self._stop.is_set():
                 raise RunError("stopped")
             if time.monotonic() > deadline:
-                raise RunError("a worker did not end in time")
-            now = time.monotonic() - begin
+                raise RunError(f"a worker did not finish within {END_TIMEOUT:g} s of the timeline's end")
+            now = time.monotonic() - run_start
             if now < self._timeline.end:
                 operator.advance(now)
             for ready in wait(list(working), OPERATOR_STEP):
                 assert isinstance(ready, Connection)
                 message = self._receive(ready)
                 if isinstance(message, PublishResult):
-                    operator.result_received(time.monotonic() - begin, message)
+                    operator.result_received(time.monotonic() - run_start, message)
                 elif isinstance(message, Finished):
                     working.discard(ready)
             self._progress(min(max(now / self._timeline.end, 0.0), 1.0))
 
-    def _send(self, order: Publish) -> None:
+    def _send(self, request: Publish) -> None:
         try:
-            self._pipe_of[order.member].send(order)
+            self._pipe_by_member[request.member].send(request)
         except OSError:
-            raise RunError("a worker has ended") from None
+            raise RunError(f"the worker of member {request.member} exited during the run") from None
 
     def close(self) -> None:
-        """Ends the workers that have not ended by themselves, and only these."""
+        """Stop the worker processes that have not exited: close their pipes, then terminate, then kill."""
         for pipe in self._pipes:
-            pipe.close()  # whoever waits for an order ends by this
+            pipe.close()  # a worker that waits for a message exits on this
         for process in self._processes:
             process.join(JOIN_TIMEOUT if not self._stop.is_set() else 0.1)
             if process.is_alive():
--- a/saltcourse/proxy/descriptors.py
+++ b/saltcourse/proxy/descriptors.py
@@ -4,7 +4,7 @@
 
 from saltcourse.proxy.stream import SocketStream
 
-OWN_DESCRIPTORS = 24  # for discovery calls, the event loop, health checks and the interpreter
+OWN_DESCRIPTORS = 24  # of this process: discovery calls, event loop, health checks and interpreter
 
 
 class DescriptorLimit:
@@ -23,5 +23,5 @@
         return SocketStream.open_count < self.for_connections
 
     def can_serve(self, descriptors: int) -> bool:
-        """Return whether one more descriptor than ``descriptors`` fits, for a backend connection."""
+        """Return whether a backend connection is possible in addition to ``descriptors`` that are needed."""
         return descriptors + 1 <= self.for_connections
--- a/tests/config/operator_files.py
+++ b/tests/config/operator_files.py
@@ -1,4 +1,4 @@
-"""Operator's files and proxy's configurations for the tests."""
+"""Operator's files and proxy configurations for the tests."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 EXAMPLE = Path(__file__).parents[2] / "example" / "config.json"
-GOOD = """membership {
+ADDRESS_FAILOVER_SECTION = """membership {
   me: "a"
   service_address: "192.0.2.7"
   member { name: "a" address: "127.0.0.1:7001" priority: 2 }
@@ -42,8 +42,10 @@
 """
 
 
-def write_operator_file(folder: Path, text: str = GOOD, keys: str = "ab" * 32, mode: int = 0o600) -> Path:
-    """The file's path; its key file lies beside it."""
+def write_operator_file(
+    folder: Path, text: str = ADDRESS_FAILOVER_SECTION, keys: str = "ab" * 32, mode: int = 0o600
+) -> Path:
+    """Write an operator's file and its key file to a directory, and return the path of the former."""
     (folder / "key").write_text(keys)
     (folder / "key").chmod(mode)
     file = folder / "operator.txtpb"
@@ -52,7 +54,7 @@
 
 
 def write_proxy_config(folder: Path, peers: bool) -> str:
-    """The path of a configuration whose deployment lets proxies talk to each other, or not."""
+    """Write a proxy configuration and return its path; ``peers`` allows traffic between proxies."""
     values = json.loads(EXAMPLE.read_text())
     values["settings"]["limits"]["peers"] = peers
     (folder / "config.json").write_text(json.dumps(values))
--- a/tests/gossip/dissemination_fleet.py
+++ b/tests/gossip/dissemination_fleet.py
@@ -229,12 +229,12 @@
 
     # ---- events of members ------------------------------------------------------------------------------
 
-    def _schedule_probe(self, host: Host, life: int, delay: float) -> None:
+    def _schedule_probe(self, host: Host, incarnation: int, delay: float) -> None:
         def probe() -> None:
-            if host.incarnation == life:
+            if host.incarnation == incarnation:
                 if not host.stopped:
                     self.net.deliver(host, ProbeEvent())
-                self._schedule_probe(host, life, self.timing.probe_interval)
+                self._schedule_probe(host, incarnation, self.timing.probe_interval)
 
         self.net.call_at(self.net.now + delay, probe)
 
