--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -79,7 +79,7 @@
         self.texts: list[str] = []  # received messages, for the control
         for i in range(size):
             self.net.hosts[str(i)].alive = True
-            self.net.at(STEP * self.random.random(), partial(self.step, i))
+            self.net.call_at(STEP * self.random.random(), partial(self.step, i))
             for _ in range(round(CONNECTIONS_PER_S * CONNECTION_LIFETIME)):
                 self.open_connection(i)
 
@@ -92,7 +92,7 @@
         if self.pairs[i][pair] == 1:
             self.shared_states[i].record_group(server, group, True)
         lifetime = self.random.expovariate(1 / CONNECTION_LIFETIME)
-        self.net.at(self.net.now + lifetime, partial(self.close_connection, i, pair))
+        self.net.call_at(self.net.now + lifetime, partial(self.close_connection, i, pair))
 
     def close_connection(self, i: int, pair: tuple[str, str]) -> None:
         self.connections[i][pair[0]].count -= 1
@@ -105,7 +105,7 @@
         if self.random.random() < CONNECTIONS_PER_S * STEP:
             self.open_connection(i)
         self.send(i, self.shared_states[i].outgoing_messages(self.net.now))
-        self.net.at(self.net.now + STEP, partial(self.step, i))
+        self.net.call_at(self.net.now + STEP, partial(self.step, i))
 
     def send(self, i: int, sends: list[Outgoing]) -> None:
         for peer, text in sends:
--- a/tests/address_failover/test_election.py
+++ b/tests/address_failover/test_election.py
@@ -81,7 +81,7 @@
     election.net.stop(host)
     election.net.run(4.0)
     assert election.holder() == "n1"
-    queued = [event for event in host.waiting if isinstance(event, MessageReceived)]
+    queued = [event for event in host.pending_events if isinstance(event, MessageReceived)]
     actions = election.cores["n0"].handle(host.clock(4.0), queued[0])
     external_actions = (AnnounceAddress, ExtendLease, SendMessage, WithdrawAddress)
     first = next(action for action in actions if isinstance(action, external_actions))
--- a/tests/gossip/golden.py
+++ b/tests/gossip/golden.py
@@ -146,9 +146,9 @@
         transmit(sender, destination, datagram)
 
     network.transmit = record_and_transmit  # type: ignore[method-assign]
-    schedule.form()
-    schedule.disturb(10.0)
-    history.add(schedule.settle(), schedule.publish_one_more())
+    schedule.form_fleet()
+    schedule.inject_faults(10.0)
+    history.add(schedule.settle(), schedule.publish_final_change())
     for host, process in sorted(schedule.world.processes.items()):
         history.add(host, process.position, dict(process.node.dissemination.configuration))
     return history.digest()
@@ -158,7 +158,7 @@
     """Return the digest of a random fault schedule of voters: all messages, and the committed changes."""
     history = History()
     with record_sends(history):
-        world = quorum_schedule.play(seed)
+        world = quorum_schedule.run_schedule(seed)
     history.add(world.checker.changes, world.checker.results)
     return history.digest()
 
--- a/tests/shared_state/test_shared_state.py
+++ b/tests/shared_state/test_shared_state.py
@@ -33,7 +33,7 @@
     # Messages are lost, delayed and duplicated; a proxy is cut off for longer than a lease, another one is
     # stopped, and one restarts. Afterwards the replicas must match. At no time may the fleet exceed its
     # budget, or an ejection last longer than at its origin.
-    link = Link(delay=(0.0017, 0.3), loss=(seed % 6) * 0.1, double=0.2)
+    link = Link(delay=(0.0017, 0.3), loss=(seed % 6) * 0.1, duplication=0.2)
     proxies = SimulatedProxies(seed, link, count=3 + seed % 4)
     assert run_with_faults(proxies) == []
     assert 0 < proxies.longest_message <= MAX_BYTES
